--- a/policy/types.go
+++ b/policy/types.go
@@ -192,10 +192,15 @@
 	Reset         Status = 305
 	Cancelled     Status = 306
 	Moot          Status = 307
+	// LocalFailure is an attempt that this machine could not make, as a table or a range of ports
+	// of its own was exhausted: it never ran, and says nothing of its server.
+	LocalFailure Status = 308
 )
 
 // NeverRan tells whether the ending proves that the attempt did not run.
-func (s Status) NeverRan() bool { return s == Full || s == ConnectFailed || s == Moot }
+func (s Status) NeverRan() bool {
+	return s == Full || s == ConnectFailed || s == Moot || s == LocalFailure
+}
 
 // EventKind tells which fields of an Event count.
 type EventKind uint8
