--- /dev/null
+++ b/internal/agent/accept_test.go
@@ -0,0 +1,132 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// failingListener fails with an error some times before each accept.
+type failingListener struct {
+	net.Listener
+	errno syscall.Errno
+	left  *atomic.Int32
+}
+
+func (l failingListener) Accept() (net.Conn, error) {
+	if l.left.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.errno)}
+	}
+	return l.Listener.Accept()
+}
+
+// acceptErrnos are those in which accept may fail with nothing wrong with the listener.
+var acceptErrnos = []syscall.Errno{
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.EPERM, syscall.ENFILE, syscall.EMFILE, syscall.ETIMEDOUT,
+	syscall.EINTR, syscall.ECONNABORTED, syscall.EAGAIN, syscall.EINVAL,
+}
+
+// However accept fails and however often, the agent goes on and serves what comes next.
+func TestFailedAcceptsEndNothing(t *testing.T) {
+	addr, _ := counted(t, 200, false)
+	for _, errno := range acceptErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			left := &atomic.Int32{}
+			left.Store(8)
+			_, base, _, ended := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+				return failingListener{ln, errno, left}
+			})
+			c := dial(t, base)
+			io.WriteString(c, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
+			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
+			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			if err != nil || resp.StatusCode != 200 {
+				t.Fatalf("got %v, %v", resp, err)
+			}
+			select {
+			case err := <-ended:
+				t.Fatalf("the agent ended: %v", err)
+			default:
+			}
+		})
+	}
+}
+
+// countingHandler counts the lines that are logged.
+type countingHandler struct {
+	slog.Handler
+	lines *atomic.Int32
+}
+
+func (h countingHandler) Enabled(context.Context, slog.Level) bool { return true }
+
+func (h countingHandler) Handle(context.Context, slog.Record) error {
+	h.lines.Add(1)
+	return nil
+}
+
+// A failed accept is waited after for 5 to 20 ms however often it fails, and a storm of them
+// is logged in one line.
+func TestFailedAcceptsAreRetriedSoon(t *testing.T) {
+	ln, left, lines := listen(t), &atomic.Int32{}, &atomic.Int32{}
+	left.Store(100)
+	l := newListener(failingListener{ln, syscall.ENOBUFS, left}, newPlaces(1, 1),
+		slog.New(countingHandler{slog.DiscardHandler, lines}))
+	waits := 0
+	now := make(chan time.Time)
+	close(now)
+	l.after = func(d time.Duration) <-chan time.Time {
+		if waits++; d < 5*time.Millisecond || d > 20*time.Millisecond {
+			t.Errorf("waits for %v", d)
+		}
+		l.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		return now
+	}
+	dial(t, ln.Addr().String())
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	if waits != 100 || l.failures != 100 || lines.Load() != 1 {
+		t.Fatalf("%d waits, %d failures counted, %d lines", waits, l.failures, lines.Load())
+	}
+}
+
+// A listener that is closed during the wait after a failure ends at once.
+func TestClosedWhileAcceptWaits(t *testing.T) {
+	left := &atomic.Int32{}
+	left.Store(1000)
+	l := newListener(failingListener{listen(t), syscall.EMFILE, left}, newPlaces(1, 1), slog.New(slog.DiscardHandler))
+	waiting := make(chan struct{}, 1)
+	l.after = func(time.Duration) <-chan time.Time {
+		waiting <- struct{}{}
+		return nil // never over
+	}
+	ended := make(chan error, 1)
+	go func() {
+		_, err := l.Accept()
+		ended <- err
+	}()
+	<-waiting
+	l.Close()
+	select {
+	case err := <-ended:
+		if !errors.Is(err, net.ErrClosed) {
+			t.Fatalf("ended with %v", err)
+		}
+	case <-time.After(20 * time.Second):
+		t.Fatal("waits on after its close")
+	}
+}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -136,7 +136,7 @@
 	go a.loop.run()
 	go a.tidy(ctx)
 	failed := make(chan error, 1)
-	placed := &listener{Listener: ln, places: a.places}
+	placed := newListener(ln, a.places, a.log)
 	go func() { failed <- a.server.Serve(placed) }()
 	select {
 	case err := <-failed:
