--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -18,8 +18,14 @@
 // ServeHTTP takes one request and gives it one answer.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	came := time.Now()
-	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok && !a.places.claim(c) {
-		panic(http.ErrAbortHandler) // closed as this came: its client sends it once more
+	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
+		cameAt, last := a.places.claim(c)
+		if !cameAt.IsZero() {
+			came = cameAt
+		}
+		if last {
+			w.Header().Set("Connection", "close")
+		}
 	}
 	if hr.Method == http.MethodGet && hr.RequestURI == "/ready" {
 		a.serveReady(w)
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -91,12 +91,20 @@
 // the wait, which is short: the connection was accepted and its request may have come.
 func (l *listener) place(c net.Conn) *clientConn {
 	cc := &clientConn{Conn: c, places: l.places, since: time.Now()}
+	l.places.wait(1) // who leaves must not take it for closed
+	defer l.places.wait(-1)
 	for !l.places.take(cc, time.Now()) {
+		if cc.seenAt.IsZero() && pending(c) > 0 {
+			cc.seenAt = time.Now()
+		}
 		if time.Since(cc.since) > l.places.patience() {
 			c.Close()
 			return nil
 		}
-		time.Sleep(roomEvery)
+		select {
+		case <-l.places.freed:
+		case <-time.After(roomEvery):
+		}
 	}
 	return cc
 }
--- a/internal/agent/places.go
+++ b/internal/agent/places.go
@@ -16,6 +16,11 @@
 	// roomFor how long a new one waits for a place, looked for every roomEvery.
 	silentFor          = 30 * time.Millisecond
 	roomFor, roomEvery = 150 * time.Millisecond, 2 * time.Millisecond
+	// leastHeadFor is what a head has to come whole in at least, from its first byte.
+	leastHeadFor = 100 * time.Millisecond
+	// endedAtOnce is how many connections are ended at most for one that comes. Each costs a
+	// look at all; a limit that was lowered is reached as more come.
+	endedAtOnce = 4
 	// tidyEvery is how often idle connections are looked through.
 	tidyEvery = 250 * time.Millisecond
 )
@@ -32,16 +37,19 @@
 
 // places holds the clients' connections, at most as many as there are places.
 type places struct {
-	most  int
-	many  int // connections that ask or have asked, past which they are not kept
-	mu    sync.Mutex
-	conns map[*clientConn]struct{}
+	most    int
+	many    int // connections that ask or have asked, past which they are not kept
+	mu      sync.Mutex
+	conns   map[*clientConn]struct{}
+	waiting int           // accepted connections that wait for a place
+	freed   chan struct{} // has an item when a place became free; room for one
 	// silent and room are silentFor and roomFor, but for tests.
 	silent, room time.Duration
 }
 
 func newPlaces(most, many int) *places {
-	return &places{most: most, many: many, conns: map[*clientConn]struct{}{}, silent: silentFor, room: roomFor}
+	return &places{most: most, many: many, conns: map[*clientConn]struct{}{},
+		freed: make(chan struct{}, 1), silent: silentFor, room: roomFor}
 }
 
 // resize changes how many places there are; connections over it end as others come.
@@ -58,31 +66,57 @@
 	return p.room
 }
 
-// take gives the connection a place, at the cost of the one that needs its own least.
+// wait counts an accepted connection that has no place yet, or with -1 no longer waits.
+func (p *places) wait(change int) {
+	p.mu.Lock()
+	p.waiting += change
+	p.mu.Unlock()
+}
+
+// take gives the connection a place if one is free. Otherwise it ends the connection that needs
+// its own least: its place is free when the server has closed it.
 func (p *places) take(c *clientConn, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.conns) >= p.most {
+	for n := 0; n < endedAtOnce && len(p.conns)-p.closing() >= p.most; n++ {
 		least := p.least(now)
 		if least == nil {
-			return false
+			break
+		}
+		if least.stage == rejected {
+			p.shut(least)
+		} else {
+			p.end(least)
 		}
-		p.shut(least)
+	}
+	if len(p.conns) >= p.most {
+		return false
 	}
 	p.conns[c] = struct{}{}
 	return true
 }
 
-// least finds the connection to close for a new one: the one idle longest, else the
+// closing counts the connections that the server is about to close. The places are locked.
+func (p *places) closing() (n int) {
+	for c := range p.conns {
+		if c.ending && !c.coming && (c.stage == fresh || c.stage == idle) {
+			n++
+		}
+	}
+	return n
+}
+
+// least finds the connection to end for a new one: the one idle longest, else the
 // oldest that has said nothing, else one that was turned away, else the oldest whose
 // request does not come to its end, and of the others one between requests. One
-// with a request open is never closed.
+// with a request open is never ended. The places are locked.
 func (p *places) least(now time.Time) *clientConn {
 	const kinds = 5
 	var found [kinds]*clientConn
 	for c := range p.conns {
 		kind, age := kinds, now.Sub(c.since)
 		switch {
+		case c.ending:
 		case c.stage == idle && c.coming:
 			if age >= unfinishedFor { // the server waits far longer for its first bytes
 				kind = 3
@@ -93,10 +127,10 @@
 			kind = 3
 		case c.stage == fresh && !c.got.Load() && age >= p.silent:
 			kind = 1
-		case c.stage == rejected:
+		case c.stage == rejected && c.answered:
 			kind = 2
 		case c.stage == idle:
-			kind = 4 // may cross a request, which the client then sends again
+			kind = 4
 		}
 		// What has just come and is not yet read is somebody's request.
 		if kind < kinds && (found[kind] == nil || c.since.Before(found[kind].since)) &&
@@ -112,45 +146,136 @@
 	return nil
 }
 
-// arrived notes that bytes were read from a connection, ahead of its request's answer or as
-// a part of a request. It reports whether they may count, and whether a request is open. A
-// connection that was closed between the read and this takes nothing: its client, which
-// found it closed before an answer, sends the request once more.
-func (p *places) arrived(c *clientConn, ahead bool) (taken, open bool) {
+// end ends a connection on which no request is open, without a request being lost: not its
+// descriptor is closed beside the server's read, but that read's time is over. Either the read
+// returns bytes all the same, then their request is answered and the connection ends with the
+// answer, or it returns none and the server closes the connection, of which nothing was read.
+// The places are locked.
+func (p *places) end(c *clientConn) {
+	now := time.Now()
+	c.ending = true
+	if c.coming {
+		c.headBy = now
+	}
+	_ = c.Conn.SetReadDeadline(now)
+}
+
+// reading notes that the server reads into so much room, and reports whether for a request's
+// head. The room of its first read is its whole buffer. With less of it free the server holds
+// bytes of the next request, read behind those of the one before.
+func (p *places) reading(c *clientConn, room int) (head bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	open = c.stage == busy
-	if c.stage == idle && !c.coming {
-		c.since = time.Now()
+	if c.stage != fresh && c.stage != idle {
+		return false
+	}
+	c.buffer = max(c.buffer, room)
+	if room < c.buffer && !c.coming {
+		p.begin(c, time.Now())
+	}
+	return true
+}
+
+// begin notes that the first bytes of a head have been read, which has to come whole in its
+// time, also on a connection that was ended. The places are locked.
+func (p *places) begin(c *clientConn, now time.Time) {
+	if c.stage == idle {
+		c.since = now
+	}
+	c.coming = true
+	c.headBy = c.since.Add(headFor)
+	if least := now.Add(leastHeadFor); c.headBy.Before(least) {
+		c.headBy = least
 	}
-	c.coming = c.coming || !open || ahead
-	return !c.closed, open
+	_ = c.Conn.SetReadDeadline(c.headBy)
 }
 
-// claim takes a connection's request to be answered, unless the connection was closed.
-func (p *places) claim(c *clientConn) bool {
+// timedOut is told that the time of a read of a head is over. It reports whether bytes have
+// come before this was seen, which then are read: unread they would reset the connection.
+func (p *places) timedOut(c *clientConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.closed {
+	if c.looked || pending(c.Conn) <= 0 {
 		return false
 	}
-	if c.stage != rejected {
-		c.stage, c.since = busy, time.Now()
+	c.looked = true
+	if !c.coming {
+		p.begin(c, time.Now())
+	} else {
+		_ = c.Conn.SetReadDeadline(time.Now().Add(leastHeadFor)) // they are there already
 	}
 	return true
 }
 
-// shut closes a connection on which no request is open. The places are locked.
+// arrived notes that bytes, which were there at a time, were read from a connection, ahead of
+// its request's answer or as a part of a request. It reports whether a request is open.
+func (p *places) arrived(c *clientConn, ahead bool, at time.Time) (open bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch {
+	case c.stage == busy:
+		c.coming = c.coming || ahead
+		return true
+	case !c.coming:
+		p.begin(c, time.Now())
+	case c.looked:
+		_ = c.Conn.SetReadDeadline(c.headBy)
+	}
+	c.cameAt = at
+	return false
+}
+
+// setReadDeadline sets the time that the server gives a read. A connection that was ended keeps
+// its own until bytes have come, and a head has no more time than from its first byte on. No
+// time at all is set only for what is no head: then the head has come whole, and the connection
+// can't be ended any more.
+func (p *places) setReadDeadline(c *clientConn, t time.Time) error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.stage == fresh || c.stage == idle {
+		switch {
+		case t.IsZero():
+			c.stage, c.since, c.coming = busy, time.Now(), false
+		case c.coming && c.headBy.Before(t):
+			t = c.headBy
+		case c.ending && !c.coming:
+			return nil
+		}
+	}
+	return c.Conn.SetReadDeadline(t)
+}
+
+// claim takes a connection's request to be answered. It reports when the last byte of its head
+// came, and whether the connection ends with the answer.
+func (p *places) claim(c *clientConn) (cameAt time.Time, last bool) {
+	p.enter(c, busy)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return c.cameAt, c.ending
+}
+
+// shut closes a connection whose client was told that its request is bad, and which the server
+// reads no more. The places are locked.
 func (p *places) shut(c *clientConn) {
-	delete(p.conns, c)
-	c.closed = true
 	c.Conn.Close()
+	delete(p.conns, c)
 }
 
 func (p *places) drop(c *clientConn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
+	select {
+	case p.freed <- struct{}{}:
+	default:
+	}
+}
+
+// written notes that the server has said all that it says on a connection.
+func (p *places) written(c *clientConn) {
+	p.mu.Lock()
+	c.answered = true
+	p.mu.Unlock()
 }
 
 // enter notes a connection's new stage. A rejected one stays so.
@@ -159,8 +284,12 @@
 	if c.stage != rejected {
 		c.stage, c.since = to, time.Now()
 	}
-	if to == busy {
+	switch to {
+	case busy:
 		c.coming = false // it has come
+	case idle:
+		c.looked = false
+		c.headBy = c.since.Add(headFor) // of what came ahead
 	}
 	p.mu.Unlock()
 }
@@ -198,7 +327,7 @@
 	return !p.crowded()
 }
 
-// tidy closes those that have been idle for a while, as long as there are too many.
+// tidy ends those that have been idle for a while, as long as there are too many.
 func (p *places) tidy(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -207,25 +336,26 @@
 	}
 	for c := range p.conns {
 		if c.resting() && now.Sub(c.since) >= idleFor {
-			p.shut(c)
+			p.end(c)
 		}
 	}
 }
 
-// closeWaiting closes the connections on which no request is open or coming in: those
+// closeWaiting ends the connections on which no request is open or coming in: those
 // between two requests and, where fresh ones are asked for too, those that said nothing yet.
 func (p *places) closeWaiting(freshToo bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
 		if c.resting() || freshToo && c.stage == fresh && c.silent() {
-			p.shut(c)
+			p.end(c)
 		}
 	}
 }
 
+// count is how many connections are accepted and not closed.
 func (p *places) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.conns)
+	return len(p.conns) + p.waiting
 }
--- a/internal/agent/places_test.go
+++ b/internal/agent/places_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -93,7 +95,7 @@
 	}
 }
 
-// A connection with a request open, or one that came just now, is never closed for another.
+// A connection with a request open, or one that came just now, is never ended for another.
 func TestBusyPlacesStay(t *testing.T) {
 	p, now := newPlaces(3, 3), time.Now()
 	for _, s := range []stage{busy, busy, fresh} {
@@ -110,6 +112,25 @@
 	if p.take(next, now) || p.count() != 3 {
 		t.Fatal("a connection that is in use was closed")
 	}
+	// What its server does: it reads, and closes the connection when that read ends.
+	ended := make(chan error, 1)
+	var ending *clientConn
+	for c := range p.conns {
+		if c.stage == fresh {
+			ending = c
+		}
+	}
+	go func() {
+		_, err := ending.Read(make([]byte, 4096))
+		ended <- err
+	}()
+	if p.take(next, now.Add(unfinishedFor)) || p.count() != 3 {
+		t.Fatal("a place was given twice")
+	}
+	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("its read ended with %v", err)
+	}
+	ending.Close()
 	if !p.take(next, now.Add(unfinishedFor)) || p.count() != 3 {
 		t.Fatal("no place was made of one whose request does not come")
 	}
