--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -33,6 +33,8 @@
 	Settings  policy.Settings
 	Names     names
 	Known     List
+
+	clock machineClock // nil: that of this machine
 }
 
 // names maps the words of discovery and of clients to the module's numbers.
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -14,6 +14,7 @@
 			l.tell(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
 		case in.list.Seq >= l.seq: // the watch may have told more meanwhile
 			l.learn(policy.ListFull, &in.list)
+			l.starts.fetched(l.clock())
 		}
 	case inWatched:
 		switch {
@@ -24,8 +25,10 @@
 		default: // nothing new, and yet a sign that discovery is there
 			l.tell(&policy.Event{Kind: policy.EvList, List: policy.ListDelta})
 		}
+		l.starts.watched()
 	case inWatchEnded:
 		l.watching = false
+		l.starts.unwatched(l.clock(), float64(l.disc.silence.Milliseconds()))
 		l.log.Warn("discovery: watch ended", "err", in.err)
 		how := policy.ListFailed
 		if in.lost {
@@ -48,6 +51,7 @@
 	l.disc = newDiscovery(l.ctx, addr, l.disc.gen+1, l.post)
 	l.disc.first = first
 	l.seq, l.fetching, l.watching = 0, true, true
+	l.starts.unwatched(l.clock(), 0)
 	go l.disc.fetch(true)
 	go l.disc.watch(0, true)
 }
@@ -81,6 +85,8 @@
 		}
 		b.usable = entries[i].Health == policy.Ready
 	}
+	l.starts.translate(entries, l.clock())
+	l.starts.forget(l.backends)
 	for addr, b := range l.backends {
 		if kind != policy.ListDelta && !named[addr] {
 			b.usable = false
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -60,8 +60,8 @@
 	log      *slog.Logger
 	in       chan input
 	todo     []input // what the loop itself gave rise to, to be handled next
-	base     time.Time
-	baseMs   float64
+	time     moduleClock
+	starts   *startTimes
 	pool     *pool
 	disc     *discovery
 	requests map[policy.RequestID]*request
@@ -90,13 +90,10 @@
 	if err != nil {
 		return nil, err
 	}
-	// The module's clock is the Unix time of the start, then monotonic: born_ms needs
-	// no translation, and steps of the system's clock don't show.
-	base := time.Now()
 	l := &loop{bal: bal, conf: c, log: log, ctx: ctx,
 		// Room for all that can be under way at once: a handler must not wait here
 		// while its guard is not yet set.
-		in: make(chan input, 4*c.Limits.Sockets), base: base, baseMs: float64(base.UnixMicro()) / 1000,
+		in: make(chan input, 4*c.Limits.Sockets), time: newModuleClock(c.clock), starts: newStartTimes(),
 		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{}, after: time.AfterFunc,
 		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), ids: newIDMemory(0)}
 	l.bound()
