--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"hash/fnv"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"strconv"
@@ -35,6 +36,11 @@
 	// What a new discovery tells counts as told after 4 s: the first calls are tried
 	// again for eagerFor, eagerEvery after one that failed or took over eagerTry.
 	eagerFor, eagerEvery, eagerTry = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
+	// A call that this machine could not make, for want of a descriptor, a port or a route, has not
+	// reached discovery and costs it nothing: it is made again after localBackoff, which doubles to
+	// longestLocalBackoff. So discovery is called 0.1 s after the moment has passed, long before what
+	// it has counts as told, and no more than some 20 connects a second are tried.
+	localBackoff, longestLocalBackoff = 25 * time.Millisecond, 100 * time.Millisecond
 )
 
 // List is a list of backends, or a change of it, in discovery's form.
@@ -127,8 +133,9 @@
 	client  *http.Client
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 	post    func(input)
-	first   time.Duration // within which a watch must begin to tell
-	silence time.Duration // after which it has ended
+	pause   func(time.Duration) bool // false: the calls end
+	first   time.Duration            // within which a watch must begin to tell
+	silence time.Duration            // after which it has ended
 	ctx     context.Context
 	close   context.CancelFunc // ends all calls
 }
@@ -152,6 +159,7 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	d.ctx, d.close = context.WithCancel(ctx)
+	d.pause = d.sleep
 	d.post = func(in input) {
 		in.gen = gen
 		post(in)
@@ -163,18 +171,42 @@
 func (d *discovery) eagerly(eager bool, try func() error) error {
 	end := time.Now().Add(eagerFor)
 	for {
-		err := try()
-		if err == nil || !eager || time.Now().After(end) {
+		err := d.leaving(try)
+		if err == nil || !eager || time.Now().After(end) || !d.pause(eagerEvery) {
 			return err
 		}
-		select {
-		case <-time.After(eagerEvery):
-		case <-d.ctx.Done():
+	}
+}
+
+// leaving tries a call until it has left this machine: what fails here is no failed call of
+// discovery, after which the next one would have to wait.
+func (d *discovery) leaving(try func() error) error {
+	for backoff := localBackoff; ; backoff = min(2*backoff, longestLocalBackoff) {
+		err := try()
+		if !neverLeft(err) || !d.pause(backoff/2+rand.N(backoff/2)) {
 			return err
 		}
 	}
 }
 
+// neverLeft reports whether a call failed on this machine, before anything of it was sent.
+func neverLeft(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial" && (isLocalError(err) || isUnreachable(err))
+}
+
+// sleep waits, and reports whether the calls go on.
+func (d *discovery) sleep(span time.Duration) bool {
+	timer := time.NewTimer(span)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-d.ctx.Done():
+		return false
+	}
+}
+
 // fetch asks for the whole list once.
 func (d *discovery) fetch(eager bool) {
 	var l List
