--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -45,6 +45,9 @@
 	if res.broken != nil {
 		l.log.Error("attempt ended", "err", res.broken)
 	}
+	if res.status == policy.LocalFailure || res.status == policy.Unreachable {
+		r.attempts[a.index] = nil
+	}
 	if res.status == policy.OK {
 		l.answer(r, answer{status: policy.OK, body: res.body, kind: res.kind})
 	}
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -194,6 +194,10 @@
 		return policy.Full
 	case errors.Is(cause, errCancelled):
 		return policy.Cancelled
+	case (never || a.cut) && isLocalError(err):
+		return policy.LocalFailure
+	case never && isUnreachable(err):
+		return policy.Unreachable
 	case never || a.cut:
 		return policy.ConnectFailed
 	case cause != nil:
--- a/internal/agent/local_errors.go
+++ b/internal/agent/local_errors.go
@@ -6,9 +6,11 @@
 )
 
 // localErrnos are the errors of a system call that are caused by this machine alone: a table, a
-// buffer or a range of ports that is exhausted for the moment. They say nothing of the peer.
+// buffer or a range of ports that is exhausted for the moment, or a call that was interrupted.
+// They say nothing of the peer.
 var localErrnos = []syscall.Errno{
 	syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+	syscall.EAGAIN, syscall.EINTR,
 }
 
 // unreachableErrnos are the errors of a connect to which no answer came from the peer. One peer
--- /dev/null
+++ b/internal/agent/local_failure_test.go
@@ -0,0 +1,115 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"molepaddle/policy"
+)
+
+// failingConnects lets the first connects fail with an error.
+type failingConnects struct {
+	errno syscall.Errno
+	fail  int32 // how many of them
+	begun atomic.Int32
+}
+
+func (f *failingConnects) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+	if f.begun.Add(1) <= f.fail {
+		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", f.errno)}
+	}
+	return (&net.Dialer{}).DialContext(ctx, network, addr)
+}
+
+// While no connection can be opened on this machine, requests of all classes wait for the end of
+// that, and the connects in that time are few.
+func TestRequestsOutlastFailingSockets(t *testing.T) {
+	const requests, failures = 20, 30
+	for _, errno := range []syscall.Errno{
+		syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
+		syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			var addrs []string
+			for range 4 {
+				addr, _ := counted(t, 200, false)
+				addrs = append(addrs, addr)
+			}
+			a, base, _, _ := start(t, config(nowhere, addrs...))
+			connects := &failingConnects{errno: errno, fail: failures}
+			a.look(func(l *loop) { l.pool.connect = connects.connect })
+			var answered sync.WaitGroup
+			for i := range requests {
+				answered.Add(1)
+				go func() {
+					defer answered.Done()
+					class := []string{"look", "send", "order"}[i%3]
+					resp, err := http.DefaultTransport.RoundTrip(call(base, class))
+					if err != nil {
+						t.Errorf("%s: no answer: %v", class, err)
+						return
+					}
+					resp.Body.Close()
+					if resp.StatusCode != http.StatusOK {
+						t.Errorf("%s: answered %d", class, resp.StatusCode)
+					}
+				}()
+			}
+			answered.Wait()
+			// Each request needs one connect at most, and those that failed were let to.
+			if n := connects.begun.Load(); n > failures+requests {
+				t.Errorf("%d connects", n)
+			}
+			a.look(func(l *loop) {
+				for tier, s := range l.bal.Snapshot(l.clock()).Tiers {
+					if tier > 0 && s.Servers > 0 {
+						t.Errorf("%d servers were demoted to tier %d", s.Servers, tier)
+					}
+				}
+			})
+		})
+	}
+}
+
+// What ends an attempt before the last byte of its request is told by its kind.
+func TestEndingsOfThisMachine(t *testing.T) {
+	for errno, want := range map[syscall.Errno]policy.Status{
+		syscall.ENFILE: policy.LocalFailure, syscall.EADDRNOTAVAIL: policy.LocalFailure,
+		syscall.EAGAIN: policy.LocalFailure, syscall.EINTR: policy.LocalFailure,
+		syscall.ENETUNREACH: policy.Unreachable, syscall.EHOSTUNREACH: policy.Unreachable,
+		syscall.ECONNREFUSED: policy.ConnectFailed, syscall.ETIMEDOUT: policy.ConnectFailed,
+	} {
+		p := testPool()
+		p.connect = (&failingConnects{errno: errno, fail: 1}).connect
+		if got := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+			t.Errorf("%v: ended %d, want %d", errno, got, want)
+		}
+		if p.open != 0 {
+			t.Errorf("%v: %d connections counted as open", errno, p.open)
+		}
+	}
+}
+
+// An extra connection that this machine could not open says nothing of its backend.
+func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
+	p := testPool()
+	p.idle = never
+	p.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
+	g := p.group("127.0.0.1:1")
+	g.openExtra(context.Background(), nil, nil)
+	if wait := time.Until(g.noExtra); wait > time.Second {
+		t.Errorf("none is opened for %v", wait)
+	}
+	p.connect = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+	if g.openExtra(context.Background(), nil, nil); time.Until(g.noExtra) < time.Minute {
+		t.Error("one that the backend refused is tried again at once")
+	}
+}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -222,9 +222,10 @@
 			}
 		case policy.ActCancel:
 			if r != nil && act.Attempt >= 0 && act.Attempt < len(r.attempts) {
-				a := r.attempts[act.Attempt]
-				a.withdraw() // else its first byte could still cross this
-				a.cancel(errCancelled)
+				if a := r.attempts[act.Attempt]; a != nil {
+					a.withdraw() // else its first byte could still cross this
+					a.cancel(errCancelled)
+				}
 			}
 		case policy.ActRefuse:
 			if r != nil {
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -15,6 +15,10 @@
 // that met the next request there would be taken for its own.
 const settle = 10 * time.Millisecond
 
+// localBackoff is the time without another extra connection after this machine could not open
+// one: no other failure of it is to be feared for long.
+const localBackoff = 20 * time.Millisecond
+
 // pool opens connections to backends within the process's share of descriptors and
 // keeps those that stand idle. It is a pool of its own since http.Transport may hand a
 // connection to the next request before it sees that bytes of the last are left over.
@@ -182,7 +186,11 @@
 	c, err := g.connect(ctx)
 	p.mu.Lock()
 	g.opening = false
-	if err != nil && ctx.Err() == nil {
+	switch {
+	case err == nil || ctx.Err() != nil:
+	case isLocalError(err):
+		g.noExtra = time.Now().Add(localBackoff)
+	default:
 		g.noExtra = time.Now().Add(p.idle)
 	}
 	p.mu.Unlock()
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -35,7 +35,7 @@
 
 	id       policy.RequestID
 	answered bool
-	attempts []*attempt
+	attempts []*attempt // nil: this machine could not make it; of those there may be many
 	open     int
 }
 
@@ -117,7 +117,7 @@
 func (l *loop) close(r *request) {
 	r.answered = true
 	for _, a := range r.attempts {
-		if a.withdraw() {
+		if a != nil && a.withdraw() {
 			a.cancel(errCancelled)
 		}
 	}
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -106,7 +106,8 @@
 	t.ended = now
 	return slog.Group("ended", "ok", now.OK-was.OK, "error", now.Error-was.Error, "full", now.Full-was.Full,
 		"timeout", now.Timeout-was.Timeout, "connect", now.ConnectFailed-was.ConnectFailed, "reset", now.Reset-was.Reset,
-		"cancelled", now.Cancelled-was.Cancelled, "moot", now.Moot-was.Moot)
+		"cancelled", now.Cancelled-was.Cancelled, "moot", now.Moot-was.Moot,
+		"local", now.LocalFailure-was.LocalFailure, "unreachable", now.Unreachable-was.Unreachable)
 }
 
 // rounded keeps lines short.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -26,8 +26,9 @@
 	first       float64 // when the client's first try came, as far as known
 	arrived     float64
 	aimAt       float64
-	deadline    float64 // margin already taken off
-	attempts    []*attempt
+	deadline    float64    // margin already taken off
+	attempts    []*attempt // those that count
+	sends       int        // attempts sent, with those that this machine could not make
 	maxAttempts int
 	open        int // attempts out
 	mayHaveRun  int // attempts that may have run
@@ -122,7 +123,7 @@
 	})
 	// One that waits for its key's servers is passed over; of others a few failures tell.
 	b.scarce = false
-	for i, failures := 0, 0; i < len(b.held) && failures < 4 && b.underLimit(); {
+	for i, failures := 0, 0; i < len(b.held) && failures < 4 && b.underLimit() && b.local.mayTry(b.now); {
 		r := b.held[i]
 		if near := r.near; b.waits(r) && near[0] != nil && r.epoch == b.epoch &&
 			!b.takes(near[0], r) && !b.takes(near[1], r) {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -81,6 +81,7 @@
 	scarce      bool // requests that would take any server find no room
 	work        uint64
 	outcomes    OutcomeCounts
+	local       localFailure
 }
 
 // New returns the balancer of one agent, or an error that names the setting
@@ -119,8 +120,8 @@
 	case EvStarted:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			r.started = true
-			if ev.Attempt >= 0 && ev.Attempt < len(r.attempts) {
-				r.attempts[ev.Attempt].s.heard = now
+			if a := r.attempt(ev.Attempt); a != nil {
+				a.s.heard = now
 			}
 		}
 	case EvDropped:
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -51,4 +51,7 @@
 	done   bool
 	stuck  bool // out on a server that fell silent under it
 	called bool // called off, to be sent elsewhere
+	// charged is that its server's slow start paid for it, unreachable that its server could
+	// not be reached and was blamed for it.
+	charged, unreachable bool
 }
--- /dev/null
+++ b/policy/local_failure_test.go
@@ -0,0 +1,222 @@
+package policy
+
+import "testing"
+
+// machine plays agents' machines that fail attempts for a time.
+type machine struct {
+	*rig
+	status  Status
+	until   float64
+	failed  int // attempts that failed so
+	sent    int
+	servers map[Addr]int // attempts that went out after that, by server
+	refused int
+}
+
+// carry answers each attempt at once: as the machine fails it, or OK.
+func (m *machine) carry(actions []Action) {
+	for len(actions) > 0 {
+		a := actions[0]
+		actions = actions[1:]
+		switch a.Kind {
+		case ActSend:
+			m.sent++
+			number := m.b.requests[a.Request].sends - 1
+			if m.now < m.until {
+				m.failed++
+				actions = append(actions, m.outcome(a.Request, number, a.Server, m.status, 0.1)...)
+				continue
+			}
+			m.servers[a.Server]++
+			actions = append(actions, m.outcome(a.Request, number, a.Server, OK, 20)...)
+		case ActRefuse, ActFail:
+			m.refused++
+		}
+	}
+}
+
+// long asks with much time left.
+func (m *machine) long(class int) (RequestID, []Action) {
+	m.id++
+	return m.id, m.do(Event{Kind: EvRequest, Request: m.id, Class: class, LeftMs: 20000})
+}
+
+// playFailingMachine has requests come at once at an agent of four servers whose machine fails
+// for so many ms.
+func playFailingMachine(t *testing.T, status Status, requests int, ms float64) *machine {
+	set := testSettings()
+	for i := range set.Classes {
+		set.Classes[i].AimMs, set.Classes[i].GiveUpMs, set.Classes[i].KeyTTLMs = 15000, 30000, 10000
+	}
+	m := &machine{rig: newRig(t, set, 4), status: status, servers: map[Addr]int{}}
+	m.b.limitScale = 1e6 // the agent's own limit is not at issue
+	m.until = m.now + ms
+	for range requests {
+		_, actions := m.long(int(m.id) % 3)
+		m.carry(actions)
+	}
+	for end := m.until + 1000; m.now < end; {
+		m.carry(m.tick(1))
+	}
+	return m
+}
+
+// Attempts that this machine can't make cost nothing: no request is refused for them, no server
+// is blamed, nothing is taken from limit and retry budget, and they are few.
+func TestAttemptsThatThisMachineFails(t *testing.T) {
+	for _, status := range []Status{LocalFailure, Unreachable} {
+		for _, ms := range []float64{100, 5000} {
+			m := playFailingMachine(t, status, 200, ms)
+			if n := m.sent - m.failed; n != 200 || m.refused != 0 {
+				t.Errorf("%d, %v ms: %d of 200 requests got through, %d refused", status, ms, n, m.refused)
+			}
+			// One backoff is 5 ms at the least and 10 ms after the first; two more went out before
+			// it was known that the machine is at fault.
+			if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
+				t.Errorf("%d, %v ms: %d attempts failed, at most %d wanted", status, ms, m.failed, most)
+			}
+			if m.b.retryBudget != retryBurst || m.b.limitScale < 1e6 {
+				t.Errorf("%d, %v ms: a retry budget of %v and a limit of %v times its floor are left",
+					status, ms, m.b.retryBudget, m.b.limitScale)
+			}
+			for _, s := range m.b.servers {
+				if s.state > Unknown || s.lostAt != 0 || s.fails != 0 || s.ejections != 0 || s.abandoned != 0 {
+					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, s.id, s)
+				}
+			}
+			if len(m.b.requests) != 0 || m.b.inflight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
+				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.requests), m.b.inflight, m.b.local)
+			}
+		}
+	}
+}
+
+// A request whose time ends while this machine fails never ran: it is refused, with when to come
+// back, whatever its class, and after more attempts than the class may have.
+func TestRefusedWhileThisMachineFails(t *testing.T) {
+	for class := range 3 {
+		r := newRig(t, testSettings(), 4)
+		id, actions := r.ask(class, 0)
+		sends := 0
+		for range 200 {
+			for i := 0; i < len(actions); i++ {
+				switch a := actions[i]; a.Kind {
+				case ActSend:
+					actions = append(actions, r.outcome(id, sends, a.Server, LocalFailure, 0.1)...)
+					sends++
+				case ActFail:
+					t.Errorf("class %d: failed", class)
+				case ActRefuse:
+					if a.Ms <= 0 || sends <= r.b.set.Limits.MaxAttempts {
+						t.Errorf("class %d: refused for %v ms after %d attempts", class, a.Ms, sends)
+					}
+					id = 0
+				}
+			}
+			if id == 0 {
+				break
+			}
+			actions = r.tick(5)
+		}
+		if id != 0 || len(r.b.requests) != 0 || len(r.b.held) != 0 {
+			t.Errorf("class %d: never answered", class)
+		}
+	}
+}
+
+// The only server is tried again after a failure of this machine, and a cold one gets the work
+// back that its slow start paid for.
+func TestServerIsTriedAgainAfterLocalFailure(t *testing.T) {
+	r := newRig(t, testSettings(), 0)
+	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1, SinceMs: r.now - 100},
+		Entry{Server: addr(1), Health: Draining, Weight: 1})
+	s := r.b.byAddr[addr(0)]
+	s.credit = 5
+	id, _ := r.sent(1, 0)
+	if s.credit >= 5 {
+		t.Fatal("its slow start was charged nothing")
+	}
+	r.outcome(id, 0, s.id, LocalFailure, 0.1)
+	if s.credit != 5 {
+		t.Errorf("a credit of %v is left of 5", s.credit)
+	}
+	for range 10 {
+		if a := find(r.tick(5), ActSend); a != nil {
+			if a.Server != s.id || a.Request != id {
+				t.Errorf("sent %+v", a)
+			}
+			return
+		}
+	}
+	t.Error("not tried again")
+}
+
+// One server that can't be reached is at fault itself, as are two of five.
+func TestServersThatCannotBeReached(t *testing.T) {
+	r := newRig(t, testSettings(), 5)
+	r.b.limitScale = 1e6
+	lost := map[Addr]bool{addr(0): true, addr(1): true}
+	for range 200 {
+		r.now += 3
+		id, actions := r.ask(0, 0)
+		for try := 0; ; try++ {
+			a := find(actions, ActSend)
+			if a == nil {
+				break
+			}
+			status := OK
+			if lost[a.Server] {
+				status = Unreachable
+			}
+			actions = r.outcome(id, try, a.Server, status, 1)
+		}
+	}
+	for _, s := range r.b.servers {
+		if lost[s.id] != (s.state > Unknown) || lost[s.id] && s.lostAt == 0 {
+			t.Errorf("server %v, lost %v, is in state %d", s.id, lost[s.id], s.state)
+		}
+	}
+}
+
+// Trials that do not fail let attempts go out freely again, step by step: those that are
+// answered, and those that are out for so long that they must have a connection.
+func TestTrialsAfterLocalFailure(t *testing.T) {
+	for _, answered := range []bool{true, false} {
+		m := playFailingMachine(t, LocalFailure, 0, 0)
+		for _, s := range m.b.servers {
+			s.window = 1e6 // room is not at issue
+		}
+		id, actions := m.long(0)
+		m.outcome(id, 0, find(actions, ActSend).Server, LocalFailure, 0.1)
+		for range 100 {
+			if _, actions := m.long(0); find(actions, ActSend) != nil {
+				t.Fatal("sent before the backoff is over")
+			}
+		}
+		m.now = m.b.local.until
+		actions = m.tick(0)
+		out, allowed := 0, 1
+		for successes := 0; out < 101 && successes < 10; successes++ {
+			sent := 0
+			for _, a := range actions {
+				if a.Kind == ActSend {
+					sent++
+					id = a.Request
+				}
+			}
+			if out += sent; m.b.local.row > 0 && sent > allowed {
+				t.Fatalf("answered %v: %d sent at once after %d successes", answered, sent, successes)
+			}
+			r := m.b.requests[id]
+			if allowed *= 2; answered {
+				actions = m.outcome(id, r.sends-1, r.attempts[0].s.id, OK, 1)
+			} else {
+				allowed = freeWindow
+				actions = m.tick(settledAfterMs)
+			}
+		}
+		if out != 101 {
+			t.Errorf("answered %v: %d of 101 requests sent in the end", answered, out)
+		}
+	}
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -50,8 +50,10 @@
 	if !b.maySend(r, s) {
 		return false
 	}
-	a := &attempt{r: r, s: s, index: len(r.attempts), alone: len(s.out) == 0, sentAt: b.now, cost: b.cost(r)}
+	a := &attempt{r: r, s: s, index: r.sends, alone: len(s.out) == 0, sentAt: b.now, cost: b.cost(r)}
 	r.attempts = append(r.attempts, a)
+	r.sends++
+	b.local.sent(a)
 	r.open++
 	within := 0.0
 	if r.mayHaveRun == 0 {
@@ -70,6 +72,7 @@
 	r.class.counts.Sent++
 	if b.ramp(s) < 1 {
 		s.credit -= a.cost
+		a.charged = true
 	}
 	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, WithinMs: within})
 	return true
@@ -77,13 +80,17 @@
 
 func (b *Balancer) onOutcome(ev *Event) {
 	r := b.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
+	if r == nil {
+		return
+	}
+	a := r.attempt(ev.Attempt)
+	if a == nil || a.done {
 		return
 	}
-	a := r.attempts[ev.Attempt]
 	s := a.s
 	a.done = true
 	b.outcomes.add(ev.Status)
+	status := b.judge(a, ev.Status)
 	r.open--
 	b.inflight--
 	if a.stuck {
@@ -98,15 +105,33 @@
 	if ev.Status.NeverRan() {
 		r.mayHaveRun--
 	}
-	b.noteAnswered(a, ev.Status)
-	b.closeIdle(s)
-	b.adapt(a, ev.Status, finite(ev.LatencyMs))
-	b.recordOutcome(a, ev.Status, finite(ev.LatencyMs))
-	if r.closed || r.started || ev.Final || ev.Status == OK {
-		b.close(r)
+	if status == LocalFailure {
+		b.failedLocally(a)
 	} else {
-		b.retry(r, ev.Status)
+		b.local.succeeded(a)
+		b.noteAnswered(a, status)
+		b.closeIdle(s)
+		b.adapt(a, status, finite(ev.LatencyMs))
+		b.recordOutcome(a, status, finite(ev.LatencyMs))
+	}
+	switch {
+	case r.closed || r.started || ev.Final || status == OK:
+		b.close(r)
+	case status == LocalFailure:
+		b.retryLocally(r)
+	default:
+		b.retry(r, status)
+	}
+}
+
+// attempt is the request's attempt of that number, or nil.
+func (r *request) attempt(index int) *attempt {
+	for _, a := range r.attempts {
+		if a.index == index {
+			return a
+		}
 	}
+	return nil
 }
 
 // retry holds an unanswered request for another server where class, time and the retry
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -20,7 +20,7 @@
 
 // OutcomeCounts counts how attempts ended since the start.
 type OutcomeCounts struct {
-	OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot uint64
+	OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot, LocalFailure, Unreachable uint64
 }
 
 func (c *OutcomeCounts) add(st Status) {
@@ -41,6 +41,10 @@
 		c.Cancelled++
 	case Moot:
 		c.Moot++
+	case LocalFailure:
+		c.LocalFailure++
+	case Unreachable:
+		c.Unreachable++
 	}
 }
 
--- a/policy/types.go
+++ b/policy/types.go
@@ -195,11 +195,14 @@
 	// LocalFailure is an attempt that this machine could not make, as a table or a range of ports
 	// of its own was exhausted: it never ran, and says nothing of its server.
 	LocalFailure Status = 308
+	// Unreachable is an attempt whose connect ended with the word that there is no way to the
+	// server: it never ran. Whether that is the server's failure or this machine's is decided here.
+	Unreachable Status = 309
 )
 
 // NeverRan tells whether the ending proves that the attempt did not run.
 func (s Status) NeverRan() bool {
-	return s == Full || s == ConnectFailed || s == Moot || s == LocalFailure
+	return s == Full || s == ConnectFailed || s == Moot || s == LocalFailure || s == Unreachable
 }
 
 // EventKind tells which fields of an Event count.
