--- a/internal/fleet/decide/meter.go
+++ b/internal/fleet/decide/meter.go
@@ -29,7 +29,6 @@
 	readNs  float64 // what reading the clock takes, not counted
 	perKind [eventKinds]struct{ events, ns, bytes float64 }
 	workAt  uint64
-	work    float64
 }
 
 type meterMode uint8
