--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -37,10 +37,10 @@
 	// again for eagerFor, eagerEvery after one that failed or took over eagerTry.
 	eagerFor, eagerEvery, eagerTry = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
 	// A call that this machine could not make, for want of a descriptor, a port or a route, has not
-	// reached discovery and costs it nothing: it is made again after localBackoff, which doubles to
-	// longestLocalBackoff. So discovery is called 0.1 s after the moment has passed, long before what
+	// reached discovery and costs it nothing: it is made again after localCallBackoff, which doubles to
+	// longestCallBackoff. So discovery is called 0.1 s after the moment has passed, long before what
 	// it has counts as told, and no more than some 20 connects a second are tried.
-	localBackoff, longestLocalBackoff = 25 * time.Millisecond, 100 * time.Millisecond
+	localCallBackoff, longestCallBackoff = 25 * time.Millisecond, 100 * time.Millisecond
 )
 
 // List is a list of backends, or a change of it, in discovery's form.
@@ -181,7 +181,7 @@
 // leaving tries a call until it has left this machine: what fails here is no failed call of
 // discovery, after which the next one would have to wait.
 func (d *discovery) leaving(try func() error) error {
-	for backoff := localBackoff; ; backoff = min(2*backoff, longestLocalBackoff) {
+	for backoff := localCallBackoff; ; backoff = min(2*backoff, longestCallBackoff) {
 		err := try()
 		if !neverLeft(err) || !d.pause(backoff/2+rand.N(backoff/2)) {
 			return err
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -63,7 +63,7 @@
 				}
 				differ := false
 				for i, span := range pauses {
-					if least := min(localBackoff<<i, longestLocalBackoff) / 2; i < 10 && span < least || span > longestLocalBackoff {
+					if least := min(localCallBackoff<<i, longestCallBackoff) / 2; i < 10 && span < least || span > longestCallBackoff {
 						t.Fatalf("pause %d is %v", i, span)
 					}
 					differ = differ || span != pauses[len(pauses)-1]
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -15,9 +15,9 @@
 // that met the next request there would be taken for its own.
 const settle = 10 * time.Millisecond
 
-// localBackoff is the time without another extra connection after this machine could not open
+// extraRetryDelay is the time without another extra connection after this machine could not open
 // one: no other failure of it is to be feared for long.
-const localBackoff = 20 * time.Millisecond
+const extraRetryDelay = 20 * time.Millisecond
 
 // pool opens connections to backends within the process's share of descriptors and
 // keeps those that stand idle. It is a pool of its own since http.Transport may hand a
@@ -189,7 +189,7 @@
 	switch {
 	case err == nil || ctx.Err() != nil:
 	case isLocalError(err):
-		g.noExtra = time.Now().Add(localBackoff)
+		g.noExtra = time.Now().Add(extraRetryDelay)
 	default:
 		g.noExtra = time.Now().Add(p.idle)
 	}
