--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -11,14 +11,44 @@
 
 // problem is why a request is not taken.
 type problem struct {
-	status int
-	text   string
+	status     int
+	text       string
+	retryAfter time.Duration // where it is none of the request itself
 }
 
+// answerWriter notes that an answer was begun.
+type answerWriter struct {
+	http.ResponseWriter
+	begun bool
+}
+
+func (w *answerWriter) WriteHeader(status int) {
+	w.begun = true
+	w.ResponseWriter.WriteHeader(status)
+}
+
+// Unwrap lets the server's own writer be found, which sets a connection's deadlines.
+func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+
 // ServeHTTP takes one request and gives it one answer.
-func (a *Agent) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+func (a *Agent) ServeHTTP(rw http.ResponseWriter, hr *http.Request) {
 	came := time.Now()
-	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
+	w := &answerWriter{ResponseWriter: rw}
+	var r *request
+	// A panic must not leave the request without an answer, nor the module with it.
+	defer func() {
+		if p := recover(); p != nil {
+			a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
+			if r != nil {
+				a.drop(r)
+			}
+			if !w.begun {
+				a.write(w, http.StatusInternalServerError, "", nil)
+			}
+		}
+	}()
+	c, _ := hr.Context().Value(connKey{}).(*clientConn)
+	if c != nil {
 		cameAt, last := a.places.claim(c)
 		if !cameAt.IsZero() {
 			came = cameAt
@@ -31,69 +61,90 @@
 		a.serveReady(w)
 		return
 	}
-	var r *request
-	answered := false
-	// A panic must not leave the request without an answer, nor the module with it.
-	defer func() {
-		if p := recover(); p != nil {
-			a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
-			if r != nil {
-				r.gone.Store(true)
-				a.loop.post(input{kind: inDropped, req: r})
-			}
-			if !answered {
-				a.write(w, http.StatusInternalServerError, "", nil)
-			}
-		}
-	}()
 	conf := a.conf.Load()
 	if longest := conf.longest(); longest > a.began {
 		_ = http.NewResponseController(w).SetWriteDeadline(came.Add(longest + unreadFor))
 	}
 	r, bad := a.read(conf, w, hr, came)
 	if bad != nil {
-		answered = true
 		a.reject(w, hr, bad)
 		return
 	}
 	defer a.bodies.Add(-int64(len(r.body)))
-	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
+	if c != nil {
 		r.client = c.Conn
 	}
-	if left := a.leaving.Load(); left != nil && time.Since(*left) >= refuseAfter {
-		answered = true
-		a.answer(w, answer{status: policy.Full, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
-		return
+	left := a.leaving.Load()
+	if left != nil {
+		r.deadline = earlier(r.deadline, left.Add(a.lastAnswerAfter()))
 	}
-	if time.Until(r.deadline) <= guardMargin { // nobody could serve it: it never ran
-		answered = true
-		a.answer(w, answer{status: policy.Full, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
+	// What nobody could serve in time never ran.
+	if left != nil && time.Since(*left) >= refuseAfter || time.Until(r.deadline) <= guardMargin {
+		a.refuse(w, conf)
 		return
 	}
+	a.serve(w, hr, r)
+}
+
+// serve hands a request to the loop and waits for its answer, but no longer than the client
+// does: the loop may be busy, its queue full or its decision lost in a panic.
+func (a *Agent) serve(w http.ResponseWriter, hr *http.Request, r *request) {
 	guard := time.NewTimer(time.Until(r.deadline) - guardMargin)
 	defer guard.Stop()
-	a.loop.post(input{kind: inRequest, req: r})
-	select {
-	case ans := <-r.answers:
-		answered = true
-		if ans.status == duplicate {
-			a.reject(w, hr, &problem{http.StatusConflict, "Request-Id: came before"})
+	queue := a.loop.in // nil when the request is in it
+	for {
+		select {
+		case queue <- input{kind: inRequest, req: r}:
+			queue = nil
+			continue
+		case ans := <-r.answers:
+			if ans.status == duplicate {
+				a.reject(w, hr, &problem{status: http.StatusConflict, text: "Request-Id: came before"})
+				return
+			}
+			a.answer(w, ans)
+			return
+		case <-hr.Context().Done(): // the client has gone
+			a.drop(r)
+			a.leftBehind(w)
+			return
+		case <-guard.C:
+		case <-a.lastCall:
+		}
+		if queue != nil { // nobody was asked: it never ran
+			a.refuse(w, r.conf)
 			return
 		}
-		a.answer(w, ans)
-	case <-hr.Context().Done(): // the client has gone
-		answered = true
-		r.gone.Store(true) // seen at once, however long the loop's queue
-		a.loop.post(input{kind: inDropped, req: r})
-		a.leftBehind(w)
-	case <-guard.C:
-		answered = true
-		r.gone.Store(true)
+		a.drop(r)
 		a.write(w, http.StatusGatewayTimeout, "", nil)
-		a.loop.post(input{kind: inDropped, req: r})
+		return
+	}
+}
+
+// drop tells the loop that nobody waits for a request any more. Where its queue is full the
+// answer, which leaves when the handler ends, doesn't wait for it.
+func (a *Agent) drop(r *request) {
+	r.gone.Store(true) // seen at once, however long the loop's queue
+	in := input{kind: inDropped, req: r}
+	select {
+	case a.loop.in <- in:
+	default:
+		go a.loop.post(in)
 	}
 }
 
+// refuse tells a client that its request never ran, and when to come back.
+func (a *Agent) refuse(w http.ResponseWriter, conf *Config) {
+	a.answer(w, answer{status: policy.Full, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
+}
+
+func earlier(a, b time.Time) time.Time {
+	if b.Before(a) {
+		return b
+	}
+	return a
+}
+
 func (a *Agent) serveReady(w http.ResponseWriter) {
 	if a.leaving.Load() != nil || !a.loop.ready.Load() {
 		http.Error(w, "no backend to send to", http.StatusServiceUnavailable)
@@ -108,7 +159,10 @@
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
 		a.places.enter(c, rejected)
 	}
+	// The server reads what is left of the body before it closes the connection.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyFor))
 	w.Header().Set("Connection", "close")
+	setRetryAfter(w, bad.retryAfter)
 	a.write(w, bad.status, "text/plain", []byte(bad.text+"\n"))
 }
 
@@ -129,15 +183,20 @@
 	case policy.OK:
 		a.write(w, http.StatusOK, ans.kind, ans.body)
 	case policy.Full:
-		if ans.retryAfter > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(ans.retryAfter.Seconds(), 'f', -1, 64))
-		}
+		setRetryAfter(w, ans.retryAfter)
 		a.write(w, http.StatusServiceUnavailable, "", nil)
 	default:
 		a.write(w, http.StatusBadGateway, "", nil)
 	}
 }
 
+// setRetryAfter tells a client when to come back, if that is known.
+func setRetryAfter(w http.ResponseWriter, after time.Duration) {
+	if after > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
+	}
+}
+
 // write sends an answer. While the agent leaves, its connection ends with it.
 func (a *Agent) write(w http.ResponseWriter, status int, kind string, body []byte) {
 	h := w.Header()
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -6,6 +6,7 @@
 	"hash/fnv"
 	"io"
 	"net/http"
+	"os"
 	"strconv"
 	"strings"
 	"time"
@@ -33,18 +34,18 @@
 	// The server ignores a length beside a Transfer-Encoding, so a request could hide in
 	// the body for whoever reads it the other way; clients send lengths.
 	if len(hr.TransferEncoding) > 0 || hr.ContentLength < 0 {
-		return nil, &problem{http.StatusLengthRequired, "Transfer-Encoding: not taken"}
+		return nil, &problem{status: http.StatusLengthRequired, text: "Transfer-Encoding: not taken"}
 	}
 	if hr.ContentLength > maxBody {
-		return nil, &problem{http.StatusRequestEntityTooLarge, "body: above 64 KiB"}
+		return nil, &problem{status: http.StatusRequestEntityTooLarge, text: "body: above 64 KiB"}
 	}
 	if !strings.HasPrefix(hr.RequestURI, "/") {
-		return nil, &problem{http.StatusBadRequest, "no path: an agent is no proxy"}
+		return nil, &problem{status: http.StatusBadRequest, text: "no path: an agent is no proxy"}
 	}
 	parts := strings.Split(hr.URL.Path[1:], "/")
 	class, known := conf.Names.classes[parts[0]]
 	if !known {
-		return nil, &problem{http.StatusNotFound, "unknown class of request"}
+		return nil, &problem{status: http.StatusNotFound, text: "unknown class of request"}
 	}
 	r.class = class
 	var timeout string
@@ -54,7 +55,7 @@
 	}{{"Request-Id", &r.wireID}, {"Idempotency-Key", &r.idempotency}, {"Content-Type", &r.kind}, {"Request-Timeout", &timeout}} {
 		values := hr.Header[field.key]
 		if len(values) > 1 {
-			return nil, &problem{http.StatusBadRequest, field.key + ": more than one"}
+			return nil, &problem{status: http.StatusBadRequest, text: field.key + ": more than one"}
 		}
 		if len(values) == 1 {
 			*field.value = values[0]
@@ -68,17 +69,17 @@
 	left, err := parseTimeout(timeout, conf.longest())
 	switch {
 	case hr.Method != want:
-		return nil, &problem{http.StatusMethodNotAllowed, "this class is asked with " + want}
+		return nil, &problem{status: http.StatusMethodNotAllowed, text: "this class is asked with " + want}
 	case want == http.MethodGet && hr.ContentLength > 0:
-		return nil, &problem{http.StatusBadRequest, "body: none belongs to GET"}
+		return nil, &problem{status: http.StatusBadRequest, text: "body: none belongs to GET"}
 	case !plain(r.host):
-		return nil, &problem{http.StatusBadRequest, "Host: missing or no plain word"}
+		return nil, &problem{status: http.StatusBadRequest, text: "Host: missing or no plain word"}
 	case !plain(r.wireID):
-		return nil, &problem{http.StatusBadRequest, "Request-Id: missing or no plain word"}
+		return nil, &problem{status: http.StatusBadRequest, text: "Request-Id: missing or no plain word"}
 	case set.Effect == policy.Guarded && r.idempotency == "":
-		return nil, &problem{http.StatusBadRequest, "Idempotency-Key: missing"}
+		return nil, &problem{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	case err != nil:
-		return nil, &problem{http.StatusBadRequest, "Request-Timeout: " + err.Error()}
+		return nil, &problem{status: http.StatusBadRequest, text: "Request-Timeout: " + err.Error()}
 	}
 	// A client may wait for longer than its class is worth anything, the agent does not.
 	r.deadline = came.Add(min(left, ms(set.GiveUpMs)))
@@ -109,14 +110,22 @@
 		}
 	}()
 	if held > int64(r.conf.Limits.MemoryMB*(1<<20)/8) {
-		return &problem{http.StatusServiceUnavailable, "body: no memory left"}
+		return &problem{status: http.StatusServiceUnavailable, text: "body: no memory left",
+			retryAfter: ms(r.conf.Settings.Limits.MaxRetryAfterMs)}
 	}
-	// A body that stops coming must not hold its connection for ever.
+	// A body that stops coming must not hold its connection for ever, and one that comes
+	// slowly not the answer past its time.
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyFor))
+	now := time.Now()
+	within := min(bodyFor, max(r.deadline.Sub(now), leastBodyFor))
+	_ = control.SetReadDeadline(now.Add(within))
 	body := make([]byte, hr.ContentLength)
 	if _, err := io.ReadFull(hr.Body, body); err != nil {
-		return &problem{http.StatusRequestTimeout, "body: did not come whole"}
+		if within < bodyFor && errors.Is(err, os.ErrDeadlineExceeded) {
+			return &problem{status: http.StatusServiceUnavailable, text: "body: came too late",
+				retryAfter: ms(r.conf.Settings.Limits.MaxRetryAfterMs)}
+		}
+		return &problem{status: http.StatusRequestTimeout, text: "body: did not come whole"}
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	r.body = body
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -24,10 +24,16 @@
 	// after refuseAfter is refused: SIGKILL may come before its answer could.
 	acceptFor, settleFor = 450 * time.Millisecond, 50 * time.Millisecond
 	refuseAfter          = 600 * time.Millisecond
-	leaveEvery           = 5 * time.Millisecond // how often who leaves looks through the connections
+	// killedAfter is how long after SIGTERM SIGKILL may come at the earliest where the settings
+	// have deadlines as long or longer, but for 0.7 s that are added to it.
+	killedAfter = 3 * time.Second
+	leaveEvery  = 5 * time.Millisecond // how often who leaves looks through the connections
 	// headFor and bodyFor are how long a request's head and body may take to come: bad
 	// clients are owed an error or a close within 3 s of connecting.
 	headFor, bodyFor = 1500 * time.Millisecond, time.Second
+	// leastBodyFor is what a body has to come in at least, however short the deadline: an
+	// answer earns nothing after it, but is not lost for half a second.
+	leastBodyFor = 100 * time.Millisecond
 	// keepIdle is how long a client's connection stays open between requests when its
 	// place is not needed.
 	keepIdle = 15 * time.Second
@@ -69,6 +75,9 @@
 	bodies  atomic.Int64              // bytes of the bodies held
 	places  *places
 	stop    context.CancelFunc
+	// lastCall is closed when what is still held has to be answered before SIGKILL.
+	lastCall chan struct{}
+	after    func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
 }
 
 // New makes an agent, which is told the list of its configuration.
@@ -79,7 +88,8 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{loop: l, log: log, stop: stop, began: c.longest()}
+	a := &Agent{loop: l, log: log, stop: stop, began: c.longest(),
+		lastCall: make(chan struct{}), after: time.AfterFunc}
 	a.conf.Store(c)
 	a.longest.Store(int64(a.began))
 	a.places = newPlaces(clientSockets(c.Limits.Sockets), keptSockets(c.Limits.Sockets))
@@ -160,6 +170,18 @@
 	}
 }
 
+// lastAnswerAfter is how long after SIGTERM the last answer is given. What comes until
+// refuseAfter may take the longest deadline of the settings, but SIGKILL doesn't wait for one
+// over killedAfter.
+func (a *Agent) lastAnswerAfter() time.Duration {
+	longest := time.Duration(0)
+	classes := a.conf.Load().Settings.Classes
+	for i := range classes {
+		longest = max(longest, ms(classes[i].GiveUpMs))
+	}
+	return min(longest, killedAfter) + refuseAfter
+}
+
 // leave ends the agent in order: clients go on coming for a while after the signal, so
 // idle connections are closed first, while what crosses that can still come on a new one;
 // then the listener; then all that is held is answered. A request counts as soon as it was
@@ -169,6 +191,7 @@
 func (a *Agent) leave(ln net.Listener) error {
 	began := time.Now()
 	a.leaving.Store(&began)
+	defer a.after(a.lastAnswerAfter(), func() { close(a.lastCall) }).Stop()
 	last := acceptFor + settleFor + headFor + bodyFor + time.Duration(a.longest.Load()) + settleFor
 	for {
 		since := time.Since(began)
