--- a/cmd/molepaddle/main.go
+++ b/cmd/molepaddle/main.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"log/slog"
 	"math"
-	"net"
 	"os"
 	"os/signal"
 	"runtime"
@@ -47,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	ln, err := net.Listen("tcp", conf.Listen)
+	ln, err := agent.Listen(ctx, conf.Listen)
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
--- a/internal/agent/accept_test.go
+++ b/internal/agent/accept_test.go
@@ -130,3 +130,42 @@
 		t.Fatal("waits on after its close")
 	}
 }
+
+// A start goes on where the machine had no room for its listener for a moment, and ends soon where
+// it can't listen, or is told to end.
+func TestListenIsTriedAgain(t *testing.T) {
+	now := make(chan time.Time)
+	close(now)
+	soon := func(time.Duration) <-chan time.Time { return now }
+	failing := func(errno syscall.Errno, times int) (open func() (net.Listener, error), tries *int) {
+		tries = new(int)
+		return func() (net.Listener, error) {
+			if *tries++; *tries <= times {
+				return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", errno)}
+			}
+			return failingListener{}, nil
+		}, tries
+	}
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		open, tries := failing(errno, 8)
+		if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
+			t.Errorf("%v: %v after %d tries", errno, err, *tries)
+		}
+		open, tries = failing(errno, 1<<30)
+		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
+			t.Errorf("%v for good: %v after %d tries", errno, err, *tries)
+		}
+	}
+	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
+		open, tries := failing(errno, 1)
+		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
+			t.Errorf("%v: %v after %d tries", errno, err, *tries)
+		}
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	stop()
+	open, tries := failing(syscall.ENFILE, 8)
+	if _, err := listenWith(ctx, open, func(time.Duration) <-chan time.Time { return nil }); err == nil || *tries != 1 {
+		t.Errorf("told to end: %v after %d tries", err, *tries)
+	}
+}
--- a/internal/agent/listener.go
+++ b/internal/agent/listener.go
@@ -1,10 +1,12 @@
 package agent
 
 import (
+	"context"
 	"errors"
 	"log/slog"
 	"net"
 	"sync"
+	"syscall"
 	"time"
 )
 
@@ -14,8 +16,31 @@
 	acceptRetryDelay = 10 * time.Millisecond
 	// acceptLogInterval is how often failed accepts are logged at most.
 	acceptLogInterval = time.Second
+	// listenFor is how long a start waits for a listener that this machine has no room for: the
+	// agent has to be ready within 6 s of a restart.
+	listenFor = 4 * time.Second
 )
 
+// Listen opens the clients' listener. A table that is full for a moment doesn't end the start.
+func Listen(ctx context.Context, address string) (net.Listener, error) {
+	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
+}
+
+func listenWith(ctx context.Context, open func() (net.Listener, error), after func(time.Duration) <-chan time.Time) (net.Listener, error) {
+	for tries := listenFor / acceptRetryDelay; ; tries-- {
+		ln, err := open()
+		// An address that is not this machine's stays so.
+		if err == nil || !isLocalError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || tries <= 0 {
+			return ln, err
+		}
+		select {
+		case <-after(acceptRetryDelay):
+		case <-ctx.Done():
+			return nil, err
+		}
+	}
+}
+
 // listener gives each connection that it accepts a place.
 type listener struct {
 	net.Listener
