--- a/internal/agent/socket.go
+++ b/internal/agent/socket.go
@@ -12,7 +12,10 @@
 	tcpCloseWait = 8
 )
 
-// pending looks what waits unread on a connection: -1 its end, 0 nothing, 1 bytes.
+// unknown is what a look at a connection tells that this machine could not make.
+const unknown = -2
+
+// pending looks what waits unread on a connection: -1 its end, 0 nothing, 1 bytes, or unknown.
 func pending(c net.Conn) int {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -26,12 +29,11 @@
 	// Control, as Read would wait for the one that reads from the connection.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
-		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		switch {
-		case err == syscall.EAGAIN || err == syscall.EINTR:
-			found = 0
-		case err == nil && n > 0:
-			found = 1
+		for range interruptedLooks {
+			n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+			if found = seen(n, err); err != syscall.EINTR {
+				return
+			}
 		}
 	})
 	if err != nil {
@@ -40,8 +42,25 @@
 	return found
 }
 
+// interruptedLooks is how often a look that a signal interrupts is made.
+const interruptedLooks = 10
+
+// seen tells what a look at a connection found, as pending does. What failed on this machine for
+// want of memory says nothing of the connection.
+func seen(n int, err error) int {
+	switch {
+	case err == syscall.EAGAIN || err == syscall.EINTR:
+		return 0
+	case err != nil && isLocalError(err):
+		return unknown
+	case err == nil && n > 0:
+		return 1
+	}
+	return -1
+}
+
 // ended tells whether the peer has ended its sending on a connection, though bytes from
-// before may wait unread: with these only the connection's state tells.
+// before may wait unread: with these, and without a look, only the connection's state tells.
 func ended(c net.Conn) bool {
 	switch pending(c) {
 	case -1:
