--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -15,11 +15,11 @@
 	}
 	a := &attempt{req: r, index: len(r.attempts), backend: b, group: b.group, started: time.Now()}
 	if act.WithinMs > 0 {
-		a.before = a.started.Add(ms(act.WithinMs))
+		a.before = l.decided.Add(ms(act.WithinMs))
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	var stop context.CancelFunc
-	a.ctx, stop = context.WithTimeout(ctx, ms(act.Ms))
+	a.ctx, stop = context.WithDeadline(ctx, l.decided.Add(ms(act.Ms)))
 	a.cancel = func(cause error) {
 		cancel(cause)
 		stop()
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -42,6 +42,17 @@
 	attempts map[*attempt]struct{} // out now
 }
 
+const (
+	// holdUp is how long the agent may be held up between reading its clock and writing. The slack
+	// of the deadline that a backend is told covers one such time, and another may have passed
+	// between the arrival of the request and the reading of the clock.
+	holdUp = 150 * time.Millisecond
+	// holdUpShare bounds what is taken off for it to a part of the time that is left. A backend
+	// drops what has no time left, so a request with little keeps nearly all of it; one that
+	// would be answered in the last eighth of its time is rare.
+	holdUpShare = 8
+)
+
 // The stages of an attempt.
 const (
 	waiting int32 = iota // no byte was written
@@ -158,10 +169,9 @@
 // outgoing is the request as the backend gets it.
 func (a *attempt) outgoing() *http.Request {
 	r := a.req
-	left := max(time.Until(a.deadline()).Milliseconds(), 1)
 	h := http.Header{
 		"Request-Id":      {r.wireID},
-		"Request-Timeout": {strconv.FormatInt(left, 10) + "m"},
+		"Request-Timeout": {strconv.FormatInt(a.toldTimeout().Milliseconds(), 10) + "m"},
 		"User-Agent":      {""},
 	}
 	if r.idempotency != "" {
@@ -178,9 +188,15 @@
 	return out
 }
 
-func (a *attempt) deadline() time.Time {
-	t, _ := a.ctx.Deadline()
-	return t
+// toldTimeout is how long the backend is told that it has: at most what the client has left,
+// whatever held up the decision, less what may hold up the write. It is never under a millisecond.
+func (a *attempt) toldTimeout() time.Duration {
+	deadline, _ := a.ctx.Deadline()
+	if d := a.req.deadline; !d.IsZero() && d.Before(deadline) {
+		deadline = d
+	}
+	left := time.Until(deadline)
+	return max(left-min(holdUp, left/holdUpShare), time.Millisecond)
 }
 
 // ending tells how an attempt ended that got no whole answer. In doubt it may have run.
--- /dev/null
+++ b/internal/agent/held_up_test.go
@@ -0,0 +1,57 @@
+package agent
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"molepaddle/policy"
+)
+
+// heldUp is a loop with a request, whose last decision was made some time ago.
+func heldUp(t *testing.T, ago time.Duration) (*loop, *request) {
+	l := quietLoop(t, "127.0.0.1:1")
+	r := &request{id: 1, method: http.MethodPost, target: "/send/u1", host: "b", wireID: "id", answers: make(chan answer, 1),
+		deadline: time.Now().Add(never)}
+	l.requests[r.id] = r
+	l.decided = time.Now().Add(-ago)
+	return l, r
+}
+
+// What the module decided counts from when its clock was read: a hold-up between that and the
+// send must not carry a repeat out of its window, nor an attempt past its deadline.
+func TestSpansCountFromTheDecision(t *testing.T) {
+	l, r := heldUp(t, time.Minute)
+	var server policy.Addr
+	for server = range l.backends {
+	}
+	l.send(r, &policy.Action{Kind: policy.ActSend, Request: 1, Server: server, Ms: 90_000, WithinMs: 30_000})
+	a := r.attempts[0]
+	defer a.cancel(nil)
+	if !a.before.Before(time.Now()) {
+		t.Errorf("a repeat whose window is over may begin for %v", time.Until(a.before))
+	}
+	if end, _ := a.ctx.Deadline(); time.Until(end) > 30*time.Second {
+		t.Errorf("an attempt with 30 s left may last %v", time.Until(end))
+	}
+}
+
+// The time that a backend is told is under what the client has left, by what may hold up the
+// write where there is much time and by an eighth where there is little.
+func TestToldTimeoutAllowsForAHoldUp(t *testing.T) {
+	for _, test := range []struct{ attempt, client, most, least time.Duration }{
+		{attempt: time.Hour, client: time.Hour, most: time.Hour - holdUp, least: time.Hour - time.Minute},
+		{attempt: time.Hour, client: time.Minute, most: time.Minute - holdUp, least: 10 * time.Second},
+		{attempt: time.Minute, client: time.Hour, most: time.Minute - holdUp, least: 10 * time.Second},
+		{attempt: time.Hour, client: 800 * time.Millisecond, most: 700 * time.Millisecond, least: time.Millisecond},
+		{attempt: time.Hour, client: 8 * time.Millisecond, most: 7 * time.Millisecond, least: time.Millisecond},
+		{attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
+	} {
+		a := newAttempt(nil, http.MethodPost, test.attempt)
+		a.req.deadline = time.Now().Add(test.client)
+		if got := a.toldTimeout(); got > test.most || got < test.least {
+			t.Errorf("%v of the attempt and %v of the client are left: told %v", test.attempt, test.client, got)
+		}
+		a.cancel(nil)
+	}
+}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -64,6 +64,7 @@
 	baseMs   float64
 	pool     *pool
 	disc     *discovery
+	decided  time.Time // before the module's clock was read for the event at hand: its spans count from then
 	requests map[policy.RequestID]*request
 	backends map[policy.Addr]*backend
 	nextID   policy.RequestID
@@ -206,6 +207,7 @@
 
 // tell hands the module one event and carries out what it decides.
 func (l *loop) tell(ev *policy.Event) {
+	l.decided = time.Now()
 	l.actions = l.bal.Handle(l.clock(), ev, l.actions[:0])
 	l.act()
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -10,6 +10,10 @@
 	// retryRatio is how many attempts after the first each answer in time pays for,
 	// retryBurst what is saved up: enough for a moment in which half the servers vanish.
 	retryRatio, retryBurst = 0.5, 20.0
+	// holdUpMs is how long an agent may stand still between reading its clock and writing: it
+	// shares its processors. What must not go out after a time is not begun in the last part
+	// of that time.
+	holdUpMs = 150.0
 )
 
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
@@ -41,9 +45,11 @@
 	return false
 }
 
-// repeatWithin is for how long a keyed request that may have run may still be sent again.
+// repeatWithin is for how long a keyed request that may have run may still be sent again. The
+// window counts from the earliest time at which it may have run, and a repeat may be held up just
+// before its first byte, so a window shorter than that allows none.
 func (b *Balancer) repeatWithin(r *request) float64 {
-	return r.ranAt + r.class.KeyTTLMs - 2*b.set.RoundMs - b.now
+	return r.ranAt + r.class.KeyTTLMs - holdUpMs - 2*b.set.RoundMs - b.now
 }
 
 func (b *Balancer) send(r *request, s *server) bool {
