--- a/internal/agent/backend_answer.go
+++ b/internal/agent/backend_answer.go
@@ -28,11 +28,15 @@
 			break
 		}
 	}
-	switch chunked := len(resp.TransferEncoding) > 0; {
+	// Without a length the answer lasts to the end of the connection. One that ends in order makes
+	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
+	chunked := len(resp.TransferEncoding) > 0
+	untilEnd := resp.ContentLength < 0 && !chunked
+	switch {
 	case resp.ContentLength > maxBody:
 		return res, false, errTooLong
-	case resp.ContentLength < 0 && !chunked:
-		return res, false, errors.New("answer: without a length it can't be known to be whole")
+	case untilEnd:
+		c.left += maxBody + 1 // a read behind the last byte, which finds the end
 	case chunked:
 		c.left += maxBody + maxAnswerHead // the frames of the chunks
 	default:
@@ -52,7 +56,7 @@
 	default:
 		res.status = policy.Error // it may have run
 	}
-	return res, !resp.Close, nil
+	return res, !resp.Close && !untilEnd, nil
 }
 
 // readBody reads a body whole; a length below 0 is not known.
--- /dev/null
+++ b/internal/agent/no_length_test.go
@@ -0,0 +1,61 @@
+package agent
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"molepaddle/policy"
+)
+
+// An answer without a length lasts to the end of its connection: an end in order makes it whole,
+// a reset does not. What is too long is spoilt. The connection is not used again.
+func TestAnswerWithoutLength(t *testing.T) {
+	head := "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
+	for _, test := range []struct {
+		name, answer string
+		reset        bool
+		want         policy.Status
+		body         string
+	}{
+		{name: "whole", answer: head + "done", want: policy.OK, body: "done"},
+		{name: "empty", answer: head, want: policy.OK},
+		{name: "of an old protocol", answer: "HTTP/1.0 200 OK\r\n\r\ndone", want: policy.OK, body: "done"},
+		{name: "longest", answer: head + strings.Repeat("x", maxBody), want: policy.OK, body: strings.Repeat("x", maxBody)},
+		{name: "too long", answer: head + strings.Repeat("x", maxBody+1), want: policy.Reset},
+		{name: "reset", answer: head + "done", reset: true, want: policy.Reset},
+		{name: "reset before the body", answer: head, reset: true, want: policy.Reset},
+		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.Reset},
+		{name: "error", answer: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.Error},
+		{name: "turned away", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.Full},
+		{name: "turned away and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.Reset},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			read := make(chan struct{})
+			addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+				if _, err := readRequest(r); err != nil {
+					return
+				}
+				io.WriteString(c, test.answer)
+				if test.reset {
+					<-read // else the reset could overtake what is to be read before it
+					_ = c.(*net.TCPConn).SetLinger(0)
+				}
+			})
+			g := testPool().group(addr)
+			defer g.closeIdle()
+			plain := g.pool.connect
+			g.pool.connect = wholeReads(plain, len(test.answer), read)
+			res := newAttempt(g, http.MethodPost, noAnswer).run()
+			if res.status != test.want || string(res.body) != test.body {
+				t.Fatalf("ended %d with %d bytes, want %d with %d", res.status, len(res.body), test.want, len(test.body))
+			}
+			if g.pool.open != 0 {
+				t.Error("the connection is kept")
+			}
+		})
+	}
+}
