--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -146,7 +146,11 @@
 		return res, errWithdrawn
 	}
 	c.left = maxAnswerHead
-	if n, err := c.Write(out.Bytes()); err != nil {
+	n, err := c.Write(out.Bytes())
+	if err == nil && n < out.Len() {
+		err = io.ErrShortWrite
+	}
+	if err != nil {
 		a.group.pool.used(c, a.ctx.Err() == nil)
 		a.cut = n < out.Len() // the last byte can no longer follow
 		return res, err
