--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -26,14 +26,20 @@
 	}
 	r.attempts = append(r.attempts, a)
 	r.open++
+	begun := false
+	defer func() { // after a panic too: the module waits for the end of each attempt
+		if !begun {
+			a.cancel(nil)
+			l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.Moot}})
+		}
+	}()
 	if !b.usable || r.answered || r.gone.Load() {
 		// The module sends to what is listed as ready only; should it not, nothing goes out.
 		// Nor does it for a client whose leaving is still in the queue.
-		a.cancel(nil)
-		l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.Moot}})
 		return
 	}
 	b.attempts[a] = struct{}{}
+	begun = true
 	go func() { l.post(input{kind: inOutcome, att: a, res: a.run()}) }()
 }
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"net"
 	"runtime/debug"
@@ -155,11 +156,7 @@
 // handle takes one input. A panic costs the request at hand its decision, and its
 // guard answers it: one bad event must not take down all that the agent holds.
 func (l *loop) handle(in input) {
-	defer func() {
-		if p := recover(); p != nil {
-			l.log.Error("panic in the loop", "input", in.kind, "panic", p, "stack", string(debug.Stack()))
-		}
-	}()
+	defer l.recovered("input", int(in.kind))
 	switch in.kind {
 	case inRequest:
 		l.onRequest(in.req)
@@ -191,8 +188,14 @@
 	}
 }
 
-// reload puts another configuration in force, all or nothing.
-func (l *loop) reload(c *Config) error {
+// reload puts another configuration in force, all or nothing. Who asked for it waits for the
+// result, so a panic is one.
+func (l *loop) reload(c *Config) (err error) {
+	defer func() {
+		if p := recover(); p != nil {
+			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
+		}
+	}()
 	if err := l.conf.Names.keeps(&c.Names); err != nil {
 		return err
 	}
@@ -208,56 +211,81 @@
 // tell hands the module one event and carries out what it decides.
 func (l *loop) tell(ev *policy.Event) {
 	l.decided = time.Now()
-	l.actions = l.bal.Handle(l.clock(), ev, l.actions[:0])
+	l.actions = l.decide(l.clock(), ev)
 	l.act()
 }
 
+// decide hands the module one event. What it had decided before a panic counts: it waits for
+// the ends of those attempts.
+func (l *loop) decide(now float64, ev *policy.Event) (actions []policy.Action) {
+	defer func() {
+		if p := recover(); p != nil {
+			l.log.Error("panic in the module", "event", ev.Kind, "panic", p, "stack", string(debug.Stack()))
+			actions = l.bal.Decided()
+		}
+	}()
+	return l.bal.Handle(now, ev, l.actions[:0])
+}
+
 // act carries out the module's actions in their order.
 func (l *loop) act() {
 	for i := range l.actions {
-		act := &l.actions[i]
-		r := l.requests[act.Request]
-		switch act.Kind {
-		case policy.ActSend:
-			if r != nil {
-				l.send(r, act)
-			}
-		case policy.ActCancel:
-			if r != nil && act.Attempt >= 0 && act.Attempt < len(r.attempts) {
-				if a := r.attempts[act.Attempt]; a != nil {
-					a.withdraw() // else its first byte could still cross this
-					a.cancel(errCancelled)
-				}
-			}
-		case policy.ActRefuse:
-			if r != nil {
-				l.answer(r, answer{status: policy.Full, retryAfter: ms(act.Ms)})
-				l.forget(r)
-			}
-		case policy.ActFail:
-			if r != nil {
-				l.answer(r, answer{status: policy.Error})
-				l.forget(r)
-			}
-		case policy.ActTimer:
-			token := act.Token
-			time.AfterFunc(ms(act.Ms), func() { l.post(input{kind: inTimer, token: token}) })
-		case policy.ActFollow:
-			if !l.watching {
-				l.watching = true
-				go l.disc.watch(l.seq, false)
-			}
-		case policy.ActFetch:
-			if !l.fetching {
-				l.fetching = true
-				go l.disc.fetch(false)
-			}
-		case policy.ActClose:
-			if b := l.backends[act.Server]; b != nil {
-				b.group.closeIdle()
+		l.carryOut(&l.actions[i])
+	}
+}
+
+// carryOut carries out one action. A panic costs that action alone: those behind it belong to
+// other requests, and the module counts on them.
+func (l *loop) carryOut(act *policy.Action) {
+	defer l.recovered("action", int(act.Kind))
+	r := l.requests[act.Request]
+	switch act.Kind {
+	case policy.ActSend:
+		if r != nil {
+			l.send(r, act)
+		}
+	case policy.ActCancel:
+		if r != nil && act.Attempt >= 0 && act.Attempt < len(r.attempts) {
+			if a := r.attempts[act.Attempt]; a != nil {
+				a.withdraw() // else its first byte could still cross this
+				a.cancel(errCancelled)
 			}
-		case policy.ActLog:
-			l.log.Info(act.Text)
 		}
+	case policy.ActRefuse:
+		if r != nil {
+			l.answer(r, answer{status: policy.Full, retryAfter: ms(act.Ms)})
+			l.forget(r)
+		}
+	case policy.ActFail:
+		if r != nil {
+			l.answer(r, answer{status: policy.Error})
+			l.forget(r)
+		}
+	case policy.ActTimer:
+		token := act.Token
+		time.AfterFunc(ms(act.Ms), func() { l.post(input{kind: inTimer, token: token}) })
+	case policy.ActFollow:
+		if !l.watching {
+			l.watching = true
+			go l.disc.watch(l.seq, false)
+		}
+	case policy.ActFetch:
+		if !l.fetching {
+			l.fetching = true
+			go l.disc.fetch(false)
+		}
+	case policy.ActClose:
+		if b := l.backends[act.Server]; b != nil {
+			b.group.closeIdle()
+		}
+	case policy.ActLog:
+		l.log.Info(act.Text)
+	}
+}
+
+// recovered logs a panic, if there is one, and lets the loop go on. It is to be deferred.
+func (l *loop) recovered(what string, kind int) {
+	if p := recover(); p != nil {
+		l.log.Error("panic in the loop", what, kind, "panic", p, "stack", string(debug.Stack()))
 	}
 }
--- /dev/null
+++ b/internal/agent/loop_panic_test.go
@@ -0,0 +1,79 @@
+package agent
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"molepaddle/policy"
+)
+
+// A panic in the midst of the module's actions costs none of the others: what was to be sent and
+// was not ends as an attempt that never ran, each request gets one answer, and nothing stays taken.
+func TestPanicAmongActions(t *testing.T) {
+	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+	var requests []*request
+	for range 3 {
+		r := &request{conf: l.conf, class: 2, method: http.MethodPost, target: "/order/u1", host: "b",
+			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan answer, 2), deadline: time.Now().Add(never)}
+		requests = append(requests, r)
+	}
+	for _, b := range l.backends {
+		b.attempts = nil // a write to it panics
+	}
+	for _, r := range requests {
+		l.handle(input{kind: inRequest, req: r})
+		for len(l.todo) > 0 {
+			var in input
+			in, l.todo = l.todo[0], l.todo[1:]
+			l.handle(in)
+		}
+	}
+	for i, r := range requests {
+		select {
+		case a := <-r.answers:
+			if a.status != policy.Full {
+				t.Errorf("request %d was answered %d", i, a.status)
+			}
+		default:
+			t.Errorf("request %d was not answered", i)
+		}
+		if len(r.answers) > 0 || r.open != 0 {
+			t.Errorf("request %d: %d more answers, %d attempts out", i, len(r.answers), r.open)
+		}
+	}
+	if s := l.bal.Snapshot(l.clock()); s.Inflight != 0 || s.Held != 0 || len(l.requests) != 0 {
+		t.Errorf("%d in flight, %d held, %d requests", s.Inflight, s.Held, len(l.requests))
+	}
+}
+
+// An action that panics does not take those behind it with it.
+func TestActionsBehindAPanic(t *testing.T) {
+	l := quietLoop(t, "127.0.0.1:1")
+	r := &request{id: 7, answers: make(chan answer, 1)}
+	l.requests[1], l.requests[7] = nil, r
+	l.requests[2] = &request{id: 2, attempts: []*attempt{{}}} // cancelling it panics
+	l.actions = []policy.Action{{Kind: policy.ActCancel, Request: 2}, {Kind: policy.ActRefuse, Request: 7}}
+	func() {
+		defer func() { _ = recover() }()
+		l.act()
+	}()
+	if len(r.answers) != 1 {
+		t.Error("the refusal behind a panic was lost")
+	}
+}
+
+// A panic in a change of the configuration is told to who waits for it.
+func TestReloadThatPanics(t *testing.T) {
+	l := quietLoop(t, "127.0.0.1:1")
+	done := make(chan error, 1)
+	l.handle(input{kind: inReload, done: done}) // no configuration at all
+	select {
+	case err := <-done:
+		if err == nil {
+			t.Error("taken for a success")
+		}
+	default:
+		t.Error("nothing was told")
+	}
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -141,6 +141,10 @@
 	return b.out
 }
 
+// Decided gives the actions that the latest call of Handle has decided on so far: after a panic
+// in it they have to be carried out, as the Balancer counts on them.
+func (b *Balancer) Decided() []Action { return b.out }
+
 func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
 
 // arm keeps one timer running while there is something to watch.
