--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -479,4 +479,7 @@
 	if res := a.run(); res.status != policy.Reset || res.broken == nil {
 		t.Fatalf("ended %d, %v", res.status, res.broken)
 	}
+	if p.open != 0 {
+		t.Errorf("%d connections counted as open", p.open)
+	}
 }
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -138,11 +138,17 @@
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
+	up := false
+	defer func() { // after a panic too: the pool has no other way to learn of it
+		if !up {
+			p.shut()
+		}
+	}()
 	c, err := p.connect(ctx, "tcp", g.dial)
 	if err != nil {
-		p.shut()
 		return nil, err
 	}
+	up = true
 	return &conn{Conn: c, group: g}, nil
 }
 
