--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -15,6 +15,9 @@
 	settledAfterMs = 2 * lastLocalBackoffMs
 	// freeWindow is the window of trials from which on attempts are not counted any more.
 	freeWindow = 16
+	// localMemoryMs is after how long without a failure of this machine none is feared any more:
+	// many times the longest backoff.
+	localMemoryMs = 1000.0
 	// maxReachResults bounds the servers whose latest results are kept while some are unreachable.
 	maxReachResults = 16
 	// usualReachMs is for how long a server counts as unreachable where no connect timeout is set.
@@ -47,6 +50,10 @@
 	if l.row == 0 {
 		return true
 	}
+	if now-l.failedAt > localMemoryMs {
+		l.row, l.trials = 0, nil
+		return true
+	}
 	for i := 0; i < len(l.trials); {
 		if a := l.trials[i]; now-a.sentAt >= settledAfterMs {
 			l.succeeded(a)
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -151,6 +151,17 @@
 	t.Error("not tried again")
 }
 
+// A failure of long ago holds nothing back, though no trial was made since.
+func TestLocalFailureIsForgotten(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	id, s := r.sent(0, 0)
+	r.outcome(id, 0, s, LocalFailure, 0.1)
+	r.do(Event{Kind: EvDropped, Request: id})
+	r.now += 60000
+	r.sent(0, 0)
+	r.sent(0, 0)
+}
+
 // One server that can't be reached is at fault itself, as are two of five.
 func TestServersThatCannotBeReached(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
