--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -15,25 +15,31 @@
 	}
 	a := &attempt{req: r, index: len(r.attempts), backend: b, group: b.group, started: time.Now()}
 	if act.WithinMs > 0 {
-		a.before = a.started.Add(ms(act.WithinMs))
+		a.before = l.decided.Add(ms(act.WithinMs))
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	var stop context.CancelFunc
-	a.ctx, stop = context.WithTimeout(ctx, ms(act.Ms))
+	a.ctx, stop = context.WithDeadline(ctx, l.decided.Add(ms(act.Ms)))
 	a.cancel = func(cause error) {
 		cancel(cause)
 		stop()
 	}
 	r.attempts = append(r.attempts, a)
 	r.open++
+	begun := false
+	defer func() { // after a panic too: the module waits for the end of each attempt
+		if !begun {
+			a.cancel(nil)
+			l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.Moot}})
+		}
+	}()
 	if !b.usable || r.answered || r.gone.Load() {
 		// The module sends to what is listed as ready only; should it not, nothing goes out.
 		// Nor does it for a client whose leaving is still in the queue.
-		a.cancel(nil)
-		l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.Moot}})
 		return
 	}
 	b.attempts[a] = struct{}{}
+	begun = true
 	go func() { l.post(input{kind: inOutcome, att: a, res: a.run()}) }()
 }
 
