--- /dev/null
+++ b/internal/agent/discovery_moves_test.go
@@ -0,0 +1,114 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"molepaddle/policy"
+)
+
+// New configurations in quick succession, each of which moves discovery, the last one back to the
+// first address: the calls of each end with it, and only what the last one tells counts.
+func TestDiscoveryMovesInQuickSuccession(t *testing.T) {
+	l, err := newLoop(t.Context(), parse(t, config("127.0.0.1:1", "127.0.0.1:9")), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	l.handle(input{kind: inWatched, list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
+	var left []*discovery
+	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
+		left = append(left, l.disc)
+		if err := l.reload(parse(t, config(addr, "127.0.0.1:9"))); err != nil {
+			t.Fatal(err)
+		}
+	}
+	draining := Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
+	for _, d := range left {
+		if d.ctx.Err() == nil {
+			t.Fatalf("the calls of %s go on", d.addr)
+		}
+		for _, kind := range []inKind{inWatched, inFetched, inWatchEnded} {
+			l.handle(input{kind: kind, gen: d.gen, list: listOf(100, true, draining)})
+		}
+		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.seq != 0 || !l.watching || !l.fetching {
+			t.Fatalf("what %s tells counts, though discovery has moved", d.addr)
+		}
+	}
+	if l.disc.addr != "127.0.0.1:1" || l.disc.first != localFirst {
+		t.Fatalf("asks %s within %v", l.disc.addr, l.disc.first)
+	}
+	// A lower version than the first time, as it may have begun anew.
+	l.handle(input{kind: inWatched, gen: l.disc.gen, list: listOf(3, true, draining)})
+	if b := l.backends[addrOf("s-0")]; l.seq != 3 || b != nil && b.usable {
+		t.Fatal("what the discovery now asked tells does not count")
+	}
+	l.disc.close()
+}
+
+// What a list takes from use gets nothing from the moment that it is applied, however long the agent
+// was held up before: what has not begun never does, and all that begins later goes elsewhere.
+func TestHeldUpListWithdraws(t *testing.T) {
+	for name, list := range map[string]List{
+		"draining":     listOf(2, false, Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
+		"gone":         listOf(2, false, Host{Host: "s-0", Health: "gone"}),
+		"not in whole": listOf(2, true),
+	} {
+		t.Run(name, func(t *testing.T) {
+			l := quietLoop(t, "127.0.0.1:1")
+			b := l.backends[addrOf("s-0")]
+			waits := newAttempt(b.group, http.MethodPost, never)
+			b.attempts[waits] = struct{}{}
+			l.handle(input{kind: inWatched, list: list})
+			if waits.begin() {
+				t.Fatal("an attempt begins after the list")
+			}
+			l.tell(&policy.Event{Kind: policy.EvRequest, Request: 99, LeftMs: 1000})
+			for _, a := range l.actions {
+				if a.Kind == policy.ActSend {
+					t.Fatalf("sends %+v", a)
+				}
+			}
+		})
+	}
+}
+
+// A watch that is opened anew asks for what changed since the list at hand, whatever ended it, and
+// so does the first one of a process: the whole list is asked for only of a discovery that is new.
+func TestWatchesAskForChangesAlone(t *testing.T) {
+	l := quietLoop(t, "127.0.0.1:1")
+	asked := make(chan string, 10)
+	l.disc.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+		ours, theirs := net.Pipe()
+		go func() {
+			defer theirs.Close()
+			if r, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil {
+				asked <- r.URL.RequestURI()
+			}
+		}()
+		return ours, nil
+	}
+	for i, lost := range []bool{true, false, true, false} {
+		seq := int64(5 + i)
+		l.handle(input{kind: inWatched, list: listOf(seq, false)})
+		l.handle(input{kind: inWatchEnded, err: errSilent, lost: lost})
+		l.actions = append(l.actions[:0], policy.Action{Kind: policy.ActFollow})
+		l.act()
+		if l.fetching || !l.watching {
+			t.Fatal("fetches the whole list, or watches no more")
+		}
+		select {
+		case got := <-asked:
+			if want := fmt.Sprint("/v1/endpoints?follow=1&since=", seq); got != want {
+				t.Fatalf("asked %s, want %s", got, want)
+			}
+		case <-time.After(noAnswer):
+			t.Fatal("opened no watch")
+		}
+	}
+}
