--- /dev/null
+++ b/internal/fleet/model/coldstart_test.go
@@ -0,0 +1,94 @@
+package model
+
+import (
+	"testing"
+
+	"molepaddle/policy"
+)
+
+// startDay is a service whose servers and agents all start at once, asked so much of what its
+// servers can do warm.
+func startDay(seed uint64, agents int, load float64) Config {
+	cfg := small(seed, agents, 20, load*30/100)
+	cfg.WorkMs, cfg.Zones, cfg.Uneven, cfg.ListMs, cfg.KeepArrivals = 100, 3, 0.8, 2000, false
+	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}}
+	return cfg
+}
+
+// Agents that start by an old list are told of the start later, and what they send until then is
+// not of agents that knew. From then on they keep the budget like the others.
+func TestStartDayWithOldLists(t *testing.T) {
+	cfg := startDay(1, 300, 1.2)
+	cfg.StaleStart = true
+	m := newModel(t, cfg)
+	m.boot()
+	play(t, m, Settle)
+	m.startAll()
+	knew := func() (n int) {
+		for _, c := range m.clients {
+			n += min(len(c.agent.knows), 1)
+		}
+		return n
+	}
+	if n := knew(); n != 0 {
+		t.Errorf("%d agents were told at once", n)
+	}
+	play(t, m, 2.1)
+	if n := knew(); n != cfg.Agents {
+		t.Errorf("%d of %d agents were told within two seconds", n, cfg.Agents)
+	}
+	if n := figure(t, m.figures("start"), "cold servers fallen by agents that knew"); n != 0 {
+		t.Errorf("%.0f servers fell by agents that knew", n)
+	}
+}
+
+// A cold server's budget is what the settings allow it, N, and what is put down to chance, which
+// is more where N is under 30. A request weighs what one of its class does on the mean.
+func TestColdServersBudgetAndWeights(t *testing.T) {
+	for _, c := range []struct{ workMs, n, slack float64 }{{100, 9, 12}, {56.25, 16, 15}, {30, 30, 2*5.477 + 2}, {9, 100, 22}} {
+		cfg := small(1, 2, 2, 0.5)
+		cfg.WorkMs = c.workMs
+		s := newModel(t, cfg).servers[0]
+		s.begin()
+		if got := s.budget(s.m.now); got < c.n+c.slack-0.01 || got > c.n+c.slack+0.01 {
+			t.Errorf("work of %v ms: budget %.2f, is %v and %v for chance", c.workMs, got, c.n, c.slack)
+		}
+	}
+	cfg := small(1, 2, 2, 0.5)
+	cfg.Mix()
+	m := newModel(t, cfg)
+	s := m.servers[0]
+	s.begin()
+	s.weigh(&request{class: 0, work: 1}, true)
+	s.weigh(&request{class: 2, work: 3}, true)
+	if got := s.cold.work; got < 2.09 || got > 2.11 {
+		t.Errorf("requests of 0.7 and 1.4 weigh %.2f", got)
+	}
+	if got := s.cold.very; got < 4.89 || got > 4.91 {
+		t.Errorf("their very work is %.2f", got)
+	}
+}
+
+// Heavy-tailed work is of mean one, and a few requests hold much of it.
+func TestHeavyWorkHasTheSameMean(t *testing.T) {
+	cfg := small(1, 2, 2, 0.5)
+	cfg.Heavy, cfg.Hinted = 1, true
+	m := newModel(t, cfg)
+	sum, most, hints := 0.0, 0.0, 0
+	for range 50_000 {
+		r := m.draw()
+		sum, most = sum+r.work, max(most, r.work)
+		if r.hintMs > 0 {
+			hints++
+		}
+	}
+	if mean := sum / 50_000; mean < 0.95 || mean > 1.05 || most < 10 || hints != 50_000 {
+		t.Errorf("mean %.3f, most %.1f, %d hints", mean, most, hints)
+	}
+	for _, heavy := range []float64{-1, 4} {
+		cfg.Heavy = heavy
+		if cfg.Validate() == nil {
+			t.Errorf("a spread of %v is taken", heavy)
+		}
+	}
+}
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -42,6 +42,17 @@
 	// Traffic tells what is asked of each of the settings' classes; none: all of the first.
 	Traffic []Traffic
 	Retries int // of a client for a request that is not served; at least one
+	// Heavy is the spread of the requests' work: of its logarithm. 0: a server's time for each
+	// request is drawn, and all count alike in its budget.
+	Heavy float64
+	// Hinted has clients tell the work of a request where Heavy is above 0, as they estimate it.
+	Hinted bool
+	// StaleStart has an agent that starts anew on the start day work by the list of before the
+	// start until it is told of the change.
+	StaleStart bool
+	// RestartS is within how many seconds of the start day's start each agent starts once more;
+	// 0: none does.
+	RestartS float64
 	// RunsOn has servers work on what nobody waits for any more.
 	RunsOn bool
 	// LateView has agents decide by what the servers really hold, seen late, in place of the
@@ -106,6 +117,7 @@
 type service struct {
 	servers []*server
 	clients []*client
+	before  []policy.Entry // its list of before the start day's start, if agents may still have that
 }
 
 // Model is one fleet.
@@ -141,6 +153,12 @@
 	case cfg.Servers < cfg.Services:
 		return fleet.Usage("servers", "must be at least as many as the %d services, is %d", cfg.Services, cfg.Servers)
 	}
+	if !(cfg.Heavy >= 0) || cfg.Heavy > mostSpread {
+		return fleet.Usage("heavy", "must be from 0 to %v, is %v", mostSpread, cfg.Heavy)
+	}
+	if !(cfg.RestartS >= 0) {
+		return fleet.Usage("restart", "must be 0 or above, is %v", cfg.RestartS)
+	}
 	return cfg.validateTraffic()
 }
 
