--- a/internal/fleet/model/coldstart_test.go
+++ b/internal/fleet/model/coldstart_test.go
@@ -15,6 +15,33 @@
 	return cfg
 }
 
+// Where all servers and all agents of a service start at once, agents that were told bring none
+// down, at the worst corners of the sweep: many agents, much asked, agents that start once more,
+// heavy-tailed work and a colder start. Every agent made its first attempt at once.
+func TestStartDayKeepsTheSlowStartBudget(t *testing.T) {
+	for _, c := range []struct {
+		agents   int
+		load     float64
+		coldFrom float64
+		heavy    float64
+		restartS float64
+		seeds    uint64
+	}{
+		{300, 1.2, 0.1, 0, 0, 1}, {900, 0.9, 0.1, 0, 0, 1}, {900, 1.5, 0.1, 1, 0, 1}, {900, 1.5, 0.3, 0, 0, 2},
+		{300, 1.5, 0.3, 1, 4, 1}, {4, 1.5, 0.1, 1, 0, 1},
+	} {
+		for seed := range c.seeds {
+			cfg := startDay(1+seed, c.agents, c.load)
+			cfg.Settings.Contract.ColdFrom, cfg.Heavy, cfg.RestartS = c.coldFrom, c.heavy, c.restartS
+			day := playDay(t, "start", cfg, 4)
+			fell, most := figure(t, day, "cold servers fallen"), figure(t, day, "cold server's load to its budget, most")
+			if fell > 0 || most > 0.8 || most == 0 {
+				t.Errorf("%+v, seed %d: %.0f fell, load up to %.2f of the budget", c, 1+seed, fell, most)
+			}
+		}
+	}
+}
+
 // Agents that start by an old list are told of the start later, and what they send until then is
 // not of agents that knew. From then on they keep the budget like the others.
 func TestStartDayWithOldLists(t *testing.T) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -12,6 +12,9 @@
 	// slowStartMargin is what an even share may cost a cold server, in its present capacity:
 	// warm ones may be crowded by half and save two thirds by their warm keys.
 	slowStartMargin = 5.0
+	// goldenRatio spreads the agents' first turns: the parts after the point of its multiples
+	// by successive numbers are spread evenly, however many agents there are.
+	goldenRatio = math.Phi
 )
 
 // hasRoom bounds what a server holds of this agent: its window, one at a time
@@ -39,9 +42,23 @@
 	}
 	// It never met a warm server, so nothing tells what a cold one may be sent: no more than
 	// it answers, as one attempt of this agent at a time waits there and the limit bounds them
-	// all. Until the first answer they are paced by the aim, or all agents would go on
-	// calling what can't answer.
-	return len(s.out) == 0 && (b.answers > 0 || b.now-b.triedAt >= b.aimMin/min(b.limitFloor(), 1))
+	// all.
+	return len(s.out) == 0 && (b.answers > 0 || b.hasTurn(s))
+}
+
+// hasTurn paces an agent that no server has answered yet: agents take turns by the aim, or all
+// would go on calling what can't answer. All together make attemptsPerServer attempts at each
+// server in that time, whatever they are asked: an agent's rate is not known in its first
+// moments, and one that was asked at once took itself for a busy one. Of a cold server that is
+// as many as the contract allows it of what it does warm. The first turn comes at a part of that
+// time after the agent was told of the start, which differs from agent to agent. Else each would
+// make its first attempt with its first request, before anything tells what the servers bear:
+// where agents are many, that was all that was asked in the first seconds, up to the budget.
+func (b *Balancer) hasTurn(s *server) bool {
+	alone := b.aimMin / min(b.ramp(s)*b.set.Contract.FallMultiple, 1) // a turn of one that is alone
+	turn := alone * max(float64(b.set.Replicas)/(attemptsPerServer*b.capacity()), 1)
+	_, part := math.Modf(goldenRatio * float64(b.set.Index))
+	return b.now-b.triedAt >= turn && b.now-s.since >= part*(turn-alone)
 }
 
 // slowStartShare is the part of an even share that a server may be sent: of a cold one what
