--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -31,6 +31,7 @@
 	reqs   map[policy.RequestID]*request
 	out    int              // attempts out
 	conns  map[*server]int  // the server's process that it has a connection to
+	idle   map[*server]idle // its connections that rest
 	knows  map[*server]bool // cold servers of whose start it was told
 	timers []*timer         // one for each token that was ever used
 	ended  bool
@@ -100,7 +101,7 @@
 	}
 	c.starts++
 	c.agent = &agent{m: m, client: c, b: b, reqs: map[policy.RequestID]*request{},
-		conns: map[*server]int{}, knows: map[*server]bool{}}
+		conns: map[*server]int{}, idle: map[*server]idle{}, knows: map[*server]bool{}}
 	return nil
 }
 
@@ -324,6 +325,9 @@
 	if m.region(s.zone) != m.region(a.client.zone) {
 		sec.CrossRegion++
 	}
+	if !a.takeIdle(s) {
+		sec.Connects++
+	}
 	t := &try{req: r, index: r.tries, server: s, sentAt: m.now}
 	r.tries++
 	r.out = t
@@ -351,8 +355,10 @@
 	a.out--
 	if st == policy.OK {
 		a.conns[t.server] = t.process
+		a.idle[t.server] = append(a.idle[t.server], m.now)
 	} else {
 		delete(a.conns, t.server)
+		delete(a.idle, t.server)
 	}
 	if st == policy.OK && !r.final && !a.ended {
 		r.final = true
--- a/internal/fleet/model/days.go
+++ b/internal/fleet/model/days.go
@@ -151,6 +151,7 @@
 	c.Add("held by an agent, most", "count", float64(m.mostHeld))
 	c.Add("probes a request", "count", float64(sum.Probes)/asked)
 	c.Add("calls to discovery", "count", float64(sum.Calls))
+	m.addNeeds(c, &sum)
 	return c
 }
 
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -96,6 +96,7 @@
 	Held        int // most that all servers held at once
 	Calls       int // to discovery
 	Probes      int
+	Connects    int // attempts whose agent had no idle connection to the server
 }
 
 func (c *Count) add(o *Count) {
@@ -111,6 +112,7 @@
 	c.Held = max(c.Held, o.Held)
 	c.Calls += o.Calls
 	c.Probes += o.Probes
+	c.Connects += o.Connects
 }
 
 // service is servers that do the same, and who calls them.
