--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -24,59 +24,59 @@
 // run serves batches until the input ends. Instances share nothing but the
 // process; each is reached through its number only.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
-	w := bufio.NewWriterSize(out, 1<<16)
+	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	output := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*policy.Balancer{}
-	var enc wire.Encoder
+	var encoder wire.Encoder
 	var actions []policy.Action
-	handle := func(now float64, rec *wire.Record) error {
-		switch rec.Kind {
+	handle := func(now float64, record *wire.Record) error {
+		switch record.Kind {
 		case wire.Boot:
-			b, err := boot(rec)
+			balancer, err := boot(record)
 			if err != nil {
-				enc.Crash(rec.Instance, err.Error())
-				delete(instances, rec.Instance)
+				encoder.Crash(record.Instance, err.Error())
+				delete(instances, record.Instance)
 				return nil
 			}
-			instances[rec.Instance] = b
-			actions = b.Start(now, actions[:0])
+			instances[record.Instance] = balancer
+			actions = balancer.Start(now, actions[:0])
 		case wire.Killed:
-			delete(instances, rec.Instance)
+			delete(instances, record.Instance)
 			return nil
 		default:
-			b := instances[rec.Instance]
-			if b == nil {
+			balancer := instances[record.Instance]
+			if balancer == nil {
 				return nil // dead or never started: nothing more is owed
 			}
-			actions = b.Handle(now, &rec.Event, actions[:0])
+			actions = balancer.Handle(now, &record.Event, actions[:0])
 		}
 		for i := range actions {
-			enc.Add(rec.Instance, &actions[i])
+			encoder.Add(record.Instance, &actions[i])
 		}
 		return nil
 	}
 	for {
-		enc.Reset()
-		if err := dec.Next(handle); err != nil {
+		encoder.Reset()
+		if err := decoder.Next(handle); err != nil {
 			if err == io.EOF {
 				return nil
 			}
 			return err
 		}
-		if _, err := enc.WriteTo(w); err != nil {
+		if _, err := encoder.WriteTo(output); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := output.Flush(); err != nil {
 			return fmt.Errorf("reply: %w", err)
 		}
 	}
 }
 
 // boot returns a balancer with the settings and the seed of a Boot record.
-func boot(rec *wire.Record) (*policy.Balancer, error) {
-	settings, err := wire.ParseSettings(rec.Settings)
+func boot(record *wire.Record) (*policy.Balancer, error) {
+	settings, err := wire.ParseSettings(record.Settings)
 	if err != nil {
 		return nil, err
 	}
-	return policy.New(settings, rec.Seed)
+	return policy.New(settings, record.Seed)
 }
--- a/internal/fleet/decide/decide.go
+++ b/internal/fleet/decide/decide.go
@@ -54,7 +54,7 @@
 	workload
 	at     float64 // the value of the series' parameter
 	lists  bool    // list changes are measured, not requests
-	p      *player
+	player *player
 	state  float64 // bytes
 	rounds [][]fleet.Figure
 }
@@ -210,30 +210,30 @@
 func (p *play) start(ctx context.Context, o Options) error {
 	before := inUse()
 	var err error
-	if p.p, err = newPlayer(p.workload); err != nil {
+	if p.player, err = newPlayer(p.workload); err != nil {
 		return err
 	}
 	for range warmRounds {
 		if err := ctx.Err(); err != nil {
 			return fmt.Errorf("decide: interrupted: %w", err)
 		}
-		p.p.advance(o.Requests)
+		p.player.advance(o.Requests)
 	}
-	p.p.counts = requestCounts{} // not the balancer's
+	p.player.counts = requestCounts{} // not the balancer's
 	p.state = inUse() - before
 	return nil
 }
 
 // round measures once, first times and then bytes.
 func (p *play) round(o Options, readNs float64) {
-	m := p.p.meter
+	m := p.player.meter
 	var c fleet.Case
 	if p.lists {
-		m.begin(timing, readNs, p.p.b)
+		m.begin(timing, readNs, p.player.balancer)
 		p.changeLists()
 		c.Add("delta", "us", m.us(delta))
 		c.Add("whole list", "us", m.us(wholeList))
-		m.begin(counting, 0, p.p.b)
+		m.begin(counting, 0, p.player.balancer)
 		p.changeLists()
 		c.Add("delta alloc", "bytes", m.bytes(delta))
 		c.Add("whole list alloc", "bytes", m.bytes(wholeList))
@@ -241,22 +241,22 @@
 		return
 	}
 	n := float64(o.Requests)
-	p.p.counts = requestCounts{}
-	m.begin(timing, readNs, p.p.b)
-	from := p.p.now
-	p.p.advance(o.Requests)
+	p.player.counts = requestCounts{}
+	m.begin(timing, readNs, p.player.balancer)
+	from := p.player.now
+	p.player.advance(o.Requests)
 	c.Add("request", "us", m.us(newRequest))
 	c.Add("outcome", "us", m.us(outcome))
 	c.Add("tick", "us", m.us(tick))
 	ns := m.perKind[newRequest].ns + m.perKind[outcome].ns + m.perKind[tick].ns
 	c.Add("call", "us", ns/1000/n)
-	c.Add("core", "share", ns/1e6/max(p.p.now-from, 1))
-	c.Add("work", "count", float64(p.p.b.Work()-m.workBefore)/n)
-	c.Add("attempts", "count", float64(p.p.counts.attempts)/n)
-	c.Add("refused", "share", float64(p.p.counts.refused)/n)
+	c.Add("core", "share", ns/1e6/max(p.player.now-from, 1))
+	c.Add("work", "count", float64(p.player.balancer.Work()-m.workBefore)/n)
+	c.Add("attempts", "count", float64(p.player.counts.attempts)/n)
+	c.Add("refused", "share", float64(p.player.counts.refused)/n)
 	part := min(o.Requests, byteRequests)
-	m.begin(counting, 0, p.p.b)
-	p.p.advance(part)
+	m.begin(counting, 0, p.player.balancer)
+	p.player.advance(part)
 	c.Add("request alloc", "bytes", m.bytes(newRequest))
 	c.Add("outcome alloc", "bytes", m.bytes(outcome))
 	c.Add("tick alloc", "bytes", m.bytes(tick))
@@ -267,10 +267,10 @@
 // changeLists replaces servers one by one and then hands over the whole list a few times.
 func (p *play) changeLists() {
 	for range replacements {
-		p.p.replace()
+		p.player.replace()
 	}
 	for range wholeLists {
-		p.p.list(policy.ListFull, p.p.entries, wholeList)
+		p.player.list(policy.ListFull, p.player.entries, wholeList)
 	}
 }
 
--- a/internal/fleet/decide/decide_test.go
+++ b/internal/fleet/decide/decide_test.go
@@ -27,11 +27,11 @@
 
 // workOf is what n calls of do look at, on the mean.
 func workOf(p *player, n int, do func()) float64 {
-	before := p.b.Work()
+	before := p.balancer.Work()
 	for range n {
 		do()
 	}
-	return float64(p.b.Work()-before) / float64(n)
+	return float64(p.balancer.Work()-before) / float64(n)
 }
 
 // What a decision looks at grows at most as fast as the list, or as what is queued.
@@ -72,7 +72,7 @@
 func TestAPlayIsRepeatedByItsSeed(t *testing.T) {
 	l := workload{servers: 60, replicas: 2000, perAgent: 110, unhealthy: 0.1, cold: 0.1, zones: 3, seed: 7}
 	a, b := started(t, l), started(t, l)
-	if a.b.Work() != b.b.Work() || a.now != b.now || !slices.Equal(a.counts.waits, b.counts.waits) {
+	if a.balancer.Work() != b.balancer.Work() || a.now != b.now || !slices.Equal(a.counts.waits, b.counts.waits) {
 		t.Error("two plays of one seed differ")
 	}
 	l.seed++
--- a/internal/fleet/decide/player.go
+++ b/internal/fleet/decide/player.go
@@ -68,7 +68,7 @@
 type player struct {
 	workload
 	set      policy.Settings
-	b        *policy.Balancer
+	balancer *policy.Balancer
 	rng      *rand.Rand
 	now      float64
 	nextMs   float64 // time of the next request of an easy load
@@ -140,10 +140,10 @@
 		p.entries[bad+i].SinceMs = began - coldAge
 	}
 	var err error
-	if p.b, err = policy.New(p.set, l.seed); err != nil {
+	if p.balancer, err = policy.New(p.set, l.seed); err != nil {
 		return nil, fmt.Errorf("decide: %w", err)
 	}
-	p.carryOut(p.b.Start(p.now, nil))
+	p.carryOut(p.balancer.Start(p.now, nil))
 	if bad > 0 {
 		p.list(policy.ListFull, p.entries[:bad], wholeList)
 		for i := 0; len(p.untried) > 0 && i < 20*bad; i++ {
@@ -240,7 +240,7 @@
 }
 
 func (p *player) handle(kind eventKind, ev *policy.Event) {
-	p.carryOut(p.meter.handle(p.b, p.now, kind, ev, p.actions[:0]))
+	p.carryOut(p.meter.handle(p.balancer, p.now, kind, ev, p.actions[:0]))
 }
 
 // carryOut does what the balancer asks for.
