--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -628,7 +628,8 @@
 }
 
 func TestAddresses(t *testing.T) {
-	if addrOf("s-1") != addrOf("s-1") || addrOf("s-1") == addrOf("s-2") {
+	first, again := addrOf("s-1"), addrOf("s-1")
+	if first != again || first == addrOf("s-2") {
 		t.Fatal("an address must follow from the name alone")
 	}
 	if keyOf("u1") == keyOf("u2") || keyOf("") == 0 {
--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -257,16 +257,20 @@
 	m.after(wait, func() { c.ask(again) })
 }
 
+// longestCall is how long, in ms, a call waits for its turn at discovery before it fails.
+const longestCall = 2000.0
+
 // callDiscovery asks for the list. What waits too long at discovery is work for nobody.
 func (a *agent) callDiscovery() {
 	m := a.m
 	m.second().Calls++
-	m.callsAt = max(m.callsAt, m.now) + m.cfg.CallMs
-	if m.callsAt-m.now > 2000 {
-		m.after(2000, func() { a.handle(policy.Event{Kind: policy.EvList, List: policy.ListFailed}) })
+	done := max(m.callsAt, m.now) + m.cfg.CallMs
+	if done-m.now > longestCall {
+		m.after(longestCall, func() { a.handle(policy.Event{Kind: policy.EvList, List: policy.ListFailed}) })
 		return
 	}
-	m.at(m.callsAt, call(func() {
+	m.callsAt = done
+	m.at(done, call(func() {
 		m.told++
 		a.handle(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: a.client.list()})
 	}))
--- a/internal/fleet/model/connections_test.go
+++ b/internal/fleet/model/connections_test.go
@@ -13,7 +13,7 @@
 	}
 	a.idle[s] = idle{m.now, m.now}
 	m.now += keep
-	if !a.takeIdle(s) || !a.takeIdle(s) || a.takeIdle(s) {
+	if first, second, third := a.takeIdle(s), a.takeIdle(s), a.takeIdle(s); !first || !second || third {
 		t.Error("two connections at rest are not two")
 	}
 	a.idle[s] = idle{m.now, m.now + 1}
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"testing"
 
 	"molepaddle/policy"
@@ -100,89 +99,37 @@
 	}
 }
 
-// taker is a discovery that serves calls in turn, and fails those that have waited too long
-// without any work for them. The model's own does the work of failed calls too.
-type taker struct {
-	m      *Model
-	callMs float64
-	free   float64 // when it has served all that wait
-	served map[*agent]int
-	failed int
-}
-
-// caller is an agent's decider whose calls the taker gets.
-type caller struct {
-	decider
-	agent *agent
-	taker *taker
-}
-
-func (c *caller) Start(now float64, out []policy.Action) []policy.Action {
-	return c.called(c.decider.Start(now, out))
-}
-
-func (c *caller) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
-	return c.called(c.decider.Handle(now, ev, out))
-}
-
-func (c *caller) called(actions []policy.Action) []policy.Action {
-	return slices.DeleteFunc(actions, func(a policy.Action) bool {
-		calls := a.Kind == policy.ActFollow || a.Kind == policy.ActFetch
-		if calls {
-			c.taker.call(c.agent)
-		}
-		return calls
-	})
-}
-
-func (d *taker) call(a *agent) {
-	done := max(d.free, d.m.now) + d.callMs
-	if done-d.m.now > callMost {
-		d.failed++
-		d.m.after(callMost, func() { a.handle(policy.Event{Kind: policy.EvList, List: policy.ListFailed}) })
-		return
-	}
-	d.free = done
-	d.m.at(done, call(func() {
-		d.served[a]++
-		a.handle(policy.Event{Kind: policy.EvList, List: policy.ListFull, Entries: a.client.service.list()})
-	}))
-}
-
-// callMost is how long, in ms, a call waits at discovery before it fails.
-const callMost = 2000
-
 // Eighty agents start at once, and discovery serves fifteen calls a second in turn. Their first
 // calls come within the drains' grace, in which no more than 52 can be served before they have
 // waited too long. All the same discovery never stands idle: all agents are told before the list
 // counts as told, each by one call that is served and no more than one that fails.
 func TestAgentsTakeTurnsAtDiscovery(t *testing.T) {
+	const agents, callMs, mostIdleMs = 80, 1000.0 / 15, 100.0
 	for seed := range uint64(10) {
-		cfg := small(seed, 80, 20, 0.5)
+		cfg := small(seed, agents, 20, 0.5)
+		cfg.CallMs = callMs
 		cfg.Settings.Membership = policy.OnRequest
 		m := newModel(t, cfg)
-		discovery := &taker{m: m, callMs: 1000.0 / 15, served: map[*agent]int{}}
-		for _, c := range m.clients {
-			c.agent.b = &caller{c.agent.b, c.agent, discovery}
-		}
 		m.servers[0].down = true // so that there are failures to refetch for
 		m.boot()
 		play(t, m, 6)
-		if n := len(discovery.served); n != 80 {
-			t.Errorf("seed %d: %d of 80 agents were told the list within 6 s", seed, n)
+		if m.told != agents {
+			t.Errorf("seed %d: %d of %d agents were told the list within 6 s", seed, m.told, agents)
 		}
-		if idle := discovery.free - Start - 80*discovery.callMs; idle > 100 {
+		if idle := m.callsAt - Start - agents*callMs; idle > mostIdleMs {
 			t.Errorf("seed %d: discovery stood idle for %.0f ms while agents had yet to be told", seed, idle)
 		}
 		play(t, m, 6)
-		for a, n := range discovery.served {
-			if n != 1 {
-				t.Errorf("seed %d: agent %d was told the list %d times", seed, a.client.number, n)
-			}
+		if m.told != agents {
+			t.Errorf("seed %d: discovery served %d calls of %d agents", seed, m.told, agents)
+		}
+		calls := 0
+		for _, s := range m.seconds {
+			calls += s.Calls
 		}
-		inTime := int((cfg.Settings.Contract.DrainGraceMs + callMost) / discovery.callMs)
-		if discovery.failed > 80-inTime {
-			t.Errorf("seed %d: %d calls failed, %d of the first had to", seed, discovery.failed, 80-inTime)
+		inTime := int((cfg.Settings.Contract.DrainGraceMs + longestCall) / callMs)
+		if failed, most := calls-m.told, agents-inTime; failed > most {
+			t.Errorf("seed %d: %d calls failed, %d of the first had to", seed, failed, most)
 		}
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -150,7 +150,7 @@
 			}
 		}
 	}
-	r, out, held = lateRig(t, testSettings(), 0)
+	r, _, held = lateRig(t, testSettings(), 0)
 	r.do(Event{Kind: EvDropped, Request: held})
 	if a := find(r.tick(20), ActCancel); a != nil {
 		t.Errorf("called off with nobody waiting: %+v", a)
