--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -55,7 +55,10 @@
 // make its first attempt with its first request, before anything tells what the servers bear:
 // where agents are many, that was all that was asked in the first seconds, up to the budget.
 func (b *Balancer) hasTurn(s *server) bool {
-	alone := b.aimMin / min(b.ramp(s)*b.set.Contract.FallMultiple, 1) // a turn of one that is alone
+	alone := b.aimMin // a turn of one that is alone
+	if multiple := b.set.Contract.FallMultiple; multiple > 0 {
+		alone /= min(b.ramp(s)*multiple, 1)
+	}
 	turn := alone * max(float64(b.set.Replicas)/(attemptsPerServer*b.capacity()), 1)
 	_, part := math.Modf(goldenRatio * float64(b.set.Index))
 	return b.now-b.triedAt >= turn && b.now-s.since >= part*(turn-alone)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -59,3 +59,20 @@
 		}
 	}
 }
+
+// Where the settings tell no multiple, nothing falls by it: turns go by the aim alone, and an
+// agent is not kept from cold servers for their whole cold time.
+func TestFirstAttemptWithoutAMultiple(t *testing.T) {
+	set := testSettings()
+	set.Replicas, set.Index, set.Contract.FallMultiple = 10, 9, 0
+	r := newRig(t, set, 0)
+	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1, SinceMs: r.now},
+		Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: r.now})
+	for range 15 { // two of ten may have one out in the aim of 300 ms
+		r.now += 100
+		if _, actions := r.ask(0, 0); find(actions, ActSend) != nil {
+			return
+		}
+	}
+	t.Error("nothing was sent within five times the aim")
+}
