--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -153,6 +153,28 @@
 	}
 }
 
+// Of a request that never came to the loop the loop is told nothing, or what waits to tell it would
+// be without bound while its queue is full.
+func TestWhatWasNotPostedIsNotDropped(t *testing.T) {
+	a := stopped(t)
+	ctx, gone := context.WithCancel(t.Context())
+	gone()
+	for range 20 {
+		serveWithin(t, a, httptest.NewRecorder(), direct("30000m").WithContext(ctx))
+	}
+	for {
+		select {
+		case in := <-a.loop.in:
+			if in.kind == inDropped || in.kind == inRequest {
+				t.Fatalf("the loop was told %d of a request that it does not know", in.kind)
+			}
+			continue
+		default:
+		}
+		return
+	}
+}
+
 // A panic before an answer is begun, also while it is being worded, is answered as one.
 func TestPanicWhileAnswering(t *testing.T) {
 	a, w := stopped(t), &explodingWriter{ResponseRecorder: httptest.NewRecorder()}
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -105,7 +105,9 @@
 			a.answer(w, ans)
 			return
 		case <-hr.Context().Done(): // the client has gone
-			a.drop(r)
+			if queue == nil {
+				a.drop(r)
+			}
 			a.leftBehind(w)
 			return
 		case <-guard.C:
@@ -122,7 +124,8 @@
 }
 
 // drop tells the loop that nobody waits for a request any more. Where its queue is full the
-// answer, which leaves when the handler ends, doesn't wait for it.
+// answer, which leaves when the handler ends, doesn't wait for it. What was never posted needs no
+// such word, so no more wait to tell it than the loop and its queue hold requests.
 func (a *Agent) drop(r *request) {
 	r.gone.Store(true) // seen at once, however long the loop's queue
 	in := input{kind: inDropped, req: r}
