--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -120,6 +120,7 @@
 	l.pool.configure(connect, ms(limits.KeepaliveMs/2), backendSockets(l.conf.Limits.Sockets),
 		prices.Handshake == 0 && prices.Connection == 0)
 	l.ids.keep = max(l.ids.keep, l.conf.longest()+time.Second) // longer than any request is open
+	l.starts.tolerance = l.conf.Settings.Contract.StartToleranceMs()
 }
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -12,38 +12,44 @@
 
 // startTimes translates when a backend started, its born_ms, into the module's clock. Slow start is
 // a span of real time, and born_ms is a reading of a wall clock, as is what the module's clock
-// began with: after a step of either, their difference says nothing of a backend's age. So an age
-// is never taken from that difference alone. What is known:
+// began with: after a step of either, their difference says nothing of a backend's age. So the
+// distance between the two clocks is estimated from the notices of starts, and bounded:
 //
-//   - A backend has started before the agent hears of it. With its start taken for the moment of
-//     the first notice it counts as colder than it is, never as warmer, and it is warm at the
-//     latest the contract's cold time after the notice. This is the rule where nothing else holds.
-//   - While a watch is open the notice comes soon after the start, so little is lost by the rule.
-//   - After a time without a watch the first list may name starts of all that time. The newest of
-//     them counts from the notice, and the others as much before it as their born_ms are apart, as
-//     long as that fits into the time without a watch; else the clocks that they were read from
-//     disagree, and the rule holds.
+//   - A backend has started before the agent hears of it, so each notice bounds the distance from
+//     above: by the module's time of the notice less born_ms. The smallest of these bounds is the
+//     estimate. With it a backend counts as colder than it is, by the delay of the quickest notice,
+//     and never as warmer.
+//   - While a watch is open the notice comes soon after the start. A born_ms that lies further
+//     before its notice than the quickest one by more than the tolerance was read from a clock
+//     that disagrees: that start counts from its notice, and the estimate begins anew with it.
+//     What a disagreement within the tolerance does to slow start is bounded by the contract, see
+//     policy.Contract.StartToleranceMs.
+//   - After a time without a watch the first list may name starts of all that time, so they may
+//     lie that much further before their notice.
 //   - The first lists of a process (that of the configuration, and discovery's first) name all
 //     backends, most of which have run for long. Nothing in them tells a wall clock that is a minute
 //     ahead from a newest start that is a minute past: discovery is on the agent's own machine, so
-//     the Date of its answer would come from the same wall clock, and rounded to a second. So
-//     again the newest start counts from the notice and the others as much before it as they are
-//     apart. A born_ms that is in the future of the own clock proves that the clocks disagree: it
-//     is a start of the notice, and no measure for others.
+//     the Date of its answer would come from the same wall clock, and rounded to a second. So the
+//     newest start counts from the notice and the others as much before it as they are apart. A
+//     born_ms that is in the future of the own clock proves that the clocks disagree: it is a
+//     start of the notice, and no measure for others.
 //   - Of an age by the own clock as much is true as is over maxClockDistance.
 //
 // The cost is that an agent that starts less than two hours after the newest start of a backend
 // counts it, and those that started shortly before it, as cold for at most the cold time.
 //
 // What it cannot tell: in a first list, a backend on a machine whose wall clock was stepped back
-// looks older than it is by the step.
+// looks older than it is by the step, and on a watch by the step if that is within the tolerance.
 //
 // What was translated stays: a backend that is listed again with the born_ms of before has not
 // started since.
 type startTimes struct {
-	known   map[policy.Addr]startTime
-	first   bool    // no list of discovery was translated yet
-	current float64 // until when the list was known to be complete; 0: a watch keeps it so
+	known     map[policy.Addr]startTime
+	tolerance float64 // ms by which a notice may come later than the quickest one
+	first     bool    // no list of discovery was translated yet
+	current   float64 // until when the list was known to be complete; 0: a watch keeps it so
+	distance  float64 // estimate of the module's clock less that of born_ms, in ms
+	estimated bool    // a start was noticed
 }
 
 // startTime is one start of a backend.
@@ -85,6 +91,9 @@
 		}
 		newest = max(newest, born)
 	}
+	if newest > 0 {
+		t.estimate(newest, now)
+	}
 	for i := range entries {
 		e := &entries[i]
 		if !(e.SinceMs > 0) { // long ago; a start that is known stays so
@@ -93,7 +102,7 @@
 		}
 		old, again := t.known[e.Server]
 		if !again || old.bornMs != e.SinceMs {
-			since := t.noticed(e.SinceMs, newest, now)
+			since := t.noticed(e.SinceMs, now)
 			if again { // the module takes only a later start for another process
 				since = max(since, math.Nextafter(old.sinceMs, math.Inf(1)))
 			} else {
@@ -106,17 +115,34 @@
 	}
 }
 
-// noticed is the start, by the module's clock, of a backend whose start is noticed now, in a list
-// of which the newest born_ms is given. It is never after now.
-func (t *startTimes) noticed(born, newest, now float64) float64 {
-	before := max(newest-born, 0) // the newest start
+// estimate takes the newest start of those that are noticed now into the estimate of the distance
+// between the clocks.
+func (t *startTimes) estimate(newest, now float64) {
+	distance := now - newest // with the delay of this notice
+	if !t.estimated || t.first || distance < t.distance || distance-t.distance > t.longestDelay(now) {
+		t.distance, t.estimated = distance, true
+	}
+}
+
+// longestDelay is how much later than the quickest notice one that comes now may be.
+func (t *startTimes) longestDelay(now float64) float64 {
 	switch {
 	case t.first:
-		return now - before
-	case t.current != 0 && before <= now-t.current:
-		return now - before
+		return math.Inf(1)
+	case t.current != 0:
+		return t.tolerance + now - t.current
+	}
+	return t.tolerance
+}
+
+// noticed is the start, by the module's clock, of a backend whose start is noticed now. It is never
+// after now.
+func (t *startTimes) noticed(born, now float64) float64 {
+	since := born + t.distance
+	if since > now || now-since > t.longestDelay(now) {
+		return now
 	}
-	return now
+	return since
 }
 
 // forget drops what is not listed once it is more than what is, so that names that never come
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -17,6 +17,19 @@
 	goldenRatio = math.Phi
 )
 
+// ageErrorFactor is how many times its capacity a server that is warming up may be taken to have, for
+// an error in its age: warm servers may be crowded by half, which slowStartMargin allows for.
+const ageErrorFactor = 1.5
+
+// StartToleranceMs is how much older than it is a server that is warming up may be taken for, in ms:
+// at its start, where that means most, it then counts as ageErrorFactor times what it can do.
+func (c *Contract) StartToleranceMs() float64 {
+	if c.ColdFrom >= 1 {
+		return c.ColdMs
+	}
+	return min((ageErrorFactor-1)*c.ColdFrom/(1-c.ColdFrom)*c.ColdMs, c.ColdMs)
+}
+
 // hasRoom bounds what a server holds of this agent: its window, one at a time
 // until it is validated, and a cold server's credit.
 func (b *Balancer) hasRoom(s *server, r *request) bool {
