--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -136,7 +136,7 @@
 		a.withdraw()
 		return res, err
 	}
-	if !a.before.IsZero() && time.Now().After(a.before) {
+	if a.late() {
 		return res, errLate
 	}
 	if a.req.left() {
@@ -170,6 +170,14 @@
 	return res, err
 }
 
+// late tells whether the time in which the attempt may begin is over. The end of its context is
+// acted on by another goroutine, and so maybe later than the first byte.
+func (a *attempt) late() bool {
+	now := time.Now()
+	deadline, _ := a.ctx.Deadline()
+	return !now.Before(deadline) || !a.before.IsZero() && now.After(a.before)
+}
+
 // outgoing is the request as the backend gets it.
 func (a *attempt) outgoing() *http.Request {
 	r := a.req
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -1,6 +1,8 @@
 package agent
 
 import (
+	"context"
+	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -55,3 +57,18 @@
 		a.cancel(nil)
 	}
 }
+
+// An attempt whose time is over before its first byte does not begin, whatever held it up and
+// though its connection is up.
+func TestNothingBeginsPastTheDeadline(t *testing.T) {
+	c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
+	p := testPool()
+	a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, time.Nanosecond)
+	p.connect = func(context.Context, string, string) (net.Conn, error) {
+		<-a.ctx.Done()
+		return c, nil
+	}
+	if res := a.run(); res.status != policy.Moot || c.written.Len() > 0 || !c.closed {
+		t.Errorf("ended %d with %d bytes written, closed %v", res.status, c.written.Len(), c.closed)
+	}
+}
