--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -46,23 +46,23 @@
 
 func randomSettings(rng *rand.Rand) Settings {
 	s := testSettings()
-	s.Limits.ParallelTries = rng.IntN(2) == 0
-	s.Limits.Cancelling = rng.IntN(2) == 0
-	s.Limits.Probing = rng.IntN(2) == 0
+	s.Limits.HedgedRequests = rng.IntN(2) == 0
+	s.Limits.Cancellation = rng.IntN(2) == 0
+	s.Limits.HealthChecks = rng.IntN(2) == 0
 	s.Limits.MaxAttempts = 1 + rng.IntN(5)
 	s.Classes[2].Group = []Group{GroupAll, GroupZone, GroupCell}[rng.IntN(3)]
-	s.Classes[2].KeyTTLMs = 100 + 900*rng.Float64()
+	s.Classes[2].IdempotencyWindowMs = 100 + 900*rng.Float64()
 	for i := range s.Classes {
-		s.Classes[i].AimMs = 50 + 400*rng.Float64()
-		s.Classes[i].LateShare = []float64{0, 0.2}[rng.IntN(2)]
+		s.Classes[i].LatencyObjectiveMs = 50 + 400*rng.Float64()
+		s.Classes[i].LateWeight = []float64{0, 0.2}[rng.IntN(2)]
 	}
-	s.Membership = []string{Pushed, OnRequest, Watched}[rng.IntN(3)]
-	s.Contract.ColdMs = []float64{500, 10000}[rng.IntN(2)]
+	s.Membership = []string{MembershipPushed, MembershipOnRequest, MembershipWatched}[rng.IntN(3)]
+	s.Contract.SlowStartMs = []float64{500, 10000}[rng.IntN(2)]
 	s.Replicas = 1 + rng.IntN(100)
 	s.Index = rng.IntN(s.Replicas)
 	if rng.IntN(2) == 0 {
-		s.Tenants = []Tenant{{Name: "a", Portion: 0.7, QuotaPerS: 100}, {Name: "b", Portion: 0.3, QuotaPerS: 40}}
-		s.OverShareWorth = 0.1
+		s.Tenants = []Tenant{{Name: "a", QuotaShare: 0.7, QuotaPerS: 100}, {Name: "b", QuotaShare: 0.3, QuotaPerS: 40}}
+		s.OverQuotaWeight = 0.1
 	}
 	s.Clients.MarksRetry = rng.IntN(2) == 0
 	return s
@@ -73,18 +73,18 @@
 	for _, a := range actions {
 		r := w.reqs[a.Request]
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			w.checkSend(r, &a)
 			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []Status{OK, OK, OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(10)]
-			if st == Timeout {
-				ends = w.now + a.Ms
+			st := []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusServerError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.rng.IntN(10)]
+			if st == StatusTimeout {
+				ends = w.now + a.DelayMs
 			}
 			if w.machineFails() {
-				st, ends = []Status{LocalFailure, Unreachable}[len(w.reqs)%2], w.now+0.1
+				st, ends = []Status{StatusLocalFailure, StatusUnreachable}[len(w.reqs)%2], w.now+0.1
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.Ms), status: st})
-		case ActRefuse, ActFail:
+			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.DelayMs), status: st})
+		case ActionReject, ActionFail:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", a.Request)
 			}
@@ -92,26 +92,26 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if a.Kind == ActRefuse && r.mayHaveRun() && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
+			if a.Kind == ActionReject && r.mayHaveRun() && (c.Effect == EffectNonIdempotent || c.Effect == EffectIdempotentWithKey && c.Group != GroupAll) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
 			}
-		case ActCancel:
-			if !w.set.Limits.Cancelling {
+		case ActionCancel:
+			if !w.set.Limits.Cancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if try := r.tries[a.Attempt]; !try.ended {
-				try.status, try.endsAt = Cancelled, w.now+5
+				try.status, try.endsAt = StatusCancelled, w.now+5
 			}
-		case ActFetch:
-			if w.set.Membership != Pushed {
+		case ActionFetch:
+			if w.set.Membership != MembershipPushed {
 				w.t.Fatal("fetched the list where it is followed")
 			}
-		case ActProbe:
-			if !w.set.Limits.Probing {
+		case ActionHealthCheck:
+			if !w.set.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
-		case ActTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.Ms, a.Token})
+		case ActionTimer:
+			w.timers = append(w.timers, worldTimer{w.now + a.DelayMs, a.Token})
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	counted := 0 // what this machine could not make costs no attempt
 	for _, t := range r.tries {
-		if !t.ended || t.status != LocalFailure && t.status != Unreachable {
+		if !t.ended || t.status != StatusLocalFailure && t.status != StatusUnreachable {
 			counted++
 		}
 	}
@@ -142,7 +142,7 @@
 		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
 	}
 	for _, t := range r.tries {
-		if !t.ended && !w.set.Limits.ParallelTries {
+		if !t.ended && !w.set.Limits.HedgedRequests {
 			w.t.Fatalf("request %d: two attempts out at once", a.Request)
 		}
 		if t.ended && t.status.NeverRan() {
@@ -150,11 +150,11 @@
 		}
 		x, y := w.list[t.server], w.list[a.Server]
 		switch {
-		case c.Effect == SingleShot:
+		case c.Effect == EffectNonIdempotent:
 			w.t.Fatalf("request %d sent again though it may have run", a.Request)
-		case c.Effect == Guarded && w.now-t.sentAt > c.KeyTTLMs:
+		case c.Effect == EffectIdempotentWithKey && w.now-t.sentAt > c.IdempotencyWindowMs:
 			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
-		case c.Effect == Guarded && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
+		case c.Effect == EffectIdempotentWithKey && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
 			w.t.Fatalf("request %d sent again outside its group", a.Request)
 		}
 	}
@@ -171,7 +171,7 @@
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
 			i--
-			w.handle(Event{Kind: EvTimer, Token: t.token})
+			w.handle(Event{Kind: EventTimer, Token: t.token})
 		}
 	}
 	for id := RequestID(1); id <= w.next; id++ {
@@ -189,11 +189,11 @@
 				continue
 			}
 			t.ended = true
-			if t.status == OK {
+			if t.status == StatusOK {
 				r.final++ // a second copy's answer changes nothing
 				r.final = min(r.final, 1)
 			}
-			w.handle(Event{Kind: EvOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
+			w.handle(Event{Kind: EventOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
@@ -208,17 +208,17 @@
 func (w *world) changeList() {
 	s := addr(w.rng.IntN(8))
 	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
-		Health: []Health{Ready, Ready, Draining, Gone}[w.rng.IntN(4)]}
+		Health: []Health{HealthReady, HealthReady, HealthDraining, HealthGone}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
-		e.SinceMs = w.now - 100*w.rng.Float64()
+		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
 	w.list[s] = e
-	if e.Health == Ready {
+	if e.Health == HealthReady {
 		delete(w.badSince, s)
 	} else if _, told := w.badSince[s]; !told {
 		w.badSince[s] = w.now
 	}
-	w.handle(Event{Kind: EvList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(Event{Kind: EventEndpointList, List: ListDelta, Entries: []Entry{e}})
 }
 
 func play(t *testing.T, seed uint64) []Action {
@@ -240,8 +240,8 @@
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
 			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
-			w.handle(Event{Kind: EvRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				LeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+			w.handle(Event{Kind: EventRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
+				TimeLeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
@@ -249,13 +249,13 @@
 		case 1:
 			if r := w.reqs[w.next]; r != nil && r.final == 0 {
 				r.final = 1
-				w.handle(Event{Kind: EvDropped, Request: w.next})
+				w.handle(Event{Kind: EventClientGone, Request: w.next})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(Event{Kind: EvOutcome, Request: 1 << 30, Server: addr(1), Status: OK})
-			w.handle(Event{Kind: EvDropped, Request: 1 << 30})
-			w.handle(Event{Kind: EvTimer, Token: 99})
-			w.handle(Event{Kind: EvList, List: ListFailed})
+			w.handle(Event{Kind: EventOutcome, Request: 1 << 30, Server: addr(1), Status: StatusOK})
+			w.handle(Event{Kind: EventClientGone, Request: 1 << 30})
+			w.handle(Event{Kind: EventTimer, Token: 99})
+			w.handle(Event{Kind: EventEndpointList, List: ListFailed})
 		}
 	}
 	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -7,7 +7,7 @@
 	if tenant < 0 || tenant >= len(b.usage) {
 		return false
 	}
-	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].Portion
+	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].QuotaShare
 }
 
 // count keeps the tenants' shares of this agent's requests.
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -26,7 +26,7 @@
 				f.key, f.old, f.new)
 		}
 	}
-	span, coldMs := b.rateSpan(), b.set.Contract.ColdMs
+	span, coldMs := b.rateSpan(), b.set.Contract.SlowStartMs
 	b.renameTenants(set.Tenants)
 	b.set = set
 	b.renameClasses()
@@ -36,7 +36,7 @@
 	// Counts that fade over a time stand for as much as before.
 	b.recent *= b.rateSpan() / span
 	if coldMs > 0 {
-		b.flow *= b.set.Contract.ColdMs / coldMs
+		b.flow *= b.set.Contract.SlowStartMs / coldMs
 	}
 	return nil
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -10,19 +10,19 @@
 func TestReconfigureTakesAllOrNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	for key, spoil := range map[string]func(*Settings){
-		"membershipMode":     func(s *Settings) { s.Membership = Watched },
+		"membershipMode":     func(s *Settings) { s.Membership = MembershipWatched },
 		"index":              func(s *Settings) { s.Index = 2 },
 		"zone":               func(s *Settings) { s.Zone = 1 },
-		"classes[1].aimMs":   func(s *Settings) { s.Classes[1].AimMs = 0 },
+		"classes[1].aimMs":   func(s *Settings) { s.Classes[1].LatencyObjectiveMs = 0 },
 		"limits.maxAttempts": func(s *Settings) { s.Limits.MaxAttempts = 0 },
 	} {
 		set := testSettings()
-		set.Classes[0].AimMs, set.Limits.MaxRetryAfterMs = 77, 88
+		set.Classes[0].LatencyObjectiveMs, set.Limits.MaxRetryAfterMs = 77, 88
 		spoil(&set)
 		if err := r.b.Reconfigure(set); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
-		if r.b.set.Limits.MaxRetryAfterMs == 88 || r.b.classes[0].AimMs == 77 {
+		if r.b.set.Limits.MaxRetryAfterMs == 88 || r.b.classes[0].LatencyObjectiveMs == 77 {
 			t.Fatalf("%s: a part is in force", key)
 		}
 	}
@@ -38,18 +38,18 @@
 	set := testSettings()
 	set.Limits.MaxAttempts = 1
 	set.Classes[0], set.Classes[1] = set.Classes[1], set.Classes[0]
-	set.Classes[0].Effect, set.Classes[1].Effect = Free, SingleShot // by name: "once" is now free
+	set.Classes[0].Effect, set.Classes[1].Effect = EffectIdempotent, EffectNonIdempotent // by name: "once" is now free
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if a := find(r.outcome(free, 0, s, Reset, 5), ActSend); a == nil || a.Request != free {
+	if a := find(r.outcome(free, 0, s, StatusReset, 5), ActionSend); a == nil || a.Request != free {
 		t.Errorf("what could be repeated is not: %+v", a)
 	}
-	if actions := r.outcome(once, 0, o, Reset, 5); find(actions, ActSend) != nil || find(actions, ActFail) == nil {
+	if actions := r.outcome(once, 0, o, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionFail) == nil {
 		t.Errorf("what could not be repeated: %+v", actions)
 	}
 	next, s := r.sent(0, 3) // class "once" of the new settings: free, and one attempt
-	if actions := r.outcome(next, 0, s, Reset, 5); find(actions, ActSend) != nil || find(actions, ActRefuse) == nil {
+	if actions := r.outcome(next, 0, s, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionReject) == nil {
 		t.Errorf("a new request: %+v", actions)
 	}
 }
@@ -58,23 +58,23 @@
 // classes and tenants stays with their names.
 func TestReconfigureKeepsWhatWasLearnt(t *testing.T) {
 	set := testSettings()
-	set.Tenants = []Tenant{{Name: "a", Portion: 0.5}, {Name: "b", Portion: 0.5}}
+	set.Tenants = []Tenant{{Name: "a", QuotaShare: 0.5}, {Name: "b", QuotaShare: 0.5}}
 	r := newRig(t, set, 4)
-	r.list(ListDelta, Entry{Server: addr(3), Health: Ready, Weight: 1, SinceMs: r.now}) // cold
+	r.list(ListDelta, Entry{Server: addr(3), Health: HealthReady, Weight: 1, StartedMs: r.now}) // cold
 	for range 30 {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 10
-		r.outcome(id, 0, s, OK, 10)
+		r.outcome(id, 0, s, StatusOK, 10)
 	}
 	id, s := r.sent(2, 7)
-	r.outcome(id, 0, s, Error, 10)
+	r.outcome(id, 0, s, StatusServerError, 10)
 	r.b.usage[0], r.b.usage[1] = 0.9, 0.1
-	before := map[Addr]server{}
+	before := map[Addr]endpoint{}
 	for _, s := range r.b.servers {
 		before[s.id] = *s
 	}
 	limit, budget, rate, expect := r.b.limitScale, r.b.retryBudget, r.b.rate(), r.b.classes[0].expect
-	set.Tenants = []Tenant{{Name: "c", Portion: 0.2}, {Name: "b", Portion: 0.2}, {Name: "a", Portion: 0.6}}
+	set.Tenants = []Tenant{{Name: "c", QuotaShare: 0.2}, {Name: "b", QuotaShare: 0.2}, {Name: "a", QuotaShare: 0.6}}
 	set.Classes = []Class{set.Classes[2], set.Classes[0]}
 	set.Limits.KeepaliveMs *= 2
 	if err := r.b.Reconfigure(set); err != nil {
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -38,16 +38,16 @@
 	c := newRig(t, testSettings(), 1).b.classes[0]
 	calm := c.calm()
 	for i := range 20 {
-		c.learn(float64(i), 2*c.AimMs)
+		c.learn(float64(i), 2*c.LatencyObjectiveMs)
 	}
 	late := c.expected(20)
-	if late < c.AimMs {
+	if late < c.LatencyObjectiveMs {
 		t.Fatalf("after 20 late answers %v ms are expected", late)
 	}
-	if soon := c.expected(20 + c.GiveUpMs/20); soon < late*0.9 {
+	if soon := c.expected(20 + c.DeadlineMs/20); soon < late*0.9 {
 		t.Errorf("forgotten at once: %v of %v ms", soon, late)
 	}
-	if then := c.expected(20 + 3*c.GiveUpMs); then > calm+0.1*(late-calm) {
+	if then := c.expected(20 + 3*c.DeadlineMs); then > calm+0.1*(late-calm) {
 		t.Errorf("after three times as long as clients wait %v ms are expected, calm is %v", then, calm)
 	}
 }
@@ -85,7 +85,7 @@
 		r.now += 5000
 		id, _ := r.sent(0, 0)
 		r.now += rtt
-		r.outcome(id, 0, s.id, OK, rtt)
+		r.outcome(id, 0, s.id, StatusOK, rtt)
 	}
 	s.window = 0.5
 	if r.now = s.sentAt + 59; r.b.hasRoomAt(r.now, s) {
@@ -97,7 +97,7 @@
 }
 
 // hasRoomAt tells whether a server takes one more request of the first class.
-func (b *Balancer) hasRoomAt(now float64, s *server) bool {
+func (b *Balancer) hasRoomAt(now float64, s *endpoint) bool {
 	b.now = now
 	return b.hasRoom(s, &request{class: b.classes[0]})
 }
@@ -113,7 +113,7 @@
 	r.now += 290
 	r.b.servers[0].heard = r.now // else it seems silent
 	held, actions := r.ask(0, 6)
-	if find(actions, ActSend) != nil {
+	if find(actions, ActionSend) != nil {
 		t.Fatal("not at its limit")
 	}
 	return r, out, held
@@ -125,19 +125,19 @@
 func TestLateAttemptsAreCalledOffInAShortage(t *testing.T) {
 	r, out, held := lateRig(t, testSettings(), 0)
 	actions := r.tick(20)
-	if a := find(actions, ActRefuse); a == nil || a.Request != out {
+	if a := find(actions, ActionReject); a == nil || a.Request != out {
 		t.Fatalf("its request was not answered: %+v", actions)
 	}
-	if a := find(actions, ActCancel); a == nil || a.Request != out {
+	if a := find(actions, ActionCancel); a == nil || a.Request != out {
 		t.Fatalf("not called off: %+v", actions)
 	}
-	if a := find(r.outcome(out, 0, r.b.requests[out].attempts[0].s.id, Cancelled, 310), ActSend); a == nil || a.Request != held {
+	if a := find(r.outcome(out, 0, r.b.requests[out].attempts[0].s.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
 		t.Errorf("its place was not taken: %+v", a)
 	}
 	worth := testSettings()
-	worth.Classes[0].LateShare = 0.5
+	worth.Classes[0].LateWeight = 0.5
 	forbidden := testSettings()
-	forbidden.Limits.Cancelling = false
+	forbidden.Limits.Cancellation = false
 	for name, c := range map[string]struct {
 		set   Settings
 		class int
@@ -145,14 +145,14 @@
 		"cancelling not allowed": {forbidden, 0}} {
 		r, out, _ := lateRig(t, c.set, c.class)
 		for _, a := range r.tick(20) {
-			if a.Request == out && a.Kind != ActTimer {
+			if a.Request == out && a.Kind != ActionTimer {
 				t.Errorf("%s: %+v", name, a)
 			}
 		}
 	}
 	r, _, held = lateRig(t, testSettings(), 0)
-	r.do(Event{Kind: EvDropped, Request: held})
-	if a := find(r.tick(20), ActCancel); a != nil {
+	r.do(Event{Kind: EventClientGone, Request: held})
+	if a := find(r.tick(20), ActionCancel); a != nil {
 		t.Errorf("called off with nobody waiting: %+v", a)
 	}
 }
@@ -163,12 +163,12 @@
 func TestAbandonedAttemptsStayInTheLimit(t *testing.T) {
 	for _, cancelling := range []bool{false, true} {
 		set := testSettings()
-		set.Limits.Cancelling = cancelling
+		set.Limits.Cancellation = cancelling
 		r := quick(t, set, 3)
 		r.b.abandoned.sojourn = 2000
 		id, s := r.sent(1, 5)
 		r.now += 600
-		r.outcome(id, 0, s, Timeout, 600)
+		r.outcome(id, 0, s, StatusTimeout, 600)
 		if want := map[bool]int{false: 1, true: 0}[cancelling]; len(r.b.abandoned.all) != want {
 			t.Fatalf("cancelling %v: %d abandoned, want %d", cancelling, len(r.b.abandoned.all), want)
 		}
@@ -248,7 +248,7 @@
 		rate := func(key uint64) float64 {
 			before := r.b.recent
 			id, _ := r.ask(0, key)
-			r.do(Event{Kind: EvDropped, Request: id})
+			r.do(Event{Kind: EventClientGone, Request: id})
 			return r.b.recent - before
 		}
 		if got := rate(7); got != 1 {
@@ -276,13 +276,13 @@
 	whole := r.b.limitFloor()
 	cold := make([]Entry, 4)
 	for i := range cold {
-		cold[i] = Entry{Server: addr(4 + i), Health: Ready, Weight: 1, SinceMs: r.now}
+		cold[i] = Entry{Server: addr(4 + i), Health: HealthReady, Weight: 1, StartedMs: r.now}
 	}
 	r.list(ListDelta, cold...)
-	if got, want := r.b.limitFloor(), whole*(1+r.b.set.Contract.ColdFrom); math.Abs(got-want) > 1e-9 {
+	if got, want := r.b.limitFloor(), whole*(1+r.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
 		t.Errorf("with as many cold ones %v, want %v", got, want)
 	}
-	r.b.now += r.b.set.Contract.ColdMs
+	r.b.now += r.b.set.Contract.SlowStartMs
 	if got := r.b.limitFloor(); got != 2*whole {
 		t.Errorf("when they are warm %v, want %v", got, 2*whole)
 	}
@@ -295,7 +295,7 @@
 	for range 100 {
 		id, s := r.sent(0, 0)
 		r.now += 500
-		r.outcome(id, 0, s, OK, 500)
+		r.outcome(id, 0, s, StatusOK, 500)
 	}
 	if r.b.limitScale != least {
 		t.Errorf("%v times its part, want %v", r.b.limitScale, least)
@@ -309,7 +309,7 @@
 	r.b.limitScale = leastAttempts / attemptsPerServer
 	var more []Entry
 	for i := range 60 {
-		more = append(more, Entry{Server: addr(3 + i), Health: Ready, Weight: 1})
+		more = append(more, Entry{Server: addr(3 + i), Health: HealthReady, Weight: 1})
 	}
 	r.list(ListDelta, more...)
 	if r.b.limitScale != leastAttempts/attemptsPerServer {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,7 +18,7 @@
 
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
 // hasRoom, whose credit every attempt is charged in send.
-func (b *Balancer) maySend(r *request, s *server) bool {
+func (b *Balancer) maySend(r *request, s *endpoint) bool {
 	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline ||
 		len(r.attempts) >= r.maxAttempts {
 		return false
@@ -33,9 +33,9 @@
 	}
 	c := r.class
 	switch c.Effect {
-	case Free:
+	case EffectIdempotent:
 		return true
-	case Guarded:
+	case EffectIdempotentWithKey:
 		if b.repeatWithin(r) <= 0 {
 			return false
 		}
@@ -49,10 +49,10 @@
 // window counts from the earliest time at which it may have run, and a repeat may be held up just
 // before its first byte, so a window shorter than that allows none.
 func (b *Balancer) repeatWithin(r *request) float64 {
-	return r.ranAt + r.class.KeyTTLMs - holdUpMs - 2*b.set.RoundMs - b.now
+	return r.ranAt + r.class.IdempotencyWindowMs - holdUpMs - 2*b.set.RoundMs - b.now
 }
 
-func (b *Balancer) send(r *request, s *server) bool {
+func (b *Balancer) send(r *request, s *endpoint) bool {
 	if !b.maySend(r, s) {
 		return false
 	}
@@ -64,7 +64,7 @@
 	within := 0.0
 	if r.mayHaveRun == 0 {
 		r.ranAt, r.ranOn = b.now, s
-	} else if r.class.Effect == Guarded {
+	} else if r.class.Effect == EffectIdempotentWithKey {
 		within = b.repeatWithin(r)
 	}
 	r.mayHaveRun++
@@ -75,12 +75,12 @@
 	}
 	s.sentAt, b.triedAt = b.now, b.now
 	b.inflight++
-	r.class.counts.Sent++
+	r.class.counts.Attempts++
 	if b.ramp(s) < 1 {
 		s.credit -= a.cost
 		a.charged = true
 	}
-	b.do(Action{Kind: ActSend, Request: r.id, Server: s.id, Ms: r.deadline - b.now, WithinMs: within})
+	b.do(Action{Kind: ActionSend, Request: r.id, Server: s.id, DelayMs: r.deadline - b.now, WithinMs: within})
 	return true
 }
 
@@ -111,7 +111,7 @@
 	if ev.Status.NeverRan() {
 		r.mayHaveRun--
 	}
-	if status == LocalFailure {
+	if status == StatusLocalFailure {
 		b.failedLocally(a)
 	} else {
 		b.local.succeeded(a)
@@ -121,9 +121,9 @@
 		b.recordOutcome(a, status, finite(ev.LatencyMs))
 	}
 	switch {
-	case r.closed || r.started || ev.Final || status == OK:
+	case r.closed || r.started || ev.Final || status == StatusOK:
 		b.close(r)
-	case status == LocalFailure:
+	case status == StatusLocalFailure:
 		b.retryLocally(r)
 	default:
 		b.retry(r, status)
@@ -146,13 +146,13 @@
 // what all send on together.
 func (b *Balancer) retry(r *request, why Status) {
 	c := r.class
-	able := r.mayHaveRun == 0 || c.Effect == Free || c.Effect == Guarded
+	able := r.mayHaveRun == 0 || c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey
 	price := 1.0
-	if why == ConnectFailed {
+	if why == StatusConnectFailed {
 		price = 0 // no server was asked for anything
 	}
 	spent := b.retryBudget < price || len(r.attempts) >= r.maxAttempts
-	if !able || spent || why == Moot || b.now >= r.deadline {
+	if !able || spent || why == StatusNotSent || b.now >= r.deadline {
 		b.end(r)
 		return
 	}
@@ -164,16 +164,16 @@
 // one again, when this agent comes back to the server as seldom as its last sends say.
 // All agents' requests are taken for this one's times their number. A thousand agents
 // that each met every server kept 400 connections a server open.
-func (b *Balancer) closeIdle(s *server) {
+func (b *Balancer) closeIdle(s *endpoint) {
 	p := &b.set.Prices
 	all := b.seen / max(b.now-b.began, 1) * float64(b.set.Replicas) // requests a ms
 	if p.Connection > 0 && len(s.out) == 0 &&
 		(s.gap == 0 || s.gap*all*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
-		b.do(Action{Kind: ActClose, Server: s.id})
+		b.do(Action{Kind: ActionCloseIdle, Server: s.id})
 	}
 }
 
 // repeatable tells whether a client may repeat a request of the class that may have run.
 func repeatable(c *class) bool {
-	return c.Effect == Free || c.Effect == Guarded && c.Group == GroupAll
+	return c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && c.Group == GroupAll
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -21,14 +21,14 @@
 )
 
 // rank is the server's tier for the request.
-func (b *Balancer) rank(s *server, r *request) int {
+func (b *Balancer) rank(s *endpoint, r *request) int {
 	switch s.state {
-	case Unhealthy:
+	case StateUnhealthy:
 		return 2
-	case UnhealthyPending:
+	case StateUnhealthyPending:
 		// What must not run twice does not check a server while others are healthy.
-		once := r.class.Effect == SingleShot
-		if once || b.set.Limits.Probing && b.now-s.since < b.aimMin {
+		once := r.class.Effect == EffectNonIdempotent
+		if once || b.set.Limits.HealthChecks && b.now-s.since < b.aimMin {
 			return 1
 		}
 	}
@@ -37,12 +37,12 @@
 
 // pick walks the best tier that has anyone in the order of the key's hash and takes the
 // first server that is under its cap and has room. Only those that matter are scored.
-func (b *Balancer) pick(r *request) *server {
+func (b *Balancer) pick(r *request) *endpoint {
 	waits, subset := b.waits(r), b.subset()
 	for rank := range 3 {
 		tier, n, seen := b.tier[:0], 0, 0
 		r.tierWeight = 0
-		var near [keyServers]*server
+		var near [keyServers]*endpoint
 		for _, s := range b.servers {
 			seen++
 			if b.rank(s, r) != rank || !b.maySend(r, s) {
@@ -72,7 +72,7 @@
 			r.near, r.epoch = near, b.epoch
 			tier = near[:]
 		}
-		var best *server
+		var best *endpoint
 		for _, s := range tier {
 			if (best == nil || s.score < best.score) && b.takes(s, r) {
 				best = s
@@ -120,7 +120,7 @@
 
 // score orders servers by weighted rendezvous hashing: every agent of a zone
 // finds the same order for a key, and a server's share of keys is that of its weight.
-func (b *Balancer) score(r *request, s *server) float64 {
+func (b *Balancer) score(r *request, s *endpoint) float64 {
 	x := mix(r.hash ^ s.hash)
 	u := float64(x>>11) / (1 << 53)
 	w := s.weight * b.kinds[s.kind&255].weight * min(4*b.slowStartShare(s), 1) // its credit limits it
@@ -135,7 +135,7 @@
 // less, so that its queue can drain. Tiers ignore latency, and windows need many answers: at
 // 80 agents, each meeting a server every few seconds, jammed servers kept their even share
 // for 15 s while two thirds of the fleet stood idle.
-func (b *Balancer) pacing(s *server) float64 {
+func (b *Balancer) pacing(s *endpoint) float64 {
 	if b.fleetPace == 0 {
 		return 1
 	}
@@ -148,7 +148,7 @@
 
 // takes tells whether the server is under its cap in the tier of the request's
 // last pick and has room.
-func (b *Balancer) takes(s *server, r *request) bool {
+func (b *Balancer) takes(s *endpoint, r *request) bool {
 	share := s.weight * b.ramp(s) / r.tierWeight
 	most := math.Ceil(capFactor * float64(b.inflight+1) * share)
 	return float64(len(s.out)+s.abandoned) < most && b.hasRoom(s, r)
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -25,16 +25,16 @@
 }
 
 // calm is the answer time that a class of which nothing is known is held to have.
-func (c *class) calm() float64 { return c.AimMs * crowdShare / 2 }
+func (c *class) calm() float64 { return c.LatencyObjectiveMs * crowdShare / 2 }
 
 // learn takes an answer time into the class's mean, which follows the answers of the time
 // after which its clients give up.
 func (c *class) learn(now, rtt float64) {
 	weight := max(4*slowSmooth, 1/(c.answers+2))
 	if c.answers > 0 {
-		weight = max(weight, 1-math.Exp((c.expectAt-now)/c.GiveUpMs))
+		weight = max(weight, 1-math.Exp((c.expectAt-now)/c.DeadlineMs))
 	}
-	c.expect = mean(c.expect, min(rtt, 2*c.AimMs), weight)
+	c.expect = mean(c.expect, min(rtt, 2*c.LatencyObjectiveMs), weight)
 	c.answers++
 	c.expectAt = now
 }
@@ -57,7 +57,7 @@
 	if c.expect <= calm {
 		return c.expect
 	}
-	return calm + (c.expect-calm)*math.Exp((c.expectAt-now)/c.GiveUpMs)
+	return calm + (c.expect-calm)*math.Exp((c.expectAt-now)/c.DeadlineMs)
 }
 
 // takeClasses makes the settings' classes those of the Balancer; nothing is known of them yet.
@@ -67,8 +67,8 @@
 		of := &class{Class: c, asked: 1 / float64(len(b.set.Classes)), inTime: 1}
 		of.expect = of.calm()
 		b.classes = append(b.classes, of)
-		b.aimMin = min(b.aimMin, c.AimMs)
-		b.giveUpMost = max(b.giveUpMost, c.GiveUpMs)
+		b.aimMin = min(b.aimMin, c.LatencyObjectiveMs)
+		b.giveUpMost = max(b.giveUpMost, c.DeadlineMs)
 	}
 	b.worst = b.classes[0]
 }
@@ -83,8 +83,8 @@
 			c.asked += 1 - fade
 			c.inTime -= c.inTime / classMemory
 		}
-		b.credit += c.asked * c.Credit
-		aims += c.asked * c.AimMs
+		b.credit += c.asked * c.PriorityWeight
+		aims += c.asked * c.LatencyObjectiveMs
 		all += c.asked
 		if c.inTime < b.worst.inTime {
 			b.worst = c
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -36,7 +36,7 @@
 			for _, seed := range []uint64{1, 2} {
 				set := fleetSettings(2000)
 				if quota > 0 {
-					set.Tenants = []Tenant{{Name: "a", Portion: 1, QuotaPerS: quota}}
+					set.Tenants = []Tenant{{Name: "a", QuotaShare: 1, QuotaPerS: quota}}
 				}
 				asked, refused, held := playService(t, set, servers, seed)
 				if refused > 0 {
@@ -70,28 +70,28 @@
 		for _, a := range actions {
 			counts := now-begin >= warmUp
 			switch a.Kind {
-			case ActSend:
+			case ActionSend:
 				if counts && tries[a.Request] == 0 {
 					held = append(held, now-cameAt[a.Request])
 				}
-				heap.Push(&todo, due{now + answer, Event{Kind: EvOutcome, Request: a.Request, Attempt: tries[a.Request],
-					Server: a.Server, Status: OK, LatencyMs: answer, Final: true}})
+				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: a.Request, Attempt: tries[a.Request],
+					Server: a.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
 				tries[a.Request]++
-			case ActRefuse, ActFail:
+			case ActionReject, ActionFail:
 				if counts {
 					refused++
 				}
-			case ActTimer:
-				heap.Push(&todo, due{now + a.Ms, Event{Kind: EvTimer, Token: a.Token}})
+			case ActionTimer:
+				heap.Push(&todo, due{now + a.DelayMs, Event{Kind: EventTimer, Token: a.Token}})
 			}
 		}
 	}
 	var all []Entry
 	for i := range servers {
-		all = append(all, Entry{Server: addr(i), Zone: i % 3, Cell: i % 3, Health: Ready, Weight: 1})
+		all = append(all, Entry{Server: addr(i), Zone: i % 3, Cell: i % 3, Health: HealthReady, Weight: 1})
 	}
 	do(begin, b.Start(begin, nil))
-	do(begin, b.Handle(begin, &Event{Kind: EvList, List: ListCached, Entries: all}, nil))
+	do(begin, b.Handle(begin, &Event{Kind: EventEndpointList, List: ListCached, Entries: all}, nil))
 	id := RequestID(0)
 	next := begin
 	for next < begin+length {
@@ -105,7 +105,7 @@
 		if next-begin >= warmUp {
 			asked++
 		}
-		do(next, b.Handle(next, &Event{Kind: EvRequest, Request: id, Key: 1 + rng.Uint64N(5000), LeftMs: 1000}, nil))
+		do(next, b.Handle(next, &Event{Kind: EventRequest, Request: id, Key: 1 + rng.Uint64N(5000), TimeLeftMs: 1000}, nil))
 	}
 	return asked, refused, held
 }
@@ -117,12 +117,12 @@
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
 	const servers, work = 16, 30.0
-	set.Tenants = []Tenant{{Name: "a", Portion: 1, QuotaPerS: 0.9 * servers * 1000 / work}}
+	set.Tenants = []Tenant{{Name: "a", QuotaShare: 1, QuotaPerS: 0.9 * servers * 1000 / work}}
 	r := newRig(t, set, servers)
 	for range 400 {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 10
-		r.outcome(id, 0, s, OK, 3.5*work)
+		r.outcome(id, 0, s, StatusOK, 3.5*work)
 	}
 	want := attemptsPerServer * servers * r.b.rate() / (set.Tenants[0].QuotaPerS / 1000)
 	if got := r.b.limitFloor(); !near(got, max(want, 1)) {
@@ -140,7 +140,7 @@
 	answer := func(took float64) {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 60000
-		r.outcome(id, 0, s, OK, took)
+		r.outcome(id, 0, s, StatusOK, took)
 	}
 	floor := limit()
 	if floor > 0.02 {
@@ -161,13 +161,13 @@
 	}
 	var more []Entry
 	for i := range 2000 {
-		more = append(more, Entry{Server: addr(i), Health: Ready, Weight: 1})
+		more = append(more, Entry{Server: addr(i), Health: HealthReady, Weight: 1})
 	}
 	if r.list(ListFull, more...); limit() > max(grown, 2) {
 		t.Errorf("%v with 2,000 servers listed, %v before", limit(), grown)
 	}
 	for range 60 {
-		answer(2 * set.Classes[0].AimMs)
+		answer(2 * set.Classes[0].LatencyObjectiveMs)
 	}
 	if r.b.limitScale > 1.01 {
 		t.Errorf("%v times the floor after late answers", r.b.limitScale)
--- a/policy/sets_test.go
+++ b/policy/sets_test.go
@@ -10,20 +10,20 @@
 func (w *world) checkSets() {
 	w.t.Helper()
 	b := w.b
-	same := func(name string, set ordered, belongs func(*server) bool) {
-		want := slices.DeleteFunc(slices.Clone(b.servers), func(s *server) bool { return !belongs(s) })
+	same := func(name string, set endpointSet, belongs func(*endpoint) bool) {
+		want := slices.DeleteFunc(slices.Clone(b.servers), func(s *endpoint) bool { return !belongs(s) })
 		if !slices.Equal(set, want) {
 			w.t.Fatalf("%s: %d servers, want %d in the list's order", name, len(set), len(want))
 		}
 	}
-	same("ejected", b.ejected, func(s *server) bool { return s.state > Unknown })
-	same("busy", b.busy, func(s *server) bool { return len(s.out) > 0 })
+	same("ejected", b.ejected, func(s *endpoint) bool { return s.state > StateUnknown })
+	same("busy", b.busy, func(s *endpoint) bool { return len(s.out) > 0 })
 	fresh, known := 0.0, b.warmEpoch == b.epoch && !b.warmStale
 	for _, s := range b.servers {
 		if b.ramp(s) < 1 && !slices.Contains(b.cold, s) {
 			w.t.Fatalf("%v is cold and not among the cold ones", s.id)
 		}
-		if s.usable && s.state <= Unknown && b.ramp(s) == 1 {
+		if s.usable && s.state <= StateUnknown && b.ramp(s) == 1 {
 			fresh += s.weight
 		}
 	}
@@ -41,15 +41,15 @@
 // Where new settings give servers a longer cold time, those that were warm are cold again.
 func TestALongerColdTimeIsSeenInTheSets(t *testing.T) {
 	set := testSettings()
-	set.Contract.ColdMs = 500
+	set.Contract.SlowStartMs = 500
 	r := newRig(t, set, 3)
 	w := &world{t: t, b: r.b}
-	r.list(ListDelta, Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(ListDelta, Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	r.now += 600
 	if r.ask(0, 0); r.b.warmWeight() != 3 || len(r.b.cold) != 0 {
 		t.Fatalf("weight %v of warm servers, %d cold; want 3 and none", r.b.warmWeight(), len(r.b.cold))
 	}
-	set.Contract.ColdMs = 5000
+	set.Contract.SlowStartMs = 5000
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,6 +1,16 @@
 package policy
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
+
+// The words that settings may hold.
+var (
+	effects     = []Effect{EffectIdempotent, EffectIdempotentWithKey, EffectNonIdempotent}
+	groups      = []Group{GroupAll, GroupZone, GroupCell}
+	memberships = []string{MembershipPushed, MembershipOnRequest, MembershipWatched}
+)
 
 // longestMs bounds times and other figures: what is longer than years overflows where it
 // becomes a duration.
@@ -14,29 +24,30 @@
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.AimMs > 0) || c.AimMs > longestMs:
-			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("aimMs"), longestMs, c.AimMs)
-		case !(c.GiveUpMs > 0) || c.GiveUpMs > longestMs:
+		case !(c.LatencyObjectiveMs > 0) || c.LatencyObjectiveMs > longestMs:
+			return fmt.Errorf("%s: must be above 0 and at most %v, is %v",
+				at("aimMs"), longestMs, c.LatencyObjectiveMs)
+		case !(c.DeadlineMs > 0) || c.DeadlineMs > longestMs:
 			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("giveUpMs"),
-				longestMs, c.GiveUpMs)
-		case !(c.AimStretch >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("aimStretch"), c.AimStretch)
-		case !(c.LateShare >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("lateShare"), c.LateShare)
-		case !(c.Credit >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.Credit)
-		case c.Effect != Free && c.Effect != Guarded && c.Effect != SingleShot:
+				longestMs, c.DeadlineMs)
+		case !(c.ObjectiveStretch >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("aimStretch"), c.ObjectiveStretch)
+		case !(c.LateWeight >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("lateShare"), c.LateWeight)
+		case !(c.PriorityWeight >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("credit"), c.PriorityWeight)
+		case !slices.Contains(effects, c.Effect):
 			return fmt.Errorf("%s: unknown effect %q", at("effect"), c.Effect)
-		case c.Effect == Guarded && c.Group != GroupAll && c.Group != GroupZone && c.Group != GroupCell:
+		case c.Effect == EffectIdempotentWithKey && !slices.Contains(groups, c.Group):
 			return fmt.Errorf("%s: unknown group %q", at("group"), c.Group)
-		case c.Effect == Guarded && !(c.KeyTTLMs >= 0):
-			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.KeyTTLMs)
+		case c.Effect == EffectIdempotentWithKey && !(c.IdempotencyWindowMs >= 0):
+			return fmt.Errorf("%s: must be 0 or above, is %v", at("keyTtlMs"), c.IdempotencyWindowMs)
 		}
 	}
 	for i, t := range s.Tenants {
 		switch {
-		case !(t.Portion >= 0):
-			return fmt.Errorf("settings: tenants[%d].portion: must be 0 or above, is %v", i, t.Portion)
+		case !(t.QuotaShare >= 0):
+			return fmt.Errorf("settings: tenants[%d].portion: must be 0 or above, is %v", i, t.QuotaShare)
 		case !(t.QuotaPerS >= 0):
 			return fmt.Errorf("settings: tenants[%d].quotaPerS: must be 0 or above, is %v", i, t.QuotaPerS)
 		}
@@ -44,7 +55,7 @@
 	if s.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("settings: limits.maxAttempts: must be 1 or above, is %d", s.Limits.MaxAttempts)
 	}
-	if s.Membership != Pushed && s.Membership != OnRequest && s.Membership != Watched {
+	if !slices.Contains(memberships, s.Membership) {
 		return fmt.Errorf("settings: membershipMode: unknown mode %q", s.Membership)
 	}
 	for _, f := range []struct {
@@ -52,12 +63,12 @@
 		value float64
 	}{
 		{"contract.answerSlackMs", s.Contract.AnswerSlackMs},
-		{"contract.askWithinMs", s.Contract.AskWithinMs},
-		{"contract.coldFrom", s.Contract.ColdFrom},
-		{"contract.coldMs", s.Contract.ColdMs},
+		{"contract.askWithinMs", s.Contract.PollWithinMs},
+		{"contract.coldFrom", s.Contract.SlowStartFrom},
+		{"contract.coldMs", s.Contract.SlowStartMs},
 		{"contract.drainGraceMs", s.Contract.DrainGraceMs},
-		{"contract.fallMultiple", s.Contract.FallMultiple},
-		{"contract.tipAfterMs", s.Contract.TipAfterMs},
+		{"contract.fallMultiple", s.Contract.OverloadMultiple},
+		{"contract.tipAfterMs", s.Contract.OverloadWindowMs},
 		{"limits.keepaliveMs", s.Limits.KeepaliveMs},
 		{"limits.connectTimeoutMs", s.Limits.ConnectTimeoutMs},
 		{"limits.maxRetryAfterMs", s.Limits.MaxRetryAfterMs},
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -24,16 +24,16 @@
 // StartToleranceMs is how much older than it is a server that is warming up may be taken for, in ms:
 // at its start, where that means most, it then counts as ageErrorFactor times what it can do.
 func (c *Contract) StartToleranceMs() float64 {
-	if c.ColdFrom >= 1 {
-		return c.ColdMs
+	if c.SlowStartFrom >= 1 {
+		return c.SlowStartMs
 	}
-	return min((ageErrorFactor-1)*c.ColdFrom/(1-c.ColdFrom)*c.ColdMs, c.ColdMs)
+	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
 }
 
 // hasRoom bounds what a server holds of this agent: its window, one at a time
 // until it is validated, and a cold server's credit.
-func (b *Balancer) hasRoom(s *server, r *request) bool {
-	if s.state >= UnhealthyPending {
+func (b *Balancer) hasRoom(s *endpoint, r *request) bool {
+	if s.state >= StateUnhealthyPending {
 		return len(s.out)+s.abandoned == 0
 	}
 	// A window under one is kept by pausing: with many agents even one attempt of
@@ -51,7 +51,7 @@
 		return false
 	}
 	if b.flow > 0 {
-		return (b.now-s.sentAt)*b.flow*s.weight*b.slowStartShare(s) >= b.cost(r)*b.set.Contract.ColdMs
+		return (b.now-s.sentAt)*b.flow*s.weight*b.slowStartShare(s) >= b.cost(r)*b.set.Contract.SlowStartMs
 	}
 	// It never met a warm server, so nothing tells what a cold one may be sent: no more than
 	// it answers, as one attempt of this agent at a time waits there and the limit bounds them
@@ -67,9 +67,9 @@
 // time after the agent was told of the start, which differs from agent to agent. Else each would
 // make its first attempt with its first request, before anything tells what the servers bear:
 // where agents are many, that was all that was asked in the first seconds, up to the budget.
-func (b *Balancer) hasTurn(s *server) bool {
+func (b *Balancer) hasTurn(s *endpoint) bool {
 	alone := b.aimMin // a turn of one that is alone
-	if multiple := b.set.Contract.FallMultiple; multiple > 0 {
+	if multiple := b.set.Contract.OverloadMultiple; multiple > 0 {
 		alone /= min(b.ramp(s)*multiple, 1)
 	}
 	turn := alone * max(float64(b.set.Replicas)/(attemptsPerServer*b.capacity()), 1)
@@ -79,9 +79,9 @@
 
 // slowStartShare is the part of an even share that a server may be sent: of a cold one what
 // keeps the contract, so that its keys move to it as it warms up.
-func (b *Balancer) slowStartShare(s *server) float64 {
+func (b *Balancer) slowStartShare(s *endpoint) float64 {
 	if k := b.ramp(s); k < 1 {
-		return k * b.set.Contract.FallMultiple / slowStartMargin
+		return k * b.set.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
 }
@@ -99,13 +99,13 @@
 // may get its share by weight and ramp. Then the servers' shares of all agents
 // together stay in proportion to what they can do, without any agreement. What was
 // turned away earns nothing: in a storm it made cold servers' shares ninefold.
-func (b *Balancer) earn(s *server, cost float64) {
+func (b *Balancer) earn(s *endpoint, cost float64) {
 	if b.ramp(s) < 1 {
 		return
 	}
 	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.servers)) // of its subset
 	if warm > 0 {
-		b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.ColdMs) + cost/warm
+		b.flow = b.flow*math.Exp((b.flowAt-b.now)/b.set.Contract.SlowStartMs) + cost/warm
 		b.flowAt = b.now
 	}
 	b.countWork(b.cold)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -12,16 +12,16 @@
 	for i := range agents {
 		set := testSettings()
 		set.Replicas, set.Index = agents, i
-		set.Contract.ColdFrom = 0.1
+		set.Contract.SlowStartFrom = 0.1
 		r := newRig(t, set, 0)
 		entries := make([]Entry, servers)
 		for k := range entries {
-			entries[k] = Entry{Server: addr(k), Health: Ready, Weight: 1, SinceMs: r.now}
+			entries[k] = Entry{Server: addr(k), Health: HealthReady, Weight: 1, StartedMs: r.now}
 		}
 		r.list(ListFull, entries...)
 		began := r.now
 		for r.now < began+3000 {
-			if _, actions := r.ask(0, 0); find(actions, ActSend) != nil {
+			if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
 				first[int(r.now-began)/1000]++
 				break
 			}
@@ -51,10 +51,10 @@
 		r := newRig(t, set, 0)
 		entries := make([]Entry, 20)
 		for k := range entries {
-			entries[k] = Entry{Server: addr(k), Health: Ready, Weight: 1, SinceMs: r.now - set.Contract.ColdMs + 1}
+			entries[k] = Entry{Server: addr(k), Health: HealthReady, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs + 1}
 		}
 		r.list(ListFull, entries...)
-		if _, actions := r.ask(0, 0); find(actions, ActSend) == nil {
+		if _, actions := r.ask(0, 0); find(actions, ActionSend) == nil {
 			t.Errorf("of %d agents one had to wait: %+v", replicas, actions)
 		}
 	}
@@ -64,13 +64,13 @@
 // agent is not kept from cold servers for their whole cold time.
 func TestFirstAttemptWithoutAMultiple(t *testing.T) {
 	set := testSettings()
-	set.Replicas, set.Index, set.Contract.FallMultiple = 10, 9, 0
+	set.Replicas, set.Index, set.Contract.OverloadMultiple = 10, 9, 0
 	r := newRig(t, set, 0)
-	r.list(ListFull, Entry{Server: addr(0), Health: Ready, Weight: 1, SinceMs: r.now},
-		Entry{Server: addr(1), Health: Ready, Weight: 1, SinceMs: r.now})
+	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now},
+		Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	for range 15 { // two of ten may have one out in the aim of 300 ms
 		r.now += 100
-		if _, actions := r.ask(0, 0); find(actions, ActSend) != nil {
+		if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
 			return
 		}
 	}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -12,16 +12,16 @@
 			r.b.Snapshot(r.now)
 		}
 		r.now += 10
-		r.outcome(id, 0, s, Error, 10)
+		r.outcome(id, 0, s, StatusServerError, 10)
 		r.sent(1, 8)
 		_, last := r.ask(0, 9)
 		return r.b.Snapshot(r.now), last
 	}
 	s, last := play(true)
-	if s.Inflight != 3 || s.Outcomes != (OutcomeCounts{Error: 1}) || s.Tiers[0].Servers != 3 || s.Tiers[2].Servers != 1 {
+	if s.Inflight != 3 || s.Outcomes != (OutcomeCounts{ServerError: 1}) || s.Tiers[0].Endpoints != 3 || s.Tiers[2].Endpoints != 1 {
 		t.Errorf("unexpected: %+v", s)
 	}
-	if want := (ClassCounts{Asked: 2, Sent: 3}); s.Classes[0].Counts != want {
+	if want := (ClassCounts{Requests: 2, Attempts: 3}); s.Classes[0].Counts != want {
 		t.Errorf("class %+v, want %+v", s.Classes[0].Counts, want)
 	}
 	if _, unseen := play(false); len(unseen) != len(last) || unseen[0] != last[0] {
--- a/policy/types.go
+++ b/policy/types.go
@@ -18,10 +18,10 @@
 
 // The four states, best first.
 const (
-	Connected State = iota
-	Unknown
-	UnhealthyPending
-	Unhealthy
+	StateConnected State = iota
+	StateUnknown
+	StateUnhealthyPending
+	StateUnhealthy
 )
 
 // Effect tells whether a request of a class may run more than once.
@@ -29,9 +29,9 @@
 
 // The effects a class may have.
 const (
-	Free       Effect = "free"        // safe to repeat
-	Guarded    Effect = "guarded"     // repeats are dropped within a group of servers, for a time
-	SingleShot Effect = "single_shot" // must never run twice
+	EffectIdempotent        Effect = "free"        // safe to repeat
+	EffectIdempotentWithKey Effect = "guarded"     // a group of servers drops repeats, for a time
+	EffectNonIdempotent     Effect = "single_shot" // must never run twice
 )
 
 // Group tells which servers drop repeats of a guarded request.
@@ -46,58 +46,58 @@
 
 // Class is one class of requests.
 type Class struct {
-	Name       string  `json:"name"`
-	AimMs      float64 `json:"aimMs"`
-	AimStretch float64 `json:"aimStretch"`
-	GiveUpMs   float64 `json:"giveUpMs"`
-	Effect     Effect  `json:"effect"`
-	Group      Group   `json:"group"`
-	KeyTTLMs   float64 `json:"keyTtlMs"`
-	Credit     float64 `json:"credit"`
-	LateShare  float64 `json:"lateShare"`
-	Streamed   bool    `json:"streamed"`
+	Name                string  `json:"name"`
+	LatencyObjectiveMs  float64 `json:"aimMs"`
+	ObjectiveStretch    float64 `json:"aimStretch"`
+	DeadlineMs          float64 `json:"giveUpMs"`
+	Effect              Effect  `json:"effect"`
+	Group               Group   `json:"group"`
+	IdempotencyWindowMs float64 `json:"keyTtlMs"`
+	PriorityWeight      float64 `json:"credit"`
+	LateWeight          float64 `json:"lateShare"`
+	Streamed            bool    `json:"streamed"`
 }
 
 // Tenant is a customer with a share of what the servers can do.
 type Tenant struct {
-	Name      string  `json:"name"`
-	QuotaPerS float64 `json:"quotaPerS"`
-	Portion   float64 `json:"portion"`
+	Name       string  `json:"name"`
+	QuotaPerS  float64 `json:"quotaPerS"`
+	QuotaShare float64 `json:"portion"`
 }
 
 // Limits is what a deployment permits an agent.
 type Limits struct {
-	Cancelling       bool    `json:"cancelling"`
+	Cancellation     bool    `json:"cancelling"`
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
 	KeepaliveMs      float64 `json:"keepaliveMs"`
 	MaxAttempts      int     `json:"maxAttempts"`
 	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	ParallelTries    bool    `json:"parallelTries"`
-	Probing          bool    `json:"probing"`
+	HedgedRequests   bool    `json:"parallelTries"`
+	HealthChecks     bool    `json:"probing"`
 	RetryAfter       bool    `json:"retryAfter"`
-	OpenCap          int     `json:"openCap"`
+	MaxOpenRequests  int     `json:"openCap"`
 }
 
 // Contract holds the figures of the four rules.
 type Contract struct {
-	AnswerSlackMs float64 `json:"answerSlackMs"`
-	AskWithinMs   float64 `json:"askWithinMs"`
-	ColdFrom      float64 `json:"coldFrom"`
-	ColdMs        float64 `json:"coldMs"`
-	DrainGraceMs  float64 `json:"drainGraceMs"`
-	FallMultiple  float64 `json:"fallMultiple"`
-	TipAfterMs    float64 `json:"tipAfterMs"`
+	AnswerSlackMs    float64 `json:"answerSlackMs"`
+	PollWithinMs     float64 `json:"askWithinMs"`
+	SlowStartFrom    float64 `json:"coldFrom"`
+	SlowStartMs      float64 `json:"coldMs"`
+	DrainGraceMs     float64 `json:"drainGraceMs"`
+	OverloadMultiple float64 `json:"fallMultiple"`
+	OverloadWindowMs float64 `json:"tipAfterMs"`
 }
 
 // Prices are points taken off the result, each times its share or rate.
 type Prices struct {
-	CrossZone  float64 `json:"crossZone"`
-	Handshake  float64 `json:"handshake"`
-	Connection float64 `json:"connection"`
-	LateFail   float64 `json:"lateFail"`
-	Probe      float64 `json:"probe"`
-	Waste      float64 `json:"waste"`
-	List       float64 `json:"membershipMode"`
+	CrossZone   float64 `json:"crossZone"`
+	Handshake   float64 `json:"handshake"`
+	Connection  float64 `json:"connection"`
+	LateFail    float64 `json:"lateFail"`
+	HealthCheck float64 `json:"probe"`
+	Waste       float64 `json:"waste"`
+	Membership  float64 `json:"membershipMode"`
 }
 
 // Objective holds the weights of the result's components.
@@ -110,9 +110,9 @@
 
 // How changes of the list reach an agent.
 const (
-	Pushed    = "pushed"     // by themselves
-	OnRequest = "on_request" // to who follows, or asks for the whole list; each call is work for discovery
-	Watched   = "watched"    // to who follows, at no cost
+	MembershipPushed    = "pushed"     // by themselves
+	MembershipOnRequest = "on_request" // to who watches or polls; each call is work for discovery
+	MembershipWatched   = "watched"    // to who follows, at no cost
 )
 
 // Report names the values of the servers' load reports.
@@ -137,13 +137,13 @@
 	FamilyInfo struct {
 		WarmKeys bool `json:"warmKeys"`
 	} `json:"familyInfo"`
-	Index          int     `json:"index"`
-	Replicas       int     `json:"replicasOfMe"`
-	OverShareWorth float64 `json:"overShareWorth"`
-	RoundMs        float64 `json:"roundMs"`
-	Weights        string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WorthBy        string  `json:"worthBy"` // "request" or "work"
-	Zone           int     `json:"zone"`
+	Index           int     `json:"index"`
+	Replicas        int     `json:"replicasOfMe"`
+	OverQuotaWeight float64 `json:"overShareWorth"`
+	RoundMs         float64 `json:"roundMs"`
+	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
+	WeightBy        string  `json:"worthBy"` // "request" or "work"
+	Zone            int     `json:"zone"`
 }
 
 // Health is what the list says of a server.
@@ -151,20 +151,20 @@
 
 // The list's words.
 const (
-	Draining Health = iota
-	Ready
-	Gone
+	HealthDraining Health = iota
+	HealthReady
+	HealthGone
 )
 
 // Entry is one line of the list of servers.
 type Entry struct {
-	Server  Addr
-	Zone    int
-	Cell    int
-	Kind    int
-	SinceMs float64 // clock time of the latest start; 0: long past
-	Health  Health
-	Weight  float64
+	Server      Addr
+	Zone        int
+	Cell        int
+	MachineKind int
+	StartedMs   float64 // clock time of the latest start; 0: long past
+	Health      Health
+	Weight      float64
 }
 
 // ListKind tells how a list event changes the list at hand.
@@ -176,7 +176,7 @@
 	ListFull
 	ListCached
 	ListFailed
-	ListLost // a watch that had told something has ended
+	ListWatchEnded // a watch that had told something has ended
 )
 
 // Status is how an attempt or a probe ended.
@@ -184,25 +184,29 @@
 
 // The endings.
 const (
-	OK            Status = 100
-	Error         Status = 301
-	Full          Status = 302
-	Timeout       Status = 303
-	ConnectFailed Status = 304
-	Reset         Status = 305
-	Cancelled     Status = 306
-	Moot          Status = 307
+	StatusOK            Status = 100
+	StatusServerError   Status = 301
+	StatusRejected      Status = 302
+	StatusTimeout       Status = 303
+	StatusConnectFailed Status = 304
+	StatusReset         Status = 305
+	StatusCancelled     Status = 306
+	StatusNotSent       Status = 307
 	// LocalFailure is an attempt that this machine could not make, as a table or a range of ports
 	// of its own was exhausted: it never ran, and says nothing of its server.
-	LocalFailure Status = 308
+	StatusLocalFailure Status = 308
 	// Unreachable is an attempt whose connect ended with the word that there is no way to the
 	// server: it never ran. Whether that is the server's failure or this machine's is decided here.
-	Unreachable Status = 309
+	StatusUnreachable Status = 309
 )
 
 // NeverRan tells whether the ending proves that the attempt did not run.
 func (s Status) NeverRan() bool {
-	return s == Full || s == ConnectFailed || s == Moot || s == LocalFailure || s == Unreachable
+	switch s {
+	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure, StatusUnreachable:
+		return true
+	}
+	return false
 }
 
 // EventKind tells which fields of an Event count.
@@ -210,36 +214,36 @@
 
 // The events.
 const (
-	EvRequest EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
-	EvOutcome                      // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EvStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EvDropped                      // Request: the client left
-	EvList                         // List, Entries
-	EvProbed                       // Server, Status, LatencyMs, Report
-	EvTimer                        // Token
-	EvPeer                         // a message of another agent; carries nothing that is used
+	EventRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
+	EventOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Report
+	EventResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
+	EventClientGone                           // Request: the client left
+	EventEndpointList                         // List, Entries
+	EventHealthChecked                        // Server, Status, LatencyMs, Report
+	EventTimer                                // Token
+	EventPeerMessage                          // a message of another agent; carries nothing that is used
 )
 
 // Event is something that happened to one agent.
 type Event struct {
-	Kind      EventKind
-	Request   RequestID
-	Class     int
-	Tenant    int
-	Key       uint64 // 0: none
-	LeftMs    float64
-	HintMs    float64
-	HasHint   bool
-	Retry     bool
-	Attempt   int
-	Server    Addr
-	Status    Status
-	LatencyMs float64
-	Final     bool // the request is finished
-	Report    []float32
-	List      ListKind
-	Entries   []Entry // not changed and not kept by the Balancer
-	Token     uint32
+	Kind       EventKind
+	Request    RequestID
+	Class      int
+	Tenant     int
+	Key        uint64 // 0: none
+	TimeLeftMs float64
+	HintMs     float64
+	HasHint    bool
+	Retry      bool
+	Attempt    int
+	Server     Addr
+	Status     Status
+	LatencyMs  float64
+	Final      bool // the request is finished
+	Report     []float32
+	List       ListKind
+	Entries    []Entry // not changed and not kept by the Balancer
+	Token      uint32
 }
 
 // ActionKind tells which fields of an Action count.
@@ -247,16 +251,16 @@
 
 // The actions.
 const (
-	ActSend   ActionKind = iota + 1 // Request, Server, Ms: time-out, WithinMs
-	ActCancel                       // Request, Attempt
-	ActRefuse                       // Request, Ms: advice
-	ActFail                         // Request
-	ActProbe                        // Server
-	ActTimer                        // Ms, Token
-	ActFollow                       // subscribe to the list
-	ActFetch                        // ask for the whole list once
-	ActLog                          // Text
-	ActClose                        // Server: close idle connections to it
+	ActionSend        ActionKind = iota + 1 // Request, Server, Ms: time-out, WithinMs
+	ActionCancel                            // Request, Attempt
+	ActionReject                            // Request, Ms: advice
+	ActionFail                              // Request
+	ActionHealthCheck                       // Server
+	ActionTimer                             // Ms, Token
+	ActionWatch                             // subscribe to the list
+	ActionFetch                             // ask for the whole list once
+	ActionLog                               // Text
+	ActionCloseIdle                         // Server: close idle connections to it
 )
 
 // Action is something the agent is to do, in the order given.
@@ -265,7 +269,7 @@
 	Request RequestID
 	Server  Addr
 	Attempt int
-	Ms      float64
+	DelayMs float64
 	// WithinMs is how soon an attempt must begin: one that can't, as its connection comes up
 	// late, must not begin at all. 0: at any time.
 	WithinMs float64
