--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -266,7 +266,7 @@
 		req.RequestURI, req.URL.Path = path, path
 		req.Body = http.NoBody
 		req.ContentLength = 0
-		r, bad := a.read(a.conf.Load(), httptest.NewRecorder(), req, time.Now())
+		r, bad := a.read(a.config.Load(), httptest.NewRecorder(), req, time.Now())
 		if bad != nil || (r.key != 0) != keyed {
 			t.Errorf("%s: %+v, %v", path, r, bad)
 		}
@@ -309,7 +309,7 @@
 	if rec.Code != http.StatusGatewayTimeout {
 		t.Fatalf("answered %d", rec.Code)
 	}
-	if first, second := <-a.loop.in, <-a.loop.in; first.kind != inRequest || second.kind != inDropped {
+	if first, second := <-a.loop.inputs, <-a.loop.inputs; first.kind != inputRequest || second.kind != inputClientGone {
 		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
 	}
 }
@@ -321,15 +321,15 @@
 		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
 	} {
 		l := quietLoop(t, "127.0.0.1:1")
-		r := &request{conf: l.conf, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
-			wireID: "last", deadline: time.Now().Add(left), answers: make(chan answer, 1)}
+		r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
+			wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
 		before := time.Until(r.deadline)
-		l.handle(input{kind: inRequest, req: r})
+		l.handle(input{kind: inputRequest, request: r})
 		sent := false
 		for _, act := range l.actions {
 			if act.Kind == policy.ActionSend && act.Request == r.id {
 				sent = true
-				if told := ms(act.DelayMs); told > before-less*9/10 {
+				if told := millis(act.DelayMs); told > before-less*9/10 {
 					t.Errorf("an attempt of a request with %v left may take %v", before, told)
 				}
 			}
@@ -378,7 +378,7 @@
 func TestLoopPanic(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	a, base, _, _ := start(t, config(nowhere, addr))
-	a.loop.post(input{kind: inRequest, req: nil})
+	a.loop.post(input{kind: inputRequest, request: nil})
 	if status, _, _ := do(t, call(base, "order")); status != 200 {
 		t.Fatalf("answered %d after a panic", status)
 	}
@@ -398,9 +398,9 @@
 	conf := config(nowhere, s.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = minSockets
 	a, base, _, _ := start(t, conf)
-	a.places.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
-	a.places.silent, a.places.room = never, never
-	a.places.mu.Unlock()
+	a.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
+	a.clients.silentGrace, a.clients.acquireTimeout = never, never
+	a.clients.mu.Unlock()
 	const over = 20
 	asked := openRequests(minSockets) + over
 	if asked <= clientSockets(minSockets) {
@@ -479,7 +479,7 @@
 	go ask()
 	<-got
 	stop()
-	for a.leaving.Load() == nil {
+	for a.shutdownAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	go ask() // on a new connection: the first is busy
@@ -525,7 +525,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.post(input{kind: inWatched, list: change})
+	a.loop.post(input{kind: inputWatchEvent, list: change})
 	if status := <-answered; status != 200 {
 		t.Fatalf("answered %d", status)
 	}
@@ -553,25 +553,25 @@
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
 	usable := func(name string) bool { b := l.backends[addrOf(name)]; return b != nil && b.usable }
-	l.handle(input{kind: inWatched, list: listOf(5, false, h)})
+	l.handle(input{kind: inputWatchEvent, list: listOf(5, false, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
 	}
 	h.Health = "ready"
-	l.handle(input{kind: inWatched, list: listOf(4, false, h)})
-	l.handle(input{kind: inFetched, list: listOf(3, true, h)})
+	l.handle(input{kind: inputWatchEvent, list: listOf(4, false, h)})
+	l.handle(input{kind: inputFetched, list: listOf(3, true, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("an older version was applied")
 	}
-	l.handle(input{kind: inFetched, list: listOf(6, true, h)})
-	if !usable("s-0") || usable("s-1") || l.seq != 6 {
+	l.handle(input{kind: inputFetched, list: listOf(6, true, h)})
+	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
 	if len(l.backends) != 1 {
 		t.Fatalf("%d backends kept, one is listed", len(l.backends))
 	}
-	l.handle(input{kind: inWatched, list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
-	if len(l.backends) != 0 || l.ready.Load() {
+	l.handle(input{kind: inputWatchEvent, list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
+	if len(l.backends) != 0 || l.hasEndpoint.Load() {
 		t.Fatal("the backend that is gone was kept")
 	}
 }
@@ -580,23 +580,23 @@
 func TestNewProcessNewConnections(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	b := l.backends[addrOf("s-0")]
-	before := b.group
+	before := b.conns
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
-	l.handle(input{kind: inWatched, list: listOf(2, false, h)})
-	if b.group != before {
+	l.handle(input{kind: inputWatchEvent, list: listOf(2, false, h)})
+	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
 	waits := newAttempt(before, http.MethodPost, never)
 	b.attempts[waits] = struct{}{}
 	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.BornMs = 7 }} {
 		change()
-		l.handle(input{kind: inWatched, list: listOf(int64(3+i), false, h)})
-		if l.backends[addrOf("s-0")] != b || b.group == before || b.group.dial != h.Dial {
+		l.handle(input{kind: inputWatchEvent, list: listOf(int64(3+i), false, h)})
+		if l.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != h.Dial {
 			t.Fatal("the old connections were kept")
 		}
-		before = b.group
+		before = b.conns
 	}
-	if context.Cause(waits.ctx) != errDrained || waits.begin() {
+	if context.Cause(waits.ctx) != errEndpointDraining || waits.begin() {
 		t.Fatal("an attempt that had not begun may still go to the old address")
 	}
 }
@@ -614,16 +614,16 @@
 	})
 	l := quietLoop(t, addr)
 	b := l.backends[addrOf("s-0")]
-	b.group.pool.idle = never
-	a := newAttempt(b.group, http.MethodPost, never)
+	b.conns.pool.idleTimeout = never
+	a := newAttempt(b.conns, http.MethodPost, never)
 	a.backend = b
 	if res := a.run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(b.group, http.MethodPost, never)
+	late := newAttempt(b.conns, http.MethodPost, never)
 	late.backend = b
-	late.req.answers = make(chan answer, 1)
-	l.handle(input{kind: inOutcome, att: late, res: result{status: policy.StatusTimeout}})
+	late.request.answers = make(chan response, 1)
+	l.handle(input{kind: inputOutcome, attempt: late, result: result{status: policy.StatusTimeout}})
 	<-closed
 }
 
@@ -632,7 +632,7 @@
 	if first != again || first == addrOf("s-2") {
 		t.Fatal("an address must follow from the name alone")
 	}
-	if keyOf("u1") == keyOf("u2") || keyOf("") == 0 {
+	if keyHash("u1") == keyHash("u2") || keyHash("") == 0 {
 		t.Fatal("keys must differ, and none be 0")
 	}
 }
@@ -701,10 +701,10 @@
 	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	d.silence = never
 	d.watch(1, false)
-	if in := <-told; in.kind != inWatched || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
+	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
 	}
-	if in := <-told; in.kind != inWatchEnded || in.err == nil {
+	if in := <-told; in.kind != inputWatchEnded || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -714,7 +714,7 @@
 	d, told := scripted(t, true)
 	d.silence = time.Millisecond
 	d.watch(1, false)
-	if in := <-told; in.kind != inWatchEnded || in.err == nil {
+	if in := <-told; in.kind != inputWatchEnded || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -722,12 +722,12 @@
 func TestFetch(t *testing.T) {
 	d, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
 	d.fetch(false)
-	if in := <-told; in.kind != inFetched || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
+	if in := <-told; in.kind != inputFetched || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
 		t.Fatalf("told %+v", in)
 	}
 	d, told = scripted(t, false, "no list")
 	d.fetch(false)
-	if in := <-told; in.kind != inFetched || in.err == nil {
+	if in := <-told; in.kind != inputFetched || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -56,12 +56,12 @@
 func testPool() *pool { return newPool((&net.Dialer{}).DialContext, never, never, 100) }
 
 // newAttempt makes an attempt as the loop does.
-func newAttempt(g *group, method string, timeout time.Duration) *attempt {
+func newAttempt(g *backendConns, method string, timeout time.Duration) *attempt {
 	r := &request{method: method, target: "/order/u1", host: "backend.local", wireID: "id1"}
 	if method == http.MethodPost {
 		r.body = []byte("body")
 	}
-	a := &attempt{req: r, group: g, started: time.Now()}
+	a := &attempt{request: r, conns: g, started: time.Now()}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var stop context.CancelFunc
 	a.ctx, stop = context.WithTimeout(ctx, timeout)
@@ -88,11 +88,11 @@
 					io.WriteString(conn, okAnswer)
 				}
 			})
-			g := testPool().group(addr)
+			g := testPool().newBackendConns(addr)
 			defer g.closeIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
 				a := newAttempt(g, c.method, never)
-				a.req.idempotency = c.key
+				a.request.idempotency = c.key
 				if got := a.run().status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
 				}
@@ -150,7 +150,7 @@
 		{"500 that says it was not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := testPool().group(rawBackend(t, c.serve))
+			g := testPool().newBackendConns(rawBackend(t, c.serve))
 			defer g.closeIdle()
 			res := newAttempt(g, http.MethodPost, never).run()
 			if res.status != c.want {
@@ -171,7 +171,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	p := testPool()
-	if got := newAttempt(p.group(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(p.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 	if n := p.open; n != 0 {
@@ -193,7 +193,7 @@
 		c, err := plain(ctx, network, addr)
 		return brokenConn{c}, err
 	}
-	if got := newAttempt(p.group(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(p.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 }
@@ -212,7 +212,7 @@
 		closed <- err
 	})
 	p := testPool()
-	a := newAttempt(p.group(addr), http.MethodPost, never)
+	a := newAttempt(p.newBackendConns(addr), http.MethodPost, never)
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-got
@@ -237,7 +237,7 @@
 		want  policy.Status
 	}{
 		{"time-out", context.DeadlineExceeded, policy.StatusConnectFailed},
-		{"drain", errDrained, policy.StatusRejected},
+		{"drain", errEndpointDraining, policy.StatusRejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dialling, ended := make(chan struct{}), make(chan struct{})
@@ -248,7 +248,7 @@
 				close(ended)
 				return nil, ctx.Err()
 			}
-			a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never)
+			a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
 			done := make(chan result)
 			go func() { done <- a.run() }()
 			<-dialling
@@ -278,7 +278,7 @@
 		}
 		return c, err
 	}
-	a = newAttempt(p.group(addr), http.MethodPost, never)
+	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
 	if got := a.run().status; !got.NeverRan() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
@@ -300,11 +300,11 @@
 	plain := p.connect
 	p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
-		a.before = time.Now().Add(-time.Nanosecond) // it took that long
+		a.beginBy = time.Now().Add(-time.Nanosecond) // it took that long
 		return c, err
 	}
-	a = newAttempt(p.group(addr), http.MethodPost, never)
-	a.before = time.Now().Add(never)
+	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	a.beginBy = time.Now().Add(never)
 	if got := a.run().status; got != policy.StatusNotSent {
 		t.Fatalf("ended %d, want never begun", got)
 	}
@@ -312,10 +312,10 @@
 		t.Fatalf("the backend got %d bytes", n)
 	}
 	p.connect = plain
-	a = newAttempt(p.group(addr), http.MethodPost, never)
-	a.before = time.Now().Add(never)
+	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	a.beginBy = time.Now().Add(never)
 	go a.run()
-	eventually(t, "one in time begun", func() bool { return a.stage.Load() == sending })
+	eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
 	a.cancel(errCancelled)
 	<-read
 }
@@ -323,8 +323,8 @@
 // Without a socket left the attempt never ran, and its backend is not to blame.
 func TestNoSocketLeft(t *testing.T) {
 	p := testPool()
-	p.most = 0
-	if got := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
+	p.maxConns = 0
+	if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
 		t.Fatalf("ended %d, want turned away", got)
 	}
 }
@@ -342,9 +342,9 @@
 		got <- req
 		io.WriteString(c, okAnswer)
 	})
-	a := newAttempt(testPool().group(addr), http.MethodPost, never)
-	a.req.target = "/order/a%2Fb%20c?x=1&y=%2f"
-	a.req.idempotency = "k1"
+	a := newAttempt(testPool().newBackendConns(addr), http.MethodPost, never)
+	a.request.target = "/order/a%2Fb%20c?x=1&y=%2f"
+	a.request.idempotency = "k1"
 	if res := a.run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
@@ -396,7 +396,7 @@
 						sent <- struct{}{}
 					}
 				})
-				g := testPool().group(addr)
+				g := testPool().newBackendConns(addr)
 				defer g.closeIdle()
 				var wg sync.WaitGroup
 				side := 8 // attempts that wait for each other's connections
@@ -434,7 +434,7 @@
 			closed <- struct{}{}
 		}
 	})
-	g := testPool().group(addr)
+	g := testPool().newBackendConns(addr)
 	for i := range 20 {
 		if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
 			t.Fatalf("attempt %d ended %d", i, res.status)
@@ -446,27 +446,27 @@
 // The connections share one bound: at the limit the longest idle is closed for a new one.
 func TestLongestIdleMakesRoom(t *testing.T) {
 	p := testPool()
-	p.most = 2
-	var groups []*group
+	p.maxConns = 2
+	var groups []*backendConns
 	for range 3 {
 		addr, _ := counted(t, 200, false)
-		groups = append(groups, p.group(addr))
+		groups = append(groups, p.newBackendConns(addr))
 	}
 	for _, g := range groups {
 		if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
 			t.Fatalf("ended %d", res.status)
 		}
 	}
-	if p.open != 2 || len(groups[0].spare) != 0 || len(groups[1].spare) != 1 || len(groups[2].spare) != 1 {
-		t.Fatalf("%d open, idle %d %d %d", p.open, len(groups[0].spare), len(groups[1].spare), len(groups[2].spare))
+	if p.open != 2 || len(groups[0].idle) != 0 || len(groups[1].idle) != 1 || len(groups[2].idle) != 1 {
+		t.Fatalf("%d open, idle %d %d %d", p.open, len(groups[0].idle), len(groups[1].idle), len(groups[2].idle))
 	}
-	groups[1].retire()
-	if p.open != 1 || p.spare.Len() != 1 {
+	groups[1].close()
+	if p.open != 1 || p.idle.Len() != 1 {
 		t.Fatalf("%d open after a backend has gone", p.open)
 	}
-	p.idle = 0
+	p.idleTimeout = 0
 	p.sweep()
-	if p.open != 0 || p.spare.Len() != 0 || p.sweeping {
+	if p.open != 0 || p.idle.Len() != 0 || p.sweeping {
 		t.Fatalf("%d open after all were idle too long", p.open)
 	}
 }
@@ -475,7 +475,7 @@
 func TestAttemptPanic(t *testing.T) {
 	p := testPool()
 	p.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never)
+	a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
 	if res := a.run(); res.status != policy.StatusReset || res.broken == nil {
 		t.Fatalf("ended %d, %v", res.status, res.broken)
 	}
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -24,12 +24,12 @@
 )
 
 var (
-	errWithdrawn = errors.New("attempt withdrawn before its first byte")
-	errGone      = errors.New("the client has left before the first byte")
-	errSockets   = errors.New("no socket left for a new connection")
-	errCancelled = errors.New("attempt cancelled")
-	errDrained   = errors.New("backend drains or is gone")
-	errLate      = errors.New("too late for the attempt to begin")
+	errWithdrawn        = errors.New("attempt withdrawn before its first byte")
+	errClientGone       = errors.New("the client has left before the first byte")
+	errNoSocket         = errors.New("no socket left for a new connection")
+	errCancelled        = errors.New("attempt cancelled")
+	errEndpointDraining = errors.New("backend drains or is gone")
+	errLate             = errors.New("too late for the attempt to begin")
 )
 
 // backend is one listed server. The loop owns it; the group of its connections is
@@ -38,7 +38,7 @@
 	addr     policy.Addr
 	bornMs   float64
 	usable   bool
-	group    *group
+	conns    *backendConns
 	attempts map[*attempt]struct{} // out now
 }
 
@@ -55,42 +55,42 @@
 
 // The stages of an attempt.
 const (
-	waiting int32 = iota // no byte was written
-	sending              // a byte may have been written
-	over                 // withdrawn before a byte was written: none will be
+	attemptWaiting   int32 = iota // no byte was written
+	attemptSending                // a byte may have been written
+	attemptWithdrawn              // withdrawn before a byte was written: none will be
 )
 
 // attempt is one send of a request to a backend.
 type attempt struct {
-	req     *request
+	request *request
 	index   int
 	backend *backend
-	group   *group // the backend's connections when the attempt began
+	conns   *backendConns // the backend's connections when the attempt began
 	started time.Time
-	before  time.Time // it must have begun by then; zero: at any time
+	beginBy time.Time // it must have begun by then; zero: at any time
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stage  atomic.Int32
-	cut    bool // a write failed: the request did not go out whole
+	ctx             context.Context
+	cancel          context.CancelCauseFunc
+	stage           atomic.Int32
+	writeIncomplete bool // a write failed: the request did not go out whole
 }
 
 // begin is asked before the first byte is written.
-func (a *attempt) begin() bool { return a.stage.CompareAndSwap(waiting, sending) }
+func (a *attempt) begin() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptSending) }
 
 // withdraw stops an attempt of which no byte went out, and reports whether it is so.
 func (a *attempt) withdraw() bool {
-	return a.stage.CompareAndSwap(waiting, over) || a.stage.Load() == over
+	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
 // result is how an attempt ended.
 type result struct {
-	status policy.Status
-	took   time.Duration
-	body   []byte
-	kind   string // the answer's Content-Type
-	load   string // the answer's load report
-	broken error  // a panic, with its stack
+	status      policy.Status
+	elapsed     time.Duration
+	body        []byte
+	contentType string // the answer's Content-Type
+	load        string // the answer's load report
+	broken      error  // a panic, with its stack
 }
 
 // run sends the attempt and waits for its end. When it returns, the connection is
@@ -102,25 +102,25 @@
 			res = result{status: policy.StatusReset, broken: fmt.Errorf("panic in an attempt: %v\n%s", p, debug.Stack())}
 		}
 		a.cancel(nil)
-		res.took = time.Since(a.started)
+		res.elapsed = time.Since(a.started)
 	}()
 	res, err := a.roundTrip()
 	if err != nil {
-		res = result{status: a.ending(err)}
+		res = result{status: a.outcomeOf(err)}
 	}
 	return res
 }
 
 // roundTrip returns an error where no whole answer came; then the connection is closed.
 func (a *attempt) roundTrip() (res result, err error) {
-	c, err := a.group.get(a.ctx)
+	c, err := a.conns.get(a.ctx)
 	if err != nil {
 		return res, err
 	}
 	keep := false
 	defer func() {
 		if keep {
-			a.group.put(c)
+			a.conns.put(c)
 		} else {
 			c.Close()
 		}
@@ -139,8 +139,8 @@
 	if a.late() {
 		return res, errLate
 	}
-	if a.req.left() {
-		return res, errGone
+	if a.request.hasClientLeft() {
+		return res, errClientGone
 	}
 	if !a.begin() {
 		return res, errWithdrawn
@@ -151,8 +151,8 @@
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		a.group.pool.used(c, a.ctx.Err() == nil)
-		a.cut = n < out.Len() // the last byte can no longer follow
+		a.conns.pool.used(c, a.ctx.Err() == nil)
+		a.writeIncomplete = n < out.Len() // the last byte can no longer follow
 		return res, err
 	}
 	r := readers.Get().(*bufio.Reader)
@@ -163,7 +163,7 @@
 	}()
 	res, keep, err = a.answer(c, r)
 	if a.ctx.Err() == nil { // else it was given up, which says nothing of its age
-		a.group.pool.used(c, err != nil && c.left == maxAnswerHead)
+		a.conns.pool.used(c, err != nil && c.left == maxAnswerHead)
 	}
 	// Bytes behind the answer belong to nothing that was asked for.
 	keep = keep && err == nil && r.Buffered() == 0
@@ -175,12 +175,12 @@
 func (a *attempt) late() bool {
 	now := time.Now()
 	deadline, _ := a.ctx.Deadline()
-	return !now.Before(deadline) || !a.before.IsZero() && now.After(a.before)
+	return !now.Before(deadline) || !a.beginBy.IsZero() && now.After(a.beginBy)
 }
 
 // outgoing is the request as the backend gets it.
 func (a *attempt) outgoing() *http.Request {
-	r := a.req
+	r := a.request
 	h := http.Header{
 		"Request-Id":      {r.wireID},
 		"Request-Timeout": {strconv.FormatInt(a.toldTimeout().Milliseconds(), 10) + "m"},
@@ -189,8 +189,8 @@
 	if r.idempotency != "" {
 		h["Idempotency-Key"] = []string{r.idempotency}
 	}
-	if r.kind != "" {
-		h["Content-Type"] = []string{r.kind}
+	if r.contentType != "" {
+		h["Content-Type"] = []string{r.contentType}
 	}
 	out := &http.Request{Method: r.method, URL: &url.URL{Opaque: r.target}, Host: r.host, Header: h,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(r.body))}
@@ -204,7 +204,7 @@
 // whatever held up the decision, less what may hold up the write. It is never under a millisecond.
 func (a *attempt) toldTimeout() time.Duration {
 	deadline, _ := a.ctx.Deadline()
-	if d := a.req.deadline; !d.IsZero() && d.Before(deadline) {
+	if d := a.request.deadline; !d.IsZero() && d.Before(deadline) {
 		deadline = d
 	}
 	left := time.Until(deadline)
@@ -212,21 +212,21 @@
 }
 
 // ending tells how an attempt ended that got no whole answer. In doubt it may have run.
-func (a *attempt) ending(err error) policy.Status {
+func (a *attempt) outcomeOf(err error) policy.Status {
 	never := a.withdraw()
 	cause := context.Cause(a.ctx)
 	switch {
-	case never && (errors.Is(err, errLate) || errors.Is(err, errGone)):
+	case never && (errors.Is(err, errLate) || errors.Is(err, errClientGone)):
 		return policy.StatusNotSent
-	case never && (errors.Is(err, errSockets) || errors.Is(cause, errDrained)):
+	case never && (errors.Is(err, errNoSocket) || errors.Is(cause, errEndpointDraining)):
 		return policy.StatusRejected
 	case errors.Is(cause, errCancelled):
 		return policy.StatusCancelled
-	case (never || a.cut) && isLocalError(err):
+	case (never || a.writeIncomplete) && isLocalError(err):
 		return policy.StatusLocalFailure
 	case never && isUnreachable(err):
 		return policy.StatusUnreachable
-	case never || a.cut:
+	case never || a.writeIncomplete:
 		return policy.StatusConnectFailed
 	case cause != nil:
 		return policy.StatusTimeout
--- a/internal/agent/backend_answer.go
+++ b/internal/agent/backend_response.go
@@ -15,10 +15,10 @@
 
 // answer reads the answer, and reports whether the connection can be used again. Of an
 // answer that is spoilt in any way nothing is believed: it may have run.
-func (a *attempt) answer(c *conn, r *bufio.Reader) (res result, keep bool, err error) {
+func (a *attempt) answer(c *backendConn, r *bufio.Reader) (res result, keep bool, err error) {
 	var resp *http.Response
 	for i := 0; ; i++ {
-		if resp, err = http.ReadResponse(r, &http.Request{Method: a.req.method}); err != nil {
+		if resp, err = http.ReadResponse(r, &http.Request{Method: a.request.method}); err != nil {
 			return res, false, fmt.Errorf("answer: %w", err)
 		}
 		if resp.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || resp.ProtoMajor != 1 {
@@ -49,7 +49,7 @@
 	res.load = resp.Header.Get("Server-Load")
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.status, res.body, res.kind = policy.StatusOK, body, resp.Header.Get("Content-Type")
+		res.status, res.body, res.contentType = policy.StatusOK, body, resp.Header.Get("Content-Type")
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Not-Started") == "1":
 		res.status = policy.StatusRejected
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -94,7 +94,7 @@
 			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
 		}
 		c.Close()
-		eventually(t, "its place free", func() bool { return a.places.count() == 0 })
+		eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 		return string(said)
 	}
 	whole := ask(fault{0, -1, -1}, 1, 1)
--- a/internal/agent/gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -29,7 +29,7 @@
 
 // told hands the agent a whole list of the backends at these addresses.
 func (a *Agent) told(seq int64, hosts ...Host) {
-	a.loop.post(input{kind: inWatched, list: listOf(seq, true, hosts...)})
+	a.loop.post(input{kind: inputWatchEvent, list: listOf(seq, true, hosts...)})
 	a.handled()
 }
 
@@ -132,7 +132,7 @@
 func (a *Agent) look(see func(l *loop)) {
 	done := make(chan struct{})
 	a.log.Handler().(looker).see <- func() { see(a.loop); close(done) }
-	a.loop.post(input{kind: inFetched, err: io.EOF})
+	a.loop.post(input{kind: inputFetched, err: io.EOF})
 	<-done
 }
 
@@ -215,7 +215,7 @@
 
 // resting is a backend's group with one connection at rest, which an attempt waits for until
 // the test ends its rest. The backend writes what it is told, beyond its answers.
-func resting(t *testing.T) (g *group, kept *conn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
+func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
 	beyond, came = make(chan string), make(chan string, 10)
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -240,18 +240,18 @@
 		asked <- struct{}{}
 		return rested
 	}
-	g = p.group(addr)
+	g = p.newBackendConns(addr)
 	t.Cleanup(g.closeIdle)
 	if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 	p.mu.Lock()
-	kept = g.spare[0]
+	kept = g.idle[0]
 	kept.since = time.Now().Add(never) // so that it rests however slow the test is
 	p.mu.Unlock()
 	<-came
 	waits = newAttempt(g, http.MethodPost, never)
-	waits.req.wireID = "next"
+	waits.request.wireID = "next"
 	done = make(chan result, 1)
 	go func() { done <- waits.run() }()
 	<-asked
@@ -263,7 +263,7 @@
 func TestLateSecondAnswer(t *testing.T) {
 	_, kept, _, done, rested, beyond, _ := resting(t)
 	beyond <- strings.Replace(okAnswer, "done", "gone", 1)
-	eventually(t, "the second answer there", func() bool { return pending(kept.Conn) == 1 })
+	eventually(t, "the second answer there", func() bool { return peekConn(kept.Conn) == 1 })
 	close(rested)
 	if res := <-done; res.status != policy.StatusOK || string(res.body) != "done" {
 		t.Fatalf("ended %d with the body %q", res.status, res.body)
@@ -285,7 +285,7 @@
 	}
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	if len(g.spare) != 1 || g.pool.open != 1 {
-		t.Fatalf("%d connections at rest, %d open", len(g.spare), g.pool.open)
+	if len(g.idle) != 1 || g.pool.open != 1 {
+		t.Fatalf("%d connections at rest, %d open", len(g.idle), g.pool.open)
 	}
 }
--- a/internal/agent/left_test.go
+++ b/internal/agent/client_left_test.go
@@ -37,17 +37,17 @@
 // so far. It returns when that is posted.
 func (a *Agent) busy(see func(l *loop)) {
 	a.log.Handler().(looker).see <- func() { see(a.loop) }
-	a.loop.post(input{kind: inFetched, err: io.EOF})
+	a.loop.post(input{kind: inputFetched, err: io.EOF})
 }
 
 // next takes the first input of the kind out of the queue of a loop that is busy, and hands
 // back what came before it.
-func (a *Agent) next(t *testing.T, kind inKind) (found input) {
+func (a *Agent) next(t *testing.T, kind inputKind) (found input) {
 	t.Helper()
 	var others []input
 	eventually(t, "in the queue", func() bool {
 		select {
-		case found = <-a.loop.in:
+		case found = <-a.loop.inputs:
 			if found.kind == kind {
 				return true
 			}
@@ -91,8 +91,8 @@
 					a.told(2, readyHost(9, good))
 					occupy()
 					io.WriteString(c, raw("order", "left"))
-					in := a.next(t, inRequest)
-					r = in.req
+					in := a.next(t, inputRequest)
+					r = in.request
 					a.loop.post(in)
 				case "further":
 					a.told(2, readyHost(1, turns))
@@ -101,8 +101,8 @@
 					a.told(3, readyHost(1, turns), readyHost(9, good))
 					occupy()
 					close(turn)
-					in := a.next(t, inOutcome)
-					r = in.att.req
+					in := a.next(t, inputOutcome)
+					r = in.attempt.request
 					a.loop.post(in)
 				case "room":
 					io.WriteString(c, raw("order", "left"))
@@ -112,7 +112,7 @@
 						}
 					})
 					occupy()
-					a.loop.post(input{kind: inWatched, list: listOf(3, true, readyHost(9, good))})
+					a.loop.post(input{kind: inputWatchEvent, list: listOf(3, true, readyHost(9, good))})
 				}
 				out := make(chan int, 1)
 				a.busy(func(l *loop) {
@@ -123,7 +123,7 @@
 					out <- n
 				})
 				leave(c)
-				eventually(t, "the leaving noticed by its handler", r.gone.Load)
+				eventually(t, "the leaving noticed by its handler", r.clientGone.Load)
 				close(release)
 				if n := <-out; n > 0 {
 					t.Fatal("an attempt made for a client that has left")
@@ -190,10 +190,10 @@
 func clientEnded(t *testing.T, a *Agent) {
 	t.Helper()
 	eventually(t, "the client's end", func() bool {
-		a.places.mu.Lock()
-		defer a.places.mu.Unlock()
-		for c := range a.places.conns {
-			return ended(c.Conn)
+		a.clients.mu.Lock()
+		defer a.clients.mu.Unlock()
+		for c := range a.clients.conns {
+			return peerClosed(c.Conn)
 		}
 		return true
 	})
@@ -262,10 +262,10 @@
 			}
 			io.WriteString(c, "P") // and not the rest of the third
 			eventually(t, "a byte of the third read", func() bool {
-				a.places.mu.Lock()
-				defer a.places.mu.Unlock()
-				for c := range a.places.conns {
-					return c.coming && pending(c.Conn) == 0
+				a.clients.mu.Lock()
+				defer a.clients.mu.Unlock()
+				for c := range a.clients.conns {
+					return c.headStarted && peekConn(c.Conn) == 0
 				}
 				return false
 			})
@@ -310,7 +310,7 @@
 		t.Fatalf("the next client was answered %d", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	eventually(t, "all connections ended", func() bool { return a.places.count() == 0 })
+	eventually(t, "all connections ended", func() bool { return a.clients.count() == 0 })
 	if id := <-came; strings.HasPrefix(id, "left") {
 		t.Fatalf("sent %q on for a client that has left", id)
 	}
@@ -329,15 +329,15 @@
 				c := dial(t, base)
 				io.WriteString(c, text)
 				eventually(t, "its part read", func() bool {
-					a.places.mu.Lock()
-					defer a.places.mu.Unlock()
-					for c := range a.places.conns {
-						return c.got.Load() && pending(c.Conn) == 0
+					a.clients.mu.Lock()
+					defer a.clients.mu.Unlock()
+					for c := range a.clients.conns {
+						return c.received.Load() && peekConn(c.Conn) == 0
 					}
 					return false
 				})
 				leavings[how](c)
-				eventually(t, "its place free", func() bool { return a.places.count() == 0 })
+				eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 				unopened(t, a, came)
 			})
 		}
@@ -361,7 +361,7 @@
 			}
 			<-came
 			p.mu.Lock()
-			p.spare.Front().Value.(*conn).since = time.Now().Add(never) // rests however slow the test is
+			p.idle.Front().Value.(*backendConn).since = time.Now().Add(never) // rests however slow the test is
 			connect := p.connect
 			p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				<-ctx.Done() // an extra connection that came up first would rightly be sent on
--- a/internal/agent/listener.go
+++ b/internal/agent/client_listener.go
@@ -42,9 +42,9 @@
 }
 
 // listener gives each connection that it accepts a place.
-type listener struct {
+type clientListener struct {
 	net.Listener
-	places   *places
+	table    *clientTable
 	once     sync.Once
 	closed   chan struct{} // closed with the listener; nil: nobody waits
 	log      *slog.Logger
@@ -54,13 +54,13 @@
 	after func(time.Duration) <-chan time.Time
 }
 
-func newListener(ln net.Listener, places *places, log *slog.Logger) *listener {
-	return &listener{Listener: ln, places: places, closed: make(chan struct{}), log: log, after: time.After}
+func newClientListener(ln net.Listener, places *clientTable, log *slog.Logger) *clientListener {
+	return &clientListener{Listener: ln, table: places, closed: make(chan struct{}), log: log, after: time.After}
 }
 
 // Close may be called by who leaves and by the server: the second must not be told that it
 // came too late, or an agent that ended in order would end with an error.
-func (l *listener) Close() (err error) {
+func (l *clientListener) Close() (err error) {
 	l.once.Do(func() {
 		err = l.Listener.Close()
 		if l.closed != nil {
@@ -73,7 +73,7 @@
 // Accept always takes the next connection: left in the kernel's queue its request would
 // count as taken with nobody to answer. Without a place for it one is made, or where
 // all are in use the new connection is closed. Only the listener's close ends it.
-func (l *listener) Accept() (net.Conn, error) {
+func (l *clientListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.acceptNext()
 		if err != nil {
@@ -88,7 +88,7 @@
 // acceptNext accepts a connection, however often that fails before. Linux hands on errors of
 // the network and of the connection as errors of accept; none of them, nor a table that is full
 // for a moment, says anything of the connections to come.
-func (l *listener) acceptNext() (net.Conn, error) {
+func (l *clientListener) acceptNext() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
@@ -104,7 +104,7 @@
 }
 
 // noteFailure counts a failed accept and logs it, unless one was just logged.
-func (l *listener) noteFailure(err error) {
+func (l *clientListener) noteFailure(err error) {
 	l.failures++
 	if now := time.Now(); l.logged.IsZero() || now.Sub(l.logged) >= acceptLogInterval {
 		l.logged = now
@@ -114,21 +114,21 @@
 
 // place finds a place for a new connection, or closes it. The listener's close doesn't end
 // the wait, which is short: the connection was accepted and its request may have come.
-func (l *listener) place(c net.Conn) *clientConn {
-	cc := &clientConn{Conn: c, places: l.places, since: time.Now()}
-	l.places.wait(1) // who leaves must not take it for closed
-	defer l.places.wait(-1)
-	for !l.places.take(cc, time.Now()) {
-		if cc.seenAt.IsZero() && pending(c) > 0 {
-			cc.seenAt = time.Now()
+func (l *clientListener) place(c net.Conn) *clientConn {
+	cc := &clientConn{Conn: c, table: l.table, stageSince: time.Now()}
+	l.table.wait(1) // who leaves must not take it for closed
+	defer l.table.wait(-1)
+	for !l.table.acquire(cc, time.Now()) {
+		if cc.firstSeenAt.IsZero() && peekConn(c) > 0 {
+			cc.firstSeenAt = time.Now()
 		}
-		if time.Since(cc.since) > l.places.patience() {
+		if time.Since(cc.stageSince) > l.table.acquirePatience() {
 			c.Close()
 			return nil
 		}
 		select {
-		case <-l.places.freed:
-		case <-time.After(roomEvery):
+		case <-l.table.freed:
+		case <-time.After(acquirePollInterval):
 		}
 	}
 	return cc
--- a/internal/agent/accept_test.go
+++ b/internal/agent/client_listener_test.go
@@ -81,7 +81,7 @@
 func TestFailedAcceptsAreRetriedSoon(t *testing.T) {
 	ln, left, lines := listen(t), &atomic.Int32{}, &atomic.Int32{}
 	left.Store(100)
-	l := newListener(failingListener{ln, syscall.ENOBUFS, left}, newPlaces(1, 1),
+	l := newClientListener(failingListener{ln, syscall.ENOBUFS, left}, newClientTable(1, 1),
 		slog.New(countingHandler{slog.DiscardHandler, lines}))
 	waits := 0
 	now := make(chan time.Time)
@@ -108,7 +108,7 @@
 func TestClosedWhileAcceptWaits(t *testing.T) {
 	left := &atomic.Int32{}
 	left.Store(1000)
-	l := newListener(failingListener{listen(t), syscall.EMFILE, left}, newPlaces(1, 1), slog.New(slog.DiscardHandler))
+	l := newClientListener(failingListener{listen(t), syscall.EMFILE, left}, newClientTable(1, 1), slog.New(slog.DiscardHandler))
 	waiting := make(chan struct{}, 1)
 	l.after = func(time.Duration) <-chan time.Time {
 		waiting <- struct{}{}
--- a/internal/agent/places.go
+++ b/internal/agent/client_table.go
@@ -9,65 +9,65 @@
 
 const (
 	// idleFor is how long a client's connection without a request is left alone.
-	idleFor = 2 * time.Second
+	clientIdleGrace = 2 * time.Second
 	// unfinishedFor is how long a request may take to come while others want its place.
-	unfinishedFor = 500 * time.Millisecond
+	unfinishedHeadGrace = 500 * time.Millisecond
 	// silentFor is how long a new connection may say nothing while others want its place,
 	// roomFor how long a new one waits for a place, looked for every roomEvery.
-	silentFor          = 30 * time.Millisecond
-	roomFor, roomEvery = 150 * time.Millisecond, 2 * time.Millisecond
+	silentConnGrace                  = 30 * time.Millisecond
+	acquireWait, acquirePollInterval = 150 * time.Millisecond, 2 * time.Millisecond
 	// leastHeadFor is what a head has to come whole in at least, from its first byte.
-	leastHeadFor = 100 * time.Millisecond
+	minHeadTime = 100 * time.Millisecond
 	// endedAtOnce is how many connections are ended at most for one that comes. Each costs a
 	// look at all; a limit that was lowered is reached as more come.
-	endedAtOnce = 4
+	maxEvictionsPerAcquire = 4
 	// tidyEvery is how often idle connections are looked through.
-	tidyEvery = 250 * time.Millisecond
+	reapInterval = 250 * time.Millisecond
 )
 
 // stage is what a client's connection is at.
-type stage uint8
+type connStage uint8
 
 const (
-	fresh    stage = iota // its first request has not come whole
-	idle                  // between requests
-	busy                  // a request is being read or answered
-	rejected              // it was told that its request is bad, and closes
+	stageNew      connStage = iota // its first request has not come whole
+	stageIdle                      // between requests
+	stageActive                    // a request is being read or answered
+	stageRejected                  // it was told that its request is bad, and closes
 )
 
 // places holds the clients' connections, at most as many as there are places.
-type places struct {
-	most    int
-	many    int // connections that ask or have asked, past which they are not kept
-	mu      sync.Mutex
-	conns   map[*clientConn]struct{}
-	waiting int           // accepted connections that wait for a place
-	freed   chan struct{} // has an item when a place became free; room for one
+type clientTable struct {
+	maxConns    int
+	maxKeptIdle int // connections that ask or have asked, past which they are not kept
+	mu          sync.Mutex
+	conns       map[*clientConn]struct{}
+	waiting     int           // accepted connections that wait for a place
+	freed       chan struct{} // has an item when a place became free; room for one
 	// silent and room are silentFor and roomFor, but for tests.
-	silent, room time.Duration
+	silentGrace, acquireTimeout time.Duration
 }
 
-func newPlaces(most, many int) *places {
-	return &places{most: most, many: many, conns: map[*clientConn]struct{}{},
-		freed: make(chan struct{}, 1), silent: silentFor, room: roomFor}
+func newClientTable(most, many int) *clientTable {
+	return &clientTable{maxConns: most, maxKeptIdle: many, conns: map[*clientConn]struct{}{},
+		freed: make(chan struct{}, 1), silentGrace: silentConnGrace, acquireTimeout: acquireWait}
 }
 
 // resize changes how many places there are; connections over it end as others come.
-func (p *places) resize(most, many int) {
+func (p *clientTable) resize(most, many int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.most, p.many = most, many
+	p.maxConns, p.maxKeptIdle = most, many
 }
 
 // patience is how long a new connection waits for a place.
-func (p *places) patience() time.Duration {
+func (p *clientTable) acquirePatience() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.room
+	return p.acquireTimeout
 }
 
 // wait counts an accepted connection that has no place yet, or with -1 no longer waits.
-func (p *places) wait(change int) {
+func (p *clientTable) wait(change int) {
 	p.mu.Lock()
 	p.waiting += change
 	p.mu.Unlock()
@@ -75,21 +75,21 @@
 
 // take gives the connection a place if one is free. Otherwise it ends the connection that needs
 // its own least: its place is free when the server has closed it.
-func (p *places) take(c *clientConn, now time.Time) bool {
+func (p *clientTable) acquire(c *clientConn, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for n := 0; n < endedAtOnce && len(p.conns)-p.closing() >= p.most; n++ {
-		least := p.least(now)
+	for n := 0; n < maxEvictionsPerAcquire && len(p.conns)-p.closing() >= p.maxConns; n++ {
+		least := p.evictionCandidate(now)
 		if least == nil {
 			break
 		}
-		if least.stage == rejected {
-			p.shut(least)
+		if least.stage == stageRejected {
+			p.closeLocked(least)
 		} else {
-			p.end(least)
+			p.endRead(least)
 		}
 	}
-	if len(p.conns) >= p.most {
+	if len(p.conns) >= p.maxConns {
 		return false
 	}
 	p.conns[c] = struct{}{}
@@ -97,9 +97,9 @@
 }
 
 // closing counts the connections that the server is about to close. The places are locked.
-func (p *places) closing() (n int) {
+func (p *clientTable) closing() (n int) {
 	for c := range p.conns {
-		if c.ending && !c.coming && (c.stage == fresh || c.stage == idle) {
+		if c.closing && !c.headStarted && (c.stage == stageNew || c.stage == stageIdle) {
 			n++
 		}
 	}
@@ -110,31 +110,31 @@
 // oldest that has said nothing, else one that was turned away, else the oldest whose
 // request does not come to its end, and of the others one between requests. One
 // with a request open is never ended. The places are locked.
-func (p *places) least(now time.Time) *clientConn {
+func (p *clientTable) evictionCandidate(now time.Time) *clientConn {
 	const kinds = 5
 	var found [kinds]*clientConn
 	for c := range p.conns {
-		kind, age := kinds, now.Sub(c.since)
+		kind, age := kinds, now.Sub(c.stageSince)
 		switch {
-		case c.ending:
-		case c.stage == idle && c.coming:
-			if age >= unfinishedFor { // the server waits far longer for its first bytes
+		case c.closing:
+		case c.stage == stageIdle && c.headStarted:
+			if age >= unfinishedHeadGrace { // the server waits far longer for its first bytes
 				kind = 3
 			}
-		case c.stage == idle && age >= idleFor:
+		case c.stage == stageIdle && age >= clientIdleGrace:
 			kind = 0
-		case c.stage == fresh && c.got.Load() && age >= unfinishedFor:
+		case c.stage == stageNew && c.received.Load() && age >= unfinishedHeadGrace:
 			kind = 3
-		case c.stage == fresh && !c.got.Load() && age >= p.silent:
+		case c.stage == stageNew && !c.received.Load() && age >= p.silentGrace:
 			kind = 1
-		case c.stage == rejected && c.answered:
+		case c.stage == stageRejected && c.responseWritten:
 			kind = 2
-		case c.stage == idle:
+		case c.stage == stageIdle:
 			kind = 4
 		}
 		// What has just come and is not yet read is somebody's request.
-		if kind < kinds && (found[kind] == nil || c.since.Before(found[kind].since)) &&
-			(kind == 2 || kind == 3 || pending(c.Conn) <= 0) {
+		if kind < kinds && (found[kind] == nil || c.stageSince.Before(found[kind].stageSince)) &&
+			(kind == 2 || kind == 3 || peekConn(c.Conn) <= 0) {
 			found[kind] = c
 		}
 	}
@@ -151,11 +151,11 @@
 // returns bytes all the same, then their request is answered and the connection ends with the
 // answer, or it returns none and the server closes the connection, of which nothing was read.
 // The places are locked.
-func (p *places) end(c *clientConn) {
+func (p *clientTable) endRead(c *clientConn) {
 	now := time.Now()
-	c.ending = true
-	if c.coming {
-		c.headBy = now
+	c.closing = true
+	if c.headStarted {
+		c.headDeadline = now
 	}
 	_ = c.Conn.SetReadDeadline(now)
 }
@@ -163,65 +163,65 @@
 // reading notes that the server reads into so much room, and reports whether for a request's
 // head. The room of its first read is its whole buffer. With less of it free the server holds
 // bytes of the next request, read behind those of the one before.
-func (p *places) reading(c *clientConn, room int) (head bool) {
+func (p *clientTable) reading(c *clientConn, room int) (head bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.stage != fresh && c.stage != idle {
+	if c.stage != stageNew && c.stage != stageIdle {
 		return false
 	}
-	c.buffer = max(c.buffer, room)
-	if room < c.buffer && !c.coming {
-		p.begin(c, time.Now())
+	c.headRoom = max(c.headRoom, room)
+	if room < c.headRoom && !c.headStarted {
+		p.startHead(c, time.Now())
 	}
 	return true
 }
 
 // begin notes that the first bytes of a head have been read, which has to come whole in its
 // time, also on a connection that was ended. The places are locked.
-func (p *places) begin(c *clientConn, now time.Time) {
-	if c.stage == idle {
-		c.since = now
+func (p *clientTable) startHead(c *clientConn, now time.Time) {
+	if c.stage == stageIdle {
+		c.stageSince = now
 	}
-	c.coming = true
-	c.headBy = c.since.Add(headFor)
-	if least := now.Add(leastHeadFor); c.headBy.Before(least) {
-		c.headBy = least
+	c.headStarted = true
+	c.headDeadline = c.stageSince.Add(headTimeout)
+	if least := now.Add(minHeadTime); c.headDeadline.Before(least) {
+		c.headDeadline = least
 	}
-	_ = c.Conn.SetReadDeadline(c.headBy)
+	_ = c.Conn.SetReadDeadline(c.headDeadline)
 }
 
 // timedOut is told that the time of a read of a head is over. It reports whether bytes have
 // come before this was seen, which then are read: unread they would reset the connection.
-func (p *places) timedOut(c *clientConn) bool {
+func (p *clientTable) timedOut(c *clientConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.looked || pending(c.Conn) <= 0 {
+	if c.lookedAfterTimeout || peekConn(c.Conn) <= 0 {
 		return false
 	}
-	c.looked = true
-	if !c.coming {
-		p.begin(c, time.Now())
+	c.lookedAfterTimeout = true
+	if !c.headStarted {
+		p.startHead(c, time.Now())
 	} else {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(leastHeadFor)) // they are there already
+		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // they are there already
 	}
 	return true
 }
 
 // arrived notes that bytes, which were there at a time, were read from a connection, ahead of
 // its request's answer or as a part of a request. It reports whether a request is open.
-func (p *places) arrived(c *clientConn, ahead bool, at time.Time) (open bool) {
+func (p *clientTable) noteRead(c *clientConn, ahead bool, at time.Time) (open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case c.stage == busy:
-		c.coming = c.coming || ahead
+	case c.stage == stageActive:
+		c.headStarted = c.headStarted || ahead
 		return true
-	case !c.coming:
-		p.begin(c, time.Now())
-	case c.looked:
-		_ = c.Conn.SetReadDeadline(c.headBy)
+	case !c.headStarted:
+		p.startHead(c, time.Now())
+	case c.lookedAfterTimeout:
+		_ = c.Conn.SetReadDeadline(c.headDeadline)
 	}
-	c.cameAt = at
+	c.headReceivedAt = at
 	return false
 }
 
@@ -229,16 +229,16 @@
 // its own until bytes have come, and a head has no more time than from its first byte on. No
 // time at all is set only for what is no head: then the head has come whole, and the connection
 // can't be ended any more.
-func (p *places) setReadDeadline(c *clientConn, t time.Time) error {
+func (p *clientTable) setReadDeadline(c *clientConn, t time.Time) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.stage == fresh || c.stage == idle {
+	if c.stage == stageNew || c.stage == stageIdle {
 		switch {
 		case t.IsZero():
-			c.stage, c.since, c.coming = busy, time.Now(), false
-		case c.coming && c.headBy.Before(t):
-			t = c.headBy
-		case c.ending && !c.coming:
+			c.stage, c.stageSince, c.headStarted = stageActive, time.Now(), false
+		case c.headStarted && c.headDeadline.Before(t):
+			t = c.headDeadline
+		case c.closing && !c.headStarted:
 			return nil
 		}
 	}
@@ -247,21 +247,21 @@
 
 // claim takes a connection's request to be answered. It reports when the last byte of its head
 // came, and whether the connection ends with the answer.
-func (p *places) claim(c *clientConn) (cameAt time.Time, last bool) {
-	p.enter(c, busy)
+func (p *clientTable) beginRequest(c *clientConn) (cameAt time.Time, last bool) {
+	p.setStage(c, stageActive)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.cameAt, c.ending
+	return c.headReceivedAt, c.closing
 }
 
 // shut closes a connection whose client was told that its request is bad, and which the server
 // reads no more. The places are locked.
-func (p *places) shut(c *clientConn) {
+func (p *clientTable) closeLocked(c *clientConn) {
 	c.Conn.Close()
 	delete(p.conns, c)
 }
 
-func (p *places) drop(c *clientConn) {
+func (p *clientTable) remove(c *clientConn) {
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
@@ -272,89 +272,89 @@
 }
 
 // written notes that the server has said all that it says on a connection.
-func (p *places) written(c *clientConn) {
+func (p *clientTable) written(c *clientConn) {
 	p.mu.Lock()
-	c.answered = true
+	c.responseWritten = true
 	p.mu.Unlock()
 }
 
 // enter notes a connection's new stage. A rejected one stays so.
-func (p *places) enter(c *clientConn, to stage) {
+func (p *clientTable) setStage(c *clientConn, to connStage) {
 	p.mu.Lock()
-	if c.stage != rejected {
-		c.stage, c.since = to, time.Now()
+	if c.stage != stageRejected {
+		c.stage, c.stageSince = to, time.Now()
 	}
 	switch to {
-	case busy:
-		c.coming = false // it has come
-	case idle:
-		c.looked = false
-		c.headBy = c.since.Add(headFor) // of what came ahead
+	case stageActive:
+		c.headStarted = false // it has come
+	case stageIdle:
+		c.lookedAfterTimeout = false
+		c.headDeadline = c.stageSince.Add(headTimeout) // of what came ahead
 	}
 	p.mu.Unlock()
 }
 
 // track is the server's ConnState hook.
-func (p *places) track(c net.Conn, state http.ConnState) {
+func (p *clientTable) onConnState(c net.Conn, state http.ConnState) {
 	cc, ok := c.(*clientConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		p.enter(cc, busy)
+		p.setStage(cc, stageActive)
 	case http.StateIdle:
-		p.enter(cc, idle)
+		p.setStage(cc, stageIdle)
 	}
 }
 
 // crowded tells whether so many connections are kept that clients may soon have none left
 // for their next request: some ask once and keep theirs for good. The places are locked.
-func (p *places) crowded() bool {
+func (p *clientTable) overKeptIdle() bool {
 	n := 0
 	for c := range p.conns {
-		if c.stage == idle || c.stage == busy {
+		if c.stage == stageIdle || c.stage == stageActive {
 			n++
 		}
 	}
-	return n > p.many
+	return n > p.maxKeptIdle
 }
 
 // keep tells whether a connection may stay open after an answer.
-func (p *places) keep() bool {
+func (p *clientTable) mayKeepAlive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.crowded()
+	return !p.overKeptIdle()
 }
 
 // tidy ends those that have been idle for a while, as long as there are too many.
-func (p *places) tidy(now time.Time) {
+func (p *clientTable) reapIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.crowded() {
+	if !p.overKeptIdle() {
 		return
 	}
 	for c := range p.conns {
-		if c.resting() && now.Sub(c.since) >= idleFor {
-			p.end(c)
+		if c.isIdle() && now.Sub(c.stageSince) >= clientIdleGrace {
+			p.endRead(c)
 		}
 	}
 }
 
 // closeWaiting ends the connections on which no request is open or coming in: those
 // between two requests and, where fresh ones are asked for too, those that said nothing yet.
-func (p *places) closeWaiting(freshToo bool) {
+func (p *clientTable) closeIdle(freshToo bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		if c.resting() || freshToo && c.stage == fresh && c.silent() {
-			p.end(c)
+		if c.isIdle() || freshToo && c.stage == stageNew && c.isSilent() {
+			p.endRead(c)
 		}
 	}
 }
 
 // count is how many connections are accepted and not closed.
-func (p *places) count() int {
+func (p *clientTable) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.conns) + p.waiting
--- a/internal/agent/places_test.go
+++ b/internal/agent/client_table_test.go
@@ -56,9 +56,9 @@
 	for _, kind := range []string{"silent", "idle", "coming"} {
 		t.Run(kind, func(t *testing.T) {
 			a, base, _, _ := start(t, conf)
-			a.places.mu.Lock()
-			a.places.many = clientSockets(minSockets) // all are kept
-			a.places.mu.Unlock()
+			a.clients.mu.Lock()
+			a.clients.maxKeptIdle = clientSockets(minSockets) // all are kept
+			a.clients.mu.Unlock()
 			for i := range clientSockets(minSockets) {
 				c := dial(t, base)
 				if kind != "silent" {
@@ -70,20 +70,20 @@
 				if kind == "coming" {
 					io.WriteString(c, "P")
 				}
-				eventually(t, "the place taken", func() bool { return a.places.count() == i+1 })
+				eventually(t, "the place taken", func() bool { return a.clients.count() == i+1 })
 			}
 			if kind != "silent" {
 				// As if all had been so for long.
 				eventually(t, "all "+kind, func() bool {
-					a.places.mu.Lock()
-					defer a.places.mu.Unlock()
-					for c := range a.places.conns {
-						if c.stage != idle || c.coming != (kind == "coming") {
+					a.clients.mu.Lock()
+					defer a.clients.mu.Unlock()
+					for c := range a.clients.conns {
+						if c.stage != stageIdle || c.headStarted != (kind == "coming") {
 							return false
 						}
 					}
-					for c := range a.places.conns {
-						c.since = c.since.Add(-idleFor)
+					for c := range a.clients.conns {
+						c.stageSince = c.stageSince.Add(-clientIdleGrace)
 					}
 					return true
 				})
@@ -97,26 +97,26 @@
 
 // A connection with a request open, or one that came just now, is never ended for another.
 func TestBusyPlacesStay(t *testing.T) {
-	p, now := newPlaces(3, 3), time.Now()
-	for _, s := range []stage{busy, busy, fresh} {
+	p, now := newClientTable(3, 3), time.Now()
+	for _, s := range []connStage{stageActive, stageActive, stageNew} {
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
-		c := &clientConn{Conn: server, places: p, stage: s, since: now}
-		c.got.Store(true)
-		if !p.take(c, now) {
+		c := &clientConn{Conn: server, table: p, stage: s, stageSince: now}
+		c.received.Store(true)
+		if !p.acquire(c, now) {
 			t.Fatal("no place though there is room")
 		}
 	}
 	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, places: p, since: now}
-	if p.take(next, now) || p.count() != 3 {
+	next := &clientConn{Conn: server, table: p, stageSince: now}
+	if p.acquire(next, now) || p.count() != 3 {
 		t.Fatal("a connection that is in use was closed")
 	}
 	// What its server does: it reads, and closes the connection when that read ends.
 	ended := make(chan error, 1)
 	var ending *clientConn
 	for c := range p.conns {
-		if c.stage == fresh {
+		if c.stage == stageNew {
 			ending = c
 		}
 	}
@@ -124,14 +124,14 @@
 		_, err := ending.Read(make([]byte, 4096))
 		ended <- err
 	}()
-	if p.take(next, now.Add(unfinishedFor)) || p.count() != 3 {
+	if p.acquire(next, now.Add(unfinishedHeadGrace)) || p.count() != 3 {
 		t.Fatal("a place was given twice")
 	}
 	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("its read ended with %v", err)
 	}
 	ending.Close()
-	if !p.take(next, now.Add(unfinishedFor)) || p.count() != 3 {
+	if !p.acquire(next, now.Add(unfinishedHeadGrace)) || p.count() != 3 {
 		t.Fatal("no place was made of one whose request does not come")
 	}
 }
@@ -141,9 +141,9 @@
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	a, base, _, _ := start(t, config(nowhere, addr))
-	a.places.mu.Lock()
-	a.places.many = 3
-	a.places.mu.Unlock()
+	a.clients.mu.Lock()
+	a.clients.maxKeptIdle = 3
+	a.clients.mu.Unlock()
 	kept := 0
 	for i := range 10 {
 		c := dial(t, base)
@@ -155,21 +155,21 @@
 		if !resp.Close {
 			kept++
 		}
-		eventually(t, "its end", func() bool { return a.places.count() <= 3 })
+		eventually(t, "its end", func() bool { return a.clients.count() <= 3 })
 	}
 	if kept != 3 {
 		t.Fatalf("%d connections kept, want 3", kept)
 	}
-	a.places.mu.Lock()
-	a.places.many = 2
-	a.places.mu.Unlock()
-	a.places.tidy(time.Now().Add(-time.Hour))
-	if n := a.places.count(); n != 3 {
+	a.clients.mu.Lock()
+	a.clients.maxKeptIdle = 2
+	a.clients.mu.Unlock()
+	a.clients.reapIdle(time.Now().Add(-time.Hour))
+	if n := a.clients.count(); n != 3 {
 		t.Fatalf("closed what was not idle for long: %d left", n)
 	}
 	eventually(t, "all idle", func() bool {
-		a.places.tidy(time.Now().Add(idleFor))
-		return a.places.count() == 0
+		a.clients.reapIdle(time.Now().Add(clientIdleGrace))
+		return a.clients.count() == 0
 	})
 }
 
@@ -228,7 +228,7 @@
 
 // Silent connections and half requests end within the 3 s owed.
 func TestSilenceEnds(t *testing.T) {
-	if headFor+bodyFor > 2700*time.Millisecond {
+	if headTimeout+bodyTimeout > 2700*time.Millisecond {
 		t.Fatal("a bad client is owed an end within 3 s")
 	}
 	addr, _ := counted(t, 200, false)
@@ -271,7 +271,7 @@
 
 // Ids are forgotten in time, but not before.
 func TestIDMemory(t *testing.T) {
-	m, now := newIDMemory(time.Second), time.Now()
+	m, now := newSeenIDs(time.Second), time.Now()
 	if !m.add("a", now) || m.add("a", now.Add(900*time.Millisecond)) || m.add("a", now.Add(1500*time.Millisecond)) {
 		t.Fatal("an id that is known was taken for new")
 	}
@@ -282,7 +282,7 @@
 
 // However many ids come, the memory of them is bounded, and the last are known.
 func TestIDMemoryIsBounded(t *testing.T) {
-	m, now := newIDMemory(never), time.Now()
+	m, now := newSeenIDs(never), time.Now()
 	for i := range 5 * maxIDs {
 		if !m.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d was taken for known", i)
@@ -305,7 +305,7 @@
 	dial(t, base)
 	half := dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
-	eventually(t, "both accepted", func() bool { return a.places.count() == 2 })
+	eventually(t, "both accepted", func() bool { return a.clients.count() == 2 })
 	stop()
 	select {
 	case err := <-ended:
@@ -320,9 +320,9 @@
 // reloadTo puts the loop's configuration with another discovery in force.
 func reloadTo(t *testing.T, l *loop, discovery string) {
 	t.Helper()
-	next, done := *l.conf, make(chan error, 1)
+	next, done := *l.config, make(chan error, 1)
 	next.Discovery = discovery
-	l.handle(input{kind: inReload, conf: &next, done: done})
+	l.handle(input{kind: inputReload, config: &next, done: done})
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -338,27 +338,27 @@
 	}))
 	t.Cleanup(s.Close)
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	l.seq = 41
-	before := l.backends[addrOf("s-0")].group
+	l.listVersion = 41
+	before := l.backends[addrOf("s-0")].conns
 	l.fetching, l.watching = true, true
 	reloadTo(t, l, s.Listener.Addr().String())
-	t.Cleanup(l.disc.close)
+	t.Cleanup(l.discovery.close)
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	l.handle(input{kind: inWatched, list: listOf(42, false, h)})
-	l.handle(input{kind: inWatchEnded, err: io.EOF})
-	l.handle(input{kind: inFetched, list: listOf(42, true, h)})
-	if !l.watching || !l.fetching || !l.backends[addrOf("s-0")].usable || l.backends[addrOf("s-0")].group != before {
+	l.handle(input{kind: inputWatchEvent, list: listOf(42, false, h)})
+	l.handle(input{kind: inputWatchEnded, err: io.EOF})
+	l.handle(input{kind: inputFetched, list: listOf(42, true, h)})
+	if !l.watching || !l.fetching || !l.backends[addrOf("s-0")].usable || l.backends[addrOf("s-0")].conns != before {
 		t.Fatal("a late word of the old discovery counted")
 	}
-	l.handle(input{kind: inWatched, list: listOf(3, false, h), gen: 1})
-	if b := l.backends[addrOf("s-0")]; b != nil && b.usable || l.seq != 3 {
+	l.handle(input{kind: inputWatchEvent, list: listOf(3, false, h), discoveryGen: 1})
+	if b := l.backends[addrOf("s-0")]; b != nil && b.usable || l.listVersion != 3 {
 		t.Fatal("the new discovery was not heard")
 	}
-	disc := l.disc
-	if reloadTo(t, l, disc.addr); l.disc != disc {
+	disc := l.discovery
+	if reloadTo(t, l, disc.addr); l.discovery != disc {
 		t.Fatal("the same discovery was taken for a new one")
 	}
 }
@@ -378,10 +378,10 @@
 	told := make(chan input, 10)
 	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 1, func(in input) { told <- in })
 	d.watch(0, true)
-	if in := <-told; in.kind != inWatched || in.list.Seq != 2 || in.gen != 1 {
+	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.discoveryGen != 1 {
 		t.Fatalf("told %+v", in)
 	}
-	if in := <-told; in.kind != inWatchEnded {
+	if in := <-told; in.kind != inputWatchEnded {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -392,7 +392,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &listener{Listener: ln, places: newPlaces(1, 1)}
+	l := &clientListener{Listener: ln, table: newClientTable(1, 1)}
 	for range 2 {
 		if err := l.Close(); err != nil {
 			t.Fatal(err)
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -43,4 +43,4 @@
 	return c.startMs + float64(c.machine.monotonic()-c.began)/float64(time.Millisecond)
 }
 
-func (l *loop) clock() float64 { return l.time.now() }
+func (l *loop) nowMs() float64 { return l.clock.now() }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -31,14 +31,14 @@
 	Seed      uint64
 	Limits    Limits
 	Settings  policy.Settings
-	Names     names
+	Names     nameIndex
 	Known     List
 
 	clock machineClock // nil: that of this machine
 }
 
 // names maps the words of discovery and of clients to the module's numbers.
-type names struct {
+type nameIndex struct {
 	sites, kinds, classes, tenants map[string]int
 }
 
@@ -110,7 +110,7 @@
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Names = names{sites: index(words.Sites), kinds: index(words.Kinds),
+	c.Names = nameIndex{sites: index(words.Sites), kinds: index(words.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -130,10 +130,10 @@
 }
 
 // longest is the longest deadline that a request may bring.
-func (c *Config) longest() time.Duration {
+func (c *Config) maxDeadline() time.Duration {
 	longest := leastTimeout
 	for i := range c.Settings.Classes {
-		longest = max(longest, ms(c.Settings.Classes[i].DeadlineMs))
+		longest = max(longest, millis(c.Settings.Classes[i].DeadlineMs))
 	}
 	return longest
 }
@@ -155,7 +155,7 @@
 
 // keeps reports the first word that doesn't have the same place in other names: what the
 // list said of the servers rests on it.
-func (n *names) keeps(other *names) error {
+func (n *nameIndex) keeps(other *nameIndex) error {
 	for _, f := range []struct {
 		key      string
 		old, new map[string]int
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -55,18 +55,18 @@
 }
 
 // endings are the ways in which the agent ends a connection on which no request is open.
-var endings = map[string]func(p *places){
-	"leaving":  func(p *places) { p.closeWaiting(true) },
-	"too many": func(p *places) { p.tidy(time.Now().Add(idleFor)) },
-	"for a new one": func(p *places) {
+var endings = map[string]func(p *clientTable){
+	"leaving":  func(p *clientTable) { p.closeIdle(true) },
+	"too many": func(p *clientTable) { p.reapIdle(time.Now().Add(clientIdleGrace)) },
+	"for a new one": func(p *clientTable) {
 		p.resize(1, 0)
 		newcomer(p)
 	},
-	"a lowered limit": func(p *places) {
+	"a lowered limit": func(p *clientTable) {
 		p.resize(0, 0)
 		newcomer(p)
 	},
-	"its time is over": func(p *places) { // of keep-alive, or for a first head
+	"its time is over": func(p *clientTable) { // of keep-alive, or for a first head
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for c := range p.conns {
@@ -75,23 +75,23 @@
 	},
 }
 
-func newcomer(p *places) {
+func newcomer(p *clientTable) {
 	one, other := net.Pipe()
 	other.Close()
-	next := &clientConn{Conn: one, places: p}
-	p.take(next, time.Now().Add(idleFor))
+	next := &clientConn{Conn: one, table: p}
+	p.acquire(next, time.Now().Add(clientIdleGrace))
 	next.Close()
 }
 
 // restingAt waits until the agent's one connection is at a stage, and returns it.
-func restingAt(t *testing.T, a *Agent, want stage) (found *clientConn) {
+func restingAt(t *testing.T, a *Agent, want connStage) (found *clientConn) {
 	t.Helper()
 	eventually(t, "its connection at rest", func() bool {
-		a.places.mu.Lock()
-		defer a.places.mu.Unlock()
-		for c := range a.places.conns {
+		a.clients.mu.Lock()
+		defer a.clients.mu.Unlock()
+		for c := range a.clients.conns {
 			found = c
-			return c.stage == want && !c.coming
+			return c.stage == want && !c.headStarted
 		}
 		return false
 	})
@@ -102,12 +102,12 @@
 // any of it was read, and when it came before the agent saw that nothing had.
 func TestRequestsThatCrossAnEndAreAnswered(t *testing.T) {
 	for ending, end := range endings {
-		for _, at := range []stage{fresh, idle} {
-			if at == fresh && ending == "too many" {
+		for _, at := range []connStage{stageNew, stageIdle} {
+			if at == stageNew && ending == "too many" {
 				continue // which ends idle ones alone
 			}
 			for _, crossing := range []string{"read", "unread", "half read", "half unread"} {
-				t.Run(fmt.Sprint(ending, map[stage]string{fresh: " fresh ", idle: " idle "}[at], crossing), func(t *testing.T) {
+				t.Run(fmt.Sprint(ending, map[connStage]string{stageNew: " fresh ", stageIdle: " idle "}[at], crossing), func(t *testing.T) {
 					addr, came := counted(t, 200, false)
 					hooks := &crossingHooks{}
 					a, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
@@ -116,7 +116,7 @@
 					c := dial(t, base)
 					_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 					r := bufio.NewReader(c)
-					if at == idle {
+					if at == stageIdle {
 						io.WriteString(c, raw("order", "first"))
 						resp, err := http.ReadResponse(r, nil)
 						if err != nil || resp.StatusCode != 200 {
@@ -126,8 +126,8 @@
 						<-came
 					}
 					conn := restingAt(t, a, at)
-					if at == idle {
-						a.places.resize(100, 0) // too many for tidy
+					if at == stageIdle {
+						a.clients.resize(100, 0) // too many for tidy
 					}
 					text, rest := raw("order", "crossing"), ""
 					if strings.HasPrefix(crossing, "half") {
@@ -136,20 +136,20 @@
 					if strings.HasSuffix(crossing, "unread") {
 						cross := func() {
 							io.WriteString(c, text)
-							eventually(t, "the bytes there", func() bool { return pending(conn.Conn) > 0 })
+							eventually(t, "the bytes there", func() bool { return peekConn(conn.Conn) > 0 })
 						}
 						hooks.over.Store(&cross)
-						end(a.places)
+						end(a.clients)
 					} else {
-						cross := func() { end(a.places) }
+						cross := func() { end(a.clients) }
 						hooks.got.Store(&cross)
 						io.WriteString(c, text)
 					}
 					if rest != "" {
 						eventually(t, "the first half read", func() bool {
-							a.places.mu.Lock()
-							defer a.places.mu.Unlock()
-							return conn.coming || len(a.places.conns) == 0
+							a.clients.mu.Lock()
+							defer a.clients.mu.Unlock()
+							return conn.headStarted || len(a.clients.conns) == 0
 						})
 						io.WriteString(c, rest)
 					}
@@ -181,59 +181,59 @@
 				t.Fatalf("got %v, %v", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			restingAt(t, a, idle)
-			a.places.resize(100, 0)
-			end(a.places)
+			restingAt(t, a, stageIdle)
+			a.clients.resize(100, 0)
+			end(a.clients)
 			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
 			if _, err := r.ReadByte(); err != io.EOF {
 				t.Fatalf("got %v, want its end", err)
 			}
-			eventually(t, "its place free", func() bool { return a.places.count() == 0 })
+			eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 		})
 	}
 }
 
 // Where several could go for one that comes, one is ended and keeps its place until it is closed.
 func TestOneIsEndedForOneThatComes(t *testing.T) {
-	p, now := newPlaces(2, 2), time.Now()
+	p, now := newClientTable(2, 2), time.Now()
 	for range 2 {
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
-		if !p.take(&clientConn{Conn: server, places: p, stage: idle, since: now}, now) {
+		if !p.acquire(&clientConn{Conn: server, table: p, stage: stageIdle, stageSince: now}, now) {
 			t.Fatal("no place though there is room")
 		}
 	}
 	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, places: p, since: now}
+	next := &clientConn{Conn: server, table: p, stageSince: now}
 	for range 3 {
-		if p.take(next, now) || p.closing() != 1 || p.count() != 2 {
+		if p.acquire(next, now) || p.closing() != 1 || p.count() != 2 {
 			t.Fatalf("%d ended, %d places taken", p.closing(), p.count())
 		}
 	}
 	for c := range p.conns {
-		if c.ending {
+		if c.closing {
 			c.Close()
 		}
 	}
-	if !p.take(next, now) || p.count() != 2 {
+	if !p.acquire(next, now) || p.count() != 2 {
 		t.Fatal("no place though one was closed")
 	}
 }
 
 // The answer to a request that is bad is not cut off for one that comes.
 func TestRejectedClientsAreAnswered(t *testing.T) {
-	p, now := newPlaces(1, 1), time.Now()
+	p, now := newClientTable(1, 1), time.Now()
 	server, client := net.Pipe()
 	defer client.Close()
-	bad := &clientConn{Conn: server, places: p, since: now}
-	next := &clientConn{Conn: server, places: p, since: now}
-	p.take(bad, now)
-	p.enter(bad, rejected)
-	if p.take(next, now) {
+	bad := &clientConn{Conn: server, table: p, stageSince: now}
+	next := &clientConn{Conn: server, table: p, stageSince: now}
+	p.acquire(bad, now)
+	p.setStage(bad, stageRejected)
+	if p.acquire(next, now) {
 		t.Fatal("closed before its answer was written")
 	}
 	_ = bad.CloseWrite()
-	if !p.take(next, now) {
+	if !p.acquire(next, now) {
 		t.Fatal("no place though all was said on the one that has it")
 	}
 }
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -22,7 +22,7 @@
 				return nil, ctx.Err()
 			}
 			if call == "watch" {
-				d.first = time.Millisecond
+				d.firstWordTimeout = time.Millisecond
 				go d.watch(1, false)
 			} else {
 				go d.fetch(false)
@@ -54,16 +54,16 @@
 
 // A place is free when the descriptor is: given to a new connection before, both would be open.
 func TestPlaceIsHeldUntilTheDescriptorIsClosed(t *testing.T) {
-	p := newPlaces(1, 1)
+	p := newClientTable(1, 1)
 	server, client := net.Pipe()
 	defer client.Close()
 	closed := false
-	c := &clientConn{places: p, Conn: closingConn{server, func() {
+	c := &clientConn{table: p, Conn: closingConn{server, func() {
 		if closed = true; p.count() != 1 {
 			t.Error("its place is free while it is still open")
 		}
 	}}}
-	if !p.take(c, time.Now()) {
+	if !p.acquire(c, time.Now()) {
 		t.Fatal("no place though there is room")
 	}
 	if err := c.Close(); err != nil || !closed || p.count() != 0 {
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -26,16 +26,16 @@
 	// callFirst is the same for the first word of a call to a discovery that serves many in
 	// turn: it has failed what waited for 2 s, and a call that is given up later would leave
 	// too little of the 6 s to the next.
-	callFirst = 2500 * time.Millisecond
+	firstWordTimeout = 2500 * time.Millisecond
 	// localFirst is the same for the first word of a watch on the agent's own machine, which
 	// answers at once: what it has when it is back counts as told, and has the drains' grace.
-	localFirst   = 750 * time.Millisecond
-	fetchTimeout = 3 * time.Second
-	maxList      = 4 << 20  // bytes of one list
-	maxListHead  = 64 << 10 // of the answer's head
+	localFirstWordTimeout = 750 * time.Millisecond
+	fetchTimeout          = 3 * time.Second
+	maxList               = 4 << 20  // bytes of one list
+	maxListHead           = 64 << 10 // of the answer's head
 	// What a new discovery tells counts as told after 4 s: the first calls are tried
 	// again for eagerFor, eagerEvery after one that failed or took over eagerTry.
-	eagerFor, eagerEvery, eagerTry = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
+	newDiscoveryRetryTime, newDiscoveryRetryInterval, newDiscoveryCallTimeout = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
 	// A call that this machine could not make, for want of a descriptor, a port or a route, has not
 	// reached discovery and costs it nothing: it is made again after localCallBackoff, which doubles to
 	// longestCallBackoff. So discovery is called 0.1 s after the moment has passed, long before what
@@ -67,7 +67,7 @@
 }
 
 var (
-	errSilent      = errors.New("watch fell silent")
+	errWatchSilent = errors.New("watch fell silent")
 	errListTooLong = errors.New("list: longer than any may be")
 )
 
@@ -101,7 +101,7 @@
 
 // entry translates a host for the module. A site or class that the settings don't
 // name is nobody's own: it gets a number that no settings give.
-func (n *names) entry(h *Host) policy.Entry {
+func (n *nameIndex) entry(h *Host) policy.Entry {
 	at := func(m map[string]int, word string) int {
 		if i, ok := m[word]; ok {
 			return i
@@ -127,24 +127,24 @@
 // discovery asks the service that lists the backends. Its methods block; the loop
 // runs each in a goroutine of its own, and hears of the result by post.
 type discovery struct {
-	addr    string
-	base    string
-	gen     int // tells the results of one discovery from those of the one before
-	client  *http.Client
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	post    func(input)
-	pause   func(time.Duration) bool // false: the calls end
-	first   time.Duration            // within which a watch must begin to tell
-	silence time.Duration            // after which it has ended
-	ctx     context.Context
-	close   context.CancelFunc // ends all calls
+	addr             string
+	base             string
+	generation       int // tells the results of one discovery from those of the one before
+	client           *http.Client
+	dial             func(ctx context.Context, network, addr string) (net.Conn, error)
+	post             func(input)
+	pause            func(time.Duration) bool // false: the calls end
+	firstWordTimeout time.Duration            // within which a watch must begin to tell
+	silence          time.Duration            // after which it has ended
+	ctx              context.Context
+	close            context.CancelFunc // ends all calls
 }
 
 // callKey finds a call's own context in the one that the transport dials with.
 type callKey struct{}
 
 func newDiscovery(ctx context.Context, addr string, gen int, post func(input)) *discovery {
-	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", gen: gen, first: watchSilence, silence: watchSilence,
+	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", generation: gen, firstWordTimeout: watchSilence, silence: watchSilence,
 		dial: (&net.Dialer{}).DialContext}
 	d.client = &http.Client{
 		// A connection a call: a kept one could break under the next call, which the
@@ -161,18 +161,18 @@
 	d.ctx, d.close = context.WithCancel(ctx)
 	d.pause = d.sleep
 	d.post = func(in input) {
-		in.gen = gen
+		in.discoveryGen = gen
 		post(in)
 	}
 	return d
 }
 
 // eagerly tries a call until it goes through, for a while if the discovery is new.
-func (d *discovery) eagerly(eager bool, try func() error) error {
-	end := time.Now().Add(eagerFor)
+func (d *discovery) retryWhileNew(eager bool, try func() error) error {
+	end := time.Now().Add(newDiscoveryRetryTime)
 	for {
-		err := d.leaving(try)
-		if err == nil || !eager || time.Now().After(end) || !d.pause(eagerEvery) {
+		err := d.untilSent(try)
+		if err == nil || !eager || time.Now().After(end) || !d.pause(newDiscoveryRetryInterval) {
 			return err
 		}
 	}
@@ -180,7 +180,7 @@
 
 // leaving tries a call until it has left this machine: what fails here is no failed call of
 // discovery, after which the next one would have to wait.
-func (d *discovery) leaving(try func() error) error {
+func (d *discovery) untilSent(try func() error) error {
 	for backoff := localCallBackoff; ; backoff = min(2*backoff, longestCallBackoff) {
 		err := try()
 		if !neverLeft(err) || !d.pause(backoff/2+rand.N(backoff/2)) {
@@ -212,9 +212,9 @@
 	var l List
 	timeout := fetchTimeout
 	if eager {
-		timeout = eagerTry
+		timeout = newDiscoveryCallTimeout
 	}
-	err := d.eagerly(eager, func() error {
+	err := d.retryWhileNew(eager, func() error {
 		ctx, cancel := context.WithTimeout(d.ctx, timeout)
 		defer cancel()
 		body, err := d.get(ctx, d.base)
@@ -231,49 +231,49 @@
 		}
 		return err
 	})
-	d.post(input{kind: inFetched, list: l, err: err})
+	d.post(input{kind: inputFetched, list: l, err: err})
 }
 
 // watch follows the changes after version since until the connection ends, falls
 // silent or holds a line that makes no sense.
 func (d *discovery) watch(since int64, eager bool) {
-	var w watched
-	_ = d.eagerly(eager, func() error {
-		w = d.follow(since, eager)
-		if w.told {
+	var w watchResult
+	_ = d.retryWhileNew(eager, func() error {
+		w = d.watchOnce(since, eager)
+		if w.notified {
 			return nil
 		}
 		return w.err
 	})
-	d.post(input{kind: inWatchEnded, err: w.err, lost: w.lost(d.silence)})
+	d.post(input{kind: inputWatchEnded, err: w.err, endedAfterNotice: w.endedAfterNotice(d.silence)})
 }
 
 // watched is how a watch went.
-type watched struct {
-	told   bool // a list came
-	alive  bool // anything came
-	lasted time.Duration
-	err    error // why it ended
+type watchResult struct {
+	notified bool // a list came
+	alive    bool // anything came
+	lasted   time.Duration
+	err      error // why it ended
 }
 
 // lost tells whether a watch that had lived has ended, and no call that failed. One that had
 // told has lived, however short: held for a failed call it was opened again seconds later,
 // as if discovery were down, when what it should have told already counted.
-func (w watched) lost(silence time.Duration) bool {
-	return w.told || w.alive && w.lasted >= silence
+func (w watchResult) endedAfterNotice(silence time.Duration) bool {
+	return w.notified || w.alive && w.lasted >= silence
 }
 
 // follow is one watch.
-func (d *discovery) follow(since int64, eager bool) (w watched) {
+func (d *discovery) watchOnce(since int64, eager bool) (w watchResult) {
 	began := time.Now()
 	defer func() { w.lasted = time.Since(began) }()
 	ctx, cancel := context.WithCancelCause(d.ctx)
 	defer cancel(nil)
-	first := d.first
+	first := d.firstWordTimeout
 	if eager {
-		first = min(first, eagerTry)
+		first = min(first, newDiscoveryCallTimeout)
 	}
-	dead := time.AfterFunc(first, func() { cancel(errSilent) })
+	dead := time.AfterFunc(first, func() { cancel(errWatchSilent) })
 	defer dead.Stop()
 	body, err := d.get(ctx, d.base+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
@@ -281,7 +281,7 @@
 		return w
 	}
 	defer body.Close()
-	f := &feed{from: body, heard: func() {
+	f := &listReader{from: body, heard: func() {
 		w.alive = true
 		dead.Reset(d.silence)
 	}}
@@ -296,8 +296,8 @@
 			w.err = fmt.Errorf("list: %w", err)
 			return w
 		}
-		w.told = true
-		d.post(input{kind: inWatched, list: l})
+		w.notified = true
+		d.post(input{kind: inputWatchEvent, list: l})
 		f.next(lists.Buffered())
 	}
 }
@@ -305,13 +305,13 @@
 // feed is the text of a watch: lists, each of them over one line or many, and white space
 // between them as a sign of life. A list that has begun must come whole within the time and
 // the length that a list may take.
-type feed struct {
+type listReader struct {
 	from  io.Reader
 	heard func() // something came that proves that the watch lives
 	begun int    // bytes of the list that is coming; 0: between two
 }
 
-func (f *feed) Read(p []byte) (int, error) {
+func (f *listReader) Read(p []byte) (int, error) {
 	n, err := f.from.Read(p)
 	between := f.begun == 0
 	f.count(p[:n])
@@ -324,14 +324,14 @@
 	return n, err
 }
 
-func (f *feed) count(text []byte) {
+func (f *listReader) count(text []byte) {
 	if f.begun > 0 || len(bytes.TrimSpace(text)) > 0 {
 		f.begun += len(text)
 	}
 }
 
 // next is called after a list; rest is what was read behind it.
-func (f *feed) next(rest io.Reader) {
+func (f *listReader) next(rest io.Reader) {
 	f.heard()
 	f.begun = 0
 	text, _ := io.ReadAll(rest) // of memory: it can't fail
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -20,10 +20,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.handle(input{kind: inWatched, list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
+	l.handle(input{kind: inputWatchEvent, list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
 	var left []*discovery
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
-		left = append(left, l.disc)
+		left = append(left, l.discovery)
 		if err := l.reload(parse(t, config(addr, "127.0.0.1:9"))); err != nil {
 			t.Fatal(err)
 		}
@@ -33,22 +33,22 @@
 		if d.ctx.Err() == nil {
 			t.Fatalf("the calls of %s go on", d.addr)
 		}
-		for _, kind := range []inKind{inWatched, inFetched, inWatchEnded} {
-			l.handle(input{kind: kind, gen: d.gen, list: listOf(100, true, draining)})
+		for _, kind := range []inputKind{inputWatchEvent, inputFetched, inputWatchEnded} {
+			l.handle(input{kind: kind, discoveryGen: d.generation, list: listOf(100, true, draining)})
 		}
-		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.seq != 0 || !l.watching || !l.fetching {
+		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.listVersion != 0 || !l.watching || !l.fetching {
 			t.Fatalf("what %s tells counts, though discovery has moved", d.addr)
 		}
 	}
-	if l.disc.addr != "127.0.0.1:1" || l.disc.first != localFirst {
-		t.Fatalf("asks %s within %v", l.disc.addr, l.disc.first)
+	if l.discovery.addr != "127.0.0.1:1" || l.discovery.firstWordTimeout != localFirstWordTimeout {
+		t.Fatalf("asks %s within %v", l.discovery.addr, l.discovery.firstWordTimeout)
 	}
 	// A lower version than the first time, as it may have begun anew.
-	l.handle(input{kind: inWatched, gen: l.disc.gen, list: listOf(3, true, draining)})
-	if b := l.backends[addrOf("s-0")]; l.seq != 3 || b != nil && b.usable {
+	l.handle(input{kind: inputWatchEvent, discoveryGen: l.discovery.generation, list: listOf(3, true, draining)})
+	if b := l.backends[addrOf("s-0")]; l.listVersion != 3 || b != nil && b.usable {
 		t.Fatal("what the discovery now asked tells does not count")
 	}
-	l.disc.close()
+	l.discovery.close()
 }
 
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
@@ -62,13 +62,13 @@
 		t.Run(name, func(t *testing.T) {
 			l := quietLoop(t, "127.0.0.1:1")
 			b := l.backends[addrOf("s-0")]
-			waits := newAttempt(b.group, http.MethodPost, never)
+			waits := newAttempt(b.conns, http.MethodPost, never)
 			b.attempts[waits] = struct{}{}
-			l.handle(input{kind: inWatched, list: list})
+			l.handle(input{kind: inputWatchEvent, list: list})
 			if waits.begin() {
 				t.Fatal("an attempt begins after the list")
 			}
-			l.tell(&policy.Event{Kind: policy.EventRequest, Request: 99, TimeLeftMs: 1000})
+			l.notify(&policy.Event{Kind: policy.EventRequest, Request: 99, TimeLeftMs: 1000})
 			for _, a := range l.actions {
 				if a.Kind == policy.ActionSend {
 					t.Fatalf("sends %+v", a)
@@ -83,7 +83,7 @@
 func TestWatchesAskForChangesAlone(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	asked := make(chan string, 10)
-	l.disc.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	l.discovery.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		go func() {
 			defer theirs.Close()
@@ -95,10 +95,10 @@
 	}
 	for i, lost := range []bool{true, false, true, false} {
 		seq := int64(5 + i)
-		l.handle(input{kind: inWatched, list: listOf(seq, false)})
-		l.handle(input{kind: inWatchEnded, err: errSilent, lost: lost})
+		l.handle(input{kind: inputWatchEvent, list: listOf(seq, false)})
+		l.handle(input{kind: inputWatchEnded, err: errWatchSilent, endedAfterNotice: lost})
 		l.actions = append(l.actions[:0], policy.Action{Kind: policy.ActionWatch})
-		l.act()
+		l.perform()
 		if l.fetching || !l.watching {
 			t.Fatal("fetches the whole list, or watches no more")
 		}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -48,7 +48,7 @@
 				d, told := scripted(t, false, `{"seq":2,"whole":true,"hosts":[]}`)
 				dialer := &failingDialer{failures: 20, err: failedConnect(errno), dial: d.dial}
 				d.dial = dialer.connect
-				d.first, d.silence = never, never
+				d.firstWordTimeout, d.silence = never, never
 				var pauses []time.Duration
 				d.pause = func(span time.Duration) bool {
 					pauses = append(pauses, span)
@@ -89,7 +89,7 @@
 			d.dial = dialer.connect
 			d.pause = func(time.Duration) bool { t.Error("paused"); return false }
 			d.watch(1, false)
-			if in := await(t, told); in.kind != inWatchEnded || in.err == nil || in.lost || dialer.connects != 1 {
+			if in := await(t, told); in.kind != inputWatchEnded || in.err == nil || in.endedAfterNotice || dialer.connects != 1 {
 				t.Fatalf("%d connects, and told %+v", dialer.connects, in)
 			}
 		})
@@ -110,7 +110,7 @@
 	go d.watch(1, false)
 	<-failing
 	d.close()
-	if in := await(t, told); in.kind != inWatchEnded {
+	if in := await(t, told); in.kind != inputWatchEnded {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -27,8 +27,8 @@
 	for _, at := range []string{"connect", "write"} {
 		c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
 		p := testPool()
-		a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never)
-		b := &backend{group: a.group, attempts: map[*attempt]struct{}{a: {}}}
+		a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+		b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
 		p.connect = func(context.Context, string, string) (net.Conn, error) {
 			if at == "connect" {
 				b.withdraw()
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -30,7 +30,7 @@
 func (a *Agent) fill() {
 	for {
 		select {
-		case a.loop.in <- input{kind: inTimer}:
+		case a.loop.inputs <- input{kind: inputTimer}:
 		default:
 			return
 		}
@@ -42,8 +42,8 @@
 	go func() {
 		for {
 			select {
-			case in := <-a.loop.in:
-				if in.kind == inRequest {
+			case in := <-a.loop.inputs:
+				if in.kind == inputRequest {
 					then()
 					return
 				}
@@ -126,7 +126,7 @@
 			return req
 		}, http.StatusGatewayTimeout, false},
 		"memory for bodies gone": {"30000m", func(a *Agent, req *http.Request) *http.Request {
-			a.bodies.Add(1 << 40)
+			a.bodyBytes.Add(1 << 40)
 			req.Body, req.ContentLength = io.NopCloser(strings.NewReader("body")), 4
 			return req
 		}, http.StatusServiceUnavailable, true},
@@ -164,8 +164,8 @@
 	}
 	for {
 		select {
-		case in := <-a.loop.in:
-			if in.kind == inDropped || in.kind == inRequest {
+		case in := <-a.loop.inputs:
+			if in.kind == inputClientGone || in.kind == inputRequest {
 				t.Fatalf("the loop was told %d of a request that it does not know", in.kind)
 			}
 			continue
@@ -220,7 +220,7 @@
 	first := ask("before")
 	<-told
 	late := dial(t, base)
-	eventually(t, "both accepted", func() bool { return a.places.count() == 2 })
+	eventually(t, "both accepted", func() bool { return a.clients.count() == 2 })
 	stop()
 	call := <-calls
 	_ = late.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -279,7 +279,7 @@
 					t.Fatalf("said %q", said)
 				}
 				// keepIdle would be 15 s; the 3 s owed are those of the constants.
-				if took := time.Since(began); took > keepIdle-2*time.Second {
+				if took := time.Since(began); took > clientKeepAlive-2*time.Second {
 					t.Fatalf("took %v", took)
 				}
 			})
@@ -291,20 +291,20 @@
 func TestDrippingHeadsEnd(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
-	p := newPlaces(1, 1)
-	c := &clientConn{Conn: server, places: p, stage: idle, since: time.Now().Add(-time.Hour), buffer: 4096}
+	p := newClientTable(1, 1)
+	c := &clientConn{Conn: server, table: p, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), headRoom: 4096}
 	var by time.Time
 	for i := range 3 {
-		_ = c.SetReadDeadline(time.Now().Add(keepIdle)) // as the server does at each stage
+		_ = c.SetReadDeadline(time.Now().Add(clientKeepAlive)) // as the server does at each stage
 		go func() { _, _ = client.Write([]byte("P")) }()
 		if n, err := c.Read(make([]byte, 4096-i)); n != 1 || err != nil {
 			t.Fatalf("read %d, %v", n, err)
 		}
 		if i == 0 {
-			by = c.headBy
+			by = c.headDeadline
 		}
-		if c.headBy != by || by.IsZero() || time.Until(by) > headFor {
-			t.Fatalf("the head may come until %v, at its first byte until %v", c.headBy, by)
+		if c.headDeadline != by || by.IsZero() || time.Until(by) > headTimeout {
+			t.Fatalf("the head may come until %v, at its first byte until %v", c.headDeadline, by)
 		}
 	}
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -10,7 +10,7 @@
 )
 
 // problem is why a request is not taken.
-type problem struct {
+type requestError struct {
 	status     int
 	text       string
 	retryAfter time.Duration // where it is none of the request itself
@@ -49,7 +49,7 @@
 	}()
 	c, _ := hr.Context().Value(connKey{}).(*clientConn)
 	if c != nil {
-		cameAt, last := a.places.claim(c)
+		cameAt, last := a.clients.beginRequest(c)
 		if !cameAt.IsZero() {
 			came = cameAt
 		}
@@ -61,25 +61,25 @@
 		a.serveReady(w)
 		return
 	}
-	conf := a.conf.Load()
-	if longest := conf.longest(); longest > a.began {
-		_ = http.NewResponseController(w).SetWriteDeadline(came.Add(longest + unreadFor))
+	conf := a.config.Load()
+	if longest := conf.maxDeadline(); longest > a.startDeadline {
+		_ = http.NewResponseController(w).SetWriteDeadline(came.Add(longest + responseWriteTimeout))
 	}
 	r, bad := a.read(conf, w, hr, came)
 	if bad != nil {
 		a.reject(w, hr, bad)
 		return
 	}
-	defer a.bodies.Add(-int64(len(r.body)))
+	defer a.bodyBytes.Add(-int64(len(r.body)))
 	if c != nil {
 		r.client = c.Conn
 	}
-	left := a.leaving.Load()
+	left := a.shutdownAt.Load()
 	if left != nil {
 		r.deadline = earlier(r.deadline, left.Add(a.lastAnswerAfter()))
 	}
 	// What nobody could serve in time never ran.
-	if left != nil && time.Since(*left) >= refuseAfter || time.Until(r.deadline) <= guardMargin {
+	if left != nil && time.Since(*left) >= shutdownRejectAfter || time.Until(r.deadline) <= guardMargin {
 		a.refuse(w, conf)
 		return
 	}
@@ -91,15 +91,15 @@
 func (a *Agent) serve(w http.ResponseWriter, hr *http.Request, r *request) {
 	guard := time.NewTimer(time.Until(r.deadline) - guardMargin)
 	defer guard.Stop()
-	queue := a.loop.in // nil when the request is in it
+	queue := a.loop.inputs // nil when the request is in it
 	for {
 		select {
-		case queue <- input{kind: inRequest, req: r}:
+		case queue <- input{kind: inputRequest, request: r}:
 			queue = nil
 			continue
 		case ans := <-r.answers:
-			if ans.status == duplicate {
-				a.reject(w, hr, &problem{status: http.StatusConflict, text: "Request-Id: came before"})
+			if ans.status == statusDuplicateID {
+				a.reject(w, hr, &requestError{status: http.StatusConflict, text: "Request-Id: came before"})
 				return
 			}
 			a.answer(w, ans)
@@ -108,13 +108,13 @@
 			if queue == nil {
 				a.drop(r)
 			}
-			a.leftBehind(w)
+			a.writeClientGone(w)
 			return
 		case <-guard.C:
 		case <-a.lastCall:
 		}
 		if queue != nil { // nobody was asked: it never ran
-			a.refuse(w, r.conf)
+			a.refuse(w, r.config)
 			return
 		}
 		a.drop(r)
@@ -127,10 +127,10 @@
 // answer, which leaves when the handler ends, doesn't wait for it. What was never posted needs no
 // such word, so no more wait to tell it than the loop and its queue hold requests.
 func (a *Agent) drop(r *request) {
-	r.gone.Store(true) // seen at once, however long the loop's queue
-	in := input{kind: inDropped, req: r}
+	r.clientGone.Store(true) // seen at once, however long the loop's queue
+	in := input{kind: inputClientGone, request: r}
 	select {
-	case a.loop.in <- in:
+	case a.loop.inputs <- in:
 	default:
 		go a.loop.post(in)
 	}
@@ -138,7 +138,7 @@
 
 // refuse tells a client that its request never ran, and when to come back.
 func (a *Agent) refuse(w http.ResponseWriter, conf *Config) {
-	a.answer(w, answer{status: policy.StatusRejected, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
+	a.answer(w, response{status: policy.StatusRejected, retryAfter: millis(conf.Settings.Limits.MaxRetryAfterMs)})
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -149,7 +149,7 @@
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter) {
-	if a.leaving.Load() != nil || !a.loop.ready.Load() {
+	if a.shutdownAt.Load() != nil || !a.loop.hasEndpoint.Load() {
 		http.Error(w, "no backend to send to", http.StatusServiceUnavailable)
 		return
 	}
@@ -158,12 +158,12 @@
 
 // reject tells a client that its request is not taken, and ends its connection: what
 // follows there can't be trusted to be a request.
-func (a *Agent) reject(w http.ResponseWriter, hr *http.Request, bad *problem) {
+func (a *Agent) reject(w http.ResponseWriter, hr *http.Request, bad *requestError) {
 	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
-		a.places.enter(c, rejected)
+		a.clients.setStage(c, stageRejected)
 	}
 	// The server reads what is left of the body before it closes the connection.
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyFor))
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	w.Header().Set("Connection", "close")
 	setRetryAfter(w, bad.retryAfter)
 	a.write(w, bad.status, "text/plain", []byte(bad.text+"\n"))
@@ -172,19 +172,19 @@
 // leftBehind answers a request whose client has gone. One that only ended its sending
 // looks the same and still reads: without a word the server would tell it 200 and nothing,
 // which no backend said. That it failed claims nothing.
-func (a *Agent) leftBehind(w http.ResponseWriter) {
+func (a *Agent) writeClientGone(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	a.write(w, http.StatusBadGateway, "", nil)
 }
 
 // answer words a final answer.
-func (a *Agent) answer(w http.ResponseWriter, ans answer) {
-	if !a.places.keep() {
+func (a *Agent) answer(w http.ResponseWriter, ans response) {
+	if !a.clients.mayKeepAlive() {
 		w.Header().Set("Connection", "close")
 	}
 	switch ans.status {
 	case policy.StatusOK:
-		a.write(w, http.StatusOK, ans.kind, ans.body)
+		a.write(w, http.StatusOK, ans.contentType, ans.body)
 	case policy.StatusRejected:
 		setRetryAfter(w, ans.retryAfter)
 		a.write(w, http.StatusServiceUnavailable, "", nil)
@@ -204,7 +204,7 @@
 func (a *Agent) write(w http.ResponseWriter, status int, kind string, body []byte) {
 	h := w.Header()
 	h["Date"] = nil
-	if a.leaving.Load() != nil {
+	if a.shutdownAt.Load() != nil {
 		h.Set("Connection", "close")
 	}
 	if kind == "" {
--- a/internal/agent/came_test.go
+++ b/internal/agent/head_time_test.go
@@ -22,7 +22,7 @@
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
 	const held = 5 * time.Second
-	c := &clientConn{Conn: server, places: a.places, cameAt: time.Now().Add(-held)}
+	c := &clientConn{Conn: server, table: a.clients, headReceivedAt: time.Now().Add(-held)}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", "held")
 	req.Header.Set("Request-Timeout", "30000m")
@@ -40,18 +40,18 @@
 func TestHeadsTimeIsThatOfItsLastRead(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
-	p := newPlaces(1, 1)
-	c := &clientConn{Conn: server, places: p, since: time.Now()}
+	p := newClientTable(1, 1)
+	c := &clientConn{Conn: server, table: p, stageSince: time.Now()}
 	read := func(text string) time.Time {
 		go func() { _, _ = client.Write([]byte(text)) }()
 		if n, err := c.Read(make([]byte, 4096)); n != len(text) || err != nil {
 			t.Fatalf("read %d, %v", n, err)
 		}
-		at, _ := p.claim(c)
+		at, _ := p.beginRequest(c)
 		return at
 	}
 	first := read("first")
-	p.enter(c, idle)
+	p.setStage(c, stageIdle)
 	before := time.Now()
 	second := read("second")
 	if !first.Before(before) || second.Before(before) || second.After(time.Now()) {
@@ -75,13 +75,13 @@
 
 // For a connection that waits for its place the time counts from when its bytes were there.
 func TestTimeCountsWhileAPlaceIsWaitedFor(t *testing.T) {
-	p, ln := newPlaces(1, 1), listen(t)
-	p.room = time.Minute
+	p, ln := newClientTable(1, 1), listen(t)
+	p.acquireTimeout = time.Minute
 	kept, _ := net.Pipe()
 	var c *clientConn
 	// Closed a moment after it was ended for the other: the first look for a place fails.
-	c = &clientConn{Conn: endHookConn{kept, func() { go c.Close() }}, places: p, stage: idle, since: time.Now()}
-	p.take(c, time.Now())
+	c = &clientConn{Conn: endHookConn{kept, func() { go c.Close() }}, table: p, stage: stageIdle, stageSince: time.Now()}
+	p.acquire(c, time.Now())
 	client := dial(t, "http://"+ln.Addr().String())
 	if _, err := client.Write([]byte(strings.Repeat("x", 20))); err != nil {
 		t.Fatal(err)
@@ -91,17 +91,17 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	eventually(t, "the bytes there", func() bool { return pending(accepted) > 0 })
-	l := &listener{Listener: ln, places: p}
+	eventually(t, "the bytes there", func() bool { return peekConn(accepted) > 0 })
+	l := &clientListener{Listener: ln, table: p}
 	placed := l.place(accepted)
 	if placed == nil {
 		t.Fatal("no place")
 	}
-	seen, after := placed.seenAt, time.Now()
+	seen, after := placed.firstSeenAt, time.Now()
 	if _, err := placed.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	if at, _ := p.claim(placed); seen.IsZero() || at != seen || at.After(after) {
+	if at, _ := p.beginRequest(placed); seen.IsZero() || at != seen || at.After(after) {
 		t.Fatalf("its time counts from %v, its bytes were seen at %v", at, seen)
 	}
 }
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -13,10 +13,10 @@
 // heldUp is a loop with a request, whose last decision was made some time ago.
 func heldUp(t *testing.T, ago time.Duration) (*loop, *request) {
 	l := quietLoop(t, "127.0.0.1:1")
-	r := &request{id: 1, method: http.MethodPost, target: "/send/u1", host: "b", wireID: "id", answers: make(chan answer, 1),
+	r := &request{id: 1, method: http.MethodPost, target: "/send/u1", host: "b", wireID: "id", answers: make(chan response, 1),
 		deadline: time.Now().Add(never)}
 	l.requests[r.id] = r
-	l.decided = time.Now().Add(-ago)
+	l.decidedAt = time.Now().Add(-ago)
 	return l, r
 }
 
@@ -30,8 +30,8 @@
 	l.send(r, &policy.Action{Kind: policy.ActionSend, Request: 1, Server: server, DelayMs: 90_000, WithinMs: 30_000})
 	a := r.attempts[0]
 	defer a.cancel(nil)
-	if !a.before.Before(time.Now()) {
-		t.Errorf("a repeat whose window is over may begin for %v", time.Until(a.before))
+	if !a.beginBy.Before(time.Now()) {
+		t.Errorf("a repeat whose window is over may begin for %v", time.Until(a.beginBy))
 	}
 	if end, _ := a.ctx.Deadline(); time.Until(end) > 30*time.Second {
 		t.Errorf("an attempt with 30 s left may last %v", time.Until(end))
@@ -50,7 +50,7 @@
 		{attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
 	} {
 		a := newAttempt(nil, http.MethodPost, test.attempt)
-		a.req.deadline = time.Now().Add(test.client)
+		a.request.deadline = time.Now().Add(test.client)
 		if got := a.toldTimeout(); got > test.most || got < test.least {
 			t.Errorf("%v of the attempt and %v of the client are left: told %v", test.attempt, test.client, got)
 		}
@@ -63,7 +63,7 @@
 func TestNothingBeginsPastTheDeadline(t *testing.T) {
 	c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
 	p := testPool()
-	a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, time.Nanosecond)
+	a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, time.Nanosecond)
 	p.connect = func(context.Context, string, string) (net.Conn, error) {
 		<-a.ctx.Done()
 		return c, nil
--- a/internal/agent/ages.go
+++ b/internal/agent/idle_lifetime.go
@@ -20,22 +20,22 @@
 // ages learns how long connections may stand idle. A backend, or what stands between,
 // may drop them long before the time in the settings without a word; the next request
 // then ends as a reset, and may have run. The pool's lock guards it.
-type ages struct {
-	young step
-	steps [ageSteps]step
+type idleLifetimeEstimator struct {
+	young ageBucket
+	steps [ageSteps]ageBucket
 	at    time.Time
 }
 
 // step counts the reuses of connections of about one age, and those that broke before
 // the first byte of an answer.
-type step struct{ uses, ends float64 }
+type ageBucket struct{ uses, ends float64 }
 
-func stepOf(age time.Duration) int {
+func bucketOf(age time.Duration) int {
 	return min(int(2*math.Log2(float64(age)/float64(youngest))), ageSteps-1)
 }
 
 // learn notes how the reuse of a connection went that had stood idle for age.
-func (s *ages) learn(age time.Duration, broke bool, now time.Time) {
+func (s *idleLifetimeEstimator) observe(age time.Duration, broke bool, now time.Time) {
 	if s.at.IsZero() {
 		s.at = now
 	}
@@ -49,7 +49,7 @@
 	}
 	st := &s.young
 	if age >= youngest {
-		st = &s.steps[stepOf(age)]
+		st = &s.steps[bucketOf(age)]
 	}
 	st.uses++
 	if broke {
@@ -57,13 +57,13 @@
 	}
 }
 
-func (s *step) fade(keep float64) {
+func (s *ageBucket) fade(keep float64) {
 	s.uses *= keep
 	s.ends *= keep
 }
 
 // limit is how long a connection may stand idle to be used again, at most most.
-func (s *ages) limit(most time.Duration) time.Duration {
+func (s *idleLifetimeEstimator) limit(most time.Duration) time.Duration {
 	usual := 0.0
 	if s.young.uses > 0 {
 		usual = s.young.ends / s.young.uses
--- a/internal/agent/ages_test.go
+++ b/internal/agent/idle_lifetime_test.go
@@ -15,22 +15,22 @@
 // what ends at any age alike says nothing, and in time all is tried anew.
 func TestAges(t *testing.T) {
 	now, most := time.Now(), time.Minute
-	var s ages
+	var s idleLifetimeEstimator
 	for i := range 100 {
 		broke := i%20 == 0 // as often at any age
-		s.learn(time.Millisecond, broke, now)
-		s.learn(300*time.Millisecond, broke, now)
+		s.observe(time.Millisecond, broke, now)
+		s.observe(300*time.Millisecond, broke, now)
 	}
 	if got := s.limit(most); got != most {
 		t.Fatalf("%v though young ones end as often", got)
 	}
 	for i := range 10 {
-		s.learn(110*time.Millisecond, i%3 == 0, now)
+		s.observe(110*time.Millisecond, i%3 == 0, now)
 	}
 	if got := s.limit(most); got < 64*time.Millisecond || got > 110*time.Millisecond {
 		t.Fatalf("%v though a third end from 110 ms on", got)
 	}
-	s.learn(time.Millisecond, false, now.Add(10*ageMemory))
+	s.observe(time.Millisecond, false, now.Add(10*ageMemory))
 	if got := s.limit(most); got != most {
 		t.Fatalf("%v after what was seen is old", got)
 	}
@@ -47,9 +47,9 @@
 		readRequest(r) // and ends it when the next one comes
 	})
 	p := testPool()
-	g := p.group(addr)
+	g := p.newBackendConns(addr)
 	for range 40 {
-		p.ages.learn(time.Millisecond, false, time.Now())
+		p.idleLifetime.observe(time.Millisecond, false, time.Now())
 	}
 	broken := 0
 	for range 20 {
@@ -58,7 +58,7 @@
 			broken++
 		}
 		p.mu.Lock()
-		for _, c := range g.spare {
+		for _, c := range g.idle {
 			c.since = c.since.Add(-time.Second) // as if it had stood idle
 		}
 		p.mu.Unlock()
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -35,17 +35,17 @@
 		for how, leave := range leavings {
 			t.Run(waits+" "+how, func(t *testing.T) {
 				a := newAttempt(nil, http.MethodPost, noAnswer)
-				client := clientOf(t, a.req)
+				client := clientOf(t, a.request)
 				gone := func() {
 					leave(client)
-					eventually(t, "the leaving at the agent's socket", func() bool { return ended(a.req.client) })
+					eventually(t, "the leaving at the agent's socket", func() bool { return peerClosed(a.request.client) })
 				}
-				var g *group
+				var g *backendConns
 				var rested chan time.Time
 				got := make(chan int64, 1)
 				switch waits {
 				case "connect":
-					g = testPool().group(rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+					g = testPool().newBackendConns(rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 						n, _ := io.Copy(io.Discard, r)
 						got <- n
 					}))
@@ -59,10 +59,10 @@
 					g, conns, rested = restingPool(t)
 					g.served(t)
 					g.rests()
-					g.pool.extra = waits == "extra connection"
+					g.pool.allowExtra = waits == "extra connection"
 					conns.held = make(chan struct{})
 					go func() {
-						if g.pool.extra {
+						if g.pool.allowExtra {
 							eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
 							gone()
 							close(conns.held)
@@ -72,7 +72,7 @@
 						rested <- time.Now()
 					}()
 				}
-				a.group = g
+				a.conns = g
 				if res := a.run(); res.status != policy.StatusNotSent || !a.withdraw() {
 					t.Fatalf("ended %d, want never begun", res.status)
 				}
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -69,7 +69,7 @@
 				t.Errorf("%d connects", n)
 			}
 			a.look(func(l *loop) {
-				for tier, s := range l.bal.Snapshot(l.clock()).Tiers {
+				for tier, s := range l.balancer.Snapshot(l.nowMs()).Tiers {
 					if tier > 0 && s.Endpoints > 0 {
 						t.Errorf("%d servers were demoted to tier %d", s.Endpoints, tier)
 					}
@@ -89,7 +89,7 @@
 	} {
 		p := testPool()
 		p.connect = (&failingConnects{errno: errno, fail: 1}).connect
-		if got := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+		if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
 			t.Errorf("%v: ended %d, want %d", errno, got, want)
 		}
 		if p.open != 0 {
@@ -101,9 +101,9 @@
 // An extra connection that this machine could not open says nothing of its backend.
 func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
 	p := testPool()
-	p.idle = never
+	p.idleTimeout = never
 	p.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
-	g := p.group("127.0.0.1:1")
+	g := p.newBackendConns("127.0.0.1:1")
 	g.openExtra(context.Background(), nil, nil)
 	if wait := time.Until(g.noExtra); wait > time.Second {
 		t.Errorf("none is opened for %v", wait)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -13,21 +13,21 @@
 )
 
 // inKind tells what happened.
-type inKind uint8
+type inputKind uint8
 
 // What may come in to the loop.
 const (
-	inRequest    inKind = iota // req
-	inDropped                  // req: its handler answers or waits no longer
-	inOutcome                  // att, res
-	inTimer                    // token
-	inFetched                  // list or err, gen
-	inWatched                  // list, gen
-	inWatchEnded               // err, lost, gen
-	inReload                   // conf, done
-	inWaited                   // the agent is ready, whether or not it knows a backend
-	inTrace                    // every, done: log the module's state from now on
-	inTraceDue                 // the next line of that
+	inputRequest       inputKind = iota // req
+	inputClientGone                     // req: its handler answers or waits no longer
+	inputOutcome                        // att, res
+	inputTimer                          // token
+	inputFetched                        // list or err, gen
+	inputWatchEvent                     // list, gen
+	inputWatchEnded                     // err, lost, gen
+	inputReload                         // conf, done
+	inputReadyWaitOver                  // the agent is ready, whether or not it knows a backend
+	inputTraceStart                     // every, done: log the module's state from now on
+	inputTraceDue                       // the next line of that
 )
 
 // readyWithin is how long after its start an agent that knows no backend waits for discovery
@@ -39,110 +39,110 @@
 
 // input is one thing that happened, on its way to the loop.
 type input struct {
-	kind  inKind
-	req   *request
-	att   *attempt
-	res   result
-	token uint32
-	list  List
-	err   error
-	lost  bool // the watch had lived before it ended
-	gen   int  // of the discovery that was asked
-	conf  *Config
-	done  chan error // room for the one that is sent
-	every time.Duration
+	kind             inputKind
+	request          *request
+	attempt          *attempt
+	result           result
+	token            uint32
+	list             List
+	err              error
+	endedAfterNotice bool // the watch had lived before it ended
+	discoveryGen     int  // of the discovery that was asked
+	config           *Config
+	done             chan error // room for the one that is sent
+	every            time.Duration
 }
 
 // loop owns the Balancer: one goroutine hands it what happens, in order, and
 // carries out what it decides. Nothing in it blocks.
 type loop struct {
-	bal      *policy.Balancer
-	conf     *Config // in force
-	log      *slog.Logger
-	in       chan input
-	todo     []input // what the loop itself gave rise to, to be handled next
-	time     moduleClock
-	starts   *startTimes
-	pool     *pool
-	disc     *discovery
-	decided  time.Time // before the module's clock was read for the event at hand: its spans count from then
-	requests map[policy.RequestID]*request
-	backends map[policy.Addr]*backend
-	nextID   policy.RequestID
-	ids      *idMemory
-	seq      int64 // version of the list at hand; 0 after a change of discovery
-	watching bool
-	fetching bool
-	actions  []policy.Action
-	ready    atomic.Bool                             // a backend can be sent to, or none was known for long enough
-	waited   bool                                    // readyWithin is over
-	after    func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
-	ctx      context.Context
-	learned  func(seq int64, whole bool) // told of each list in force; may be nil
-	tracer   *tracer                     // nil: off
+	balancer       *policy.Balancer
+	config         *Config // in force
+	log            *slog.Logger
+	inputs         chan input
+	followUps      []input // what the loop itself gave rise to, to be handled next
+	clock          moduleClock
+	startTimes     *startTimes
+	pool           *pool
+	discovery      *discovery
+	decidedAt      time.Time // before the module's clock was read for the event at hand: its spans count from then
+	requests       map[policy.RequestID]*request
+	backends       map[policy.Addr]*backend
+	nextID         policy.RequestID
+	seenIDs        *seenIDs
+	listVersion    int64 // version of the list at hand; 0 after a change of discovery
+	watching       bool
+	fetching       bool
+	actions        []policy.Action
+	hasEndpoint    atomic.Bool                             // a backend can be sent to, or none was known for long enough
+	readyWaitOver  bool                                    // readyWithin is over
+	after          func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
+	ctx            context.Context
+	onEndpointList func(seq int64, whole bool) // told of each list in force; may be nil
+	tracer         *tracer                     // nil: off
 }
 
 func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
 	set := c.module()
-	first := callFirst
+	first := firstWordTimeout
 	if set.Membership == policy.MembershipWatched {
-		first = localFirst
+		first = localFirstWordTimeout
 	}
 	bal, err := policy.New(set, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{bal: bal, conf: c, log: log, ctx: ctx,
+	l := &loop{balancer: bal, config: c, log: log, ctx: ctx,
 		// Room for all that can be under way at once: a handler must not wait here
 		// while its guard is not yet set.
-		in: make(chan input, 4*c.Limits.Sockets), time: newModuleClock(c.clock), starts: newStartTimes(),
+		inputs: make(chan input, 4*c.Limits.Sockets), clock: newModuleClock(c.clock), startTimes: newStartTimes(),
 		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{}, after: time.AfterFunc,
-		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), ids: newIDMemory(0)}
-	l.bound()
-	l.disc = newDiscovery(ctx, c.Discovery, 0, l.post)
-	l.disc.first = first
-	l.actions = l.bal.Start(l.clock(), l.actions[:0])
-	l.act()
-	l.learn(policy.ListCached, &c.Known)
+		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), seenIDs: newSeenIDs(0)}
+	l.applyLimits()
+	l.discovery = newDiscovery(ctx, c.Discovery, 0, l.post)
+	l.discovery.firstWordTimeout = first
+	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
+	l.perform()
+	l.applyEndpointList(policy.ListCached, &c.Known)
 	return l, nil
 }
 
 // bound takes the bounds of connections and memory from the configuration in force.
-func (l *loop) bound() {
-	limits := &l.conf.Settings.Limits
-	connect := ms(limits.ConnectTimeoutMs)
+func (l *loop) applyLimits() {
+	limits := &l.config.Settings.Limits
+	connect := millis(limits.ConnectTimeoutMs)
 	if connect <= 0 {
 		connect = time.Second
 	}
 	// An answer within its aim is worth no less for a rest of some milliseconds: where the
 	// settings price connections, it costs less to wait.
-	prices := &l.conf.Settings.Prices
-	l.pool.configure(connect, ms(limits.KeepaliveMs/2), backendSockets(l.conf.Limits.Sockets),
+	prices := &l.config.Settings.Prices
+	l.pool.configure(connect, millis(limits.KeepaliveMs/2), backendSockets(l.config.Limits.Sockets),
 		prices.Handshake == 0 && prices.Connection == 0)
-	l.ids.keep = max(l.ids.keep, l.conf.longest()+time.Second) // longer than any request is open
-	l.starts.tolerance = l.conf.Settings.Contract.StartToleranceMs()
+	l.seenIDs.keep = max(l.seenIDs.keep, l.config.maxDeadline()+time.Second) // longer than any request is open
+	l.startTimes.tolerance = l.config.Settings.Contract.StartToleranceMs()
 }
 
-func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
 // post hands the loop something that happened. It waits while the queue is full and
 // returns at once when the loop has ended.
 func (l *loop) post(in input) {
 	select {
-	case l.in <- in:
+	case l.inputs <- in:
 	case <-l.ctx.Done():
 	}
 }
 
 // run handles what comes in until the context ends.
 func (l *loop) run() {
-	l.after(readyWithin, func() { l.post(input{kind: inWaited}) })
+	l.after(readyWithin, func() { l.post(input{kind: inputReadyWaitOver}) })
 	for {
 		select {
-		case in := <-l.in:
+		case in := <-l.inputs:
 			l.handle(in)
-			for len(l.todo) > 0 {
-				in, l.todo = l.todo[0], l.todo[1:]
+			for len(l.followUps) > 0 {
+				in, l.followUps = l.followUps[0], l.followUps[1:]
 				l.handle(in)
 			}
 		case <-l.ctx.Done():
@@ -156,31 +156,31 @@
 func (l *loop) handle(in input) {
 	defer l.recovered("input", int(in.kind))
 	switch in.kind {
-	case inRequest:
-		l.onRequest(in.req)
-	case inDropped:
-		if r := in.req; r.id != 0 && !r.answered {
+	case inputRequest:
+		l.onRequest(in.request)
+	case inputClientGone:
+		if r := in.request; r.id != 0 && !r.answered {
 			l.close(r)
-			l.tell(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
+			l.notify(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
 			l.forget(r)
 		}
-	case inOutcome:
-		l.onOutcome(in.att, &in.res)
-	case inTimer:
-		l.tell(&policy.Event{Kind: policy.EventTimer, Token: in.token})
-	case inReload:
-		in.done <- l.reload(in.conf)
-	case inTrace:
+	case inputOutcome:
+		l.onOutcome(in.attempt, &in.result)
+	case inputTimer:
+		l.notify(&policy.Event{Kind: policy.EventTimer, Token: in.token})
+	case inputReload:
+		in.done <- l.reload(in.config)
+	case inputTraceStart:
 		in.done <- l.startTrace(in.every)
-	case inTraceDue:
+	case inputTraceDue:
 		l.trace()
-	case inWaited:
-		l.waited = true
-		if !l.ready.Swap(true) {
+	case inputReadyWaitOver:
+		l.readyWaitOver = true
+		if !l.hasEndpoint.Swap(true) {
 			l.log.Warn("ready though no backend is known", "after", readyWithin)
 		}
-	case inFetched, inWatched, inWatchEnded:
-		if in.gen == l.disc.gen { // else of a discovery that is asked no more
+	case inputFetched, inputWatchEvent, inputWatchEnded:
+		if in.discoveryGen == l.discovery.generation { // else of a discovery that is asked no more
 			l.onDiscovery(&in)
 		}
 	}
@@ -194,23 +194,23 @@
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	if err := l.conf.Names.keeps(&c.Names); err != nil {
+	if err := l.config.Names.keeps(&c.Names); err != nil {
 		return err
 	}
-	if err := l.bal.Reconfigure(c.module()); err != nil {
+	if err := l.balancer.Reconfigure(c.module()); err != nil {
 		return err
 	}
-	l.conf = c
-	l.bound()
-	l.turn(c.Discovery)
+	l.config = c
+	l.applyLimits()
+	l.switchDiscovery(c.Discovery)
 	return nil
 }
 
 // tell hands the module one event and carries out what it decides.
-func (l *loop) tell(ev *policy.Event) {
-	l.decided = time.Now()
-	l.actions = l.decide(l.clock(), ev)
-	l.act()
+func (l *loop) notify(ev *policy.Event) {
+	l.decidedAt = time.Now()
+	l.actions = l.decide(l.nowMs(), ev)
+	l.perform()
 }
 
 // decide hands the module one event. What it had decided before a panic counts: it waits for
@@ -219,14 +219,14 @@
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("panic in the module", "event", ev.Kind, "panic", p, "stack", string(debug.Stack()))
-			actions = l.bal.Decided()
+			actions = l.balancer.Decided()
 		}
 	}()
-	return l.bal.Handle(now, ev, l.actions[:0])
+	return l.balancer.Handle(now, ev, l.actions[:0])
 }
 
 // act carries out the module's actions in their order.
-func (l *loop) act() {
+func (l *loop) perform() {
 	for i := range l.actions {
 		l.carryOut(&l.actions[i])
 	}
@@ -251,30 +251,30 @@
 		}
 	case policy.ActionReject:
 		if r != nil {
-			l.answer(r, answer{status: policy.StatusRejected, retryAfter: ms(act.DelayMs)})
+			l.answer(r, response{status: policy.StatusRejected, retryAfter: millis(act.DelayMs)})
 			l.forget(r)
 		}
 	case policy.ActionFail:
 		if r != nil {
-			l.answer(r, answer{status: policy.StatusServerError})
+			l.answer(r, response{status: policy.StatusServerError})
 			l.forget(r)
 		}
 	case policy.ActionTimer:
 		token := act.Token
-		time.AfterFunc(ms(act.DelayMs), func() { l.post(input{kind: inTimer, token: token}) })
+		time.AfterFunc(millis(act.DelayMs), func() { l.post(input{kind: inputTimer, token: token}) })
 	case policy.ActionWatch:
 		if !l.watching {
 			l.watching = true
-			go l.disc.watch(l.seq, false)
+			go l.discovery.watch(l.listVersion, false)
 		}
 	case policy.ActionFetch:
 		if !l.fetching {
 			l.fetching = true
-			go l.disc.fetch(false)
+			go l.discovery.fetch(false)
 		}
 	case policy.ActionCloseIdle:
 		if b := l.backends[act.Server]; b != nil {
-			b.group.closeIdle()
+			b.conns.closeIdle()
 		}
 	case policy.ActionLog:
 		l.log.Info(act.Text)
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -14,18 +14,18 @@
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
 	for range 3 {
-		r := &request{conf: l.conf, class: 2, method: http.MethodPost, target: "/order/u1", host: "b",
-			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan answer, 2), deadline: time.Now().Add(never)}
+		r := &request{config: l.config, class: 2, method: http.MethodPost, target: "/order/u1", host: "b",
+			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan response, 2), deadline: time.Now().Add(never)}
 		requests = append(requests, r)
 	}
 	for _, b := range l.backends {
 		b.attempts = nil // a write to it panics
 	}
 	for _, r := range requests {
-		l.handle(input{kind: inRequest, req: r})
-		for len(l.todo) > 0 {
+		l.handle(input{kind: inputRequest, request: r})
+		for len(l.followUps) > 0 {
 			var in input
-			in, l.todo = l.todo[0], l.todo[1:]
+			in, l.followUps = l.followUps[0], l.followUps[1:]
 			l.handle(in)
 		}
 	}
@@ -42,7 +42,7 @@
 			t.Errorf("request %d: %d more answers, %d attempts out", i, len(r.answers), r.open)
 		}
 	}
-	if s := l.bal.Snapshot(l.clock()); s.Inflight != 0 || s.Queued != 0 || len(l.requests) != 0 {
+	if s := l.balancer.Snapshot(l.nowMs()); s.Inflight != 0 || s.Queued != 0 || len(l.requests) != 0 {
 		t.Errorf("%d in flight, %d held, %d requests", s.Inflight, s.Queued, len(l.requests))
 	}
 }
@@ -50,13 +50,13 @@
 // An action that panics does not take those behind it with it.
 func TestActionsBehindAPanic(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
-	r := &request{id: 7, answers: make(chan answer, 1)}
+	r := &request{id: 7, answers: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, r
 	l.requests[2] = &request{id: 2, attempts: []*attempt{{}}} // cancelling it panics
 	l.actions = []policy.Action{{Kind: policy.ActionCancel, Request: 2}, {Kind: policy.ActionReject, Request: 7}}
 	func() {
 		defer func() { _ = recover() }()
-		l.act()
+		l.perform()
 	}()
 	if len(r.answers) != 1 {
 		t.Error("the refusal behind a panic was lost")
@@ -67,7 +67,7 @@
 func TestReloadThatPanics(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
-	l.handle(input{kind: inReload, done: done}) // no configuration at all
+	l.handle(input{kind: inputReload, done: done}) // no configuration at all
 	select {
 	case err := <-done:
 		if err == nil {
--- a/internal/agent/no_length_test.go
+++ b/internal/agent/no_length_test.go
@@ -45,7 +45,7 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			g := testPool().group(addr)
+			g := testPool().newBackendConns(addr)
 			defer g.closeIdle()
 			plain := g.pool.connect
 			g.pool.connect = wholeReads(plain, len(test.answer), read)
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -17,7 +17,7 @@
 
 // restingPool is a pool that may open extra connections to its one backend and whose rests
 // do not end by themselves: rested ends them.
-func restingPool(t *testing.T) (g *group, conns *connections, rested chan time.Time) {
+func restingPool(t *testing.T) (g *backendConns, conns *connections, rested chan time.Time) {
 	t.Helper()
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -29,10 +29,10 @@
 	})
 	conns = &connections{}
 	p := testPool()
-	p.extra, p.connect = true, conns.connect
+	p.allowExtra, p.connect = true, conns.connect
 	rested = make(chan time.Time)
 	p.after = func(time.Duration) <-chan time.Time { return rested }
-	g = p.group(addr)
+	g = p.newBackendConns(addr)
 	t.Cleanup(g.closeIdle)
 	return g, conns, rested
 }
@@ -54,25 +54,25 @@
 }
 
 // rests makes all idle connections rest however slow the test is.
-func (g *group) rests() {
+func (g *backendConns) rests() {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	for _, c := range g.spare {
+	for _, c := range g.idle {
 		c.since = time.Now().Add(never)
 	}
 }
 
-func (g *group) served(t *testing.T) {
+func (g *backendConns) served(t *testing.T) {
 	t.Helper()
 	if res := newAttempt(g, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 }
 
-func (g *group) idleAndOpen() (idle, open int) {
+func (g *backendConns) idleAndOpen() (idle, open int) {
 	g.pool.mu.Lock()
 	defer g.pool.mu.Unlock()
-	return len(g.spare), g.pool.open
+	return len(g.idle), g.pool.open
 }
 
 // An attempt does not wait out the rest of the only connection: an extra one is opened, the
@@ -81,7 +81,7 @@
 	g, conns, rested := restingPool(t)
 	g.served(t)
 	g.rests()
-	first := g.spare[0]
+	first := g.idle[0]
 	since := first.since
 	g.served(t)
 	if idle, open := g.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
@@ -129,8 +129,8 @@
 // Where connections have a price, or no descriptor is left, the rest is waited out.
 func TestRestIsWaitedOutWithoutAnExtra(t *testing.T) {
 	for name, set := range map[string]func(p *pool){
-		"priced":        func(p *pool) { p.extra = false },
-		"no descriptor": func(p *pool) { p.most = 1 },
+		"priced":        func(p *pool) { p.allowExtra = false },
+		"no descriptor": func(p *pool) { p.maxConns = 1 },
 	} {
 		g, conns, rested := restingPool(t)
 		set(g.pool)
@@ -150,8 +150,8 @@
 		conf := config(nowhere)
 		conf["settings"].(map[string]any)["prices"] = map[string]any{key: 0.01}
 		a, _, _, _ := start(t, conf)
-		if a.loop.pool.extra != want {
-			t.Errorf("price of %q: extra connections %v", key, a.loop.pool.extra)
+		if a.loop.pool.allowExtra != want {
+			t.Errorf("price of %q: extra connections %v", key, a.loop.pool.allowExtra)
 		}
 	}
 }
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -77,12 +77,12 @@
 			t.Errorf("%s is answered %d %q", class, status, said)
 		}
 	}
-	if most := a.places.most; most != clientSockets(512) {
+	if most := a.clients.maxConns; most != clientSockets(512) {
 		t.Errorf("%d places", most)
 	}
 	a.look(func(l *loop) {
-		if l.pool.most != backendSockets(512) || l.ids.keep < 300*time.Second {
-			t.Errorf("%d connections, ids known for %v", l.pool.most, l.ids.keep)
+		if l.pool.maxConns != backendSockets(512) || l.seenIDs.keep < 300*time.Second {
+			t.Errorf("%d connections, ids known for %v", l.pool.maxConns, l.seenIDs.keep)
 		}
 	})
 }
@@ -115,7 +115,7 @@
 			t.Errorf("%s: the class at hand is answered %d", key, status)
 		}
 		a.look(func(l *loop) {
-			if l.disc.addr != nowhere {
+			if l.discovery.addr != nowhere {
 				t.Errorf("%s: another discovery is asked", key)
 			}
 		})
@@ -141,14 +141,14 @@
 		{"another way", []any{classOf("order", "guarded", 30000)}, -1},
 	} {
 		l := quietLoop(t, "127.0.0.1:1")
-		old := l.conf
+		old := l.config
 		done := make(chan error, 1)
-		l.handle(input{kind: inReload, conf: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
+		l.handle(input{kind: inputReload, config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
-		r := &request{conf: old, class: 2, wireID: "x", deadline: time.Now().Add(never), answers: make(chan answer, 1)}
-		l.handle(input{kind: inRequest, req: r})
+		r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(never), answers: make(chan response, 1)}
+		l.handle(input{kind: inputRequest, request: r})
 		if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
 			t.Errorf("%s: class %d, %d attempts", c.name, r.class, len(r.attempts))
 		}
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -9,12 +9,12 @@
 )
 
 // duplicate is the answer to a request whose id came before.
-const duplicate policy.Status = 1
+const statusDuplicateID policy.Status = 1
 
 // request is what a client asked. The handler fills it in; what stands below
 // answers belongs to the loop.
 type request struct {
-	conf        *Config // in force when it was read; class and tenant are its numbers
+	config      *Config // in force when it was read; class and tenant are its numbers
 	class       int
 	tenant      int
 	key         uint64
@@ -27,11 +27,11 @@
 	host        string
 	wireID      string
 	idempotency string
-	kind        string
+	contentType string
 	body        []byte
-	answers     chan answer // room for the one that is sent
-	client      net.Conn    // its connection; nil: nobody's
-	gone        atomic.Bool // the client has left, or was answered without the loop
+	answers     chan response // room for the one that is sent
+	client      net.Conn      // its connection; nil: nobody's
+	clientGone  atomic.Bool   // the client has left, or was answered without the loop
 
 	id       policy.RequestID
 	answered bool
@@ -42,37 +42,37 @@
 // left tells whether nobody waits for the request any more. It asks the client's connection
 // itself: its end may be there before anybody has had the time to read it, as what waits
 // for the processor or in the loop's queue is done in the order in which it came.
-func (r *request) left() bool {
-	if !r.gone.Load() && r.client != nil && ended(r.client) {
-		r.gone.Store(true)
+func (r *request) hasClientLeft() bool {
+	if !r.clientGone.Load() && r.client != nil && peerClosed(r.client) {
+		r.clientGone.Store(true)
 	}
-	return r.gone.Load()
+	return r.clientGone.Load()
 }
 
 // answer is the final answer to a request.
-type answer struct {
-	status     policy.Status // OK: served; Full: refused; Error: failed; duplicate
-	body       []byte
-	kind       string
-	retryAfter time.Duration
+type response struct {
+	status      policy.Status // OK: served; Full: refused; Error: failed; duplicate
+	body        []byte
+	contentType string
+	retryAfter  time.Duration
 }
 
 // renumber gives a request that was read under another configuration the numbers that its
 // class and its tenant have now, and reports whether the class is still asked in the same way.
 func (l *loop) renumber(r *request) bool {
-	if r.conf == l.conf {
+	if r.config == l.config {
 		return true
 	}
-	was := &r.conf.Settings
-	class, known := l.conf.Names.classes[was.Classes[r.class].Name]
-	if !known || l.conf.Settings.Classes[class].Effect != was.Classes[r.class].Effect {
+	was := &r.config.Settings
+	class, known := l.config.Names.classes[was.Classes[r.class].Name]
+	if !known || l.config.Settings.Classes[class].Effect != was.Classes[r.class].Effect {
 		return false
 	}
 	r.class = class
-	if len(l.conf.Names.tenants) > 0 {
+	if len(l.config.Names.tenants) > 0 {
 		tenant := -1
 		if r.tenant >= 0 && r.tenant < len(was.Tenants) {
-			if i, ok := l.conf.Names.tenants[was.Tenants[r.tenant].Name]; ok {
+			if i, ok := l.config.Names.tenants[was.Tenants[r.tenant].Name]; ok {
 				tenant = i
 			}
 		}
@@ -83,11 +83,11 @@
 
 func (l *loop) onRequest(r *request) {
 	if !l.renumber(r) { // it never ran
-		l.answer(r, answer{status: policy.StatusRejected, retryAfter: ms(l.conf.Settings.Limits.MaxRetryAfterMs)})
+		l.answer(r, response{status: policy.StatusRejected, retryAfter: millis(l.config.Settings.Limits.MaxRetryAfterMs)})
 		return
 	}
-	if !l.ids.add(r.wireID, time.Now()) {
-		l.answer(r, answer{status: duplicate})
+	if !l.seenIDs.add(r.wireID, time.Now()) {
+		l.answer(r, response{status: statusDuplicateID})
 		return
 	}
 	l.nextID++
@@ -98,13 +98,13 @@
 	l.requests[r.id] = r
 	left := time.Until(r.deadline)
 	left -= min(guardMargin+wordMargin, left/4)
-	l.tell(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: r.class, Tenant: r.tenant,
+	l.notify(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: r.class, Tenant: r.tenant,
 		Key: r.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
 // answer gives a request its final answer, unless it has one.
-func (l *loop) answer(r *request, a answer) {
+func (l *loop) answer(r *request, a response) {
 	if !r.answered {
 		l.close(r)
 		r.answers <- a
--- a/internal/agent/ids.go
+++ b/internal/agent/seen_ids.go
@@ -14,19 +14,19 @@
 //
 // A generation also ends when it is full: who sends ids at full speed shortens the memory,
 // and does not take the agent's.
-type idMemory struct {
+type seenIDs struct {
 	keep        time.Duration // how long an id is known at the least
 	seed        maphash.Seed
 	now, before map[uint64]struct{}
 	turned      time.Time
 }
 
-func newIDMemory(keep time.Duration) *idMemory {
-	return &idMemory{keep: keep, seed: maphash.MakeSeed(), now: map[uint64]struct{}{}}
+func newSeenIDs(keep time.Duration) *seenIDs {
+	return &seenIDs{keep: keep, seed: maphash.MakeSeed(), now: map[uint64]struct{}{}}
 }
 
 // add notes an id that comes at the time given, and reports whether it is new.
-func (m *idMemory) add(id string, at time.Time) bool {
+func (m *seenIDs) add(id string, at time.Time) bool {
 	if at.Sub(m.turned) >= m.keep || len(m.now) >= maxIDs {
 		m.before, m.now, m.turned = m.now, map[uint64]struct{}{}, at
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -22,23 +22,23 @@
 	// acceptFor is how long connections are taken after SIGTERM: they go on coming for
 	// up to 0.4 s. settleFor is left to what was accepted last to be read. What comes whole
 	// after refuseAfter is refused: SIGKILL may come before its answer could.
-	acceptFor, settleFor = 450 * time.Millisecond, 50 * time.Millisecond
-	refuseAfter          = 600 * time.Millisecond
+	shutdownAcceptTime, shutdownSettleTime = 450 * time.Millisecond, 50 * time.Millisecond
+	shutdownRejectAfter                    = 600 * time.Millisecond
 	// killedAfter is how long after SIGTERM SIGKILL may come at the earliest where the settings
 	// have deadlines as long or longer, but for 0.7 s that are added to it.
-	killedAfter = 3 * time.Second
-	leaveEvery  = 5 * time.Millisecond // how often who leaves looks through the connections
+	killedAfter          = 3 * time.Second
+	shutdownPollInterval = 5 * time.Millisecond // how often who leaves looks through the connections
 	// headFor and bodyFor are how long a request's head and body may take to come: bad
 	// clients are owed an error or a close within 3 s of connecting.
-	headFor, bodyFor = 1500 * time.Millisecond, time.Second
+	headTimeout, bodyTimeout = 1500 * time.Millisecond, time.Second
 	// leastBodyFor is what a body has to come in at least, however short the deadline: an
 	// answer earns nothing after it, but is not lost for half a second.
 	leastBodyFor = 100 * time.Millisecond
 	// keepIdle is how long a client's connection stays open between requests when its
 	// place is not needed.
-	keepIdle = 15 * time.Second
+	clientKeepAlive = 15 * time.Second
 	// unreadFor is how long a client may take to read its answer.
-	unreadFor = 5 * time.Second
+	responseWriteTimeout = 5 * time.Second
 	// maxHead bounds a request's head. leastTimeout is up to where any deadline makes sense,
 	// whatever the classes' own are.
 	maxHead      = 16 << 10
@@ -65,16 +65,16 @@
 
 // Agent is one agent: the loop with the decisions and the server for the clients.
 type Agent struct {
-	loop    *loop
-	server  *http.Server
-	conf    atomic.Pointer[Config]
-	began   time.Duration // the longest deadline at the start, which bounds the server's writes
-	longest atomic.Int64  // the longest deadline that there has been, in ns
-	log     *slog.Logger
-	leaving atomic.Pointer[time.Time] // since when; nil: not
-	bodies  atomic.Int64              // bytes of the bodies held
-	places  *places
-	stop    context.CancelFunc
+	loop          *loop
+	server        *http.Server
+	config        atomic.Pointer[Config]
+	startDeadline time.Duration // the longest deadline at the start, which bounds the server's writes
+	maxDeadline   atomic.Int64  // the longest deadline that there has been, in ns
+	log           *slog.Logger
+	shutdownAt    atomic.Pointer[time.Time] // since when; nil: not
+	bodyBytes     atomic.Int64              // bytes of the bodies held
+	clients       *clientTable
+	stop          context.CancelFunc
 	// lastCall is closed when what is still held has to be answered before SIGKILL.
 	lastCall chan struct{}
 	after    func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
@@ -88,21 +88,21 @@
 		stop()
 		return nil, err
 	}
-	a := &Agent{loop: l, log: log, stop: stop, began: c.longest(),
+	a := &Agent{loop: l, log: log, stop: stop, startDeadline: c.maxDeadline(),
 		lastCall: make(chan struct{}), after: time.AfterFunc}
-	a.conf.Store(c)
-	a.longest.Store(int64(a.began))
-	a.places = newPlaces(clientSockets(c.Limits.Sockets), keptSockets(c.Limits.Sockets))
+	a.config.Store(c)
+	a.maxDeadline.Store(int64(a.startDeadline))
+	a.clients = newClientTable(clientSockets(c.Limits.Sockets), keptSockets(c.Limits.Sockets))
 	a.server = &http.Server{
 		Handler:           a,
-		ReadHeaderTimeout: headFor,
-		IdleTimeout:       keepIdle,
+		ReadHeaderTimeout: headTimeout,
+		IdleTimeout:       clientKeepAlive,
 		MaxHeaderBytes:    maxHead,
-		WriteTimeout:      a.began + unreadFor,
+		WriteTimeout:      a.startDeadline + responseWriteTimeout,
 		// 'OPTIONS *' is no request of the settings' classes: read refuses it.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-		ConnState:                    a.places.track,
+		ConnState:                    a.clients.onConnState,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		},
@@ -117,7 +117,7 @@
 // under the terms that they were taken with; the list, the connections and what was learnt of
 // servers stay. The seed and the list in the file belong to a start, and are passed over.
 func (a *Agent) Reload(c *Config) error {
-	old := a.conf.Load()
+	old := a.config.Load()
 	switch {
 	case c.Name != old.Name:
 		return fmt.Errorf("config: name: can't change without a restart, is %q and would be %q", old.Name, c.Name)
@@ -125,7 +125,7 @@
 		return fmt.Errorf("config: listen: can't change without a restart, is %q and would be %q", old.Listen, c.Listen)
 	}
 	done := make(chan error, 1)
-	a.loop.post(input{kind: inReload, conf: c, done: done})
+	a.loop.post(input{kind: inputReload, config: c, done: done})
 	select {
 	case err := <-done:
 		if err != nil {
@@ -134,9 +134,9 @@
 	case <-a.loop.ctx.Done():
 		return errors.New("config: the agent has ended")
 	}
-	a.longest.Store(max(a.longest.Load(), int64(c.longest())))
-	a.places.resize(clientSockets(c.Limits.Sockets), keptSockets(c.Limits.Sockets))
-	a.conf.Store(c) // what is read from here on carries the new classes
+	a.maxDeadline.Store(max(a.maxDeadline.Load(), int64(c.maxDeadline())))
+	a.clients.resize(clientSockets(c.Limits.Sockets), keptSockets(c.Limits.Sockets))
+	a.config.Store(c) // what is read from here on carries the new classes
 	return nil
 }
 
@@ -144,26 +144,26 @@
 func (a *Agent) Serve(ctx context.Context, ln net.Listener) error {
 	defer a.stop()
 	go a.loop.run()
-	go a.tidy(ctx)
+	go a.reapIdleClients(ctx)
 	failed := make(chan error, 1)
-	placed := newListener(ln, a.places, a.log)
+	placed := newClientListener(ln, a.clients, a.log)
 	go func() { failed <- a.server.Serve(placed) }()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	return a.leave(placed)
+	return a.shutdown(placed)
 }
 
 // tidy looks after the clients' idle connections until the context ends.
-func (a *Agent) tidy(ctx context.Context) {
-	tick := time.NewTicker(tidyEvery)
+func (a *Agent) reapIdleClients(ctx context.Context) {
+	tick := time.NewTicker(reapInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			a.places.tidy(now)
+			a.clients.reapIdle(now)
 		case <-ctx.Done():
 			return
 		}
@@ -175,11 +175,11 @@
 // over killedAfter.
 func (a *Agent) lastAnswerAfter() time.Duration {
 	longest := time.Duration(0)
-	classes := a.conf.Load().Settings.Classes
+	classes := a.config.Load().Settings.Classes
 	for i := range classes {
-		longest = max(longest, ms(classes[i].DeadlineMs))
+		longest = max(longest, millis(classes[i].DeadlineMs))
 	}
-	return min(longest, killedAfter) + refuseAfter
+	return min(longest, killedAfter) + shutdownRejectAfter
 }
 
 // leave ends the agent in order: clients go on coming for a while after the signal, so
@@ -188,22 +188,22 @@
 // written to a connection that was accepted, read or not, so the agent ends only when no
 // connection is left: those that are silent are closed, those that hold half a request end
 // by the times in which a request has to come.
-func (a *Agent) leave(ln net.Listener) error {
+func (a *Agent) shutdown(ln net.Listener) error {
 	began := time.Now()
-	a.leaving.Store(&began)
+	a.shutdownAt.Store(&began)
 	defer a.after(a.lastAnswerAfter(), func() { close(a.lastCall) }).Stop()
-	last := acceptFor + settleFor + headFor + bodyFor + time.Duration(a.longest.Load()) + settleFor
+	last := shutdownAcceptTime + shutdownSettleTime + headTimeout + bodyTimeout + time.Duration(a.maxDeadline.Load()) + shutdownSettleTime
 	for {
 		since := time.Since(began)
-		settled := since >= acceptFor+settleFor
-		if since >= acceptFor {
+		settled := since >= shutdownAcceptTime+shutdownSettleTime
+		if since >= shutdownAcceptTime {
 			ln.Close()
 		}
-		a.places.closeWaiting(settled)
-		if settled && (a.places.count() == 0 || since >= last) {
+		a.clients.closeIdle(settled)
+		if settled && (a.clients.count() == 0 || since >= last) {
 			break
 		}
-		time.Sleep(leaveEvery)
+		time.Sleep(shutdownPollInterval)
 	}
 	return a.server.Close() // what is left is over its deadline, or does not read its answer
 }
--- a/internal/agent/leave_test.go
+++ b/internal/agent/shutdown_test.go
@@ -58,15 +58,15 @@
 		half := len(text) / 2
 		io.WriteString(c, text[:half])
 		eventually(t, "half of it read", func() bool {
-			a.places.mu.Lock()
-			defer a.places.mu.Unlock()
-			for c := range a.places.conns {
-				return c.coming && pending(c.Conn) == 0
+			a.clients.mu.Lock()
+			defer a.clients.mu.Unlock()
+			for c := range a.clients.conns {
+				return c.headStarted && peekConn(c.Conn) == 0
 			}
 			return false
 		})
-		a.places.closeWaiting(true)
-		a.places.tidy(time.Now().Add(never))
+		a.clients.closeIdle(true)
+		a.clients.reapIdle(time.Now().Add(never))
 		io.WriteString(c, text[half:])
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -93,14 +93,14 @@
 	c := dial(t, base)
 	text := strings.Replace(raw("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
 	stop()
-	eventually(t, "leaving", func() bool { return a.leaving.Load() != nil })
+	eventually(t, "leaving", func() bool { return a.shutdownAt.Load() != nil })
 	io.WriteString(c, text+"half")
 	eventually(t, "no more connections", func() bool { return !listening(base) })
 	// Long past the time left to settle: whoever ends by it has ended.
 	select {
 	case err := <-ended:
 		t.Errorf("ended with half a request read: %v", err)
-	case <-time.After(4 * settleFor):
+	case <-time.After(4 * shutdownSettleTime):
 	}
 	io.WriteString(c, "rest")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -117,8 +117,8 @@
 func TestLateRequestsAreRefused(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	a, base, _, _ := start(t, config(nowhere, addr))
-	long := time.Now().Add(-refuseAfter)
-	a.leaving.Store(&long)
+	long := time.Now().Add(-shutdownRejectAfter)
+	a.shutdownAt.Store(&long)
 	status, _, head := do(t, call(base, "order"))
 	if status != http.StatusServiceUnavailable || head.Get("Retry-After") != "0.6" || len(came) > 0 {
 		t.Fatalf("answered %d, Retry-After %q, %d sent on", status, head.Get("Retry-After"), len(came))
--- a/internal/agent/hollow.go
+++ b/internal/agent/simulated.go
@@ -5,17 +5,17 @@
 	"log/slog"
 )
 
-// RunHollow runs an agent without its clients' side until the context ends: the loop, the
+// RunSimulated runs an agent without its clients' side until the context ends: the loop, the
 // module and the watch of the list are those of an agent, so that a bench can run thousands
 // of them in a process. After each list that is in force, connections and module included,
 // learned is told its version, from the loop: it must not block. The list of the
 // configuration is not told.
-func RunHollow(ctx context.Context, c *Config, log *slog.Logger, learned func(seq int64, whole bool)) error {
+func RunSimulated(ctx context.Context, c *Config, log *slog.Logger, learned func(seq int64, whole bool)) error {
 	l, err := newLoop(ctx, c, log)
 	if err != nil {
 		return err
 	}
-	l.learned = learned
+	l.onEndpointList = learned
 	l.run()
 	return nil
 }
--- a/internal/agent/hollow_test.go
+++ b/internal/agent/simulated_test.go
@@ -29,7 +29,7 @@
 	defer stop()
 	conf := parse(t, config(s.Listener.Addr().String(), nowhere))
 	go func() {
-		ended <- RunHollow(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- told{seq, whole} })
+		ended <- RunSimulated(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- told{seq, whole} })
 	}()
 	for _, want := range []told{{7, true}, {8, false}} {
 		select {
--- a/internal/agent/socket.go
+++ b/internal/agent/socket.go
@@ -16,7 +16,7 @@
 const unknown = -2
 
 // pending looks what waits unread on a connection: -1 its end, 0 nothing, 1 bytes, or unknown.
-func pending(c net.Conn) int {
+func peekConn(c net.Conn) int {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return 0
@@ -61,8 +61,8 @@
 
 // ended tells whether the peer has ended its sending on a connection, though bytes from
 // before may wait unread: with these, and without a look, only the connection's state tells.
-func ended(c net.Conn) bool {
-	switch pending(c) {
+func peerClosed(c net.Conn) bool {
+	switch peekConn(c) {
 	case -1:
 		return true
 	case 0:
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -36,7 +36,7 @@
 	hosts   []Host
 }
 
-var coldTime = ms(8000) // of the settings of config
+var coldTime = millis(8000) // of the settings of config
 
 func newWatchedFleet(t *testing.T) *watchedFleet {
 	real := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
@@ -75,7 +75,7 @@
 // hear tells the agent a list.
 func (f *watchedFleet) hear(whole bool, hosts ...Host) {
 	f.seq++
-	f.loop.handle(input{kind: inWatched, list: listOf(f.seq, whole, hosts...)})
+	f.loop.handle(input{kind: inputWatchEvent, list: listOf(f.seq, whole, hosts...)})
 	f.noticed = f.machine.real
 }
 
@@ -99,12 +99,12 @@
 			continue
 		}
 		cold++
-		if known, ok := f.loop.starts.known[addrOf(name)]; ok && ms(f.loop.clock()-known.sinceMs) > age+time.Microsecond {
-			f.t.Fatalf("%s is %v old and counts as %v old", name, age, ms(f.loop.clock()-known.sinceMs))
+		if known, ok := f.loop.startTimes.known[addrOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
+			f.t.Fatalf("%s is %v old and counts as %v old", name, age, millis(f.loop.nowMs()-known.sinceMs))
 		}
 	}
 	counted := 0
-	for _, tier := range f.loop.bal.Snapshot(f.loop.clock()).Tiers {
+	for _, tier := range f.loop.balancer.Snapshot(f.loop.nowMs()).Tiers {
 		counted += tier.WarmingUp
 	}
 	if counted < cold {
@@ -199,7 +199,7 @@
 		f.boot()
 		f.hear(true, f.hosts...)
 		f.machine.pass(time.Minute)
-		f.loop.handle(input{kind: inWatchEnded, err: errSilent, lost: true})
+		f.loop.handle(input{kind: inputWatchEnded, err: errWatchSilent, endedAfterNotice: true})
 		f.born("s-0", 0)
 		f.machine.pass(4 * time.Second)
 		f.born("s-1", 0)
@@ -208,7 +208,7 @@
 		stepped.BornMs -= 3600e3
 		f.hear(false, f.hosts[1], f.hosts[2], stepped)
 		for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
-			if age := ms(f.loop.clock() - f.loop.starts.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
+			if age := millis(f.loop.nowMs() - f.loop.startTimes.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
 				t.Errorf("clock off by %v: %s counts as %v old, want %v", step, name, age, want)
 			}
 		}
@@ -220,11 +220,11 @@
 // warm; so too what is listed again as before.
 func TestLongStartedServersAreWarm(t *testing.T) {
 	f := newWatchedFleet(t)
-	f.born("s-0", ms(maxClockDistance)+coldTime)
+	f.born("s-0", millis(maxClockDistance)+coldTime)
 	f.boot()
 	f.hear(true, f.hosts...)
 	cold := func() (n int) {
-		for _, tier := range f.loop.bal.Snapshot(f.loop.clock()).Tiers {
+		for _, tier := range f.loop.balancer.Snapshot(f.loop.nowMs()).Tiers {
 			n += tier.WarmingUp
 		}
 		return n
@@ -253,7 +253,7 @@
 		f.hosts = f.hosts[:1]
 		f.hear(true, f.hosts[0], h)
 	}
-	if n := len(f.loop.starts.known); n > 1100 {
+	if n := len(f.loop.startTimes.known); n > 1100 {
 		t.Errorf("%d starts are remembered, two servers are listed", n)
 	}
 }
@@ -265,12 +265,12 @@
 	f.machine.off = -100 * 365 * 24 * time.Hour
 	f.born("s-0", time.Second)
 	f.boot()
-	if now := f.loop.clock(); now < leastStartMs {
+	if now := f.loop.nowMs(); now < leastStartMs {
 		t.Fatalf("the module's clock stands at %v", now)
 	}
 	f.hold(20 * time.Second)
 	entries := []policy.Entry{{Server: addrOf("s-1"), StartedMs: 1e300}}
-	if f.loop.starts.translate(entries, f.loop.clock()); entries[0].StartedMs > f.loop.clock() {
+	if f.loop.startTimes.translate(entries, f.loop.nowMs()); entries[0].StartedMs > f.loop.nowMs() {
 		t.Errorf("a start in the future: %v", entries[0].StartedMs)
 	}
 }
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -40,7 +40,7 @@
 // Trace has the agent log the module's state again and again, so many ms apart.
 func (a *Agent) Trace(every time.Duration) error {
 	done := make(chan error, 1)
-	a.loop.post(input{kind: inTrace, every: every, done: done})
+	a.loop.post(input{kind: inputTraceStart, every: every, done: done})
 	select {
 	case err := <-done:
 		return err
@@ -70,12 +70,12 @@
 // trace logs one line and sets the time of the next.
 func (l *loop) trace() {
 	t := l.tracer
-	l.log.Info("trace", t.attributes(l.bal.Snapshot(l.clock()))...)
+	l.log.Info("trace", t.attributes(l.balancer.Snapshot(l.nowMs()))...)
 	if t.lines++; t.lines >= mostTraceLines {
 		l.log.Warn("trace: ends", "lines", t.lines)
 		return
 	}
-	l.after(t.every, func() { l.post(input{kind: inTraceDue}) })
+	l.after(t.every, func() { l.post(input{kind: inputTraceDue}) })
 }
 
 // attributes are a line's: counts are those since the line before.
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -30,22 +30,22 @@
 	if err := l.startTrace(time.Second); err == nil {
 		t.Error("a second trace was begun")
 	}
-	l.bal.Handle(l.clock(), &policy.Event{Kind: policy.EventRequest, Request: 1, TimeLeftMs: 1000}, nil)
+	l.balancer.Handle(l.nowMs(), &policy.Event{Kind: policy.EventRequest, Request: 1, TimeLeftMs: 1000}, nil)
 	for range 2 {
-		l.handle(input{kind: inTraceDue})
+		l.handle(input{kind: inputTraceDue})
 	}
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 3 || due != 3 {
 		t.Fatalf("%d lines, %d times due:\n%s", len(lines), due, text.String())
 	}
-	class := l.conf.Settings.Classes[0].Name
+	class := l.config.Settings.Classes[0].Name
 	for i, want := range []string{class + ".asked=0", class + ".asked=1", class + ".asked=0"} {
 		if !strings.Contains(lines[i], want) || !strings.Contains(lines[i], "tier0.servers=2") {
 			t.Errorf("line %d lacks %s or the servers: %s", i, want, lines[i])
 		}
 	}
 	l.tracer.lines = mostTraceLines - 1
-	l.handle(input{kind: inTraceDue})
+	l.handle(input{kind: inputTraceDue})
 	if due != 3 || !strings.Contains(text.String(), "trace: ends") {
 		t.Error("the trace goes on past its bound")
 	}
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -57,25 +57,25 @@
 // Lists may come indented, over many lines, in any pieces, and several at once.
 func TestListsOverManyLines(t *testing.T) {
 	d, told, pieces := spoken(t)
-	d.first, d.silence = never, never
+	d.firstWordTimeout, d.silence = never, never
 	go d.watch(1, false)
 	indented := "{\n  \"seq\": 2,\n\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n" +
 		"      \"dial\": \"127.0.0.1:1\",\n      \"health\": \"draining\"\n    }\n  ]\n}\n"
 	for _, r := range "\n\n" + indented {
 		pieces <- string(r)
 	}
-	if in := await(t, told); in.kind != inWatched || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
+	if in := await(t, told); in.kind != inputWatchEvent || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
 	}
 	two := strings.Replace(change, `"seq":2`, `"seq":3`, 1) + strings.Replace(indented, `"seq": 2`, `"seq": 4`, 1)
 	pieces <- two + "\n\r\n \t\n"
 	for _, seq := range []int64{3, 4} {
-		if in := await(t, told); in.kind != inWatched || in.list.Seq != seq {
+		if in := await(t, told); in.kind != inputWatchEvent || in.list.Seq != seq {
 			t.Fatalf("told %+v, want list %d", in, seq)
 		}
 	}
 	close(pieces)
-	if in := await(t, told); in.kind != inWatchEnded || !errors.Is(in.err, io.EOF) {
+	if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, io.EOF) {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -85,7 +85,7 @@
 func TestListWithoutEnd(t *testing.T) {
 	t.Run("drip", func(t *testing.T) {
 		heard := 0
-		f := &feed{heard: func() { heard++ }}
+		f := &listReader{heard: func() { heard++ }}
 		for _, text := range []string{"\n", "\n", "{\n", " \n", "\n", "\"seq\":2", "\n"} {
 			f.from = strings.NewReader(text)
 			if _, err := f.Read(make([]byte, 100)); err != nil {
@@ -104,7 +104,7 @@
 	})
 	t.Run("length", func(t *testing.T) {
 		d, told, pieces := spoken(t)
-		d.first, d.silence = never, never
+		d.firstWordTimeout, d.silence = never, never
 		go d.watch(1, false)
 		go func() {
 			pieces <- `{"seq":2,"more":"`
@@ -116,7 +116,7 @@
 				}
 			}
 		}()
-		if in := await(t, told); in.kind != inWatchEnded || !errors.Is(in.err, errListTooLong) {
+		if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, errListTooLong) {
 			t.Fatalf("told %+v", in)
 		}
 	})
@@ -127,15 +127,15 @@
 func TestOtherJSONIsNoList(t *testing.T) {
 	for _, text := range []string{`{}`, `null`, `{"error":"later"}`, `{"seq":9,"whole":true}`, `[]`, `7`} {
 		d, told, pieces := spoken(t)
-		d.first, d.silence = never, never
+		d.firstWordTimeout, d.silence = never, never
 		go d.watch(1, false)
 		go func() { pieces <- text + "\n"; close(pieces) }()
-		if in := await(t, told); in.kind != inWatchEnded || in.err == nil || in.lost {
+		if in := await(t, told); in.kind != inputWatchEnded || in.err == nil || in.endedAfterNotice {
 			t.Fatalf("%s: a watch told %+v", text, in)
 		}
 		d, told = scripted(t, false, text)
 		d.fetch(false)
-		if in := await(t, told); in.kind != inFetched || in.err == nil {
+		if in := await(t, told); in.kind != inputFetched || in.err == nil {
 			t.Fatalf("%s: a fetch told %+v", text, in)
 		}
 	}
@@ -163,14 +163,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, _, pieces := spoken(t)
-			d.first = never
+			d.firstWordTimeout = never
 			go func() {
 				if c.says != "" {
 					pieces <- c.says
 				}
 				close(pieces)
 			}()
-			if w := d.follow(1, false); w.lost(c.silence) != c.lost {
+			if w := d.watchOnce(1, false); w.endedAfterNotice(c.silence) != c.lost {
 				t.Fatalf("lost is not %v after %+v", c.lost, w)
 			}
 		})
@@ -189,17 +189,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		failed := input{kind: inWatchEnded, err: errSilent}
+		failed := input{kind: inputWatchEnded, err: errWatchSilent}
 		for range 6 {
 			l.handle(failed)
 		}
 		if told {
-			l.handle(input{kind: inWatched, list: List{Seq: l.seq, Hosts: []Host{}}})
+			l.handle(input{kind: inputWatchEvent, list: List{Seq: l.listVersion, Hosts: []Host{}}})
 		}
 		l.handle(failed)
 		for _, a := range l.actions {
 			if a.Kind == policy.ActionTimer {
-				return ms(a.DelayMs)
+				return millis(a.DelayMs)
 			}
 		}
 		t.Fatalf("no call follows: %+v", l.actions)
@@ -213,17 +213,17 @@
 // A discovery on the agent's own machine answers at once: a call without a word is given up
 // soon. Where it is one service for all, calls wait in turn.
 func TestFirstWordOfAWatch(t *testing.T) {
-	for mode, want := range map[string]time.Duration{policy.MembershipPushed: localFirst, policy.MembershipOnRequest: callFirst} {
+	for mode, want := range map[string]time.Duration{policy.MembershipPushed: localFirstWordTimeout, policy.MembershipOnRequest: firstWordTimeout} {
 		conf := config(nowhere)
 		conf["settings"].(map[string]any)["membershipMode"] = mode
 		a, _, _, _ := start(t, conf)
 		a.look(func(l *loop) {
-			if l.disc.first != want {
-				t.Errorf("%s: waits %v for the first word", mode, l.disc.first)
+			if l.discovery.firstWordTimeout != want {
+				t.Errorf("%s: waits %v for the first word", mode, l.discovery.firstWordTimeout)
 			}
-			l.turn("127.0.0.1:2")
-			if l.disc.first != want {
-				t.Errorf("%s: waits %v after a reload", mode, l.disc.first)
+			l.switchDiscovery("127.0.0.1:2")
+			if l.discovery.firstWordTimeout != want {
+				t.Errorf("%s: waits %v after a reload", mode, l.discovery.firstWordTimeout)
 			}
 		})
 	}
@@ -234,9 +234,9 @@
 	defer ln.Close()
 	told := make(chan input, 1)
 	d := newDiscovery(t.Context(), ln.Addr().String(), 0, func(in input) { told <- in })
-	d.first = time.Millisecond
+	d.firstWordTimeout = time.Millisecond
 	go d.watch(1, false)
-	if in := await(t, told); in.kind != inWatchEnded || !errors.Is(in.err, errSilent) || in.lost {
+	if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, errWatchSilent) || in.endedAfterNotice {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -254,7 +254,7 @@
 	told := make(chan input, 10)
 	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 0, func(in input) { told <- in })
 	d.watch(1, false)
-	if in := await(t, told); in.kind != inWatchEnded || len(other) > 0 {
+	if in := await(t, told); in.kind != inputWatchEnded || len(other) > 0 {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -94,7 +94,7 @@
 		case <-ctx.Done():
 			return
 		}
-		err := agent.RunHollow(ctx, conf, h.log, func(seq int64, whole bool) {
+		err := agent.RunSimulated(ctx, conf, h.log, func(seq int64, whole bool) {
 			if ctx.Err() == nil { // else its process has ended
 				h.recordInForce(event{index, seq, time.Now().UnixMicro(), whole})
 			}
