--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -4,7 +4,7 @@
 
 // abandonedMost bounds the time for which an abandoned attempt counts, in multiples of the
 // longest time after which clients give up.
-const abandonedMost = 2.0
+const maxAbandonedDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose servers may
 // still work on them: where the settings allow no cancelling, an attempt that timed out keeps
@@ -21,27 +21,29 @@
 }
 
 // answered takes an answer time into the estimate.
-func (l *abandonedAttempts) answered(rtt float64) { l.sojourn = mean(l.sojourn, rtt, smooth) }
+func (l *abandonedAttempts) answered(rtt float64) {
+	l.sojourn = mean(l.sojourn, rtt, endpointSmoothing)
+}
 
 // unanswered takes an attempt that was given up on after its age into the estimate, which
 // stays under most.
 func (l *abandonedAttempts) unanswered(age, most float64) {
-	l.sojourn = mean(l.sojourn, min(2*max(age, l.sojourn), most), smooth)
+	l.sojourn = mean(l.sojourn, min(2*max(age, l.sojourn), most), endpointSmoothing)
 }
 
 // add notes an abandoned attempt.
 func (l *abandonedAttempts) add(a *attempt) {
 	l.all = append(l.all, a)
-	a.s.abandoned++
+	a.target.traffic.abandoned++
 }
 
 // settle drops those that are over at the time now.
 func (l *abandonedAttempts) settle(now float64) {
 	l.all = slices.DeleteFunc(l.all, func(a *attempt) bool {
-		s := a.s
-		over := !s.usable || a.sentAt < max(s.listedAt, s.passed) || now-a.sentAt >= l.sojourn
+		s := a.target
+		over := !s.usable || a.sentAt < max(s.slowStart.listedAt, s.traffic.answeredSentAt) || now-a.sentAt >= l.sojourn
 		if over {
-			s.abandoned--
+			s.traffic.abandoned--
 		}
 		return over
 	})
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -10,36 +10,65 @@
 
 const (
 	// hopeless is the least part of its expected time that a hinted request needs.
-	hopeless = 0.7
+	infeasibleFraction = 0.7
 	// maxHeld bounds the requests held for room, and so the work of a decision.
-	maxHeld = 512
+	maxQueued = 512
 )
 
-// request is one try of a client, kept until it is answered and no attempt is out.
+// admissionQueue holds the open requests and those of them that wait for capacity.
+type admissionQueue struct {
+	open     map[RequestID]*request
+	queued   []*request // ordered by priority at each dispatch
+	scarce   bool       // requests that would go to any endpoint find no capacity
+	unserved []unservedRequest
+}
+
+// request is one try of a client, kept until it is answered and none of its attempts is in
+// flight.
 type request struct {
 	id          RequestID
 	class       *class
 	tenant      int
-	key         uint64
-	hash        uint64 // what orders the servers for it
-	hint        float64
-	first       float64 // when the client's first try came, as far as known
-	arrived     float64
-	aimAt       float64
-	deadline    float64    // margin already taken off
-	attempts    []*attempt // those that count
-	sends       int        // attempts sent, with those that this machine could not make
-	maxAttempts int
-	open        int // attempts out
-	mayHaveRun  int // attempts that may have run
-	ranAt       float64
-	ranOn       *endpoint
-	near        [keyServers]*endpoint // nearest its key, as of epoch
-	epoch       uint64
-	tierWeight  float64 // of the tier at its last pick
-	value       float64
-	closed      bool
-	started     bool // a streamed answer belongs to the client now
+	key         uint64  // 0: none
+	hash        uint64  // orders the endpoints for it
+	hint        float64 // hinted work; 0: none
+	timing      requestTiming
+	tries       requestTries
+	idempotency requestIdempotency
+	placement   requestPlacement
+	priority    float64 // as of the last dispatch
+	closed      bool    // answered or given up
+	started     bool    // a streamed answer has begun and belongs to the client
+}
+
+// requestTiming holds the times of a request, in ms of the agent's clock.
+type requestTiming struct {
+	firstArrived float64 // when the client's first try came, as far as known
+	arrived      float64
+	objectiveAt  float64 // end of its latency objective
+	deadline     float64 // less a margin for the way back
+}
+
+// requestTries counts the attempts of a request.
+type requestTries struct {
+	counted  []*attempt // those that count against the limit
+	sent     int        // all, with those that this machine could not make
+	limit    int
+	inFlight int
+}
+
+// requestIdempotency is what decides whether a request may be sent again.
+type requestIdempotency struct {
+	mayHaveRun    int       // attempts that may have run
+	earliestRunAt float64   // earliest time at which one may have run, in ms
+	firstEndpoint *endpoint // where that one was sent
+}
+
+// requestPlacement is what the last selection for a request found.
+type requestPlacement struct {
+	nearest    [keyEndpoints]*endpoint // endpoints nearest its key, as of epoch
+	epoch      uint64                  // of the endpoint set
+	tierWeight float64                 // weight of the tier chosen
 }
 
 // unservedRequest is what is remembered of an unserved request, to know its retry.
@@ -50,57 +79,57 @@
 }
 
 func (b *Balancer) onRequest(ev *Event) {
-	if b.requests[ev.Request] != nil {
+	if b.queue.open[ev.Request] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(b.classes) {
-		b.end(&request{id: ev.Request, class: &class{}}) // still owed an answer; nothing of it ran
+	if ev.Class < 0 || ev.Class >= len(b.classes.all) {
+		b.finishUnserved(&request{id: ev.Request, class: &class{}}) // still owed an answer; nothing of it ran
 		return
 	}
-	c := b.classes[ev.Class]
+	c := b.classes.all[ev.Class]
 	r := &request{id: ev.Request, class: c, tenant: ev.Tenant, key: ev.Key,
-		arrived: b.now, first: b.now, maxAttempts: b.set.Limits.MaxAttempts}
+		timing: requestTiming{arrived: b.now, firstArrived: b.now}, tries: requestTries{limit: b.set.Limits.MaxAttempts}}
 	if r.hint = finite(ev.HintMs); !ev.HasHint {
 		r.hint = 0
 	} else if r.hint > 0 {
-		b.meanHint = mean(b.meanHint, r.hint, slowSmooth)
+		b.latency.hints.mean = mean(b.latency.hints.mean, r.hint, fleetSmoothing)
 	}
 	left := finite(ev.TimeLeftMs)
-	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
-	retry := b.repeats(r, ev.Retry)
-	r.aimAt = min(r.first+c.LatencyObjectiveMs+c.ObjectiveStretch*r.hint, r.deadline)
-	r.hash = b.split(r.key)
-	b.requests[r.id] = r
-	b.seen++
+	r.timing.deadline = b.now + left - min(b.set.RoundMs, left/4)
+	retry := b.isRetry(r, ev.Retry)
+	r.timing.objectiveAt = min(r.timing.firstArrived+c.LatencyObjectiveMs+c.ObjectiveStretch*r.hint, r.timing.deadline)
+	r.hash = b.splitKey(r.key)
+	b.queue.open[r.id] = r
+	b.traffic.requests++
 	c.counts.Requests++
 	if !retry { // retries swell with trouble, and are foreseen nowhere
-		b.recent = b.recent*math.Exp((b.recentAt-b.now)/b.rateSpan()) + 1
-		b.recentAt = b.now
+		b.traffic.recent = b.traffic.recent*math.Exp((b.traffic.recentAt-b.now)/b.rateSpan()) + 1
+		b.traffic.recentAt = b.now
 	}
-	b.count(r.tenant)
-	b.tally(r.class)
-	b.revalidate()
-	b.held = append(b.held, r)
+	b.countTenant(r.tenant)
+	b.countClass(r.class)
+	b.revalidateEjected()
+	b.queue.queued = append(b.queue.queued, r)
 	// A request whose hinted work cannot fit the aim anywhere would only keep
 	// others waiting: the costly few of a heavy tail.
-	if r.hint > 0 && c.LateWeight == 0 && hopeless*b.hintedTime(r) > r.aimAt-b.now {
-		b.end(r)
+	if r.hint > 0 && c.LateWeight == 0 && infeasibleFraction*b.hintedTime(r) > r.timing.objectiveAt-b.now {
+		b.finishUnserved(r)
 	}
 }
 
 // value is the worth that a unit of server time spent on the request earns, by
 // the objective: a part of the whole, and all of the worst class if it is of it.
-func (b *Balancer) value(r *request) float64 {
+func (b *Balancer) priorityOf(r *request) float64 {
 	c := r.class
 	o := &b.set.Objective
 	v := c.PriorityWeight * (o.Whole + o.WorstWindow)
-	if r.class == b.worst {
-		v += o.WorstClass * b.credit / r.class.asked
+	if r.class == b.classes.worst {
+		v += o.WorstClass * b.classes.meanPriority / r.class.requestShare
 	}
-	if b.now+b.expected(r) > r.aimAt {
+	if b.now+b.expected(r) > r.timing.objectiveAt {
 		v *= c.LateWeight + b.set.Prices.LateFail
 	}
-	if b.overShare(r.tenant) {
+	if b.overQuota(r.tenant) {
 		v *= b.set.OverQuotaWeight
 	}
 	if b.set.WeightBy != "work" {
@@ -112,50 +141,50 @@
 // dispatch sends what is held as far as there is room: the most valuable first,
 // of equals the newest, as under overload the oldest would only end late.
 func (b *Balancer) dispatch() {
-	b.abandoned.settle(b.now)
-	b.work += uint64(len(b.held))
-	for _, r := range b.held {
-		r.value = b.value(r)
+	b.limiter.abandoned.settle(b.now)
+	b.stats.work += uint64(len(b.queue.queued))
+	for _, r := range b.queue.queued {
+		r.priority = b.priorityOf(r)
 	}
-	slices.SortFunc(b.held, func(x, y *request) int {
-		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrived, x.arrived),
+	slices.SortFunc(b.queue.queued, func(x, y *request) int {
+		return cmp.Or(cmp.Compare(y.priority, x.priority), cmp.Compare(y.timing.arrived, x.timing.arrived),
 			cmp.Compare(x.id, y.id))
 	})
 	// One that waits for its key's servers is passed over; of others a few failures tell.
-	b.scarce = false
-	for i, failures := 0, 0; i < len(b.held) && failures < 4 && b.underLimit() && b.local.mayTry(b.now); {
-		r := b.held[i]
-		if near := r.near; b.waits(r) && near[0] != nil && r.epoch == b.epoch &&
-			!b.takes(near[0], r) && !b.takes(near[1], r) {
+	b.queue.scarce = false
+	for i, failures := 0, 0; i < len(b.queue.queued) && failures < 4 && b.underLimit() && b.local.mayTry(b.now); {
+		r := b.queue.queued[i]
+		if near := r.placement.nearest; b.waits(r) && near[0] != nil && r.placement.epoch == b.endpoints.epoch &&
+			!b.accepts(near[0], r) && !b.accepts(near[1], r) {
 			i++
 			continue
 		}
-		if s := b.pick(r); s != nil && b.send(r, s) {
-			b.held = slices.Delete(b.held, i, i+1)
+		if s := b.selectEndpoint(r); s != nil && b.send(r, s) {
+			b.queue.queued = slices.Delete(b.queue.queued, i, i+1)
 			continue
 		}
 		i++
 		if !b.waits(r) {
 			failures++
 		}
-		b.scarce = failures > 0
+		b.queue.scarce = failures > 0
 	}
-	for b.tooMany() {
-		b.end(b.held[len(b.held)-1])
+	for b.queueFull() {
+		b.finishUnserved(b.queue.queued[len(b.queue.queued)-1])
 	}
 }
 
 // expire ends held requests that can no longer earn anything, before they cost work.
 func (b *Balancer) expire() {
-	b.work += uint64(len(b.held))
-	for i := 0; i < len(b.held); {
-		r := b.held[i]
-		last := r.aimAt
+	b.stats.work += uint64(len(b.queue.queued))
+	for i := 0; i < len(b.queue.queued); {
+		r := b.queue.queued[i]
+		last := r.timing.objectiveAt
 		if r.class.LateWeight > 0 {
-			last = r.deadline
+			last = r.timing.deadline
 		}
-		if b.now+b.expected(r) > last || b.now >= r.deadline {
-			b.end(r)
+		if b.now+b.expected(r) > last || b.now >= r.timing.deadline {
+			b.finishUnserved(r)
 			continue
 		}
 		i++
@@ -166,19 +195,19 @@
 // their places: past their aim their answers are worth nothing, and a quarter of an agent's
 // attempts waited for slow servers up to their clients' deadlines while it refused requests.
 // What may not be repeated at will is waited for: nobody could tell whether it has run.
-func (b *Balancer) callOffLate() {
-	if !b.set.Limits.Cancellation || len(b.held) == 0 || b.underLimit() && !b.scarce {
+func (b *Balancer) cancelLate() {
+	if !b.set.Limits.Cancellation || len(b.queue.queued) == 0 || b.underLimit() && !b.queue.scarce {
 		return
 	}
-	b.countWork(b.busy)
-	for _, s := range b.busy {
-		if b.ramp(s) < 1 {
+	b.countWork(b.endpoints.busy)
+	for _, s := range b.endpoints.busy {
+		if b.capacityFraction(s) < 1 {
 			continue // slow because it is cold: each further attempt would count against what it bears
 		}
-		for _, a := range s.out {
-			r := a.r
-			if b.now >= r.aimAt && r.class.LateWeight == 0 && repeatable(r.class) {
-				b.end(r)
+		for _, a := range s.traffic.inFlight {
+			r := a.request
+			if b.now >= r.timing.objectiveAt && r.class.LateWeight == 0 && isRepeatable(r.class) {
+				b.finishUnserved(r)
 			}
 		}
 	}
@@ -195,20 +224,20 @@
 
 // tooMany tells whether more requests are held than the agent can bear: past the
 // requests it may have open, clients would wait for a connection with nobody to answer.
-func (b *Balancer) tooMany() bool {
+func (b *Balancer) queueFull() bool {
 	most := b.set.Limits.MaxOpenRequests
-	return len(b.held) > maxHeld || len(b.held) > 0 && most > 0 && len(b.held)+b.inflight > most
+	return len(b.queue.queued) > maxQueued || len(b.queue.queued) > 0 && most > 0 && len(b.queue.queued)+b.limiter.inFlight > most
 }
 
 // end is the guard of all final answers but served ones: a refusal where the class
 // allows the claim that a retry is harmless, else a failure.
-func (b *Balancer) end(r *request) {
+func (b *Balancer) finishUnserved(r *request) {
 	if r.closed || r.started {
 		return
 	}
 	b.remember(r)
 	c := r.class
-	harmless := r.mayHaveRun == 0 || repeatable(c)
+	harmless := r.idempotency.mayHaveRun == 0 || isRepeatable(c)
 	b.close(r)
 	if harmless {
 		c.counts.Rejected++
@@ -222,40 +251,40 @@
 // close forgets a finished request as soon as no attempt of it is out.
 func (b *Balancer) close(r *request) {
 	r.closed = true
-	if i := slices.Index(b.held, r); i >= 0 {
-		b.held = slices.Delete(b.held, i, i+1)
+	if i := slices.Index(b.queue.queued, r); i >= 0 {
+		b.queue.queued = slices.Delete(b.queue.queued, i, i+1)
 	}
-	for _, a := range r.attempts {
+	for _, a := range r.tries.counted {
 		if !a.done && b.set.Limits.Cancellation {
 			b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 		}
 	}
-	if r.open == 0 {
-		delete(b.requests, r.id)
+	if r.tries.inFlight == 0 {
+		delete(b.queue.open, r.id)
 	}
 }
 
 // remember keeps when an unserved request first came, so that its retry is
 // judged by the time that has passed for the client.
 func (b *Balancer) remember(r *request) {
-	b.unserved = slices.DeleteFunc(b.unserved, func(p unservedRequest) bool {
+	b.queue.unserved = slices.DeleteFunc(b.queue.unserved, func(p unservedRequest) bool {
 		return b.now-p.first > p.class.DeadlineMs
 	})
-	if len(b.unserved) < maxHeld {
-		b.unserved = append(b.unserved, unservedRequest{r.class, r.key, r.first})
+	if len(b.queue.unserved) < maxQueued {
+		b.queue.unserved = append(b.queue.unserved, unservedRequest{r.class, r.key, r.timing.firstArrived})
 	}
 }
 
 // recall finds and forgets the unserved request that this one repeats.
 func (b *Balancer) recall(r *request) (first float64, found bool) {
-	i := slices.IndexFunc(b.unserved, func(p unservedRequest) bool {
+	i := slices.IndexFunc(b.queue.unserved, func(p unservedRequest) bool {
 		return p.class == r.class && p.key == r.key
 	})
 	if i < 0 {
 		return 0, false
 	}
-	first = b.unserved[i].first
-	b.unserved = slices.Delete(b.unserved, i, i+1)
+	first = b.queue.unserved[i].first
+	b.queue.unserved = slices.Delete(b.queue.unserved, i, i+1)
 	return first, true
 }
 
@@ -263,13 +292,13 @@
 // Where clients don't mark their retries, a request with the class and the key of an unserved
 // one is held to be its retry: of the few requests that an agent left unserved within the time
 // that clients wait, hardly another has the same key.
-func (b *Balancer) repeats(r *request, marked bool) bool {
+func (b *Balancer) isRetry(r *request, marked bool) bool {
 	if !marked && (b.set.Clients.MarksRetry || r.key == 0) {
 		return false
 	}
 	first, found := b.recall(r)
 	if found {
-		r.first = first
+		r.timing.firstArrived = first
 	}
 	return marked || found
 }
--- a/policy/classes_test.go
+++ b/policy/classes_test.go
@@ -64,7 +64,7 @@
 // play asks perMs requests a ms for so long, of classes drawn alike, and counts what is asked
 // and served within the aim.
 func (p *classPlay) play(perMs, ms float64) {
-	p.asked, p.served = make([]int, len(p.b.classes)), make([]int, len(p.b.classes))
+	p.asked, p.served = make([]int, len(p.b.classes.all)), make([]int, len(p.b.classes.all))
 	end := p.now + ms
 	next := p.now + p.rng.ExpFloat64()/perMs
 	for p.now < end {
@@ -72,7 +72,7 @@
 			e := heap.Pop(&p.todo).(due)
 			p.now = e.at
 			if c := p.class[e.ev.Request]; e.ev.Kind == EventOutcome && e.ev.Status == StatusOK &&
-				e.ev.LatencyMs <= p.b.classes[c].LatencyObjectiveMs {
+				e.ev.LatencyMs <= p.b.classes.all[c].LatencyObjectiveMs {
 				p.served[c]++
 			}
 			p.handle(e.ev)
@@ -81,11 +81,11 @@
 		p.now = next
 		next += p.rng.ExpFloat64() / perMs
 		p.next++
-		c := p.rng.IntN(len(p.b.classes))
+		c := p.rng.IntN(len(p.b.classes.all))
 		p.class[p.next] = c
 		p.asked[c]++
 		p.handle(Event{Kind: EventRequest, Request: p.next, Class: c, Key: 1 + p.rng.Uint64N(400),
-			TimeLeftMs: p.b.classes[c].DeadlineMs})
+			TimeLeftMs: p.b.classes.all[c].DeadlineMs})
 	}
 }
 
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -11,21 +11,39 @@
 	// have out: it keeps a server busy and is well under what makes one slower. A good answer
 	// adds limitGrowth to an agent's part, over those of a round trip; a late one takes up to
 	// limitCut off.
-	attemptsPerServer, limitGrowth, limitCut = 2.0, 0.2, 0.4
+	attemptsPerEndpoint, limitGrowth, limitCut = 2.0, 0.2, 0.4
 	// leastAttempts is the same while answers are late.
-	leastAttempts = 1.0
+	minAttemptsPerEndpoint = 1.0
 	// calmFactor is how many times its work a calm answer may take.
-	calmFactor = 4.0
+	uncontendedWorkFactor = 4.0
 )
 
+// concurrencyLimiter bounds the attempts in flight of this agent.
+type concurrencyLimiter struct {
+	scale         float64 // the limit in multiples of the agent's part of the fleet's attempts
+	inFlight      int
+	stalled       int // of these, at endpoints that fell silent
+	abandoned     abandonedAttempts
+	meanRTTMs     float64 // mean answer time
+	lastAttemptAt float64 // ms
+}
+
+// requestRate measures the requests that come.
+type requestRate struct {
+	recent    float64 // requests, fading over rateSpan, as of recentAt
+	recentAt  float64 // ms
+	startedAt float64 // ms
+	requests  float64 // since the start
+}
+
 // underLimit is the agent's part of what the fleet may have out: an adaptive limit on its
 // attempts out. What it bounds is the queue in front of the servers, whatever the number
 // of agents and however late they learn. The throttle before it counted failures, and let
 // nothing out until they were forgotten: a whole fleet shut and opened in step, 54 requests
 // were out on 32 servers one second and 490 two seconds before, which tipped them.
 func (b *Balancer) underLimit() bool {
-	out, room := float64(b.inflight-b.stuck+len(b.abandoned.all)), b.limitFloor()*b.limitScale
-	return out < max(room, 1) && (room >= 1 || b.now-b.triedAt >= b.meanRTT/room)
+	out, room := float64(b.limiter.inFlight-b.limiter.stalled+len(b.limiter.abandoned.all)), b.limitFloor()*b.limiter.scale
+	return out < max(room, 1) && (room >= 1 || b.now-b.limiter.lastAttemptAt >= b.limiter.meanRTTMs/room)
 }
 
 // limitFloor is the agent's part of attemptsPerServer attempts a server, of which the limit on
@@ -33,7 +51,7 @@
 // traffic that the settings foresee for all agents, an even one where they foresee none. One
 // out at a time does no harm as long as all agents may have one.
 func (b *Balancer) limitFloor() float64 {
-	all := attemptsPerServer * b.capacity()
+	all := attemptsPerEndpoint * b.capacity()
 	even := all / float64(max(b.set.Replicas, 1))
 	quota := 0.0
 	for _, t := range b.set.Tenants {
@@ -52,11 +70,11 @@
 // settings that tell of the listed servers are left alone, and what an agent may always have
 // out is under what its own calls take while nothing is crowded (Little's law).
 func (b *Balancer) feasible(rate float64) float64 {
-	calm := b.calmLat * b.meanAim / calmFactor
-	if calm <= 0 || b.ready == 0 {
+	calm := b.latency.uncontended * b.classes.meanObjectiveMs / uncontendedWorkFactor
+	if calm <= 0 || b.endpoints.ready == 0 {
 		return rate // nothing was measured yet, or nobody can answer
 	}
-	return min(rate, attemptsPerServer*b.capacity()/calm)
+	return min(rate, attemptsPerEndpoint*b.capacity()/calm)
 }
 
 // growLimit raises the limit after a good answer. Below one attempt it doubles (slow start),
@@ -69,10 +87,10 @@
 	switch {
 	case floor <= 0:
 	case limit < 1:
-		b.limitScale = min(2*limit, 1) / floor
+		b.limiter.scale = min(2*limit, 1) / floor
 	default:
 		one := max(floor, 1)
-		b.limitScale += limitGrowth * one * one / (limit * limit * floor)
+		b.limiter.scale += limitGrowth * one * one / (limit * limit * floor)
 	}
 }
 
@@ -85,29 +103,29 @@
 // rate is how many requests a ms came of late.
 func (b *Balancer) rate() float64 {
 	span := b.rateSpan()
-	old := math.Exp((b.recentAt - b.now) / span)
-	return b.recent * old / span / max(1-math.Exp((b.began-b.now)/span), 0.01)
+	old := math.Exp((b.traffic.recentAt - b.now) / span)
+	return b.traffic.recent * old / span / max(1-math.Exp((b.traffic.startedAt-b.now)/span), 0.01)
 }
 
 // adapt lets the limit follow how attempts end: up while answers take little of their aim,
 // down the more the later one is, or if it is turned away or left by its client. Errors
 // and broken connections tell nothing of queues.
-func (b *Balancer) adapt(a *attempt, st Status, rtt float64) {
-	limit := b.limitFloor() * b.limitScale
-	over := min(max(rtt/a.r.class.LatencyObjectiveMs-crowdShare, 0), 1)
+func (b *Balancer) adaptLimit(a *attempt, st Status, rtt float64) {
+	limit := b.limitFloor() * b.limiter.scale
+	over := min(max(rtt/a.request.class.LatencyObjectiveMs-crowdedFraction, 0), 1)
 	if st == StatusRejected {
 		over = 1
 	}
 	if st == StatusOK {
-		b.meanRTT = mean(b.meanRTT, rtt, smooth)
+		b.limiter.meanRTTMs = mean(b.limiter.meanRTTMs, rtt, endpointSmoothing)
 	}
 	switch {
 	case over > 0 && (st == StatusOK || st == StatusRejected ||
-		st == StatusCancelled && !a.called || st == StatusTimeout && !a.s.silent):
-		b.limitScale = max(b.limitScale*(1-limitCut*over), leastAttempts/attemptsPerServer)
+		st == StatusCancelled && !a.cancelled || st == StatusTimeout && !a.target.health.silent):
+		b.limiter.scale = max(b.limiter.scale*(1-limitCut*over), minAttemptsPerEndpoint/attemptsPerEndpoint)
 	case st == StatusOK:
-		b.retryBudget = min(b.retryBudget+retryRatio, retryBurst)
-		if float64(2*(b.inflight+1)) >= limit {
+		b.retries.tokens = min(b.retries.tokens+retryRatio, retryBurst)
+		if float64(2*(b.limiter.inFlight+1)) >= limit {
 			b.growLimit(limit)
 		}
 	}
@@ -117,18 +135,18 @@
 // part beside warm ones: their credit bounds what they are sent, and the rest of an even share
 // would be sent to the warm ones. Alone they count as servers.
 func (b *Balancer) capacity() float64 {
-	if b.capacityAt == b.now {
-		return b.capacityNow
+	if b.slowStart.capacityAt == b.now {
+		return b.slowStart.capacity
 	}
-	b.capacityNow, b.capacityAt = float64(b.ready), b.now
+	b.slowStart.capacity, b.slowStart.capacityAt = float64(b.endpoints.ready), b.now
 	if b.warmWeight() == 0 {
-		return b.capacityNow
+		return b.slowStart.capacity
 	}
-	b.countWork(b.cold)
-	for _, s := range b.cold {
+	b.countWork(b.slowStart.warming)
+	for _, s := range b.slowStart.warming {
 		if s.usable {
-			b.capacityNow -= 1 - b.ramp(s)
+			b.slowStart.capacity -= 1 - b.capacityFraction(s)
 		}
 	}
-	return b.capacityNow
+	return b.slowStart.capacity
 }
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -14,9 +14,9 @@
 			for _, took := range []float64{0, 2000, 2500} {
 				t.Run(fmt.Sprintf("%s, %d agents, calls take %.0f ms", mode, agents, took), func(t *testing.T) {
 					b := caller(t, mode, agents-1, agents)
-					most := toldWithin - callMost - callMargin - took
+					most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - took
 					if mode == MembershipWatched {
-						most = longestWait
+						most = localWatchMaxDelayMs
 					}
 					call(t, b, 0)
 					now := 50 * hour // of quiet; then the watch falls silent
@@ -34,7 +34,7 @@
 					call(t, b, now)
 					b.Handle(now+200, &Event{Kind: EventEndpointList, List: ListDelta}, nil) // it is back
 					now += 20 * hour
-					if wait := after(t, b, now, ListWatchEnded); wait > lostBackoff {
+					if wait := after(t, b, now, ListWatchEnded); wait > watchEndedBackoffMs {
 						t.Fatalf("a watch that is lost after the outage is opened anew after %v ms", wait)
 					}
 				})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -38,7 +38,7 @@
 				}
 				last = max(last, find(b.Start(0, nil), ActionTimer).DelayMs)
 			}
-			if last > grace || last > 6000-callMost {
+			if last > grace || last > 6000-watchCallMaxMs {
 				t.Errorf("%d agents, %v ms of grace: the last call comes after %v ms", agents, grace, last)
 			}
 		}
@@ -105,7 +105,7 @@
 func after(t *testing.T, b *Balancer, now float64, how ListKind) float64 {
 	t.Helper()
 	a := find(b.Handle(now, &Event{Kind: EventEndpointList, List: how}, nil), ActionTimer)
-	if a == nil || a.Token != followToken {
+	if a == nil || a.Token != timerWatch {
 		t.Fatalf("no call follows: %+v", a)
 	}
 	return a.DelayMs
@@ -114,7 +114,7 @@
 // call lets the agent make its next call at now.
 func call(t *testing.T, b *Balancer, now float64) {
 	t.Helper()
-	if find(b.Handle(now, &Event{Kind: EventTimer, Token: followToken}, nil), ActionWatch) == nil {
+	if find(b.Handle(now, &Event{Kind: EventTimer, Token: timerWatch}, nil), ActionWatch) == nil {
 		t.Fatal("the agent does not call")
 	}
 }
@@ -134,7 +134,7 @@
 				if wait > 1000 {
 					t.Fatalf("%s, %d agents: after a lost watch a wait of %v ms", mode, agents, wait)
 				}
-				spans[wait > min(callGap*float64(agents), 1000)/2]++
+				spans[wait > min(watchStaggerMs*float64(agents), 1000)/2]++
 			}
 			if mode == MembershipOnRequest && (spans[true] < 60 || spans[false] < 60) {
 				t.Fatalf("%d agents call in step: %v", agents, spans)
@@ -160,7 +160,7 @@
 			b.Handle(now+200, &Event{Kind: EventEndpointList, List: ListDelta}, nil) // nothing new
 			wait := after(t, b, now+1200, ListWatchEnded)
 			most, least := 1000*math.Pow(2, max(float64(i-1), 0)), last/2
-			if wait > min(most, toldWithin-callMost-1200) || wait < min(least, 500) {
+			if wait > min(most, notifyWithinMs-watchCallMaxMs-1200) || wait < min(least, 500) {
 				t.Fatalf("%d agents: a wait of %v ms after %d watches that ended at once", agents, wait, i+1)
 			}
 			last = wait
@@ -186,14 +186,14 @@
 					t.Fatal(err)
 				}
 				now := 0.0
-				if a := find(b.Start(now, nil), ActionTimer); a == nil || a.DelayMs+callMost > 6000-callMargin {
+				if a := find(b.Start(now, nil), ActionTimer); a == nil || a.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
 					t.Fatalf("agent %d of %d calls first by %+v", index, agents, a)
 				}
 				for failure := range 8 {
 					call(t, b, now)
 					now += took
 					wait := after(t, b, now, ListFailed)
-					if took+wait+callMost > 6000-callMargin+1e-6 {
+					if took+wait+watchCallMaxMs > 6000-watchCallMarginMs+1e-6 {
 						t.Fatalf("%d agents, calls take %v ms: failure %d waits for %v ms", agents, took, failure, wait)
 					}
 					if wait < 500 {
@@ -231,7 +231,7 @@
 	b.Start(0, nil)
 	for i := range 50 {
 		a := find(b.Handle(float64(i), &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
-		if a == nil || a.Token != followToken || a.DelayMs > 500 {
+		if a == nil || a.Token != timerWatch || a.DelayMs > 500 {
 			t.Fatalf("after %d failed calls %+v", i+1, a)
 		}
 	}
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -14,14 +14,14 @@
 	// connection: errors of this machine come back from the system call, at once.
 	settledAfterMs = 2 * lastLocalBackoffMs
 	// freeWindow is the window of trials from which on attempts are not counted any more.
-	freeWindow = 16
+	unlimitedWindow = 16
 	// localMemoryMs is after how long without a failure of this machine none is feared any more:
 	// many times the longest backoff.
 	localMemoryMs = 1000.0
 	// maxReachResults bounds the servers whose latest results are kept while some are unreachable.
 	maxReachResults = 16
 	// usualReachMs is for how long a server counts as unreachable where no connect timeout is set.
-	usualReachMs = 1000.0
+	defaultReachMs = 1000.0
 )
 
 // localFailure bounds the attempts while this machine fails them. All requests share one backoff
@@ -37,12 +37,12 @@
 	reach    []reachResult
 }
 
-// reachResult is how the latest attempt at a server ended while some server was unreachable.
+// reachResult is how the latest attempt at an endpoint ended while some endpoint was unreachable.
 type reachResult struct {
-	s       *endpoint
-	at      float64
+	target  *endpoint
+	at      float64 // ms
 	reached bool
-	since   float64 // unreachable: the first result in a row
+	since   float64 // when unreachable: time of the first such result in a row, in ms
 }
 
 // mayTry tells whether this machine's failures let another attempt go out.
@@ -78,7 +78,7 @@
 		return
 	}
 	l.trials = slices.Delete(l.trials, i, i+1)
-	if l.window *= 2; l.window >= freeWindow {
+	if l.window *= 2; l.window >= unlimitedWindow {
 		l.row, l.trials = 0, nil
 	}
 }
@@ -96,41 +96,41 @@
 		l.failedAt, l.until, l.window = b.now, b.now+backoff*(1+b.rng.Float64()), 1
 	}
 	if a.charged {
-		a.s.credit += a.cost
+		a.target.slowStart.allowance += a.cost
 	}
-	r := a.r
-	r.attempts = slices.DeleteFunc(r.attempts, func(o *attempt) bool { return o == a || o.unreachable })
+	r := a.request
+	r.tries.counted = slices.DeleteFunc(r.tries.counted, func(o *attempt) bool { return o == a || o.unreachable })
 }
 
 // retryLocally holds a request again of which an attempt failed on this machine.
 func (b *Balancer) retryLocally(r *request) {
-	if b.now >= r.deadline {
-		b.end(r)
+	if b.now >= r.timing.deadline {
+		b.finishUnserved(r)
 		return
 	}
-	b.held = append(b.held, r)
+	b.queue.queued = append(b.queue.queued, r)
 }
 
 // judge tells whose failure an attempt's end was. One server that can't be reached is at fault
 // itself: its machine or its part of the network is gone. When of the servers tried of late at
 // least two and more than half can't be reached, it is this machine that has lost its network;
 // the servers that were blamed before that was seen are cleared.
-func (b *Balancer) judge(a *attempt, st Status) Status {
+func (b *Balancer) attributeFailure(a *attempt, st Status) Status {
 	l := &b.local
 	if st != StatusUnreachable && len(l.reach) == 0 {
 		return st
 	}
 	span := b.set.Limits.ConnectTimeoutMs
 	if span <= 0 {
-		span = usualReachMs
+		span = defaultReachMs
 	}
 	l.reach = slices.DeleteFunc(l.reach, func(x reachResult) bool { return b.now-x.at > span })
 	switch st {
 	case StatusUnreachable:
-		l.noteReach(reachResult{s: a.s, at: b.now, since: b.now})
+		l.noteReach(reachResult{target: a.target, at: b.now, since: b.now})
 	case StatusOK, StatusServerError, StatusReset:
 		if len(l.reach) > 0 && a.sentAt >= l.reach[0].at { // else it tells of the time before
-			l.noteReach(reachResult{s: a.s, at: b.now, reached: true})
+			l.noteReach(reachResult{target: a.target, at: b.now, reached: true})
 		}
 		return st
 	default:
@@ -147,8 +147,8 @@
 		return StatusConnectFailed
 	}
 	for _, x := range l.reach {
-		if !x.reached && b.byAddr[x.s.id] == x.s {
-			b.clear(x.s, x.since)
+		if !x.reached && b.endpoints.byAddr[x.target.id] == x.target {
+			b.clear(x.target, x.since)
 		}
 	}
 	return StatusLocalFailure
@@ -157,10 +157,10 @@
 // noteReach keeps the latest result of each server, the oldest first.
 func (l *localFailure) noteReach(x reachResult) {
 	l.reach = slices.DeleteFunc(l.reach, func(o reachResult) bool {
-		if o.s == x.s && !o.reached && !x.reached {
+		if o.target == x.target && !o.reached && !x.reached {
 			x.since = o.since
 		}
-		return o.s == x.s
+		return o.target == x.target
 	})
 	if len(l.reach) == maxReachResults {
 		l.reach = slices.Delete(l.reach, 0, 1)
@@ -171,11 +171,11 @@
 // clear takes back what a server was blamed for since then, as this machine had lost its network.
 // The next attempt validates it.
 func (b *Balancer) clear(s *endpoint, since float64) {
-	if s.lostAt >= since {
-		s.lostAt = 0
+	if s.health.unreachableAt >= since {
+		s.health.unreachableAt = 0
 	}
-	if s.state == StateUnhealthy && s.since >= since {
-		s.silent, s.ejections = false, max(s.ejections-1, 0)
+	if s.health.state == StateUnhealthy && s.health.since >= since {
+		s.health.silent, s.health.consecutiveEjections = false, max(s.health.consecutiveEjections-1, 0)
 		b.enter(s, StateUnhealthyPending)
 	}
 }
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -21,7 +21,7 @@
 		switch a.Kind {
 		case ActionSend:
 			m.sent++
-			number := m.b.requests[a.Request].sends - 1
+			number := m.b.queue.open[a.Request].tries.sent - 1
 			if m.now < m.until {
 				m.failed++
 				actions = append(actions, m.outcome(a.Request, number, a.Server, m.status, 0.1)...)
@@ -49,7 +49,7 @@
 		set.Classes[i].LatencyObjectiveMs, set.Classes[i].DeadlineMs, set.Classes[i].IdempotencyWindowMs = 15000, 30000, 10000
 	}
 	m := &machine{rig: newRig(t, set, 4), status: status, servers: map[Addr]int{}}
-	m.b.limitScale = 1e6 // the agent's own limit is not at issue
+	m.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 	m.until = m.now + ms
 	for range requests {
 		_, actions := m.long(int(m.id) % 3)
@@ -75,17 +75,17 @@
 			if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
 				t.Errorf("%d, %v ms: %d attempts failed, at most %d wanted", status, ms, m.failed, most)
 			}
-			if m.b.retryBudget != retryBurst || m.b.limitScale < 1e6 {
+			if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
 				t.Errorf("%d, %v ms: a retry budget of %v and a limit of %v times its floor are left",
-					status, ms, m.b.retryBudget, m.b.limitScale)
+					status, ms, m.b.retries.tokens, m.b.limiter.scale)
 			}
-			for _, s := range m.b.servers {
-				if s.state > StateUnknown || s.lostAt != 0 || s.fails != 0 || s.ejections != 0 || s.abandoned != 0 {
+			for _, s := range m.b.endpoints.all {
+				if s.health.state > StateUnknown || s.health.unreachableAt != 0 || s.health.failureRate != 0 || s.health.consecutiveEjections != 0 || s.traffic.abandoned != 0 {
 					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, s.id, s)
 				}
 			}
-			if len(m.b.requests) != 0 || m.b.inflight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
-				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.requests), m.b.inflight, m.b.local)
+			if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
+				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.queue.open), m.b.limiter.inFlight, m.b.local)
 			}
 		}
 	}
@@ -118,7 +118,7 @@
 			}
 			actions = r.tick(5)
 		}
-		if id != 0 || len(r.b.requests) != 0 || len(r.b.held) != 0 {
+		if id != 0 || len(r.b.queue.open) != 0 || len(r.b.queue.queued) != 0 {
 			t.Errorf("class %d: never answered", class)
 		}
 	}
@@ -130,15 +130,15 @@
 	r := newRig(t, testSettings(), 0)
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now - 100},
 		Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
-	s := r.b.byAddr[addr(0)]
-	s.credit = 5
+	s := r.b.endpoints.byAddr[addr(0)]
+	s.slowStart.allowance = 5
 	id, _ := r.sent(1, 0)
-	if s.credit >= 5 {
+	if s.slowStart.allowance >= 5 {
 		t.Fatal("its slow start was charged nothing")
 	}
 	r.outcome(id, 0, s.id, StatusLocalFailure, 0.1)
-	if s.credit != 5 {
-		t.Errorf("a credit of %v is left of 5", s.credit)
+	if s.slowStart.allowance != 5 {
+		t.Errorf("a credit of %v is left of 5", s.slowStart.allowance)
 	}
 	for range 10 {
 		if a := find(r.tick(5), ActionSend); a != nil {
@@ -165,7 +165,7 @@
 // One server that can't be reached is at fault itself, as are two of five.
 func TestServersThatCannotBeReached(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.b.limitScale = 1e6
+	r.b.limiter.scale = 1e6
 	lost := map[Addr]bool{addr(0): true, addr(1): true}
 	for range 200 {
 		r.now += 3
@@ -182,9 +182,9 @@
 			actions = r.outcome(id, try, a.Server, status, 1)
 		}
 	}
-	for _, s := range r.b.servers {
-		if lost[s.id] != (s.state > StateUnknown) || lost[s.id] && s.lostAt == 0 {
-			t.Errorf("server %v, lost %v, is in state %d", s.id, lost[s.id], s.state)
+	for _, s := range r.b.endpoints.all {
+		if lost[s.id] != (s.health.state > StateUnknown) || lost[s.id] && s.health.unreachableAt == 0 {
+			t.Errorf("server %v, lost %v, is in state %d", s.id, lost[s.id], s.health.state)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 func TestTrialsAfterLocalFailure(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		m := playFailingMachine(t, StatusLocalFailure, 0, 0)
-		for _, s := range m.b.servers {
-			s.window = 1e6 // room is not at issue
+		for _, s := range m.b.endpoints.all {
+			s.window.size = 1e6 // room is not at issue
 		}
 		id, actions := m.long(0)
 		m.outcome(id, 0, find(actions, ActionSend).Server, StatusLocalFailure, 0.1)
@@ -218,11 +218,11 @@
 			if out += sent; m.b.local.row > 0 && sent > allowed {
 				t.Fatalf("answered %v: %d sent at once after %d successes", answered, sent, successes)
 			}
-			r := m.b.requests[id]
+			r := m.b.queue.open[id]
 			if allowed *= 2; answered {
-				actions = m.outcome(id, r.sends-1, r.attempts[0].s.id, StatusOK, 1)
+				actions = m.outcome(id, r.tries.sent-1, r.tries.counted[0].target.id, StatusOK, 1)
 			} else {
-				allowed = freeWindow
+				allowed = unlimitedWindow
 				actions = m.tick(settledAfterMs)
 			}
 		}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -9,91 +9,98 @@
 const (
 	// failWeight is the weight of an attempt in its server's share of failures, failShare
 	// the least median of these shares with which failures are the fleet's, not a server's.
-	failWeight, failShare = 0.05, 0.01
+	outcomeWeight, minCommonFailureRate = 0.05, 0.01
 	// unansweredMost is the share of attempts that went unanswered up to their aim from which on
 	// that is the fleet's, not a server's.
-	unansweredMost = 0.5
+	maxUnansweredShare = 0.5
 	// probeCap bounds the validations under way at once.
-	probeCap = 2
+	maxHealthChecks = 2
 )
 
+// outlierDetector holds what tells failures of one endpoint from those of all.
+type outlierDetector struct {
+	failureRates []float64 // scratch space of medianFailureRate
+	unanswered   float64   // recent share of attempts that their endpoints left unanswered
+	checking     int       // health checks under way
+}
+
 // recordOutcome takes what an attempt's end says about its server.
 func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
-	s := a.s
+	s := a.target
 	switch st {
 	case StatusOK:
-		b.earn(s, a.cost)
+		b.earnAllowance(s, a.cost)
 		b.served(a, rtt)
 	case StatusServerError, StatusReset:
-		s.heard = b.now
-		if b.common(s) {
+		s.traffic.heardAt = b.now
+		if b.isCommonFailure(s) {
 			b.recheck(s)
 		} else {
 			b.demote(s, false)
 		}
-		s.fails += failWeight * (1 - s.fails)
+		s.health.failureRate += outcomeWeight * (1 - s.health.failureRate)
 	case StatusConnectFailed:
 		b.demote(s, true)
-		if s.lostAt == 0 {
-			s.lostAt = b.now
+		if s.health.unreachableAt == 0 {
+			s.health.unreachableAt = b.now
 		}
 	case StatusTimeout:
-		b.abandoned.unanswered(rtt, abandonedMost*b.giveUpMost)
-		a.r.class.unanswered(b.now, rtt)
+		b.limiter.abandoned.unanswered(rtt, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
+		a.request.class.unanswered(b.now, rtt)
 		if !b.set.Limits.Cancellation && rtt > 0 {
-			b.abandoned.add(a)
+			b.limiter.abandoned.add(a)
 		}
 		// A server that answered others meanwhile is not to blame for a costly
 		// request; it counts as slow.
-		if s.heard > a.sentAt {
-			b.learnHint(a.r, rtt)
-			b.learn(s, b.partOfAim(a.r, rtt))
+		if s.traffic.heardAt > a.sentAt {
+			b.learnHint(a.request, rtt)
+			b.observeLatency(s, b.objectiveFraction(a.request, rtt))
 		} else {
 			b.demote(s, true)
 		}
 	case StatusCancelled:
 		// Its client left, or it was late: so long at least it takes.
-		a.r.class.unanswered(b.now, rtt)
-		if b.now >= a.r.aimAt && s.heard <= a.sentAt && b.unanswered < unansweredMost {
+		a.request.class.unanswered(b.now, rtt)
+		if b.now >= a.request.timing.objectiveAt && s.traffic.heardAt <= a.sentAt && b.outliers.unanswered < maxUnansweredShare {
 			b.demote(s, true)
 		}
-		if x := b.partOfAim(a.r, rtt); x > b.pace(s) {
-			b.learnPace(s, x)
+		if x := b.objectiveFraction(a.request, rtt); x > b.recentLatency(s) {
+			b.observeRecentLatency(s, x)
 		}
 	case StatusRejected:
-		s.heard = b.now
-		b.cut(s, 0.7, 1)
+		s.traffic.heardAt = b.now
+		b.shrinkWindow(s, 0.7, 1)
 	}
 }
 
 // common tells whether the server fails no more than the fleet does, as when a network
 // breaks connections at random: that says nothing of this one server. When each such failure
 // ejected its server, all were out at once and two thirds of the requests were refused.
-func (b *Balancer) common(s *endpoint) bool {
-	median := b.medianFails()
-	return median >= failShare && s.fails <= 3*median
+func (b *Balancer) isCommonFailure(s *endpoint) bool {
+	median := b.medianFailureRate()
+	return median >= minCommonFailureRate && s.health.failureRate <= 3*median
 }
 
 // recheck demotes a server and has it validated at once, without an ejection.
 func (b *Balancer) recheck(s *endpoint) {
-	if s.state != StateUnhealthy {
+	if s.health.state != StateUnhealthy {
 		b.enter(s, StateUnhealthy)
-		s.silent, s.good = false, 0
+		s.health.silent, s.health.served = false, 0
 		b.enter(s, StateUnhealthyPending)
 	}
-	b.refetch()
+	b.fetchList()
 }
 
 // demote makes a server Unhealthy; failures of one moment count as one ejection.
 func (b *Balancer) demote(s *endpoint, silent bool) {
-	if s.state != StateUnhealthy {
-		s.ejections = min(s.ejections+1, maxEjections)
+	if s.health.state != StateUnhealthy {
+		s.health.consecutiveEjections = min(s.health.consecutiveEjections+1, maxEjections)
 		b.enter(s, StateUnhealthy)
-		s.silent = silent
-		s.good, s.lat, s.samples = 0, 0, 0
-		s.window = max(s.window/2, 1)
+		s.health.silent = silent
+		s.health.served, s.latency.mean, s.latency.samples = 0, 0, 0
+		s.window.size = max(s.window.size/2, 1)
 	}
-	b.refetch()
+	b.fetchList()
 }
 
 // ejectionTime is how long a server stays Unhealthy before it is validated again: one aim for
@@ -104,28 +111,28 @@
 // have no room none is ejected: a server that fails some requests is better than refusing
 // them all. One that answers nothing is not.
 func (b *Balancer) ejectionTime(s *endpoint) float64 {
-	if b.scarce && !s.silent {
+	if b.queue.scarce && !s.health.silent {
 		return 0
 	}
-	meet := b.set.Limits.KeepaliveMs * float64(b.subset()) / max(b.recent, 1)
-	return min(max(b.aimMin, meet)*float64(int(1)<<max(s.ejections-1, 0)), maxEjectionMs)
+	meet := b.set.Limits.KeepaliveMs * float64(b.subset()) / max(b.traffic.recent, 1)
+	return min(max(b.classes.shortestObjectiveMs, meet)*float64(int(1)<<max(s.health.consecutiveEjections-1, 0)), maxEjectionMs)
 }
 
 // ejectSilent demotes servers that took attempts and have answered nothing for
 // several answer times: hung or gone silent, they would stay Connected.
 func (b *Balancer) ejectSilent() {
-	b.countWork(b.busy)
-	for _, s := range b.busy {
+	b.countWork(b.endpoints.busy)
+	for _, s := range b.endpoints.busy {
 		silent := func(a *attempt, times float64) bool {
-			return b.now-max(s.heard, a.sentAt) >= b.expected(a.r)*times
+			return b.now-max(s.traffic.heardAt, a.sentAt) >= b.expected(a.request)*times
 		}
-		soon := 8 / float64(max(min(len(s.out), 3), 1))
-		if len(s.out) > 0 && s.state != StateUnhealthy && silent(s.out[0], soon) {
+		soon := 8 / float64(max(min(len(s.traffic.inFlight), 3), 1))
+		if len(s.traffic.inFlight) > 0 && s.health.state != StateUnhealthy && silent(s.traffic.inFlight[0], soon) {
 			b.demote(s, true)
 		}
-		for _, a := range s.out {
-			if s.silent && s.state == StateUnhealthy && silent(a, soon) {
-				b.release(a, silent(a, 8))
+		for _, a := range s.traffic.inFlight {
+			if s.health.silent && s.health.state == StateUnhealthy && silent(a, soon) {
+				b.releaseStalled(a, silent(a, 8))
 			}
 		}
 	}
@@ -137,52 +144,52 @@
 // the request may go elsewhere in time the attempt is called off, and else the request ends
 // when it can no longer earn anything, as those do that are held. The limit lets go only when
 // it is sure: crowded servers seem silent for a while too, and need the limit most.
-func (b *Balancer) release(a *attempt, sure bool) {
-	r, c := a.r, a.r.class
-	if sure && !a.stuck {
-		a.stuck = true
-		b.stuck++
+func (b *Balancer) releaseStalled(a *attempt, sure bool) {
+	r, c := a.request, a.request.class
+	if sure && !a.stalled {
+		a.stalled = true
+		b.limiter.stalled++
 	}
-	again := c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && b.repeatWithin(r) > 0
+	again := c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && b.idempotencyWindowLeft(r) > 0
 	switch {
-	case a.called || r.closed || r.started:
-	case c.LateWeight == 0 && b.now >= r.aimAt:
-		a.called = true
-		b.end(r)
-	case again && b.set.Limits.Cancellation && len(r.attempts) < r.maxAttempts && b.retryBudget >= 1 &&
-		b.now+b.expected(r) < r.aimAt:
-		a.called = true
+	case a.cancelled || r.closed || r.started:
+	case c.LateWeight == 0 && b.now >= r.timing.objectiveAt:
+		a.cancelled = true
+		b.finishUnserved(r)
+	case again && b.set.Limits.Cancellation && len(r.tries.counted) < r.tries.limit && b.retries.tokens >= 1 &&
+		b.now+b.expected(r) < r.timing.objectiveAt:
+		a.cancelled = true
 		b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 	}
 }
 
 // revalidate, on each request, refreshes servers that were Unhealthy long enough to
 // pending, to be validated in the background.
-func (b *Balancer) revalidate() {
-	b.countWork(b.ejected)
-	for _, s := range b.ejected {
-		if s.state == StateUnhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.ejectionTime(s) {
+func (b *Balancer) revalidateEjected() {
+	b.countWork(b.endpoints.ejected)
+	for _, s := range b.endpoints.ejected {
+		if s.health.state == StateUnhealthy && s.usable && len(s.traffic.inFlight) == 0 && b.now-s.health.since >= b.ejectionTime(s) {
 			b.enter(s, StateUnhealthyPending)
-			b.refetch()
+			b.fetchList()
 		}
-		pending := s.state == StateUnhealthyPending && s.usable
-		if pending && b.set.Limits.HealthChecks && !s.probing && b.probes < probeCap {
-			s.probing = true
-			b.probes++
+		pending := s.health.state == StateUnhealthyPending && s.usable
+		if pending && b.set.Limits.HealthChecks && !s.health.checking && b.outliers.checking < maxHealthChecks {
+			s.health.checking = true
+			b.outliers.checking++
 			b.do(Action{Kind: ActionHealthCheck, Server: s.id})
 		}
 	}
 }
 
-func (b *Balancer) onProbed(ev *Event) {
-	s := b.byAddr[ev.Server]
-	if s == nil || !s.probing {
+func (b *Balancer) onHealthChecked(ev *Event) {
+	s := b.endpoints.byAddr[ev.Server]
+	if s == nil || !s.health.checking {
 		return
 	}
-	s.probing = false
-	b.probes--
+	s.health.checking = false
+	b.outliers.checking--
 	switch {
-	case s.state != StateUnhealthyPending:
+	case s.health.state != StateUnhealthyPending:
 	case ev.Status == StatusOK:
 		b.recordAnswer(s)
 		b.enter(s, StateConnected)
@@ -193,45 +200,45 @@
 
 // medianFails is the middle one of the usable servers' shares of failures; of one or two
 // servers it tells nothing.
-func (b *Balancer) medianFails() float64 {
-	b.shares = b.shares[:0]
-	b.countWork(b.servers)
-	for _, s := range b.servers {
+func (b *Balancer) medianFailureRate() float64 {
+	b.outliers.failureRates = b.outliers.failureRates[:0]
+	b.countWork(b.endpoints.all)
+	for _, s := range b.endpoints.all {
 		if s.usable {
-			b.shares = append(b.shares, s.fails)
+			b.outliers.failureRates = append(b.outliers.failureRates, s.health.failureRate)
 		}
 	}
-	if len(b.shares) < 3 {
+	if len(b.outliers.failureRates) < 3 {
 		return 0
 	}
-	slices.Sort(b.shares)
-	return b.shares[len(b.shares)/2]
+	slices.Sort(b.outliers.failureRates)
+	return b.outliers.failureRates[len(b.outliers.failureRates)/2]
 }
 
 // noteAnswered keeps the share of attempts that went unanswered up to their aim, on servers that
 // answered no later ones either.
-func (b *Balancer) noteAnswered(a *attempt, st Status) {
+func (b *Balancer) countUnanswered(a *attempt, st Status) {
 	none := 0.0
 	if st == StatusTimeout || st == StatusCancelled {
-		if b.now < a.r.aimAt {
+		if b.now < a.request.timing.objectiveAt {
 			return // its client left early: that tells nothing
 		}
-		if a.s.heard <= a.sentAt {
+		if a.target.traffic.heardAt <= a.sentAt {
 			none = 1
 		}
 	}
-	b.unanswered += failWeight * (none - b.unanswered)
+	b.outliers.unanswered += outcomeWeight * (none - b.outliers.unanswered)
 }
 
 // enter notes a server's new state and its time; tiers have changed.
 func (b *Balancer) enter(s *endpoint, to State) {
-	if s.state > StateUnknown || to > StateUnknown {
-		b.epoch++
+	if s.health.state > StateUnknown || to > StateUnknown {
+		b.endpoints.epoch++
 	}
 	if to > StateUnknown {
-		b.ejected.add(s)
+		b.endpoints.ejected.add(s)
 	} else {
-		b.ejected.remove(s)
+		b.endpoints.ejected.remove(s)
 	}
-	s.state, s.since = to, b.now
+	s.health.state, s.health.since = to, b.now
 }
--- a/policy/panic_test.go
+++ b/policy/panic_test.go
@@ -6,8 +6,8 @@
 // be waited for without end.
 func TestDecisionsBeforeAPanic(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.b.held = append(r.b.held, &request{id: 99, class: r.b.classes[0], arrived: -1e9, deadline: 1e9,
-		maxAttempts: 3, attempts: []*attempt{nil}}) // looking for a server for it panics
+	r.b.queue.queued = append(r.b.queue.queued, &request{id: 99, class: r.b.classes.all[0], timing: requestTiming{arrived: -1e9, deadline: 1e9},
+		tries: requestTries{limit: 3, counted: []*attempt{nil}}}) // looking for a server for it panics
 	func() {
 		defer func() {
 			if recover() == nil {
@@ -17,12 +17,12 @@
 		r.ask(1, 0)
 	}()
 	a := find(r.b.Decided(), ActionSend)
-	if a == nil || a.Request != r.id || r.b.inflight != 1 {
-		t.Fatalf("decided %+v with %d in flight", r.b.Decided(), r.b.inflight)
+	if a == nil || a.Request != r.id || r.b.limiter.inFlight != 1 {
+		t.Fatalf("decided %+v with %d in flight", r.b.Decided(), r.b.limiter.inFlight)
 	}
-	r.b.held = nil
+	r.b.queue.queued = nil
 	r.outcome(a.Request, 0, a.Server, StatusOK, 20)
-	if r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Errorf("%d in flight, %d requests left", r.b.inflight, len(r.b.requests))
+	if r.b.limiter.inFlight != 0 || len(r.b.queue.open) != 0 {
+		t.Errorf("%d in flight, %d requests left", r.b.limiter.inFlight, len(r.b.queue.open))
 	}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -87,7 +87,7 @@
 // tick fires the running timer after ms.
 func (r *rig) tick(ms float64) []Action {
 	r.now += ms
-	return r.do(Event{Kind: EventTimer, Token: tickToken})
+	return r.do(Event{Kind: EventTimer, Token: timerTick})
 }
 
 func TestStateTransitions(t *testing.T) {
@@ -95,22 +95,22 @@
 	set.Replicas = 0 // the key stays whole
 	r := newRig(t, set, 4)
 	id, s := r.sent(0, 7)
-	srv := r.b.byAddr[s]
-	if srv.state != StateUnknown {
-		t.Fatalf("a listed server starts in state %d, want Unknown", srv.state)
+	srv := r.b.endpoints.byAddr[s]
+	if srv.health.state != StateUnknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", srv.health.state)
 	}
 	r.now += 50
 	r.outcome(id, 0, s, StatusOK, 50)
-	if srv.state != StateConnected {
-		t.Fatalf("served: state %d, want Connected", srv.state)
+	if srv.health.state != StateConnected {
+		t.Fatalf("served: state %d, want Connected", srv.health.state)
 	}
 	id, s2 := r.sent(0, 7)
 	if s2 != s {
 		t.Fatalf("key moved from %v to %v without a cause", s, s2)
 	}
 	actions := r.outcome(id, 0, s, StatusServerError, 5)
-	if srv.state != StateUnhealthy {
-		t.Fatalf("error: state %d, want Unhealthy", srv.state)
+	if srv.health.state != StateUnhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", srv.health.state)
 	}
 	if find(actions, ActionFetch) == nil {
 		t.Error("a demotion did not force a refresh of the list")
@@ -125,13 +125,13 @@
 	}
 	r.now += r.b.ejectionTime(srv) + 1
 	id, s4 := r.sent(0, 7)
-	if srv.state != StateUnhealthyPending || s4 != s {
-		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.state, s4)
+	if srv.health.state != StateUnhealthyPending || s4 != s {
+		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.health.state, s4)
 	}
 	r.now += 50
 	r.outcome(id, 0, s, StatusOK, 50)
-	if srv.state != StateConnected {
-		t.Fatalf("validated: state %d, want Connected", srv.state)
+	if srv.health.state != StateConnected {
+		t.Fatalf("validated: state %d, want Connected", srv.health.state)
 	}
 }
 
@@ -139,7 +139,7 @@
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 7)
 	actions := r.outcome(id, 0, s, StatusRejected, 1)
-	if got := r.b.byAddr[s].state; got == StateUnhealthy {
+	if got := r.b.endpoints.byAddr[s].health.state; got == StateUnhealthy {
 		t.Error("full demoted the server")
 	}
 	if a := find(actions, ActionSend); a == nil || a.Server == s {
@@ -153,7 +153,7 @@
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, StatusServerError, 5)
-	r.now += 2 * r.b.ejectionTime(r.b.byAddr[s])
+	r.now += 2 * r.b.ejectionTime(r.b.endpoints.byAddr[s])
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -162,13 +162,13 @@
 		t.Error("a request went to a pending server before its probe")
 	}
 	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusTimeout, LatencyMs: 100})
-	if r.b.byAddr[s].state != StateUnhealthy {
+	if r.b.endpoints.byAddr[s].health.state != StateUnhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.ejectionTime(r.b.byAddr[s])
+	r.now += 10 * r.b.ejectionTime(r.b.endpoints.byAddr[s])
 	r.ask(0, 8)
 	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusOK, LatencyMs: 5})
-	if r.b.byAddr[s].state != StateConnected {
+	if r.b.endpoints.byAddr[s].health.state != StateConnected {
 		t.Error("a good probe did not set Connected")
 	}
 }
@@ -203,29 +203,29 @@
 func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	id, s := r.sent(2, 5)
-	if first := find(r.b.out, ActionSend); first == nil || first.WithinMs != 0 {
+	if first := find(r.b.actions, ActionSend); first == nil || first.WithinMs != 0 {
 		t.Fatalf("the first attempt may not begin at any time: %+v", first)
 	}
 	actions := r.outcome(id, 0, s, StatusServerError, 20)
 	a := find(actions, ActionSend)
-	if a == nil || r.b.byAddr[a.Server].cell != r.b.byAddr[s].cell {
+	if a == nil || r.b.endpoints.byAddr[a.Server].cell != r.b.endpoints.byAddr[s].cell {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	// A connection that comes up late must not carry it past that time.
 	ttl := r.b.set.Classes[2].IdempotencyWindowMs
-	if sent := r.b.requests[id].ranAt; a.WithinMs <= 0 || r.now+a.WithinMs > sent+ttl {
+	if sent := r.b.queue.open[id].idempotency.earliestRunAt; a.WithinMs <= 0 || r.now+a.WithinMs > sent+ttl {
 		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, a.WithinMs, ttl)
 	}
 	r.now += 496 // just inside the 500 ms less the margin
 	actions = r.outcome(id, 1, a.Server, StatusServerError, 20)
-	if find(actions, ActionSend) != nil || find(actions, ActionFail) == nil && len(r.b.held) == 0 {
+	if find(actions, ActionSend) != nil || find(actions, ActionFail) == nil && len(r.b.queue.queued) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
 
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.b.limitScale = 1e6 // the agent's own limit is not at issue
+	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 	r.list(ListDelta, Entry{Server: addr(0), Health: HealthDraining, Weight: 1})
 	for key := range uint64(20) {
 		id, s := r.sent(0, key+1)
@@ -283,13 +283,13 @@
 func TestTurnedAwayAttemptsEarnNoColdCredit(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now})
-	cold := r.b.byAddr[addr(4)]
+	cold := r.b.endpoints.byAddr[addr(4)]
 	for _, st := range []Status{StatusRejected, StatusOK} {
-		cold.credit = -1
+		cold.slowStart.allowance = -1
 		id, s := r.sent(1, 7)
 		r.outcome(id, 0, s, st, 20)
-		if earned := cold.credit > -1; earned != (st == StatusOK) {
-			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.credit)
+		if earned := cold.slowStart.allowance > -1; earned != (st == StatusOK) {
+			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.slowStart.allowance)
 		}
 	}
 }
@@ -297,7 +297,7 @@
 // 69 requests hinted as ten mean ones pushed a cold server over.
 func TestColdServerIsChargedForCostlyRequests(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	r.b.meanHint = 50
+	r.b.latency.hints.mean = 50
 	if c := r.b.cost(&request{hint: 1}); c != 1 {
 		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
 	}
@@ -353,8 +353,8 @@
 			r.now += rtt
 			r.outcome(id, 0, s, StatusOK, rtt)
 		}
-		if grown := r.b.calmLat > 0.15; grown != (agents == 1) {
-			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.calmLat)
+		if grown := r.b.latency.uncontended > 0.15; grown != (agents == 1) {
+			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.latency.uncontended)
 		}
 	}
 }
@@ -366,19 +366,19 @@
 		set := testSettings()
 		set.Replicas = agents
 		r := newRig(t, set, 1)
-		r.b.calmLat = calm
-		return r.b.limit(r.b.byAddr[addr(0)])
+		r.b.latency.uncontended = calm
+		return r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
 	}
-	if l := limit(1, 0.9); l != crowdShare {
-		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdShare)
+	if l := limit(1, 0.9); l != crowdedFraction {
+		t.Errorf("limit %.2f with a high calm, want %.2f", l, crowdedFraction)
 	}
 	r := newRig(t, testSettings(), 1)
 	r.list(ListDelta, Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
-	r.b.calmLat = 0.2
-	if cold, warm := r.b.limit(r.b.byAddr[addr(1)]), r.b.limit(r.b.byAddr[addr(0)]); cold < 2*warm {
+	r.b.latency.uncontended = 0.2
+	if cold, warm := r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(1)]), r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
 	}
 }
@@ -386,13 +386,13 @@
 // Agents restarted one by one while the fleet was crowded.
 func TestACrowdAtTheStartIsNotTakenForCalm(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	for range calmSamples {
+	for range uncontendedSamples {
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 270
 		r.outcome(id, 0, s, StatusOK, 270)
 	}
-	if r.b.calmLat > crowdShare/2 {
-		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.calmLat)
+	if r.b.latency.uncontended > crowdedFraction/2 {
+		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.latency.uncontended)
 	}
 }
 
@@ -405,9 +405,9 @@
 		r.outcome(id, 0, s, StatusOK, 20)
 	}
 	r.list(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: 1, StartedMs: r.now})
-	r.b.byAddr[addr(2)].sentAt = 0
+	r.b.endpoints.byAddr[addr(2)].traffic.sentAt = 0
 	for i := range 2 {
-		r.b.demote(r.b.byAddr[addr(i)], true)
+		r.b.demote(r.b.endpoints.byAddr[addr(i)], true)
 	}
 	if _, s := r.sent(0, 9); s != addr(2) {
 		t.Errorf("sent to %v, want the cold server", s)
@@ -431,8 +431,8 @@
 			t.Fatal("the silent server was never checked again")
 		}
 	}
-	if srv := r.b.byAddr[s]; r.b.ramp(srv) >= 0.5 {
-		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.ramp(srv))
+	if srv := r.b.endpoints.byAddr[s]; r.b.capacityFraction(srv) >= 0.5 {
+		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacityFraction(srv))
 	}
 }
 
@@ -446,7 +446,7 @@
 	}
 	_, s := r.sent(0, 9)
 	for range 30 {
-		if r.tick(10); r.b.byAddr[s].state == StateUnhealthy {
+		if r.tick(10); r.b.endpoints.byAddr[s].health.state == StateUnhealthy {
 			return
 		}
 	}
@@ -458,8 +458,8 @@
 func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
-		r.b.limitScale = 1000 // the servers' windows are at issue, not the agent's limit
-		bad := r.b.byAddr[addr(0)]
+		r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
+		bad := r.b.endpoints.byAddr[addr(0)]
 		for range 3 {
 			r.b.enter(bad, StateConnected)
 			r.b.demote(bad, false)
@@ -469,9 +469,9 @@
 				r.ask(0, 0)
 			}
 		}
-		r.now += r.b.aimMin + 1
+		r.now += r.b.classes.shortestObjectiveMs + 1
 		r.ask(0, 0)
-		if tried := bad.state == StateUnhealthyPending; tried != full {
+		if tried := bad.health.state == StateUnhealthyPending; tried != full {
 			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
 		}
 	}
@@ -499,17 +499,17 @@
 		t.Fatalf("only %d of the servers failed", len(failed))
 	}
 	id, s := r.sent(1, 0)
-	srv := r.b.byAddr[s]
-	ejections, window := srv.ejections, srv.window
+	srv := r.b.endpoints.byAddr[s]
+	ejections, window := srv.health.consecutiveEjections, srv.window.size
 	end(id, s, StatusReset)
-	if srv.state != StateUnhealthyPending || srv.ejections != ejections || srv.window != window {
-		t.Fatalf("state %d, ejections %d to %d, window %v to %v", srv.state, ejections, srv.ejections, window, srv.window)
+	if srv.health.state != StateUnhealthyPending || srv.health.consecutiveEjections != ejections || srv.window.size != window {
+		t.Fatalf("state %d, ejections %d to %d, window %v to %v", srv.health.state, ejections, srv.health.consecutiveEjections, window, srv.window.size)
 	}
-	srv.fails = 0.5
+	srv.health.failureRate = 0.5
 	r.b.enter(srv, StateConnected)
-	r.b.recordOutcome(&attempt{s: srv}, StatusReset, 20)
-	if srv.state != StateUnhealthy || srv.ejections != ejections+1 {
-		t.Fatalf("fails half of all: state %d, ejections %d to %d", srv.state, ejections, srv.ejections)
+	r.b.recordOutcome(&attempt{target: srv}, StatusReset, 20)
+	if srv.health.state != StateUnhealthy || srv.health.consecutiveEjections != ejections+1 {
+		t.Fatalf("fails half of all: state %d, ejections %d to %d", srv.health.state, ejections, srv.health.consecutiveEjections)
 	}
 }
 
@@ -517,7 +517,7 @@
 // server that is only being checked.
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	bad := r.b.byAddr[addr(0)]
+	bad := r.b.endpoints.byAddr[addr(0)]
 	r.b.enter(bad, StateUnhealthyPending)
 	free, once := 0, 0
 	for range 200 {
@@ -540,11 +540,11 @@
 // keep others from servers that have room.
 func TestWaitingForAKeyBlocksNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	r.b.limitScale = 1000 // the servers' windows are at issue, not the agent's limit
+	r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
 	for range 30 {
 		r.ask(0, 42) // one key: fills its two servers, the rest are held
 	}
-	if len(r.b.held) == 0 {
+	if len(r.b.queue.queued) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
 	}
 	free := 0
@@ -562,14 +562,14 @@
 	set := testSettings()
 	set.Replicas = 20 // many: each sees little of the load
 	r := newRig(t, set, 1)
-	r.b.limitScale = 1e6 // the agent's own limit is not at issue
-	srv := r.b.servers[0]
+	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
+	srv := r.b.endpoints.all[0]
 	for range 300 { // long enough to know the calm answer time
 		id, s := r.sent(0, 1)
 		r.now += 20
 		r.outcome(id, 0, s, StatusOK, 20)
 	}
-	grown := srv.window
+	grown := srv.window.size
 	for range 200 {
 		if id, actions := r.ask(0, 1); find(actions, ActionSend) != nil {
 			r.now += 140
@@ -577,12 +577,12 @@
 		}
 		r.now += 10
 	}
-	if srv.window >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window)
+	if srv.window.size >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window.size)
 	}
 	// With many agents one attempt of each keeps a tipped server busy.
-	if srv.window >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window)
+	if srv.window.size >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window.size)
 	}
 }
 
@@ -599,12 +599,12 @@
 		r.outcome(id, 0, s, StatusCancelled, 200)
 		r.id++
 		r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, TimeLeftMs: 600, Retry: marks})
-		if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now > 101 {
+		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now > 101 {
 			t.Errorf("marked %v: a retry was given the whole aim again", marks)
 		}
 		r.id++
 		r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 6, TimeLeftMs: 600})
-		if q := r.b.requests[r.id]; q == nil || q.aimAt-r.now < 299 {
+		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now < 299 {
 			t.Errorf("marked %v: another request was taken for a retry", marks)
 		}
 	}
@@ -697,12 +697,12 @@
 // crowded time became the measure of calm.
 func TestNoWindowGrowsBeforeCalmIsKnown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	for range calmSamples - 1 {
+	for range uncontendedSamples - 1 {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 20
 		r.outcome(id, 0, s, StatusOK, 20)
-		if w := r.b.byAddr[s].window; w > initialWindow {
-			t.Fatalf("window %.2f after %.0f answers", w, r.b.answers)
+		if w := r.b.endpoints.byAddr[s].window.size; w > initialWindow {
+			t.Fatalf("window %.2f after %.0f answers", w, r.b.latency.answers)
 		}
 	}
 	var ids []RequestID
@@ -719,7 +719,7 @@
 			r.outcome(ids[i], 0, tos[i], StatusOK, 20)
 		}
 	}
-	if w := max(r.b.servers[0].window, r.b.servers[1].window); w <= initialWindow {
+	if w := max(r.b.endpoints.all[0].window.size, r.b.endpoints.all[1].window.size); w <= initialWindow {
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
@@ -729,16 +729,16 @@
 	set := testSettings()
 	set.Objective = Objective{Whole: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
-	classes := r.b.classes
-	once, free := &request{class: classes[1], aimAt: r.now + 500}, &request{class: classes[0], aimAt: r.now + 500}
+	classes := r.b.classes.all
+	once, free := &request{class: classes[1], timing: requestTiming{objectiveAt: r.now + 500}}, &request{class: classes[0], timing: requestTiming{objectiveAt: r.now + 500}}
 	for range 2 * classMemory { // of class 1 all are served, of class 0 none
-		r.b.tally(classes[0])
-		r.b.tally(classes[1])
-		classes[1].inTime += 1.0 / classMemory
+		r.b.countClass(classes[0])
+		r.b.countClass(classes[1])
+		classes[1].servedInTime += 1.0 / classMemory
 	}
-	with := r.b.value(free) / r.b.value(once)
-	r.b.worst = classes[1]
-	if without := r.b.value(free) / r.b.value(once); with <= without {
+	with := r.b.priorityOf(free) / r.b.priorityOf(once)
+	r.b.classes.worst = classes[1]
+	if without := r.b.priorityOf(free) / r.b.priorityOf(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
 	}
 }
@@ -752,7 +752,7 @@
 		id, s := r.sent(0, mix(key+1))
 		r.outcome(id, 0, s, StatusOK, 20)
 		used[s] = true
-		if r.b.byAddr[s].zone == 0 {
+		if r.b.endpoints.byAddr[s].zone == 0 {
 			own++
 		}
 	}
@@ -777,8 +777,8 @@
 		}
 	}
 	actions := r.do(Event{Kind: EventOutcome, Request: id, Attempt: 0, Server: s, Status: StatusReset, LatencyMs: 2000, Final: true})
-	if find(actions, ActionSend) != nil || find(actions, ActionFail) != nil || len(r.b.requests) != 0 {
-		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.requests))
+	if find(actions, ActionSend) != nil || find(actions, ActionFail) != nil || len(r.b.queue.open) != 0 {
+		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.queue.open))
 	}
 }
 
@@ -796,7 +796,7 @@
 		set := testSettings()
 		set.Replicas = c.agents
 		r := newRig(t, set, 40)
-		r.b.limitScale = 1e6 // the agent's own limit is not at issue
+		r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 		used := map[Addr]bool{}
 		for i := range 1200 {
 			r.now += 20
@@ -805,7 +805,7 @@
 				key = 7
 			}
 			id, s := r.sent(0, key)
-			if key == 7 && i > keyMemory {
+			if key == 7 && i > keyHistory {
 				used[s] = true
 			}
 			r.outcome(id, 0, s, StatusOK, 20)
@@ -857,7 +857,7 @@
 		set := testSettings()
 		set.Replicas, set.Prices.Connection, set.Prices.Handshake = c.agents, c.connection, c.handshake
 		r := newRig(t, set, 4)
-		r.b.limitScale = 1e6 // the agent's own limit is not at issue
+		r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 		closed := 0
 		for i := range 400 {
 			r.now += 20
@@ -881,22 +881,22 @@
 	for _, c := range []struct {
 		gap         float64 // ms between requests
 		least, most int
-	}{{400, leastServers, 16}, {4, 50, 60}} {
+	}{{400, minSubset, 16}, {4, 50, 60}} {
 		all := map[Addr]int{}
 		for index := range 30 {
 			set := testSettings()
 			set.Limits.KeepaliveMs, set.Replicas, set.Index = 10000, 1000, index
 			set.Prices.Handshake = 0.1
 			r := newRig(t, set, 60)
-			r.b.limitScale = 1e6 // the agent's own limit is not at issue
-			r.b.demote(r.b.servers[0], true)
+			r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
+			r.b.demote(r.b.endpoints.all[0], true)
 			used := map[Addr]bool{}
 			for range 300 {
 				r.now += c.gap
-				r.b.servers[0].since = r.now // stays Unhealthy
+				r.b.endpoints.all[0].health.since = r.now // stays Unhealthy
 				id, s := r.sent(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, StatusOK, 3)
-				if used[s] = true; s == r.b.servers[0].id {
+				if used[s] = true; s == r.b.endpoints.all[0].id {
 					t.Fatal("an Unhealthy server of the subset was not replaced")
 				}
 			}
@@ -927,13 +927,13 @@
 			id, s = r.sent(0, r.b.rng.Uint64())
 			r.outcome(id, 0, s, StatusOK, 20)
 		}
-		r.b.demote(r.b.byAddr[s], true)
-		if hold := r.b.ejectionTime(r.b.byAddr[s]); hold < 1000 {
+		r.b.demote(r.b.endpoints.byAddr[s], true)
+		if hold := r.b.ejectionTime(r.b.endpoints.byAddr[s]); hold < 1000 {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
-		r.b.byAddr[s].ejections = maxEjections
-		r.b.recent = 0.1
-		if hold := r.b.ejectionTime(r.b.byAddr[s]); hold > maxEjectionMs {
+		r.b.endpoints.byAddr[s].health.consecutiveEjections = maxEjections
+		r.b.traffic.recent = 0.1
+		if hold := r.b.ejectionTime(r.b.endpoints.byAddr[s]); hold > maxEjectionMs {
 			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
 		}
 	}
@@ -951,7 +951,7 @@
 			r.now += 50
 			id, s := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.byAddr[s].zone == 0 {
+			if r.b.endpoints.byAddr[s].zone == 0 {
 				own++
 				rtt = homeMs
 			}
@@ -986,7 +986,7 @@
 			r.now += 50
 			id, s := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.byAddr[s].kind == 1 {
+			if r.b.endpoints.byAddr[s].machineKind == 1 {
 				rtt = 50
 				if i >= 600 {
 					slow++
@@ -998,7 +998,7 @@
 			t.Errorf("weights %q: the slow half of the fleet got %d of 600 requests", weights, slow)
 		}
 		// Where the list tells weights, only a server's own answers count against it.
-		if w := r.b.kinds[1].weight; (w == 1) != (weights == "nominal") {
+		if w := r.b.selector.kinds.kind[1].weight; (w == 1) != (weights == "nominal") {
 			t.Errorf("weights %q: the slow kind weighs %.2f", weights, w)
 		}
 	}
@@ -1035,20 +1035,20 @@
 	}
 	for range 300 {
 		r.now += 10
-		count(r.do(Event{Kind: EventTimer, Token: tickToken}))
+		count(r.do(Event{Kind: EventTimer, Token: timerTick}))
 		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
-			if q := r.b.requests[id]; q != nil && q.open > 0 {
-				a := q.attempts[len(q.attempts)-1]
-				count(r.outcome(id, a.index, a.s.id, StatusTimeout, 10))
+			if q := r.b.queue.open[id]; q != nil && q.tries.inFlight > 0 {
+				a := q.tries.counted[len(q.tries.counted)-1]
+				count(r.outcome(id, a.index, a.target.id, StatusTimeout, 10))
 			}
 		}
 	}
 	for id := RequestID(1); id <= r.id; id++ {
-		if final[id] > 1 || final[id] == 0 && r.b.requests[id] == nil {
+		if final[id] > 1 || final[id] == 0 && r.b.queue.open[id] == nil {
 			t.Errorf("request %d has %d final answers", id, final[id])
 		}
 	}
-	if x := r.b.fleetLat + r.b.meanHint + r.b.hintMean + r.b.calmLat + r.b.classes[0].expect; math.IsNaN(x) || math.IsInf(x, 0) {
+	if x := r.b.latency.fleet + r.b.latency.hints.mean + r.b.latency.hints.answeredMean + r.b.latency.uncontended + r.b.classes.all[0].meanMs; math.IsNaN(x) || math.IsInf(x, 0) {
 		t.Errorf("odd values poisoned the means: %v", x)
 	}
 }
@@ -1061,7 +1061,7 @@
 	}
 	b.Start(0, nil)
 	b.Handle(1, &Event{Kind: EventRequest, Request: 1, Class: 0, Key: 5, TimeLeftMs: 600}, nil)
-	b.Handle(2, &Event{Kind: EventTimer, Token: tickToken}, nil)
+	b.Handle(2, &Event{Kind: EventTimer, Token: timerTick}, nil)
 	list := []Entry{{Server: addr(1), Health: HealthReady, Weight: 1}}
 	if a := find(b.Handle(3, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil), ActionSend); a == nil || a.Request != 1 {
 		t.Error("the request was not sent once there was a list")
@@ -1076,10 +1076,10 @@
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
 		r := newRig(t, set, 64)
 		r.list(ListDelta, Entry{Server: addr(99), Health: HealthReady, Weight: 1, StartedMs: r.now})
-		cold := r.b.byAddr[addr(99)]
-		cold.credit = 0
-		r.b.earn(r.b.byAddr[addr(0)], 1)
-		return cold.credit
+		cold := r.b.endpoints.byAddr[addr(99)]
+		cold.slowStart.allowance = 0
+		r.b.earnAllowance(r.b.endpoints.byAddr[addr(0)], 1)
+		return cold.slowStart.allowance
 	}
 	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
 		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
@@ -1117,7 +1117,7 @@
 				}
 				actions = nil
 			}
-			if finals != 1 || r.b.requests[r.id] != nil {
+			if finals != 1 || r.b.queue.open[r.id] != nil {
 				t.Errorf("clock %v, %v ms left: %d final answers", start, left, finals)
 			}
 		}
@@ -1161,7 +1161,7 @@
 		r.now += 10
 		r.outcome(id, 0, s, StatusOK, 10)
 	}
-	r.b.limitScale = 1
+	r.b.limiter.scale = 1
 	return r
 }
 
@@ -1186,22 +1186,22 @@
 	if sent == nil || sent.Request != waits {
 		t.Fatal("nothing was sent to the server that lives")
 	}
-	if r.b.stuck != 2 || r.b.inflight != 3 {
-		t.Fatalf("%d stuck of %d out, want 2 of 3", r.b.stuck, r.b.inflight)
+	if r.b.limiter.stalled != 2 || r.b.limiter.inFlight != 3 {
+		t.Fatalf("%d stuck of %d out, want 2 of 3", r.b.limiter.stalled, r.b.limiter.inFlight)
 	}
 	r.outcome(stuck, 0, s, StatusOK, 150)
 	left := 0
-	for _, o := range r.b.servers {
-		for _, a := range o.out {
-			if a.stuck && o.id == s {
+	for _, o := range r.b.endpoints.all {
+		for _, a := range o.traffic.inFlight {
+			if a.stalled && o.id == s {
 				t.Fatal("stuck on a server that answers")
-			} else if a.stuck {
+			} else if a.stalled {
 				left++
 			}
 		}
 	}
-	if r.b.stuck != left {
-		t.Fatalf("%d counted as stuck, %d are", r.b.stuck, left)
+	if r.b.limiter.stalled != left {
+		t.Fatalf("%d counted as stuck, %d are", r.b.limiter.stalled, left)
 	}
 }
 
@@ -1245,7 +1245,7 @@
 			t.Fatalf("after %v ms: %+v", r.now-asked, actions)
 		}
 	}
-	if r.outcome(id, 0, s, StatusCancelled, 310); r.b.stuck != 0 || r.b.inflight != 0 || len(r.b.requests) != 0 {
-		t.Fatalf("left behind: %d stuck, %d out, %d requests", r.b.stuck, r.b.inflight, len(r.b.requests))
+	if r.outcome(id, 0, s, StatusCancelled, 310); r.b.limiter.stalled != 0 || r.b.limiter.inFlight != 0 || len(r.b.queue.open) != 0 {
+		t.Fatalf("left behind: %d stuck, %d out, %d requests", r.b.limiter.stalled, r.b.limiter.inFlight, len(r.b.queue.open))
 	}
 }
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -258,19 +258,19 @@
 			w.handle(Event{Kind: EventEndpointList, List: ListFailed})
 		}
 	}
-	if n := len(w.b.requests); n != 0 || len(w.b.held) != 0 || w.b.inflight != 0 {
-		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.held), w.b.inflight)
+	if n := len(w.b.queue.open); n != 0 || len(w.b.queue.queued) != 0 || w.b.limiter.inFlight != 0 {
+		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue.queued), w.b.limiter.inFlight)
 	}
-	for _, s := range w.b.servers {
-		if len(s.out) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.out))
+	for _, s := range w.b.endpoints.all {
+		if len(s.traffic.inFlight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.traffic.inFlight))
 		}
 	}
-	if w.b.limitScale < leastAttempts/attemptsPerServer || len(w.b.abandoned.all) > maxHeld || w.b.retryBudget < 0 || w.b.retryBudget > retryBurst {
-		t.Errorf("seed %d: %.1f times its share, a budget of %.1f", seed, w.b.limitScale, w.b.retryBudget)
+	if w.b.limiter.scale < minAttemptsPerEndpoint/attemptsPerEndpoint || len(w.b.limiter.abandoned.all) > maxQueued || w.b.retries.tokens < 0 || w.b.retries.tokens > retryBurst {
+		t.Errorf("seed %d: %.1f times its share, a budget of %.1f", seed, w.b.limiter.scale, w.b.retries.tokens)
 	}
-	if len(w.b.unserved) > maxHeld {
-		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.unserved))
+	if len(w.b.queue.unserved) > maxQueued {
+		t.Errorf("seed %d: %d past requests remembered", seed, len(w.b.queue.unserved))
 	}
 	return w.history
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -2,21 +2,26 @@
 
 package policy
 
+// quotaTracker holds the tenants' shares of this agent's requests.
+type quotaTracker struct {
+	usage []float64 // by tenant, of about the last 500 requests
+}
+
 // overShare tells whether a tenant sends more than its portion of what comes.
-func (b *Balancer) overShare(tenant int) bool {
-	if tenant < 0 || tenant >= len(b.usage) {
+func (b *Balancer) overQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.quotas.usage) {
 		return false
 	}
-	return b.usage[tenant] > 1.1*b.set.Tenants[tenant].QuotaShare
+	return b.quotas.usage[tenant] > 1.1*b.set.Tenants[tenant].QuotaShare
 }
 
 // count keeps the tenants' shares of this agent's requests.
-func (b *Balancer) count(tenant int) {
-	if tenant < 0 || tenant >= len(b.usage) {
+func (b *Balancer) countTenant(tenant int) {
+	if tenant < 0 || tenant >= len(b.quotas.usage) {
 		return
 	}
-	for i := range b.usage {
-		b.usage[i] *= fade
+	for i := range b.quotas.usage {
+		b.quotas.usage[i] *= shareDecay
 	}
-	b.usage[tenant] += 1 - fade
+	b.quotas.usage[tenant] += 1 - shareDecay
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -30,13 +30,13 @@
 	b.renameTenants(set.Tenants)
 	b.set = set
 	b.renameClasses()
-	for _, s := range b.servers { // another cold time may have begun anew for them
-		b.coolDown(s)
+	for _, s := range b.endpoints.all { // another cold time may have begun anew for them
+		b.startWarmUp(s)
 	}
 	// Counts that fade over a time stand for as much as before.
-	b.recent *= b.rateSpan() / span
+	b.traffic.recent *= b.rateSpan() / span
 	if coldMs > 0 {
-		b.flow *= b.set.Contract.SlowStartMs / coldMs
+		b.slowStart.flow *= b.set.Contract.SlowStartMs / coldMs
 	}
 	return nil
 }
@@ -45,31 +45,31 @@
 // same name all stays known; open requests keep the one that they hold.
 func (b *Balancer) renameClasses() {
 	byName := map[string]*class{}
-	for _, c := range b.classes {
+	for _, c := range b.classes.all {
 		byName[c.Name] = c
 	}
-	worst := b.worst
-	b.takeClasses()
+	worst := b.classes.worst
+	b.setClasses()
 	renamed := map[*class]*class{}
-	for _, c := range b.classes {
+	for _, c := range b.classes.all {
 		old := byName[c.Name]
 		if old == nil {
 			continue
 		}
-		c.expect, c.expectAt, c.answers = old.expect, old.expectAt, old.answers
-		c.asked, c.inTime, c.counts = old.asked, old.inTime, old.counts
+		c.meanMs, c.meanAt, c.answers = old.meanMs, old.meanAt, old.answers
+		c.requestShare, c.servedInTime, c.counts = old.requestShare, old.servedInTime, old.counts
 		renamed[old] = c
 		if old == worst {
-			b.worst = c
+			b.classes.worst = c
 		}
 	}
-	kept := b.unserved[:0]
-	for _, p := range b.unserved {
+	kept := b.queue.unserved[:0]
+	for _, p := range b.queue.unserved {
 		if p.class = renamed[p.class]; p.class != nil {
 			kept = append(kept, p)
 		}
 	}
-	b.unserved = kept
+	b.queue.unserved = kept
 }
 
 // renameTenants moves the tenants' shares, and the open requests, to the places that the
@@ -88,13 +88,13 @@
 		}
 		return -1
 	}
-	for old, share := range b.usage {
+	for old, share := range b.quotas.usage {
 		if i := place(old); i >= 0 {
 			usage[i] = share
 		}
 	}
-	for _, r := range b.requests {
+	for _, r := range b.queue.open {
 		r.tenant = place(r.tenant)
 	}
-	b.usage = usage
+	b.quotas.usage = usage
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -22,7 +22,7 @@
 		if err := r.b.Reconfigure(set); err == nil || !strings.Contains(err.Error(), key) {
 			t.Errorf("%s: %v", key, err)
 		}
-		if r.b.set.Limits.MaxRetryAfterMs == 88 || r.b.classes[0].LatencyObjectiveMs == 77 {
+		if r.b.set.Limits.MaxRetryAfterMs == 88 || r.b.classes.all[0].LatencyObjectiveMs == 77 {
 			t.Fatalf("%s: a part is in force", key)
 		}
 	}
@@ -68,32 +68,32 @@
 	}
 	id, s := r.sent(2, 7)
 	r.outcome(id, 0, s, StatusServerError, 10)
-	r.b.usage[0], r.b.usage[1] = 0.9, 0.1
+	r.b.quotas.usage[0], r.b.quotas.usage[1] = 0.9, 0.1
 	before := map[Addr]endpoint{}
-	for _, s := range r.b.servers {
+	for _, s := range r.b.endpoints.all {
 		before[s.id] = *s
 	}
-	limit, budget, rate, expect := r.b.limitScale, r.b.retryBudget, r.b.rate(), r.b.classes[0].expect
+	limit, budget, rate, expect := r.b.limiter.scale, r.b.retries.tokens, r.b.rate(), r.b.classes.all[0].meanMs
 	set.Tenants = []Tenant{{Name: "c", QuotaShare: 0.2}, {Name: "b", QuotaShare: 0.2}, {Name: "a", QuotaShare: 0.6}}
 	set.Classes = []Class{set.Classes[2], set.Classes[0]}
 	set.Limits.KeepaliveMs *= 2
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range r.b.servers {
+	for _, s := range r.b.endpoints.all {
 		b := before[s.id]
-		if s.state != b.state || s.ejections != b.ejections || s.credit != b.credit || s.startedAt != b.startedAt ||
-			s.window != b.window || s.lat != b.lat {
+		if s.health.state != b.health.state || s.health.consecutiveEjections != b.health.consecutiveEjections || s.slowStart.allowance != b.slowStart.allowance || s.slowStart.startedAt != b.slowStart.startedAt ||
+			s.window.size != b.window.size || s.latency.mean != b.latency.mean {
 			t.Errorf("of server %v something was forgotten", s.id)
 		}
 	}
-	if r.b.limitScale != limit || r.b.retryBudget != budget || !near(r.b.rate(), rate) {
-		t.Errorf("limit %v, budget %v, rate %v; before %v, %v, %v", r.b.limitScale, r.b.retryBudget, r.b.rate(), limit, budget, rate)
+	if r.b.limiter.scale != limit || r.b.retries.tokens != budget || !near(r.b.rate(), rate) {
+		t.Errorf("limit %v, budget %v, rate %v; before %v, %v, %v", r.b.limiter.scale, r.b.retries.tokens, r.b.rate(), limit, budget, rate)
 	}
-	if r.b.classes[1].expect != expect || r.b.usage[2] != 0.9 || r.b.usage[1] != 0.1 || r.b.usage[0] != 0 {
-		t.Errorf("class %+v, tenants %v", r.b.classes[1], r.b.usage)
+	if r.b.classes.all[1].meanMs != expect || r.b.quotas.usage[2] != 0.9 || r.b.quotas.usage[1] != 0.1 || r.b.quotas.usage[0] != 0 {
+		t.Errorf("class %+v, tenants %v", r.b.classes.all[1], r.b.quotas.usage)
 	}
-	if !r.b.overShare(2) || r.b.overShare(1) {
+	if !r.b.overQuota(2) || r.b.overQuota(1) {
 		t.Error("the tenants' portions are not those of the new settings")
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -10,33 +10,33 @@
 func TestWorstClassIsKnownSoon(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	served := func(c *class, inTime bool) {
-		r.b.tally(c)
+		r.b.countClass(c)
 		if inTime {
-			c.inTime += 1.0 / classMemory
+			c.servedInTime += 1.0 / classMemory
 		}
 	}
-	well, badly := r.b.classes[0], r.b.classes[1]
+	well, badly := r.b.classes.all[0], r.b.classes.all[1]
 	for i := range 2000 {
 		served(well, true)
 		served(badly, i%10 != 0)
 	}
-	if r.b.worst != badly {
-		t.Fatalf("worst is %s", r.b.worst.Name)
+	if r.b.classes.worst != badly {
+		t.Fatalf("worst is %s", r.b.classes.worst.Name)
 	}
 	for i := range 40 {
 		served(well, false)
 		served(badly, i%10 != 0)
 	}
-	if r.b.worst != well {
-		t.Errorf("worst is still %s: %.2f of %s and %.2f of %s are served", r.b.worst.Name, well.inTime, well.Name,
-			badly.inTime, badly.Name)
+	if r.b.classes.worst != well {
+		t.Errorf("worst is still %s: %.2f of %s and %.2f of %s are served", r.b.classes.worst.Name, well.servedInTime, well.Name,
+			badly.servedInTime, badly.Name)
 	}
 }
 
 // What answers took is forgotten over the time after which clients give up.
 func TestExpectedTimeIsForgotten(t *testing.T) {
-	c := newRig(t, testSettings(), 1).b.classes[0]
-	calm := c.calm()
+	c := newRig(t, testSettings(), 1).b.classes.all[0]
+	calm := c.uncontendedMs()
 	for i := range 20 {
 		c.learn(float64(i), 2*c.LatencyObjectiveMs)
 	}
@@ -56,7 +56,7 @@
 // answer nothing does not make a class seem late that the others answer at once.
 func TestUnansweredAttemptsCountInExpectedTime(t *testing.T) {
 	expect := func(unanswered int) float64 {
-		c := newRig(t, testSettings(), 1).b.classes[0]
+		c := newRig(t, testSettings(), 1).b.classes.all[0]
 		for i := range 300 {
 			now := float64(i) * 20
 			if i%3 < unanswered {
@@ -79,19 +79,19 @@
 // seconds long after a crowd had passed, and nothing told that the server stood idle.
 func TestPauseFollowsTheLastAnswer(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	s := r.b.servers[0]
+	s := r.b.endpoints.all[0]
 	for _, rtt := range []float64{900, 900, 900, 900, 30} {
-		s.window = 0.5
+		s.window.size = 0.5
 		r.now += 5000
 		id, _ := r.sent(0, 0)
 		r.now += rtt
 		r.outcome(id, 0, s.id, StatusOK, rtt)
 	}
-	s.window = 0.5
-	if r.now = s.sentAt + 59; r.b.hasRoomAt(r.now, s) {
+	s.window.size = 0.5
+	if r.now = s.traffic.sentAt + 59; r.b.hasRoomAt(r.now, s) {
 		t.Error("no pause")
 	}
-	if r.now = s.sentAt + 61; !r.b.hasRoomAt(r.now, s) {
+	if r.now = s.traffic.sentAt + 61; !r.b.hasRoomAt(r.now, s) {
 		t.Error("pauses for longer than two answers")
 	}
 }
@@ -99,7 +99,7 @@
 // hasRoomAt tells whether a server takes one more request of the first class.
 func (b *Balancer) hasRoomAt(now float64, s *endpoint) bool {
 	b.now = now
-	return b.hasRoom(s, &request{class: b.classes[0]})
+	return b.hasCapacity(s, &request{class: b.classes.all[0]})
 }
 
 // lateRig is an agent at its limit of one attempt, which is past its aim, with another request
@@ -111,7 +111,7 @@
 	r = quick(t, set, 1)
 	out, _ = r.sent(class, 5)
 	r.now += 290
-	r.b.servers[0].heard = r.now // else it seems silent
+	r.b.endpoints.all[0].traffic.heardAt = r.now // else it seems silent
 	held, actions := r.ask(0, 6)
 	if find(actions, ActionSend) != nil {
 		t.Fatal("not at its limit")
@@ -131,7 +131,7 @@
 	if a := find(actions, ActionCancel); a == nil || a.Request != out {
 		t.Fatalf("not called off: %+v", actions)
 	}
-	if a := find(r.outcome(out, 0, r.b.requests[out].attempts[0].s.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
+	if a := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].target.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
 		t.Errorf("its place was not taken: %+v", a)
 	}
 	worth := testSettings()
@@ -165,49 +165,49 @@
 		set := testSettings()
 		set.Limits.Cancellation = cancelling
 		r := quick(t, set, 3)
-		r.b.abandoned.sojourn = 2000
+		r.b.limiter.abandoned.sojourn = 2000
 		id, s := r.sent(1, 5)
 		r.now += 600
 		r.outcome(id, 0, s, StatusTimeout, 600)
-		if want := map[bool]int{false: 1, true: 0}[cancelling]; len(r.b.abandoned.all) != want {
-			t.Fatalf("cancelling %v: %d abandoned, want %d", cancelling, len(r.b.abandoned.all), want)
+		if want := map[bool]int{false: 1, true: 0}[cancelling]; len(r.b.limiter.abandoned.all) != want {
+			t.Fatalf("cancelling %v: %d abandoned, want %d", cancelling, len(r.b.limiter.abandoned.all), want)
 		}
 		if cancelling {
 			continue
 		}
-		srv := r.b.byAddr[s]
-		if srv.abandoned != 1 {
-			t.Fatalf("its server holds %d abandoned", srv.abandoned)
+		srv := r.b.endpoints.byAddr[s]
+		if srv.traffic.abandoned != 1 {
+			t.Fatalf("its server holds %d abandoned", srv.traffic.abandoned)
 		}
-		limit := r.b.limitFloor() * r.b.limitScale
-		r.b.inflight = int(math.Ceil(limit)) - 1
+		limit := r.b.limitFloor() * r.b.limiter.scale
+		r.b.limiter.inFlight = int(math.Ceil(limit)) - 1
 		if r.b.underLimit() {
 			t.Error("it does not count in the limit")
 		}
-		r.b.inflight = 0
-		srv.passed = r.now - 601
-		if r.b.abandoned.settle(r.now); srv.abandoned != 1 {
+		r.b.limiter.inFlight = 0
+		srv.traffic.answeredSentAt = r.now - 601
+		if r.b.limiter.abandoned.settle(r.now); srv.traffic.abandoned != 1 {
 			t.Error("over by an answer to what was sent before it")
 		}
-		srv.passed = r.now - 599
-		if r.b.abandoned.settle(r.now); srv.abandoned != 0 || len(r.b.abandoned.all) != 0 {
+		srv.traffic.answeredSentAt = r.now - 599
+		if r.b.limiter.abandoned.settle(r.now); srv.traffic.abandoned != 0 || len(r.b.limiter.abandoned.all) != 0 {
 			t.Error("not over by an answer to what was sent after it")
 		}
 	}
 	r := quick(t, testSettings(), 1)
-	s := r.b.servers[0]
-	add := func() { r.b.abandoned.add(&attempt{s: s, sentAt: r.now - 600}) }
-	r.b.abandoned.sojourn, s.passed = 1000, 0
+	s := r.b.endpoints.all[0]
+	add := func() { r.b.limiter.abandoned.add(&attempt{target: s, sentAt: r.now - 600}) }
+	r.b.limiter.abandoned.sojourn, s.traffic.answeredSentAt = 1000, 0
 	add()
-	if r.b.abandoned.settle(r.now); s.abandoned != 1 {
+	if r.b.limiter.abandoned.settle(r.now); s.traffic.abandoned != 1 {
 		t.Error("over too early")
 	}
-	if r.b.abandoned.settle(r.now + 401); s.abandoned != 0 {
+	if r.b.limiter.abandoned.settle(r.now + 401); s.traffic.abandoned != 0 {
 		t.Error("counts for ever")
 	}
 	add()
 	s.usable = false
-	if r.b.abandoned.settle(r.now); s.abandoned != 0 {
+	if r.b.limiter.abandoned.settle(r.now); s.traffic.abandoned != 0 {
 		t.Error("counts on a server that is gone")
 	}
 }
@@ -246,10 +246,10 @@
 		set.Clients.MarksRetry = marks
 		r := newRig(t, set, 0) // nobody to send to: each is refused at its deadline
 		rate := func(key uint64) float64 {
-			before := r.b.recent
+			before := r.b.traffic.recent
 			id, _ := r.ask(0, key)
 			r.do(Event{Kind: EventClientGone, Request: id})
-			return r.b.recent - before
+			return r.b.traffic.recent - before
 		}
 		if got := rate(7); got != 1 {
 			t.Fatalf("the first counts %v", got)
@@ -291,14 +291,14 @@
 // While answers are late an agent's part goes down to leastAttempts a server, and no further.
 func TestLimitFallsToItsLeast(t *testing.T) {
 	r := quick(t, testSettings(), 30)
-	least := leastAttempts / attemptsPerServer
+	least := minAttemptsPerEndpoint / attemptsPerEndpoint
 	for range 100 {
 		id, s := r.sent(0, 0)
 		r.now += 500
 		r.outcome(id, 0, s, StatusOK, 500)
 	}
-	if r.b.limitScale != least {
-		t.Errorf("%v times its part, want %v", r.b.limitScale, least)
+	if r.b.limiter.scale != least {
+		t.Errorf("%v times its part, want %v", r.b.limiter.scale, least)
 	}
 }
 
@@ -306,13 +306,13 @@
 func TestLongerListKeepsALoweredLimit(t *testing.T) {
 	r := quick(t, testSettings(), 3)
 	r.b.set.Replicas = 100
-	r.b.limitScale = leastAttempts / attemptsPerServer
+	r.b.limiter.scale = minAttemptsPerEndpoint / attemptsPerEndpoint
 	var more []Entry
 	for i := range 60 {
 		more = append(more, Entry{Server: addr(3 + i), Health: HealthReady, Weight: 1})
 	}
 	r.list(ListDelta, more...)
-	if r.b.limitScale != leastAttempts/attemptsPerServer {
-		t.Errorf("%v times its part", r.b.limitScale)
+	if r.b.limiter.scale != minAttemptsPerEndpoint/attemptsPerEndpoint {
+		t.Errorf("%v times its part", r.b.limiter.scale)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -13,22 +13,27 @@
 	// holdUpMs is how long an agent may stand still between reading its clock and writing: it
 	// shares its processors. What must not go out after a time is not begun in the last part
 	// of that time.
-	holdUpMs = 150.0
+	writeDelayMarginMs = 150.0
 )
 
+// retryBudget is what attempts after the first are paid from.
+type retryBudget struct {
+	tokens float64 // attempts that may still be made
+}
+
 // maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
 // hasRoom, whose credit every attempt is charged in send.
 func (b *Balancer) maySend(r *request, s *endpoint) bool {
-	if !s.usable || r.closed || r.started || r.open > 0 || b.now >= r.deadline ||
-		len(r.attempts) >= r.maxAttempts {
+	if !s.usable || r.closed || r.started || r.tries.inFlight > 0 || b.now >= r.timing.deadline ||
+		len(r.tries.counted) >= r.tries.limit {
 		return false
 	}
-	for _, a := range r.attempts {
-		if a.s == s && len(b.servers) > len(r.attempts) {
+	for _, a := range r.tries.counted {
+		if a.target == s && len(b.endpoints.all) > len(r.tries.counted) {
 			return false // further attempts go elsewhere
 		}
 	}
-	if r.mayHaveRun == 0 {
+	if r.idempotency.mayHaveRun == 0 {
 		return true
 	}
 	c := r.class
@@ -36,11 +41,11 @@
 	case EffectIdempotent:
 		return true
 	case EffectIdempotentWithKey:
-		if b.repeatWithin(r) <= 0 {
+		if b.idempotencyWindowLeft(r) <= 0 {
 			return false
 		}
-		return c.Group == GroupAll || c.Group == GroupZone && s.zone == r.ranOn.zone ||
-			c.Group == GroupCell && s.cell == r.ranOn.cell
+		return c.Group == GroupAll || c.Group == GroupZone && s.zone == r.idempotency.firstEndpoint.zone ||
+			c.Group == GroupCell && s.cell == r.idempotency.firstEndpoint.cell
 	}
 	return false
 }
@@ -48,44 +53,44 @@
 // repeatWithin is for how long a keyed request that may have run may still be sent again. The
 // window counts from the earliest time at which it may have run, and a repeat may be held up just
 // before its first byte, so a window shorter than that allows none.
-func (b *Balancer) repeatWithin(r *request) float64 {
-	return r.ranAt + r.class.IdempotencyWindowMs - holdUpMs - 2*b.set.RoundMs - b.now
+func (b *Balancer) idempotencyWindowLeft(r *request) float64 {
+	return r.idempotency.earliestRunAt + r.class.IdempotencyWindowMs - writeDelayMarginMs - 2*b.set.RoundMs - b.now
 }
 
 func (b *Balancer) send(r *request, s *endpoint) bool {
 	if !b.maySend(r, s) {
 		return false
 	}
-	a := &attempt{r: r, s: s, index: r.sends, alone: len(s.out) == 0, sentAt: b.now, cost: b.cost(r)}
-	r.attempts = append(r.attempts, a)
-	r.sends++
+	a := &attempt{request: r, target: s, index: r.tries.sent, alone: len(s.traffic.inFlight) == 0, sentAt: b.now, cost: b.cost(r)}
+	r.tries.counted = append(r.tries.counted, a)
+	r.tries.sent++
 	b.local.sent(a)
-	r.open++
+	r.tries.inFlight++
 	within := 0.0
-	if r.mayHaveRun == 0 {
-		r.ranAt, r.ranOn = b.now, s
+	if r.idempotency.mayHaveRun == 0 {
+		r.idempotency.earliestRunAt, r.idempotency.firstEndpoint = b.now, s
 	} else if r.class.Effect == EffectIdempotentWithKey {
-		within = b.repeatWithin(r)
+		within = b.idempotencyWindowLeft(r)
 	}
-	r.mayHaveRun++
-	s.out = append(s.out, a)
-	b.busy.add(s)
-	if s.sentAt > 0 {
-		s.gap = mean(s.gap, b.now-s.sentAt, smooth)
+	r.idempotency.mayHaveRun++
+	s.traffic.inFlight = append(s.traffic.inFlight, a)
+	b.endpoints.busy.add(s)
+	if s.traffic.sentAt > 0 {
+		s.traffic.meanGapMs = mean(s.traffic.meanGapMs, b.now-s.traffic.sentAt, endpointSmoothing)
 	}
-	s.sentAt, b.triedAt = b.now, b.now
-	b.inflight++
+	s.traffic.sentAt, b.limiter.lastAttemptAt = b.now, b.now
+	b.limiter.inFlight++
 	r.class.counts.Attempts++
-	if b.ramp(s) < 1 {
-		s.credit -= a.cost
+	if b.capacityFraction(s) < 1 {
+		s.slowStart.allowance -= a.cost
 		a.charged = true
 	}
-	b.do(Action{Kind: ActionSend, Request: r.id, Server: s.id, DelayMs: r.deadline - b.now, WithinMs: within})
+	b.do(Action{Kind: ActionSend, Request: r.id, Server: s.id, DelayMs: r.timing.deadline - b.now, WithinMs: within})
 	return true
 }
 
 func (b *Balancer) onOutcome(ev *Event) {
-	r := b.requests[ev.Request]
+	r := b.queue.open[ev.Request]
 	if r == nil {
 		return
 	}
@@ -93,31 +98,31 @@
 	if a == nil || a.done {
 		return
 	}
-	s := a.s
+	s := a.target
 	a.done = true
-	b.outcomes.add(ev.Status)
-	status := b.judge(a, ev.Status)
-	r.open--
-	b.inflight--
-	if a.stuck {
-		b.stuck--
+	b.stats.outcomes.add(ev.Status)
+	status := b.attributeFailure(a, ev.Status)
+	r.tries.inFlight--
+	b.limiter.inFlight--
+	if a.stalled {
+		b.limiter.stalled--
 	}
-	if i := slices.Index(s.out, a); i >= 0 {
-		s.out = slices.Delete(s.out, i, i+1)
+	if i := slices.Index(s.traffic.inFlight, a); i >= 0 {
+		s.traffic.inFlight = slices.Delete(s.traffic.inFlight, i, i+1)
 	}
-	if len(s.out) == 0 {
-		b.busy.remove(s)
+	if len(s.traffic.inFlight) == 0 {
+		b.endpoints.busy.remove(s)
 	}
 	if ev.Status.NeverRan() {
-		r.mayHaveRun--
+		r.idempotency.mayHaveRun--
 	}
 	if status == StatusLocalFailure {
 		b.failedLocally(a)
 	} else {
 		b.local.succeeded(a)
-		b.noteAnswered(a, status)
+		b.countUnanswered(a, status)
 		b.closeIdle(s)
-		b.adapt(a, status, finite(ev.LatencyMs))
+		b.adaptLimit(a, status, finite(ev.LatencyMs))
 		b.recordOutcome(a, status, finite(ev.LatencyMs))
 	}
 	switch {
@@ -132,7 +137,7 @@
 
 // attempt is the request's attempt of that number, or nil.
 func (r *request) attempt(index int) *attempt {
-	for _, a := range r.attempts {
+	for _, a := range r.tries.counted {
 		if a.index == index {
 			return a
 		}
@@ -146,18 +151,18 @@
 // what all send on together.
 func (b *Balancer) retry(r *request, why Status) {
 	c := r.class
-	able := r.mayHaveRun == 0 || c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey
+	able := r.idempotency.mayHaveRun == 0 || c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey
 	price := 1.0
 	if why == StatusConnectFailed {
 		price = 0 // no server was asked for anything
 	}
-	spent := b.retryBudget < price || len(r.attempts) >= r.maxAttempts
-	if !able || spent || why == StatusNotSent || b.now >= r.deadline {
-		b.end(r)
+	spent := b.retries.tokens < price || len(r.tries.counted) >= r.tries.limit
+	if !able || spent || why == StatusNotSent || b.now >= r.timing.deadline {
+		b.finishUnserved(r)
 		return
 	}
-	b.retryBudget -= price
-	b.held = append(b.held, r)
+	b.retries.tokens -= price
+	b.queue.queued = append(b.queue.queued, r)
 }
 
 // closeIdle closes a server's idle connections where keeping them costs more than opening
@@ -166,14 +171,14 @@
 // that each met every server kept 400 connections a server open.
 func (b *Balancer) closeIdle(s *endpoint) {
 	p := &b.set.Prices
-	all := b.seen / max(b.now-b.began, 1) * float64(b.set.Replicas) // requests a ms
-	if p.Connection > 0 && len(s.out) == 0 &&
-		(s.gap == 0 || s.gap*all*p.Connection > 100*float64(len(b.servers))*p.Handshake) {
+	all := b.traffic.requests / max(b.now-b.traffic.startedAt, 1) * float64(b.set.Replicas) // requests a ms
+	if p.Connection > 0 && len(s.traffic.inFlight) == 0 &&
+		(s.traffic.meanGapMs == 0 || s.traffic.meanGapMs*all*p.Connection > 100*float64(len(b.endpoints.all))*p.Handshake) {
 		b.do(Action{Kind: ActionCloseIdle, Server: s.id})
 	}
 }
 
 // repeatable tells whether a client may repeat a request of the class that may have run.
-func repeatable(c *class) bool {
+func isRepeatable(c *class) bool {
 	return c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && c.Group == GroupAll
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -9,26 +9,57 @@
 const (
 	// capFactor is c: how far above its even share of the agent's attempts a
 	// server may go before a key's request moves on to the next in hash order.
-	capFactor = 3.0
+	boundedLoadFactor = 3.0
 	// keyWait is the part of its aim that a request may wait for one of the keyServers
 	// nearest its key: going on at once would lose the warm key just when time is short.
-	keyWait, keyServers = 0.25, 2
+	keyAffinityWait, keyEndpoints = 0.25, 2
 	// keyMemory is over how many requests keys are counted, keySpread into how many parts
 	// a key is split that alone would be a server's even share: it is not alone there.
-	keyMemory, keySpread = 128, 4.0
+	keyHistory, popularKeyParts = 128, 4.0
 	// leastServers is the smallest subset of the fleet an agent sends to.
-	leastServers = 16
+	minSubset = 16
 )
 
+// selector chooses the endpoint of a request.
+type selector struct {
+	tier       []*endpoint // scratch space of selectEndpoint
+	recentKeys keyCounter
+	zones      zoneWeights
+	kinds      machineKindWeights
+}
+
+// zoneWeights is how much more an endpoint of the local zone weighs than one of another zone.
+// Latencies are means in fractions of the latency objective.
+type zoneWeights struct {
+	weight        float64
+	localLatency  float64
+	remoteLatency float64
+}
+
+// machineKindWeights holds a weight for each kind of machine, learnt from its answer times, which
+// are means in fractions of the latency objective.
+type machineKindWeights struct {
+	meanLatency float64 // of all kinds
+	kind        [256]struct{ latency, weight float64 }
+}
+
+func newSelector() selector {
+	s := selector{recentKeys: keyCounter{count: map[uint64]int{}}, zones: zoneWeights{weight: minLocalZoneWeight}}
+	for i := range s.kinds.kind {
+		s.kinds.kind[i].weight = 1
+	}
+	return s
+}
+
 // rank is the server's tier for the request.
-func (b *Balancer) rank(s *endpoint, r *request) int {
-	switch s.state {
+func (b *Balancer) tierOf(s *endpoint, r *request) int {
+	switch s.health.state {
 	case StateUnhealthy:
 		return 2
 	case StateUnhealthyPending:
 		// What must not run twice does not check a server while others are healthy.
 		once := r.class.Effect == EffectNonIdempotent
-		if once || b.set.Limits.HealthChecks && b.now-s.since < b.aimMin {
+		if once || b.set.Limits.HealthChecks && b.now-s.health.since < b.classes.shortestObjectiveMs {
 			return 1
 		}
 	}
@@ -37,44 +68,44 @@
 
 // pick walks the best tier that has anyone in the order of the key's hash and takes the
 // first server that is under its cap and has room. Only those that matter are scored.
-func (b *Balancer) pick(r *request) *endpoint {
+func (b *Balancer) selectEndpoint(r *request) *endpoint {
 	waits, subset := b.waits(r), b.subset()
 	for rank := range 3 {
-		tier, n, seen := b.tier[:0], 0, 0
-		r.tierWeight = 0
-		var near [keyServers]*endpoint
-		for _, s := range b.servers {
+		tier, n, seen := b.selector.tier[:0], 0, 0
+		r.placement.tierWeight = 0
+		var near [keyEndpoints]*endpoint
+		for _, s := range b.endpoints.all {
 			seen++
-			if b.rank(s, r) != rank || !b.maySend(r, s) {
+			if b.tierOf(s, r) != rank || !b.maySend(r, s) {
 				continue
 			}
 			if n++; n > subset && len(tier) > 0 {
 				break
 			}
-			r.tierWeight += s.weight * b.ramp(s)
-			if !waits && !b.hasRoom(s, r) {
+			r.placement.tierWeight += s.weight * b.capacityFraction(s)
+			if !waits && !b.hasCapacity(s, r) {
 				continue
 			}
 			s.score = b.score(r, s)
 			tier = append(tier, s)
-			for i, at := 0, s; i < keyServers && at != nil; i++ {
+			for i, at := 0, s; i < keyEndpoints && at != nil; i++ {
 				if near[i] == nil || at.score < near[i].score {
 					near[i], at = at, near[i]
 				}
 			}
 		}
-		b.tier = tier
-		b.work += uint64(seen)
-		if r.tierWeight == 0 {
+		b.selector.tier = tier
+		b.stats.work += uint64(seen)
+		if r.placement.tierWeight == 0 {
 			continue // an empty tier passes down
 		}
-		if waits && len(tier) > keyServers {
-			r.near, r.epoch = near, b.epoch
+		if waits && len(tier) > keyEndpoints {
+			r.placement.nearest, r.placement.epoch = near, b.endpoints.epoch
 			tier = near[:]
 		}
 		var best *endpoint
 		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.takes(s, r) {
+			if (best == nil || s.score < best.score) && b.accepts(s, r) {
 				best = s
 			}
 		}
@@ -89,32 +120,32 @@
 // . Orders differ, so each server keeps its share; keys find theirs within. Where
 // connections have no price, more servers keep more keys warm.
 func (b *Balancer) subset() int {
-	n := b.recent
+	n := b.traffic.recent
 	if b.set.Limits.KeepaliveMs <= 0 {
 		n = math.Inf(1)
 	} else if b.set.Prices.Handshake > 0 {
 		n /= 4
 	}
-	return int(min(max(n, leastServers), float64(len(b.servers))))
+	return int(min(max(n, minSubset), float64(len(b.endpoints.all))))
 }
 
 // waits tells whether the request still waits for the servers nearest its key.
 func (b *Balancer) waits(r *request) bool {
-	return r.key != 0 && len(r.attempts) == 0 && b.now-r.arrived < keyWait*(r.aimAt-r.arrived)
+	return r.key != 0 && len(r.tries.counted) == 0 && b.now-r.timing.arrived < keyAffinityWait*(r.timing.objectiveAt-r.timing.arrived)
 }
 
 // split gives a key the hash that orders the servers for it. A popular key is split into
 // parts, each with its own order: one was twenty times what its server can do,
 // and with one request out the cap sees nothing of that. The fewer agents share a server,
 // the more each sees, and is left to the cap.
-func (b *Balancer) split(key uint64) uint64 {
+func (b *Balancer) splitKey(key uint64) uint64 {
 	if key == 0 {
 		return b.rng.Uint64()
 	}
-	share := b.recentKeys.add(key) - 1.0/keyMemory
+	share := b.selector.recentKeys.add(key) - 1.0/keyHistory
 	servers := float64(b.subset())
-	blind := min(float64(b.set.Replicas)/max(capFactor*servers, 1), 1)
-	parts := max(share*keySpread*servers*blind, 1)
+	blind := min(float64(b.set.Replicas)/max(boundedLoadFactor*servers, 1), 1)
+	parts := max(share*popularKeyParts*servers*blind, 1)
 	return key + uint64(parts*b.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
 }
 
@@ -123,10 +154,10 @@
 func (b *Balancer) score(r *request, s *endpoint) float64 {
 	x := mix(r.hash ^ s.hash)
 	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.kinds[s.kind&255].weight * min(4*b.slowStartShare(s), 1) // its credit limits it
+	w := s.weight * b.selector.kinds.kind[s.machineKind&255].weight * min(4*b.slowStartShare(s), 1) // its credit limits it
 	w *= b.pacing(s)
 	if s.zone == b.set.Zone {
-		w *= b.home
+		w *= b.selector.zones.weight
 	}
 	return -math.Log(u+1e-18) / w
 }
@@ -136,27 +167,27 @@
 // 80 agents, each meeting a server every few seconds, jammed servers kept their even share
 // for 15 s while two thirds of the fleet stood idle.
 func (b *Balancer) pacing(s *endpoint) float64 {
-	if b.fleetPace == 0 {
+	if b.latency.recent == 0 {
 		return 1
 	}
-	slower := b.pace(s) / (paceSlack * b.fleetPace)
+	slower := b.recentLatency(s) / (recentSlack * b.latency.recent)
 	if slower <= 1 {
 		return 1
 	}
-	return max(1/(slower*slower), leastPace)
+	return max(1/(slower*slower), minRecentWeight)
 }
 
 // takes tells whether the server is under its cap in the tier of the request's
 // last pick and has room.
-func (b *Balancer) takes(s *endpoint, r *request) bool {
-	share := s.weight * b.ramp(s) / r.tierWeight
-	most := math.Ceil(capFactor * float64(b.inflight+1) * share)
-	return float64(len(s.out)+s.abandoned) < most && b.hasRoom(s, r)
+func (b *Balancer) accepts(s *endpoint, r *request) bool {
+	share := s.weight * b.capacityFraction(s) / r.placement.tierWeight
+	most := math.Ceil(boundedLoadFactor * float64(b.limiter.inFlight+1) * share)
+	return float64(len(s.traffic.inFlight)+s.traffic.abandoned) < most && b.hasCapacity(s, r)
 }
 
 // keyCounter counts how often each key came among the last keyMemory requests.
 type keyCounter struct {
-	last  [keyMemory]uint64
+	last  [keyHistory]uint64
 	next  int
 	total int
 	count map[uint64]int
@@ -164,7 +195,7 @@
 
 // add counts one more request for the key and returns the key's share.
 func (k *keyCounter) add(key uint64) float64 {
-	if k.total == keyMemory {
+	if k.total == keyHistory {
 		old := k.last[k.next]
 		if k.count[old]--; k.count[old] == 0 {
 			delete(k.count, old)
@@ -173,7 +204,7 @@
 		k.total++
 	}
 	k.last[k.next] = key
-	k.next = (k.next + 1) % keyMemory
+	k.next = (k.next + 1) % keyHistory
 	k.count[key]++
 	return float64(k.count[key]) / float64(k.total)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -14,7 +14,7 @@
 
 // longestMs bounds times and other figures: what is longer than years overflows where it
 // becomes a duration.
-const longestMs = 1e11
+const maxMs = 1e11
 
 // validate reports the first setting that makes no sense, by its key.
 func (s *Settings) validate() error {
@@ -24,12 +24,12 @@
 	for i, c := range s.Classes {
 		at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", i, key) }
 		switch {
-		case !(c.LatencyObjectiveMs > 0) || c.LatencyObjectiveMs > longestMs:
+		case !(c.LatencyObjectiveMs > 0) || c.LatencyObjectiveMs > maxMs:
 			return fmt.Errorf("%s: must be above 0 and at most %v, is %v",
-				at("aimMs"), longestMs, c.LatencyObjectiveMs)
-		case !(c.DeadlineMs > 0) || c.DeadlineMs > longestMs:
+				at("aimMs"), maxMs, c.LatencyObjectiveMs)
+		case !(c.DeadlineMs > 0) || c.DeadlineMs > maxMs:
 			return fmt.Errorf("%s: must be above 0 and at most %v, is %v", at("giveUpMs"),
-				longestMs, c.DeadlineMs)
+				maxMs, c.DeadlineMs)
 		case !(c.ObjectiveStretch >= 0):
 			return fmt.Errorf("%s: must be 0 or above, is %v", at("aimStretch"), c.ObjectiveStretch)
 		case !(c.LateWeight >= 0):
@@ -78,9 +78,9 @@
 		{"replicasOfMe", float64(s.Replicas)},
 		{"roundMs", s.RoundMs},
 	} {
-		if !(f.value >= 0) || f.value > longestMs {
+		if !(f.value >= 0) || f.value > maxMs {
 			return fmt.Errorf("settings: %s: must be 0 or above and at most %v, is %v",
-				f.key, longestMs, f.value)
+				f.key, maxMs, f.value)
 		}
 	}
 	return nil
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -78,29 +78,29 @@
 func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.now = now
 	floor := b.limitFloor()
-	s := Snapshot{Limit: floor * b.limitScale, Floor: floor, Inflight: b.inflight, Stalled: b.stuck,
-		Abandoned: len(b.abandoned.all), Sojourn: b.abandoned.sojourn,
-		Queued: len(b.held), RetryBudget: b.retryBudget, Outcomes: b.outcomes,
-		UncontendedLatency: b.calmLat, Latency: b.fleetPace}
+	s := Snapshot{Limit: floor * b.limiter.scale, Floor: floor, Inflight: b.limiter.inFlight, Stalled: b.limiter.stalled,
+		Abandoned: len(b.limiter.abandoned.all), Sojourn: b.limiter.abandoned.sojourn,
+		Queued: len(b.queue.queued), RetryBudget: b.retries.tokens, Outcomes: b.stats.outcomes,
+		UncontendedLatency: b.latency.uncontended, Latency: b.latency.recent}
 	held := map[*class]int{}
-	for _, r := range b.held {
+	for _, r := range b.queue.queued {
 		held[r.class]++
 	}
-	for _, c := range b.classes {
+	for _, c := range b.classes.all {
 		s.Classes = append(s.Classes, ClassSnapshot{
 			Name: c.Name, Counts: c.counts, Queued: held[c], ExpectedMs: c.expected(now)})
 	}
-	one := &request{class: b.classes[0], arrived: now, aimAt: now}
-	for _, o := range b.servers {
+	one := &request{class: b.classes.all[0], timing: requestTiming{arrived: now, objectiveAt: now}}
+	for _, o := range b.endpoints.all {
 		if !o.usable {
 			continue
 		}
-		tier := &s.Tiers[b.rank(o, one)]
+		tier := &s.Tiers[b.tierOf(o, one)]
 		tier.Endpoints++
-		if b.ramp(o) < 1 {
+		if b.capacityFraction(o) < 1 {
 			tier.WarmingUp++
 		}
-		if b.hasRoom(o, one) {
+		if b.hasCapacity(o, one) {
 			tier.WithCapacity++
 		}
 	}
--- a/policy/start_tolerance_test.go
+++ b/policy/start_tolerance_test.go
@@ -24,9 +24,9 @@
 		}
 		for age := 0.0; age < c.SlowStartMs; age += c.SlowStartMs / 100 {
 			b.now = 1e6
-			right := b.ramp(&endpoint{startedAt: b.now - age, listedAt: b.now - age})
+			right := b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: b.now - age, listedAt: b.now - age}})
 			older := b.now - age - tolerance
-			if taken := b.ramp(&endpoint{startedAt: older, listedAt: older}); taken > ageErrorFactor*right+1e-9 {
+			if taken := b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: older, listedAt: older}}); taken > ageErrorFactor*right+1e-9 {
 				t.Fatalf("%+v, %v ms old: counts as %v, is %v", c, age, taken, right)
 			}
 		}
