--- /dev/null
+++ b/policy/attempt.go
@@ -0,0 +1,203 @@
+// This file holds an attempt from its sending to its outcome.
+
+package policy
+
+// attempt is one send of a request.
+type attempt struct {
+	request     *request
+	endpoint    *endpoint
+	index       int     // number among the request's attempts, from 0
+	sentAt      float64 // ms
+	cost        float64 // work in mean requests
+	alone       bool    // no other attempt of this agent was in flight at its endpoint
+	done        bool
+	stalled     bool // in flight at an endpoint that fell silent under it
+	cancelled   bool // cancelled by the agent, to be sent elsewhere
+	charged     bool // taken from its endpoint's slow start allowance
+	unreachable bool // its endpoint could not be reached and was held responsible
+}
+
+// send sends a request to an endpoint, and tells whether that is allowed.
+func (b *Balancer) send(request *request, endpoint *endpoint) bool {
+	if !b.retries.maySend(request, endpoint) {
+		return false
+	}
+	sent := &attempt{request: request, endpoint: endpoint, index: request.tries.sent,
+		alone: len(endpoint.traffic.inFlight) == 0, sentAt: b.now, cost: b.latency.hints.cost(request)}
+	request.tries.add(sent)
+	b.local.sent(sent)
+	withinMs := 0.0
+	if request.idempotency.mayHaveRun == 0 {
+		request.idempotency.earliestRunAt, request.idempotency.firstEndpoint = b.now, endpoint
+	} else if request.class.Effect == EffectIdempotentWithKey {
+		withinMs = b.retries.idempotencyWindowLeftMs(request)
+	}
+	request.idempotency.mayHaveRun++
+	endpoint.traffic.send(sent)
+	b.endpoints.busy.insert(endpoint)
+	b.limiter.lastAttemptAt = b.now
+	b.limiter.inFlight++
+	request.class.counts.Attempts++
+	if b.capacityFraction(endpoint) < 1 {
+		endpoint.slowStart.allowance -= sent.cost
+		sent.charged = true
+	}
+	b.do(Action{Kind: ActionSend, Request: request.id, Server: endpoint.id,
+		DelayMs: request.timing.deadline - b.now, WithinMs: withinMs})
+	return true
+}
+
+// onOutcome learns from the end of an attempt, and closes its request or sends it again.
+func (b *Balancer) onOutcome(ev *Event) {
+	request := b.queue.open[ev.Request]
+	if request == nil {
+		return
+	}
+	attempt := request.attempt(ev.Attempt)
+	if attempt == nil || attempt.done {
+		return
+	}
+	b.outcomes.add(ev.Status)
+	status := b.local.attribute(attempt, ev.Status)
+	b.settleAttempt(attempt, ev.Status)
+	if status == StatusLocalFailure {
+		b.local.failed(attempt)
+	} else {
+		b.local.succeeded(attempt)
+		b.outliers.countUnanswered(attempt, status)
+		b.closeIdle(attempt.endpoint)
+		if b.limiter.adapt(attempt, status, finite(ev.LatencyMs)) {
+			b.retries.earn()
+		}
+		b.recordOutcome(attempt, status, finite(ev.LatencyMs))
+	}
+	switch {
+	case request.closed || request.started || ev.Final || status == StatusOK:
+		b.close(request)
+	case status == StatusLocalFailure:
+		b.retryLocally(request)
+	default:
+		b.retry(request, status)
+	}
+}
+
+// settleAttempt takes an attempt that has ended from all that counts it as in flight.
+func (b *Balancer) settleAttempt(attempt *attempt, status Status) {
+	endpoint, request := attempt.endpoint, attempt.request
+	attempt.done = true
+	request.tries.inFlight--
+	b.limiter.inFlight--
+	if attempt.stalled {
+		b.limiter.stalled--
+	}
+	endpoint.traffic.remove(attempt)
+	if len(endpoint.traffic.inFlight) == 0 {
+		b.endpoints.busy.remove(endpoint)
+	}
+	if status.NeverRan() {
+		request.idempotency.mayHaveRun--
+	}
+}
+
+// recordOutcome takes what an attempt's end after rttMs says about its endpoint and class.
+func (b *Balancer) recordOutcome(attempt *attempt, status Status, rttMs float64) {
+	endpoint := attempt.endpoint
+	switch status {
+	case StatusOK:
+		b.slowStart.earn(endpoint, attempt.cost, b.selector.subset())
+		b.recordServed(attempt, rttMs)
+	case StatusServerError, StatusReset:
+		b.outliers.onError(endpoint)
+	case StatusConnectFailed:
+		b.outliers.onConnectFailed(endpoint)
+	case StatusTimeout:
+		b.recordTimeout(attempt, rttMs)
+	case StatusCancelled:
+		b.recordCancelled(attempt, rttMs)
+	case StatusRejected:
+		endpoint.traffic.heardAt = b.now
+		endpoint.window.cut(b.now, rejectedWindowCut, 1)
+	}
+}
+
+// recordServed learns from an answer that came after rttMs.
+func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
+	endpoint, request := attempt.endpoint, attempt.request
+	endpoint.health.failureRate -= outcomeWeight * endpoint.health.failureRate
+	b.latency.hints.learn(request, rttMs)
+	b.outliers.onAnswer(endpoint)
+	b.limiter.abandoned.answered(rttMs)
+	endpoint.traffic.answeredSentAt = max(endpoint.traffic.answeredSentAt, attempt.sentAt)
+	endpoint.latency.lastMs = rttMs
+	request.class.served(b.now, rttMs, request.timing.objectiveAt)
+	fraction := b.latency.objectiveFraction(request, rttMs)
+	b.latency.observe(fraction, attempt.alone)
+	b.observeEndpoint(endpoint, fraction)
+	if b.outliers.onServed(attempt) {
+		b.latency.adjustWindow(endpoint, rttMs)
+	}
+}
+
+// recordTimeout learns from an attempt that was given up on after rttMs. An endpoint that answered
+// others meanwhile is not to blame for a costly request; it counts as slow.
+func (b *Balancer) recordTimeout(attempt *attempt, rttMs float64) {
+	endpoint, request := attempt.endpoint, attempt.request
+	b.limiter.abandoned.unanswered(rttMs, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
+	request.class.unanswered(b.now, rttMs)
+	if !b.set.Limits.Cancellation && rttMs > 0 {
+		b.limiter.abandoned.add(attempt)
+	}
+	if endpoint.traffic.heardAt > attempt.sentAt {
+		b.latency.hints.learn(request, rttMs)
+		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
+	} else {
+		b.outliers.eject(endpoint, true)
+	}
+}
+
+// recordCancelled learns from an attempt that was cancelled after rttMs, as its client left or it
+// was late: so long at least it would have taken.
+func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
+	endpoint, request := attempt.endpoint, attempt.request
+	request.class.unanswered(b.now, rttMs)
+	if b.now >= request.timing.objectiveAt && endpoint.traffic.heardAt <= attempt.sentAt &&
+		!b.outliers.mostUnanswered() {
+		b.outliers.eject(endpoint, true)
+	}
+	if fraction := b.latency.objectiveFraction(request, rttMs); fraction > b.latency.recentOf(endpoint) {
+		b.latency.observeRecent(endpoint, fraction)
+	}
+}
+
+// observeEndpoint takes an answer time, as a part of the objective, into the means of its
+// endpoint, zone and machine kind.
+func (b *Balancer) observeEndpoint(endpoint *endpoint, fraction float64) {
+	b.latency.observeEndpoint(endpoint, fraction)
+	b.selector.observe(endpoint, fraction)
+}
+
+// closeIdle closes an endpoint's idle connections where keeping them costs more than opening one
+// again, when this agent comes back to the endpoint as seldom as its last sends say. All agents'
+// requests are taken for this one's times their number: where a thousand agents each meet every
+// endpoint, they would keep hundreds of connections an endpoint open.
+func (b *Balancer) closeIdle(endpoint *endpoint) {
+	prices, gapMs := &b.set.Prices, endpoint.traffic.meanGapMs
+	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
+		return
+	}
+	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.set.Replicas)
+	endpoints := float64(len(b.endpoints.all))
+	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
+		b.do(Action{Kind: ActionCloseIdle, Server: endpoint.id})
+	}
+}
+
+// attempt is the request's attempt of that number, or nil.
+func (r *request) attempt(index int) *attempt {
+	for _, attempt := range r.tries.counted {
+		if attempt.index == index {
+			return attempt
+		}
+	}
+	return nil
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,4 +1,4 @@
-// This file holds the Balancer: its state, and what each event leads to.
+// This file holds the Balancer: its components and what each event leads to.
 
 package policy
 
@@ -7,66 +7,96 @@
 	"math/rand/v2"
 )
 
+// Tokens of the timers that the Balancer sets.
 const (
 	timerTick, timerWatch = 1, 2
 )
 
+// minTickMs is the shortest time between two checks of what waits, in ms.
+const minTickMs = 5.0
+
+// environment is what all components share: the settings, the source of randomness, and the time
+// and the actions of the event in hand. Each component embeds a pointer to the Balancer's.
+type environment struct {
+	set     Settings
+	rng     *rand.Rand // the only randomness; the order of its draws is part of the behaviour
+	now     float64    // time of the event in hand, in ms
+	actions []Action   // decided on for that event
+	work    uint64     // see Balancer.Work
+}
+
+// do decides on an action.
+func (env *environment) do(action Action) { env.actions = append(env.actions, action) }
+
+// countWork counts a walk over endpoints as work.
+func (env *environment) countWork(endpoints []*endpoint) { env.work += uint64(len(endpoints)) }
+
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
-	set       Settings
-	rng       *rand.Rand // only source of randomness; the order of its draws is part of the behaviour
-	now       float64    // time of the event in hand, in ms
-	actions   []Action   // decided on for that event
-	ticking   bool       // the timer of timerTick is running
-	queue     admissionQueue
+	environment
 	endpoints endpointSet
+	queue     admissionQueue
 	selector  selector
-	slowStart slowStart
+	retries   retryPolicy
 	limiter   concurrencyLimiter
+	slowStart slowStart
 	outliers  outlierDetector
 	latency   latencyTracker
 	classes   classStats
 	quotas    quotaTracker
-	retries   retryBudget
 	watch     watchScheduler
 	traffic   requestRate
 	local     localFailure
-	stats     decisionStats
-}
-
-// decisionStats counts for diagnostics; nothing is decided by it.
-type decisionStats struct {
-	work     uint64 // see Balancer.Work
-	outcomes OutcomeCounts
+	outcomes  OutcomeCounts
+	ticking   bool // the timer of timerTick is set
 }
 
-// New returns the balancer of one agent, or an error that names the setting
-// that makes no sense. All its randomness comes from the seed.
+// New returns the Balancer of one agent, or an error that names the setting that makes no sense.
+// All its randomness comes from the seed.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}
-	b.endpoints.byAddr = map[Addr]*endpoint{}
-	b.queue.open = map[RequestID]*request{}
-	b.selector = newSelector()
-	b.quotas.usage = make([]float64, len(set.Tenants))
-	b.retries.tokens = retryBurst
-	b.limiter.scale = 1
-	b.watch.fetchedAt = math.Inf(-1)
-	b.setClasses()
+	b := &Balancer{environment: environment{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
+	b.connect()
 	return b, nil
 }
 
-// Start gives the first actions of a new agent and appends them to out.
+// connect makes the components and gives each the others that it asks.
+func (b *Balancer) connect() {
+	env := &b.environment
+	b.endpoints = newEndpointSet(env)
+	b.classes = newClassStats(env)
+	b.quotas = newQuotaTracker(env)
+	b.traffic = requestRate{environment: env}
+	b.latency = latencyTracker{environment: env}
+	b.watch = newWatchScheduler(env)
+	b.slowStart = slowStart{environment: env, endpoints: &b.endpoints}
+	b.limiter = concurrencyLimiter{environment: env, scale: 1, endpoints: &b.endpoints,
+		slowStart: &b.slowStart, traffic: &b.traffic, latency: &b.latency, classes: &b.classes}
+	b.retries = retryPolicy{environment: env, endpoints: &b.endpoints, tokens: retryBurst}
+	b.queue = newAdmissionQueue(env, &b.classes, &b.quotas, &b.latency)
+	b.selector = newSelector(env)
+	b.selector.endpoints, b.selector.classes, b.selector.traffic = &b.endpoints, &b.classes, &b.traffic
+	b.selector.limiter, b.selector.slowStart = &b.limiter, &b.slowStart
+	b.selector.latency, b.selector.retries = &b.latency, &b.retries
+	b.outliers = outlierDetector{environment: env, endpoints: &b.endpoints, queue: &b.queue,
+		selector: &b.selector, slowStart: &b.slowStart, limiter: &b.limiter, classes: &b.classes,
+		traffic: &b.traffic, watch: &b.watch}
+	b.local = localFailure{environment: env, endpoints: &b.endpoints, outliers: &b.outliers}
+}
+
+// Start gives the first actions of a new agent at the time now, in ms, and appends them to out.
 func (b *Balancer) Start(now float64, out []Action) []Action {
-	b.now, b.actions, b.traffic.startedAt, b.traffic.recentAt, b.slowStart.flowAt, b.watch.startedAt = now, out, now, now, now, now
-	b.startWatch()
+	b.now, b.actions = now, out
+	b.traffic.start()
+	b.slowStart.flowAt = now
+	b.watch.start()
 	return b.actions
 }
 
-// Handle takes one event and appends the actions it calls for to out. Events
-// for what is finished or unknown are ignored.
+// Handle takes one event at the time now, in ms, and appends the actions it calls for to out.
+// Events for what is finished or unknown are ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now, b.actions = now, out
 	switch ev.Kind {
@@ -75,26 +105,18 @@
 	case EventOutcome:
 		b.onOutcome(ev)
 	case EventResponseStarted:
-		if r := b.queue.open[ev.Request]; r != nil && !r.closed {
-			r.started = true
-			if a := r.attempt(ev.Attempt); a != nil {
-				a.target.traffic.heardAt = now
-			}
-		}
+		b.onResponseStarted(ev)
 	case EventClientGone:
-		if r := b.queue.open[ev.Request]; r != nil && !r.closed {
-			b.remember(r)
-			b.close(r)
-		}
+		b.onClientGone(ev)
 	case EventEndpointList:
-		b.onList(ev)
+		b.onEndpointList(ev)
 	case EventHealthChecked:
-		b.onHealthChecked(ev)
+		b.outliers.onHealthChecked(ev)
 	case EventTimer:
 		b.onTimer(ev.Token)
 	}
 	b.dispatch()
-	b.arm()
+	b.setTick()
 	return b.actions
 }
 
@@ -102,21 +124,18 @@
 // in it they have to be carried out, as the Balancer counts on them.
 func (b *Balancer) Decided() []Action { return b.actions }
 
-func (b *Balancer) do(a Action) { b.actions = append(b.actions, a) }
-
-// arm keeps one timer running while there is something to watch.
-func (b *Balancer) arm() {
+// setTick keeps one timer running while requests wait or attempts are in flight.
+func (b *Balancer) setTick() {
 	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, 5), Token: timerTick})
+		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, minTickMs), Token: timerTick})
 	}
 }
 
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
 	case timerWatch:
-		b.watch.startedAt = b.now
-		b.do(Action{Kind: ActionWatch})
+		b.watch.begin()
 	case timerTick:
 		b.ticking = false
 		b.ejectSilent()
@@ -125,10 +144,30 @@
 	}
 }
 
-// Work is how many listed servers, entries of lists and held requests the decisions have
+// onResponseStarted notes that a streamed answer has begun: its request is not sent again.
+func (b *Balancer) onResponseStarted(ev *Event) {
+	request := b.queue.open[ev.Request]
+	if request == nil || request.closed {
+		return
+	}
+	request.started = true
+	if attempt := request.attempt(ev.Attempt); attempt != nil {
+		attempt.endpoint.traffic.heardAt = b.now
+	}
+}
+
+// onClientGone ends a request whose client has left.
+func (b *Balancer) onClientGone(ev *Event) {
+	if request := b.queue.open[ev.Request]; request != nil && !request.closed {
+		b.queue.remember(request)
+		b.close(request)
+	}
+}
+
+// Work is how many listed endpoints, entries of lists and queued requests the decisions have
 // looked at so far: what a decision costs, without a clock. Its growth with the size of the
 // list can be tested where times can't.
-func (b *Balancer) Work() uint64 { return b.stats.work }
+func (b *Balancer) Work() uint64 { return b.work }
 
-// countWork counts a walk over servers as work.
-func (b *Balancer) countWork(servers []*endpoint) { b.stats.work += uint64(len(servers)) }
+// never is a time before all others.
+var never = math.Inf(-1)
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -7,20 +7,31 @@
 )
 
 const (
-	// attemptsPerServer is how many attempts for each server all agents together may always
-	// have out: it keeps a server busy and is well under what makes one slower. A good answer
-	// adds limitGrowth to an agent's part, over those of a round trip; a late one takes up to
-	// limitCut off.
-	attemptsPerEndpoint, limitGrowth, limitCut = 2.0, 0.2, 0.4
-	// leastAttempts is the same while answers are late.
+	// attemptsPerEndpoint is how many attempts for each endpoint all agents together may always
+	// have in flight: it keeps an endpoint busy and is well under what makes one slower.
+	attemptsPerEndpoint = 2.0
+	// minAttemptsPerEndpoint is the same while answers are late.
 	minAttemptsPerEndpoint = 1.0
-	// calmFactor is how many times its work a calm answer may take.
+	// A good answer adds limitGrowth to an agent's part, over those of a round trip; a late one
+	// takes up to limitCut off.
+	limitGrowth, limitCut = 0.2, 0.4
+	// uncontendedWorkFactor is how many times its work an uncontended answer may take.
 	uncontendedWorkFactor = 4.0
 )
 
-// concurrencyLimiter bounds the attempts in flight of this agent.
+// concurrencyLimiter bounds the attempts in flight of this agent. What it bounds is the queue in
+// front of the endpoints, whatever the number of agents and however late they learn. It follows
+// answer times, not failures: a limit that closes on failures and opens when they are forgotten
+// does so at all agents at once, and the fleet swings between idle and overload.
 type concurrencyLimiter struct {
-	scale         float64 // the limit in multiples of the agent's part of the fleet's attempts
+	*environment
+	endpoints *endpointSet
+	slowStart *slowStart
+	traffic   *requestRate
+	latency   *latencyTracker
+	classes   *classStats
+
+	scale         float64 // the limit in multiples of floor
 	inFlight      int
 	stalled       int // of these, at endpoints that fell silent
 	abandoned     abandonedAttempts
@@ -28,125 +39,102 @@
 	lastAttemptAt float64 // ms
 }
 
-// requestRate measures the requests that come.
-type requestRate struct {
-	recent    float64 // requests, fading over rateSpan, as of recentAt
-	recentAt  float64 // ms
-	startedAt float64 // ms
-	requests  float64 // since the start
-}
+// limit is how many attempts may be in flight. A limit under 1 is kept by pausing.
+func (l *concurrencyLimiter) limit() float64 { return l.floor() * l.scale }
 
-// underLimit is the agent's part of what the fleet may have out: an adaptive limit on its
-// attempts out. What it bounds is the queue in front of the servers, whatever the number
-// of agents and however late they learn. The throttle before it counted failures, and let
-// nothing out until they were forgotten: a whole fleet shut and opened in step, 54 requests
-// were out on 32 servers one second and 490 two seconds before, which tipped them.
-func (b *Balancer) underLimit() bool {
-	out, room := float64(b.limiter.inFlight-b.limiter.stalled+len(b.limiter.abandoned.all)), b.limitFloor()*b.limiter.scale
-	return out < max(room, 1) && (room >= 1 || b.now-b.limiter.lastAttemptAt >= b.limiter.meanRTTMs/room)
+// allows tells whether another attempt may be sent now.
+func (l *concurrencyLimiter) allows() bool {
+	inFlight := float64(l.inFlight - l.stalled + len(l.abandoned.all))
+	limit := l.limit()
+	return inFlight < max(limit, 1) && (limit >= 1 || l.now-l.lastAttemptAt >= l.meanRTTMs/limit)
 }
 
-// limitFloor is the agent's part of attemptsPerServer attempts a server, of which the limit on
-// attempts is limitScale times, and less only while answers are late. Its part is that of the
-// traffic that the settings foresee for all agents, an even one where they foresee none. One
-// out at a time does no harm as long as all agents may have one.
-func (b *Balancer) limitFloor() float64 {
-	all := attemptsPerEndpoint * b.capacity()
-	even := all / float64(max(b.set.Replicas, 1))
-	quota := 0.0
-	for _, t := range b.set.Tenants {
-		quota += t.QuotaPerS / 1000
-	}
-	if quota == 0 {
-		return max(even, all*b.rate()/b.feasible(math.Inf(1)))
+// floor is the agent's part of attemptsPerEndpoint attempts an endpoint; the limit is scale times
+// that, and less only while answers are late. Its part is that of the traffic that the settings
+// foresee for all agents, an even one where they foresee none. One in flight at a time does no
+// harm as long as all agents may have one.
+func (l *concurrencyLimiter) floor() float64 {
+	all := attemptsPerEndpoint * l.slowStart.fleetCapacity()
+	even := all / float64(max(l.set.Replicas, 1))
+	foreseen := foreseenPerMs(l.set.Tenants)
+	if foreseen == 0 {
+		return max(even, all*l.traffic.perMs()/l.feasiblePerMs(math.Inf(1)))
 	}
-	return max(all*b.rate()/b.feasible(quota), min(even, 1))
+	return max(all*l.traffic.perMs()/l.feasiblePerMs(foreseen), min(even, 1))
 }
 
-// feasible bounds what the settings foresee of all agents, in requests a ms, by what the
-// listed servers could possibly answer: in a fleet of many services the settings tell of all
-// of them, the list names one service's servers. A calm answer may still have waited for
-// others: it takes calmFactor times its work at three quarters of what a server can do. So
-// settings that tell of the listed servers are left alone, and what an agent may always have
-// out is under what its own calls take while nothing is crowded (Little's law).
-func (b *Balancer) feasible(rate float64) float64 {
-	calm := b.latency.uncontended * b.classes.meanObjectiveMs / uncontendedWorkFactor
-	if calm <= 0 || b.endpoints.ready == 0 {
-		return rate // nothing was measured yet, or nobody can answer
+// feasiblePerMs bounds what the settings foresee of all agents, in requests a ms, by what the
+// listed endpoints could possibly answer: in a fleet of many services the settings tell of all
+// of them, the list names one service's endpoints. An uncontended answer may still have waited
+// for others: it takes uncontendedWorkFactor times its work at three quarters of what an endpoint
+// can do. So settings that tell of the listed endpoints are left alone, and what an agent may
+// always have in flight is under what its own calls take while nothing is crowded (Little's law).
+func (l *concurrencyLimiter) feasiblePerMs(foreseen float64) float64 {
+	workMs := l.latency.uncontended * l.classes.meanObjectiveMs / uncontendedWorkFactor
+	if workMs <= 0 || l.endpoints.ready == 0 {
+		return foreseen // nothing was measured yet, or nobody can answer
 	}
-	return min(rate, attemptsPerEndpoint*b.capacity()/calm)
+	return min(foreseen, attemptsPerEndpoint*l.slowStart.fleetCapacity()/workMs)
 }
 
-// growLimit raises the limit after a good answer. Below one attempt it doubles (slow start),
-// above it grows by a part of one attempt at least. In a fleet of many services the settings
-// tell of all of them and the list names one service's servers: an agent's part is then a
-// hundredth of an attempt, and a limit that grew by parts of that refused two calls in three
-// of a healthy service. Answers that are late take it back to its floor.
-func (b *Balancer) growLimit(limit float64) {
-	floor := b.limitFloor()
+// grow raises the limit after a good answer. Below one attempt it doubles (slow start), above it
+// grows by a part of one attempt at least. In a fleet of many services the settings tell of all of
+// them and the list names one service's endpoints: an agent's part is then a hundredth of an
+// attempt, and a limit that grew by parts of that would reject most calls of a healthy service.
+// Answers that are late take it back to its floor.
+func (l *concurrencyLimiter) grow(limit float64) {
+	floor := l.floor()
 	switch {
 	case floor <= 0:
 	case limit < 1:
-		b.limiter.scale = min(2*limit, 1) / floor
+		l.scale = min(2*limit, 1) / floor
 	default:
 		one := max(floor, 1)
-		b.limiter.scale += limitGrowth * one * one / (limit * limit * floor)
+		l.scale += limitGrowth * one * one / (limit * limit * floor)
 	}
 }
 
-// rateSpan is the time over which requests are counted, in ms: that for which a connection
-// is kept, and where none is, that in which a server may be pushed over.
-func (b *Balancer) rateSpan() float64 {
-	return max(b.set.Limits.KeepaliveMs, b.set.Contract.OverloadWindowMs, 1)
-}
-
-// rate is how many requests a ms came of late.
-func (b *Balancer) rate() float64 {
-	span := b.rateSpan()
-	old := math.Exp((b.traffic.recentAt - b.now) / span)
-	return b.traffic.recent * old / span / max(1-math.Exp((b.traffic.startedAt-b.now)/span), 0.01)
-}
-
-// adapt lets the limit follow how attempts end: up while answers take little of their aim,
-// down the more the later one is, or if it is turned away or left by its client. Errors
-// and broken connections tell nothing of queues.
-func (b *Balancer) adaptLimit(a *attempt, st Status, rtt float64) {
-	limit := b.limitFloor() * b.limiter.scale
-	over := min(max(rtt/a.request.class.LatencyObjectiveMs-crowdedFraction, 0), 1)
-	if st == StatusRejected {
-		over = 1
+// adapt lets the limit follow how attempts end: up while answers take little of their objective,
+// down the more the later one is, or if it is rejected or left by its client. Errors and broken
+// connections tell nothing of queues. It reports whether the answer came in good time.
+func (l *concurrencyLimiter) adapt(attempt *attempt, status Status, rttMs float64) (inTime bool) {
+	limit := l.limit()
+	lateness := min(max(rttMs/attempt.request.class.LatencyObjectiveMs-crowdedFraction, 0), 1)
+	if status == StatusRejected {
+		lateness = 1
 	}
-	if st == StatusOK {
-		b.limiter.meanRTTMs = mean(b.limiter.meanRTTMs, rtt, endpointSmoothing)
+	if status == StatusOK {
+		l.meanRTTMs = ewma(l.meanRTTMs, rttMs, endpointSmoothing)
 	}
 	switch {
-	case over > 0 && (st == StatusOK || st == StatusRejected ||
-		st == StatusCancelled && !a.cancelled || st == StatusTimeout && !a.target.health.silent):
-		b.limiter.scale = max(b.limiter.scale*(1-limitCut*over), minAttemptsPerEndpoint/attemptsPerEndpoint)
-	case st == StatusOK:
-		b.retries.tokens = min(b.retries.tokens+retryRatio, retryBurst)
-		if float64(2*(b.limiter.inFlight+1)) >= limit {
-			b.growLimit(limit)
+	case lateness > 0 && tellsOfQueues(attempt, status):
+		l.scale = max(l.scale*(1-limitCut*lateness), minAttemptsPerEndpoint/attemptsPerEndpoint)
+	case status == StatusOK:
+		if float64(2*(l.inFlight+1)) >= limit {
+			l.grow(limit)
 		}
+		return true
 	}
+	return false
 }
 
-// capacity is what the usable servers can do, in those of full capacity. Cold ones count in
-// part beside warm ones: their credit bounds what they are sent, and the rest of an even share
-// would be sent to the warm ones. Alone they count as servers.
-func (b *Balancer) capacity() float64 {
-	if b.slowStart.capacityAt == b.now {
-		return b.slowStart.capacity
-	}
-	b.slowStart.capacity, b.slowStart.capacityAt = float64(b.endpoints.ready), b.now
-	if b.warmWeight() == 0 {
-		return b.slowStart.capacity
+// tellsOfQueues tells whether a late end of an attempt is a sign of queues at its endpoint.
+func tellsOfQueues(attempt *attempt, status Status) bool {
+	switch status {
+	case StatusOK, StatusRejected:
+		return true
+	case StatusCancelled:
+		return !attempt.cancelled
+	case StatusTimeout:
+		return !attempt.endpoint.health.silent
 	}
-	b.countWork(b.slowStart.warming)
-	for _, s := range b.slowStart.warming {
-		if s.usable {
-			b.slowStart.capacity -= 1 - b.capacityFraction(s)
-		}
+	return false
+}
+
+// rebase keeps the limit where the list has changed the floor from what it was: a limit that has
+// grown far above a part of one attempt does not grow with that part.
+func (l *concurrencyLimiter) rebase(oldFloor, oldLimit float64) {
+	if floor := l.floor(); oldFloor < 1 && floor > oldFloor {
+		l.scale = max(oldLimit/floor, min(l.scale, 1))
 	}
-	return b.slowStart.capacity
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,7 +1,9 @@
-// This file holds what is known of one server and of one attempt.
+// This file holds what is known of one endpoint.
 
 package policy
 
+import "slices"
+
 // endpoint is what the agent knows of one listed server. Times are those of the agent's clock,
 // in ms.
 type endpoint struct {
@@ -18,7 +20,20 @@
 	traffic     endpointTraffic
 	latency     endpointLatency
 	window      endpointWindow
-	score       float64 // rank for the request that is being placed; lower is better
+	score       float64 // for the request that is being placed; lower is better
+}
+
+// load is the number of attempts that the endpoint may be working on for this agent.
+func (e *endpoint) load() int { return len(e.traffic.inFlight) + e.traffic.abandoned }
+
+// windowOpen tells whether the endpoint's window lets another attempt in. A window under one is
+// kept by pausing: with many agents even one attempt of each can be too much, and an endpoint that
+// was overloaded needs rest to recover.
+func (e *endpoint) windowOpen(now float64) bool {
+	if e.load() >= max(int(e.window.size), 1) {
+		return false
+	}
+	return e.window.size >= 1 || now-e.traffic.sentAt >= e.latency.lastMs/e.window.size
 }
 
 // endpointSlowStart is how far an endpoint's process has warmed up.
@@ -51,7 +66,23 @@
 	meanGapMs      float64    // mean time between attempts; 0: unknown
 }
 
-// endpointLatency is an endpoint's answer times. mean and recent are fractions of the latency
+// send notes an attempt that is sent.
+func (t *endpointTraffic) send(sent *attempt) {
+	t.inFlight = append(t.inFlight, sent)
+	if t.sentAt > 0 {
+		t.meanGapMs = ewma(t.meanGapMs, sent.sentAt-t.sentAt, endpointSmoothing)
+	}
+	t.sentAt = sent.sentAt
+}
+
+// remove takes out an attempt that has ended.
+func (t *endpointTraffic) remove(ended *attempt) {
+	if i := slices.Index(t.inFlight, ended); i >= 0 {
+		t.inFlight = slices.Delete(t.inFlight, i, i+1)
+	}
+}
+
+// endpointLatency is an endpoint's answer times. mean and recent are parts of the latency
 // objective.
 type endpointLatency struct {
 	mean     float64
@@ -67,17 +98,7 @@
 	cutAt float64 // when it was last reduced
 }
 
-// attempt is one send of a request.
-type attempt struct {
-	request     *request
-	target      *endpoint
-	index       int     // number among the request's attempts, from 0
-	sentAt      float64 // ms
-	alone       bool    // no other attempt of this agent was in flight at its endpoint
-	cost        float64 // work in mean requests
-	done        bool
-	stalled     bool // in flight at an endpoint that fell silent under it
-	cancelled   bool // cancelled by the agent, to be sent elsewhere
-	charged     bool // taken from its endpoint's slow start allowance
-	unreachable bool // its endpoint could not be reached and was held responsible
+// cut reduces the window to the factor given, not under least.
+func (w *endpointWindow) cut(now, factor, least float64) {
+	w.size, w.cutAt = min(w.size, max(w.size*factor, least)), now
 }
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -1,121 +1,146 @@
-// This file holds the list of servers.
+// This file holds the list of endpoints and how it changes.
 
 package policy
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
-func (b *Balancer) onList(ev *Event) {
+// endpointSet holds the listed endpoints and those of them that need attention.
+type endpointSet struct {
+	*environment
+	all     orderedEndpoints
+	ejected orderedEndpoints // in a state after StateUnknown
+	busy    orderedEndpoints // with attempts in flight
+	byAddr  map[Addr]*endpoint
+	epoch   uint64 // counts changes of tiers and of the list
+	ready   int    // endpoints listed as ready
+}
+
+func newEndpointSet(env *environment) endpointSet {
+	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
+}
+
+// onEndpointList applies a change of the list, or schedules the next call after one that failed.
+func (b *Balancer) onEndpointList(ev *Event) {
 	switch ev.List {
 	case ListFailed:
-		b.watch.failures++
-		b.retryWatch(b.watch.failures, firstWatchBackoffMs)
+		b.watch.onFailed()
 		return
 	case ListWatchEnded:
-		b.onWatchEnded()
+		b.watch.onEnded()
 		return
 	}
-	b.watch.failures = 0
+	b.watch.onList()
 	b.endpoints.epoch++
-	named := map[Addr]bool{}
+	listed := map[Addr]bool{}
 	for i := range ev.Entries {
-		named[ev.Entries[i].Server] = true
-		b.update(&ev.Entries[i])
+		listed[ev.Entries[i].Server] = true
+		b.updateEndpoint(&ev.Entries[i])
 	}
 	if ev.List != ListDelta {
-		b.countWork(b.endpoints.all)
-		for _, s := range b.endpoints.all {
-			s.usable = s.usable && named[s.id]
-		}
-	}
-	floor := b.limitFloor()
-	limit := floor * b.limiter.scale
-	b.endpoints.ready, b.slowStart.capacityAt = 0, math.Inf(-1)
-	b.countWork(b.endpoints.all)
-	b.endpoints.all = slices.DeleteFunc(b.endpoints.all, func(s *endpoint) bool {
-		if s.usable {
-			b.endpoints.ready++
-		}
-		forget := !s.usable && len(s.traffic.inFlight) == 0 && !s.health.checking
-		if forget {
-			b.forget(s)
-		}
-		return forget
-	})
-	// A limit that has grown far above a part of one attempt does not grow with that part.
-	if now := b.limitFloor(); floor < 1 && now > floor {
-		b.limiter.scale = max(limit/now, min(b.limiter.scale, 1))
+		b.endpoints.keepListed(listed)
 	}
+	floor, limit := b.limiter.floor(), b.limiter.limit()
+	b.endpoints.removeGone(b.slowStart.forget)
+	b.slowStart.capacityAt = never
+	b.limiter.rebase(floor, limit)
 }
 
-func (b *Balancer) update(e *Entry) {
-	b.stats.work++
-	s, since := b.endpoints.byAddr[e.Server], finite(e.StartedMs)
-	if s == nil {
-		s = &endpoint{id: e.Server, hash: mix(hashAddr(e.Server)), health: endpointHealth{state: StateUnknown, since: b.now},
-			window:    endpointWindow{size: initialWindow},
-			slowStart: endpointSlowStart{startedAt: since, listedAt: since, allowance: b.rng.Float64()}}
-		s.order = mix(s.hash ^ mix(uint64(b.set.Index)+1))
-		b.endpoints.byAddr[s.id] = s
-		b.endpoints.all.add(s)
-		b.startWarmUp(s)
+// updateEndpoint applies one line of the list.
+func (b *Balancer) updateEndpoint(entry *Entry) {
+	b.work++
+	endpoint, startedAt := b.endpoints.byAddr[entry.Server], finite(entry.StartedMs)
+	if endpoint == nil {
+		endpoint = b.endpoints.add(entry.Server, startedAt)
+		b.slowStart.begin(endpoint)
 	}
-	if since > s.slowStart.listedAt {
-		// A new process: nothing known of the old one holds, and it is cold. Its credit
-		// starts at random: of many agents that each earn it a part of one request, as
-		// many send one as the parts add up to; from 0 none would before it is warm.
-		s.slowStart.listedAt = since
-		b.endpoints.ejected.remove(s)
-		s.slowStart.startedAt, s.health.state, s.health.since, s.health.silent = since, StateUnknown, b.now, false
-		b.startWarmUp(s)
-		s.health.consecutiveEjections, s.health.served, s.latency.mean, s.latency.samples, s.window.size, s.slowStart.allowance = 0, 0, 0, 0, 1, b.rng.Float64()
-		s.health.failureRate, s.latency.recent, s.latency.recentAt = 0, b.latency.recent, b.now
+	if startedAt > endpoint.slowStart.listedAt {
+		b.restartEndpoint(endpoint, startedAt)
 	}
-	s.zone, s.cell, s.machineKind, s.usable = e.Zone, e.Cell, e.MachineKind, e.Health == HealthReady
-	s.weight = 1
-	if w := finite(e.Weight); w > 0 {
-		s.weight = w
+	endpoint.zone, endpoint.cell, endpoint.machineKind = entry.Zone, entry.Cell, entry.MachineKind
+	endpoint.usable = entry.Health == HealthReady
+	endpoint.weight = 1
+	if weight := finite(entry.Weight); weight > 0 {
+		endpoint.weight = weight
 	}
 }
 
-// forget drops all that points to a server that is no longer listed, but the list itself.
-func (b *Balancer) forget(s *endpoint) {
-	delete(b.endpoints.byAddr, s.id)
-	b.endpoints.ejected.remove(s)
-	b.endpoints.busy.remove(s)
-	if s.slowStart.warming {
-		b.slowStart.warming = slices.DeleteFunc(b.slowStart.warming, func(o *endpoint) bool { return o == s })
+// restartEndpoint takes an endpoint for a new process: nothing known of the old one holds, and it
+// is warming up. Its allowance starts at random: of many agents that each earn it a part of one
+// request, as many send one as the parts add up to; from 0 none would before it is warm.
+func (b *Balancer) restartEndpoint(endpoint *endpoint, startedAt float64) {
+	b.endpoints.ejected.remove(endpoint)
+	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
+	b.slowStart.begin(endpoint)
+	endpoint.slowStart.allowance = b.rng.Float64()
+	health := &endpoint.health
+	health.state, health.since, health.silent = StateUnknown, b.now, false
+	health.consecutiveEjections, health.served, health.failureRate = 0, 0, 0
+	endpoint.latency.mean, endpoint.latency.samples = 0, 0
+	endpoint.latency.recent, endpoint.latency.recentAt = b.latency.recent, b.now
+	endpoint.window.size = 1
+}
+
+// add takes an endpoint into the list of which nothing is known but when its process started, in
+// ms.
+func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
+	endpoint := &endpoint{id: addr, hash: mix(hashAddr(addr)),
+		health:    endpointHealth{state: StateUnknown, since: s.now},
+		window:    endpointWindow{size: initialWindow},
+		slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt, allowance: s.rng.Float64()}}
+	endpoint.order = mix(endpoint.hash ^ mix(uint64(s.set.Index)+1))
+	s.byAddr[addr] = endpoint
+	s.all.insert(endpoint)
+	return endpoint
+}
+
+// keepListed takes all endpoints that a whole list doesn't name for not usable.
+func (s *endpointSet) keepListed(listed map[Addr]bool) {
+	s.countWork(s.all)
+	for _, endpoint := range s.all {
+		endpoint.usable = endpoint.usable && listed[endpoint.id]
 	}
 }
 
-// endpointSet holds the listed endpoints and those of them that need attention.
-type endpointSet struct {
-	all     orderedEndpoints
-	ejected orderedEndpoints // in a state after StateUnknown
-	busy    orderedEndpoints // with attempts in flight
-	byAddr  map[Addr]*endpoint
-	epoch   uint64 // counts changes of tiers and of the list
-	ready   int    // endpoints listed as ready
+// removeGone counts the ready endpoints and drops those that are no longer listed and have
+// nothing in flight; forgotten is called for each.
+func (s *endpointSet) removeGone(forgotten func(*endpoint)) {
+	s.ready = 0
+	s.countWork(s.all)
+	s.all = slices.DeleteFunc(s.all, func(endpoint *endpoint) bool {
+		if endpoint.usable {
+			s.ready++
+		}
+		gone := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 && !endpoint.health.checking
+		if gone {
+			delete(s.byAddr, endpoint.id)
+			s.ejected.remove(endpoint)
+			s.busy.remove(endpoint)
+			forgotten(endpoint)
+		}
+		return gone
+	})
 }
 
 // orderedEndpoints is a set of endpoints in the agent's own order.
 type orderedEndpoints []*endpoint
 
-func (o orderedEndpoints) find(s *endpoint) (int, bool) {
-	return slices.BinarySearchFunc(o, s, func(x, y *endpoint) int { return cmp.Compare(x.order, y.order) })
+func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
+	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
+		return cmp.Compare(x.order, y.order)
+	})
 }
 
-func (o *orderedEndpoints) add(s *endpoint) {
-	if i, found := o.find(s); !found {
-		*o = slices.Insert(*o, i, s)
+func (o *orderedEndpoints) insert(endpoint *endpoint) {
+	if i, found := o.find(endpoint); !found {
+		*o = slices.Insert(*o, i, endpoint)
 	}
 }
 
-func (o *orderedEndpoints) remove(s *endpoint) {
-	if i, found := o.find(s); found {
+func (o *orderedEndpoints) remove(endpoint *endpoint) {
+	if i, found := o.find(endpoint); found {
 		*o = slices.Delete(*o, i, i+1)
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,209 +7,196 @@
 )
 
 const (
-	// crowdShare is the part of the aim that a server's mean answer time may take.
+	// crowdedFraction is the part of the latency objective that an endpoint's mean answer time may
+	// take.
 	crowdedFraction = 0.5
-	// crowdFactor is how many times the fleet's calm answer time a calm server's may be.
+	// crowdedFactor is how many times the fleet's uncontended answer time an uncrowded endpoint's
+	// may be.
 	crowdedFactor = 1.5
-	initialWindow = 2.0 // attempts an unmeasured server may hold
-	// calmSamples is the number of answers that make the first measure of calm; until
-	// then no window grows, so that a start does not crowd what it measures.
+	// initialWindow is how many attempts an unmeasured endpoint may hold.
+	initialWindow = 2.0
+	// uncontendedSamples is the number of answers that make the first measure of the uncontended
+	// answer time; until then no window grows, so that a start does not crowd what it measures.
 	uncontendedSamples = 50
-	// minWindow is left to the most crowded server: enough to see when it is not.
+	// minWindow is left to the most crowded endpoint: enough to see when it is not. An endpoint
+	// counts as overloaded, and may get less than one attempt, from overloadFactor times the
+	// answer time of a crowded one.
 	minWindow, overloadFactor = 0.1, 2.5
-	// ownZone is how much more a server of the agent's own zone weighs in a key's order at
-	// the least, ownPrice the most for the whole worth as the price of crossing; leastKind
-	// what a slow kind of machine keeps; weighStep is how fast weights follow.
-	minLocalZoneWeight, zonePriceFactor, minMachineKindWeight, weightStep = 1.5, 100.0, 0.25, 0.05
-	// smooth is the weight of an answer in a server's mean, slowSmooth in a fleet-wide one;
-	// fade lets requests count less for shares with age, over about 500.
-	endpointSmoothing, fleetSmoothing, shareDecay = 0.2, 0.005, 0.998
-	// paceStep and fleetStep are the weights of an answer in what its server and the fleet
-	// are held to take, paceFade is how fast an agent forgets the first, in ms: a jammed
-	// server recovers within seconds of rest. paceSlack is how much slower than the fleet a
-	// server may seem by chance, leastPace what the slowest keeps of its weight.
-	recentStep, recentFleetStep, recentMemoryMs, recentSlack, minRecentWeight = 0.5, 0.02, 10000.0, 1.1, 0.02
+	// windowCut is what a crowded endpoint keeps of its window.
+	windowCut = 0.85
+	// endpointSmoothing is the weight of an answer in an endpoint's mean, fleetSmoothing in one
+	// over all endpoints.
+	endpointSmoothing, fleetSmoothing = 0.2, 0.005
+	// shareDecay lets requests count less for shares with age, over about 500.
+	shareDecay = 0.998
+	// recentStep and recentFleetStep are the weights of an answer in the recent latency of its
+	// endpoint and of the fleet.
+	recentStep, recentFleetStep = 0.5, 0.02
+	// recentMemoryMs is how fast an agent forgets an endpoint's recent latency: an overloaded one
+	// recovers within seconds of rest.
+	recentMemoryMs = 10000.0
+	// maxObjectiveFraction bounds an answer time as a part of the objective.
+	maxObjectiveFraction = 2.0
+	// uncontendedInertia is how much slower the uncontended answer time rises than the fleet's.
+	uncontendedInertia = 250
+	// minHintAnswers is from how many hinted answers on hints tell the time of an answer.
+	minHintAnswers = 1 / (4 * fleetSmoothing)
 )
 
-// latencyTracker holds the answer times over all endpoints, in fractions of the latency objective.
+// latencyTracker holds the answer times over all endpoints, as parts of the latency objective.
 type latencyTracker struct {
+	*environment
 	answers     float64 // served so far
 	fleet       float64 // mean
-	uncontended float64 // the same when no endpoint is crowded
+	uncontended float64 // the same while no endpoint is crowded
 	recent      float64 // mean of the last answers
 	hints       hintRegression
 }
 
-// hintRegression is the straight line of answer time over hinted work.
-type hintRegression struct {
-	mean         float64 // hint of all hinted requests
-	answers      float64 // answers to hinted requests, and their means and spread
-	answeredMean float64
-	meanTimeMs   float64
-	variance     float64
-	covariance   float64
+// objectiveFraction is an answer time as a part of the latency objective. Where hints tell the
+// work a costly request counts as one of mean work; a small one's time is mostly the network's.
+func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
+	fraction := rttMs / request.class.LatencyObjectiveMs
+	if request.hint > 0 {
+		fraction *= min(l.hints.mean/request.hint, 1)
+	}
+	return min(fraction, maxObjectiveFraction)
 }
 
-func (b *Balancer) served(a *attempt, rtt float64) {
-	s, r := a.target, a.request
-	s.health.failureRate -= outcomeWeight * s.health.failureRate
-	b.learnHint(r, rtt)
-	b.recordAnswer(s)
-	b.limiter.abandoned.answered(rtt)
-	s.traffic.answeredSentAt = max(s.traffic.answeredSentAt, a.sentAt)
-	s.latency.lastMs = rtt
-	c := r.class
-	c.learn(b.now, rtt)
-	c.counts.Served++
-	if b.now <= r.timing.objectiveAt {
-		c.counts.WithinObjective++
-		c.servedInTime += 1.0 / classMemory
+// expectedMs is how long an answer to the request takes, on the mean.
+func (l *latencyTracker) expectedMs(request *request) float64 {
+	expected := request.class.expectedMs(l.now)
+	if hinted := l.hints.expectedMs(request); hinted > 0 {
+		expected = max(hinted, expected/4)
 	}
-	x := b.objectiveFraction(r, rtt)
-	b.latency.answers++
-	b.latency.fleet = mean(b.latency.fleet, x, max(fleetSmoothing, 1/b.latency.answers))
+	return expected
+}
+
+// observe takes an answer into the fleet's mean and into the uncontended one. alone tells that no
+// other attempt of this agent was in flight at its endpoint.
+func (l *latencyTracker) observe(fraction float64, alone bool) {
+	l.answers++
+	l.fleet = ewma(l.fleet, fraction, max(fleetSmoothing, 1/l.answers))
 	switch {
-	case b.latency.answers <= uncontendedSamples:
+	case l.answers <= uncontendedSamples:
 		// One quick answer must not set the measure, nor a crowd at the start.
-		b.latency.uncontended = min(b.latency.fleet, crowdedFraction/2)
-	case b.latency.fleet < b.latency.uncontended:
-		b.latency.uncontended = mean(b.latency.uncontended, b.latency.fleet, fleetSmoothing)
+		l.uncontended = min(l.fleet, crowdedFraction/2)
+	case l.fleet < l.uncontended:
+		l.uncontended = ewma(l.uncontended, l.fleet, fleetSmoothing)
 	default:
-		b.latency.uncontended = mean(b.latency.uncontended, b.latency.fleet, b.uncontendedRise(a))
-	}
-	b.observeLatency(s, x)
-	limit := b.crowdedThreshold(s)
-	if s.health.state == StateUnhealthy && a.sentAt < s.health.since && !s.health.silent {
-		return // sent before the failure: says nothing about what came after
-	}
-	if s.health.state != StateConnected {
-		b.enter(s, StateConnected)
-	}
-	if s.health.silent {
-		s.health.silent, s.health.consecutiveEjections = false, max(s.health.consecutiveEjections-1, 0)
-	}
-	if s.health.served++; s.health.served >= 16*s.health.consecutiveEjections {
-		s.health.served, s.health.consecutiveEjections = 0, max(s.health.consecutiveEjections-1, 0)
-	}
-	switch {
-	case s.latency.mean > limit && b.now-s.window.cutAt > rtt:
-		least := 1.0
-		if s.latency.mean > overloadFactor*limit {
-			least = minWindow
-		}
-		b.shrinkWindow(s, 0.85, least)
-	case s.latency.mean < limit && float64(len(s.traffic.inFlight)+2) > s.window.size && b.latency.answers > uncontendedSamples:
-		s.window.size += min(1/s.window.size, s.window.size)
+		l.uncontended = ewma(l.uncontended, l.fleet, l.uncontendedRise(alone))
 	}
 }
 
-// pace is a server's answer time as a part of the aim, as far as this agent can tell: what
-// it saw, forgotten in favour of the fleet's over paceFade, and what it is waiting for.
-func (b *Balancer) recentLatency(s *endpoint) float64 {
-	p := b.latency.recent + (s.latency.recent-b.latency.recent)*math.Exp((s.latency.recentAt-b.now)/recentMemoryMs)
-	if len(s.traffic.inFlight) > 0 {
-		a := s.traffic.inFlight[0]
-		p = max(p, b.objectiveFraction(a.request, b.now-a.sentAt))
+// uncontendedRise is how fast the uncontended answer time follows longer ones: hardly, or a crowd
+// would become the measure. An attempt that was alone of its agent tells more the fewer agents
+// there are: a lone agent that took quick first answers for uncontended would leave its endpoints
+// idle.
+func (l *latencyTracker) uncontendedRise(alone bool) float64 {
+	if alone {
+		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedInertia)
 	}
-	return p
+	return fleetSmoothing / uncontendedInertia
 }
 
-func (b *Balancer) observeLatency(s *endpoint, x float64) {
-	s.latency.samples++
-	s.latency.mean = mean(s.latency.mean, x, max(endpointSmoothing, 1/float64(s.latency.samples), 1-math.Exp((s.latency.recentAt-b.now)/recentMemoryMs)))
-	b.observeRecentLatency(s, x)
-	b.updateWeights(s, x)
+// observeEndpoint takes an answer time, as a part of the objective, into its endpoint's means.
+func (l *latencyTracker) observeEndpoint(endpoint *endpoint, fraction float64) {
+	latency := &endpoint.latency
+	latency.samples++
+	forgotten := 1 - math.Exp((latency.recentAt-l.now)/recentMemoryMs)
+	latency.mean = ewma(latency.mean, fraction, max(endpointSmoothing, 1/float64(latency.samples), forgotten))
+	l.observeRecent(endpoint, fraction)
 }
 
-func (b *Balancer) observeRecentLatency(s *endpoint, x float64) {
-	if b.latency.recent == 0 {
-		s.latency.recent = x
+// observeRecent takes an answer time, as a part of the objective, into the recent latencies.
+func (l *latencyTracker) observeRecent(endpoint *endpoint, fraction float64) {
+	latency := &endpoint.latency
+	if l.recent == 0 {
+		latency.recent = fraction
 	}
-	p := b.recentLatency(s)
-	s.latency.recent, s.latency.recentAt = p+recentStep*(x-p), b.now
-	b.latency.recent = mean(b.latency.recent, x, recentFleetStep)
+	recent := l.recentOf(endpoint)
+	latency.recent, latency.recentAt = recent+recentStep*(fraction-recent), l.now
+	l.recent = ewma(l.recent, fraction, recentFleetStep)
 }
 
-// learnHint keeps the straight line of answer time over hinted work: the network's
-// share does not grow with the work.
-func (b *Balancer) learnHint(r *request, rtt float64) {
-	if r.hint <= 0 {
-		return
-	}
-	b.latency.hints.answers++
-	w := max(fleetSmoothing, 1/b.latency.hints.answers)
-	dh, dt := r.hint-b.latency.hints.answeredMean, rtt-b.latency.hints.meanTimeMs
-	b.latency.hints.answeredMean += w * dh
-	b.latency.hints.meanTimeMs += w * dt
-	b.latency.hints.variance += w * (dh*dh*(1-w) - b.latency.hints.variance)
-	b.latency.hints.covariance += w * (dh*dt*(1-w) - b.latency.hints.covariance)
+// recentOf is an endpoint's recent answer time as a part of the objective, as far as this agent
+// can tell: what it saw, forgotten in favour of the fleet's over recentMemoryMs, and what it is
+// waiting for.
+func (l *latencyTracker) recentOf(endpoint *endpoint) float64 {
+	latency := &endpoint.latency
+	recent := l.recent + (latency.recent-l.recent)*math.Exp((latency.recentAt-l.now)/recentMemoryMs)
+	if len(endpoint.traffic.inFlight) > 0 {
+		oldest := endpoint.traffic.inFlight[0]
+		recent = max(recent, l.objectiveFraction(oldest.request, l.now-oldest.sentAt))
+	}
+	return recent
 }
 
-// hintedTime is what the line says for the request; 0 while little is known.
-func (b *Balancer) hintedTime(r *request) float64 {
-	if r.hint <= 0 || b.latency.hints.answers < 1/(4*fleetSmoothing) || b.latency.hints.variance <= 0 {
-		return 0
-	}
-	return max(b.latency.hints.meanTimeMs+b.latency.hints.covariance/b.latency.hints.variance*(r.hint-b.latency.hints.answeredMean), 0)
+// crowdedThreshold is the mean answer time, as a part of the objective, from which an endpoint
+// counts as crowded. A few agents see most of the load and need not fear to crowd an endpoint that
+// answers well within the objective. One that is warming up is slow before it is crowded.
+func (l *latencyTracker) crowdedThreshold(endpoint *endpoint) float64 {
+	least := 2 * crowdedFraction / (2 + float64(l.set.Replicas))
+	return min(crowdedFraction, max(crowdedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
-// partOfAim is an answer time as a part of the aim. Where hints tell the work a costly
-// request counts as one of mean work; a small one's time is mostly the network's.
-func (b *Balancer) objectiveFraction(r *request, rtt float64) float64 {
-	x := rtt / r.class.LatencyObjectiveMs
-	if r.hint > 0 {
-		x *= min(b.latency.hints.mean/r.hint, 1)
+// adjustWindow lets an endpoint's window follow its mean answer time after an answer.
+func (l *latencyTracker) adjustWindow(endpoint *endpoint, rttMs float64) {
+	threshold, mean, window := l.crowdedThreshold(endpoint), endpoint.latency.mean, &endpoint.window
+	switch {
+	case mean > threshold && l.now-window.cutAt > rttMs:
+		least := 1.0
+		if mean > overloadFactor*threshold {
+			least = minWindow
+		}
+		window.cut(l.now, windowCut, least)
+	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
+		l.answers > uncontendedSamples:
+		window.size += min(1/window.size, window.size)
 	}
-	return min(x, 2)
 }
 
-// weigh lets answer times set the weights that the list does not tell. Where crossing has
-// a price the own zone gets more in proportion, as long as it answers no slower than the
-// rest: what has more traffic than it can carry gets slower. A kind of machine that
-// answers later than all gets less: equal shares choke the small ones.
-func (b *Balancer) updateWeights(s *endpoint, x float64) {
-	lat := &b.selector.zones.remoteLatency
-	if s.zone == b.set.Zone {
-		lat = &b.selector.zones.localLatency
-	}
-	*lat = mean(*lat, x, weightStep)
-	most := max(zonePriceFactor*b.set.Prices.CrossZone, minLocalZoneWeight)
-	b.selector.zones.weight = stepWeight(b.selector.zones.weight, b.selector.zones.localLatency > b.selector.zones.remoteLatency*(1+b.set.Prices.CrossZone), minLocalZoneWeight, most)
-	if b.set.Weights != "off" {
-		return
-	}
-	b.selector.kinds.meanLatency = mean(b.selector.kinds.meanLatency, x, weightStep)
-	k := &b.selector.kinds.kind[s.machineKind&255]
-	k.latency = mean(k.latency, x, weightStep)
-	k.weight = stepWeight(k.weight, k.latency > b.selector.kinds.meanLatency, minMachineKindWeight, 1)
+// hintRegression is the straight line of answer time over hinted work: the network's share does
+// not grow with the work.
+type hintRegression struct {
+	mean         float64 // hint of all hinted requests
+	answers      float64 // answers to hinted requests, and their means and spread:
+	answeredMean float64
+	meanTimeMs   float64
+	variance     float64
+	covariance   float64
 }
 
-// calmRise is how fast calm follows longer answer times: hardly, or a crowd would become
-// the measure. An attempt that was alone of its agent tells more the fewer agents there
-// are: a lone one that took quick first answers for calm would leave its servers idle.
-func (b *Balancer) uncontendedRise(a *attempt) float64 {
-	if a.alone {
-		return fleetSmoothing / min(2*math.Pow(float64(max(b.set.Replicas, 1)), 3), 250)
-	}
-	return fleetSmoothing / 250
-}
+// note takes the hint of a request that came.
+func (h *hintRegression) note(hint float64) { h.mean = ewma(h.mean, hint, fleetSmoothing) }
 
-// limit is the mean answer time, as a part of the aim, from which a server counts as
-// crowded. A few agents see most of the load and need not fear to crowd a server that
-// answers well within the aim. A cold one is slow before it is crowded.
-func (b *Balancer) crowdedThreshold(s *endpoint) float64 {
-	least := 2 * crowdedFraction / (2 + float64(b.set.Replicas))
-	return min(crowdedFraction, max(crowdedFactor*b.latency.uncontended, least)) / b.capacityFraction(s)
+// learn takes the answer time of a request.
+func (h *hintRegression) learn(request *request, rttMs float64) {
+	if request.hint <= 0 {
+		return
+	}
+	h.answers++
+	weight := max(fleetSmoothing, 1/h.answers)
+	hintDelta, timeDelta := request.hint-h.answeredMean, rttMs-h.meanTimeMs
+	h.answeredMean += weight * hintDelta
+	h.meanTimeMs += weight * timeDelta
+	h.variance += weight * (hintDelta*hintDelta*(1-weight) - h.variance)
+	h.covariance += weight * (hintDelta*timeDelta*(1-weight) - h.covariance)
 }
 
-func (b *Balancer) shrinkWindow(s *endpoint, by, least float64) {
-	s.window.size, s.window.cutAt = min(s.window.size, max(s.window.size*by, least)), b.now
+// expectedMs is the answer time that the line gives for the request; 0 while little is known.
+func (h *hintRegression) expectedMs(request *request) float64 {
+	if request.hint <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
+		return 0
+	}
+	return max(h.meanTimeMs+h.covariance/h.variance*(request.hint-h.answeredMean), 0)
 }
 
-// stepWeight moves a weight a step down or up within its bounds.
-func stepWeight(w float64, down bool, least, most float64) float64 {
-	if down {
-		return max(w/(1+weightStep), least)
+// cost is the work of a request in units of the mean one, and never less: hints are rough, and
+// an endpoint that is warming up would be sent the small ones that are not.
+func (h *hintRegression) cost(request *request) float64 {
+	if request.hint > h.mean {
+		return request.hint / h.mean
 	}
-	return min(w*(1+weightStep), most)
+	return 1
 }
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -8,9 +8,9 @@
 	// firstLocalBackoffMs is the time to the next attempt after this machine failed one: a table
 	// of the system or a range of ports has room again as soon as anybody closes something.
 	// It doubles once, and up to as much again is added at random, since all agents of a machine
-	// fail together. At most 20 ms keeps what waits within a small part of the usual aims.
+	// fail together. At most 20 ms keeps what waits within a small part of the usual latency objectives.
 	firstLocalBackoffMs, lastLocalBackoffMs = 5.0, 10.0
-	// settledAfterMs is after how long an attempt that is still out is taken to have got its
+	// settledAfterMs is after how long an attempt that is still in flight is taken to have got its
 	// connection: errors of this machine come back from the system call, at once.
 	settledAfterMs = 2 * lastLocalBackoffMs
 	// freeWindow is the window of trials from which on attempts are not counted any more.
@@ -18,164 +18,163 @@
 	// localMemoryMs is after how long without a failure of this machine none is feared any more:
 	// many times the longest backoff.
 	localMemoryMs = 1000.0
-	// maxReachResults bounds the servers whose latest results are kept while some are unreachable.
+	// maxReachResults bounds the endpoints whose latest results are kept while some are unreachable.
 	maxReachResults = 16
 	// usualReachMs is for how long a server counts as unreachable where no connect timeout is set.
 	defaultReachMs = 1000.0
 )
 
 // localFailure bounds the attempts while this machine fails them. All requests share one backoff
-// and one window: after a failure one attempt goes out as a trial, and each that does not fail in
-// that way doubles the window, until attempts go out freely again. So the attempts in that time
-// are bounded by the backoff, whatever the number of requests that wait.
+// and one window: after a failure one attempt is sent as a trial, and each that does not fail in
+// that way doubles the window, until attempts are not bounded any more. So the attempts in that
+// time are bounded by the backoff, whatever the number of requests that wait.
 type localFailure struct {
-	row      int        // failures one after the other; 0: attempts go out freely
-	failedAt float64    // the latest
-	until    float64    // no attempt goes out before
-	window   int        // trials that may be out
-	trials   []*attempt // attempts out of which it isn't known whether they got a connection
+	*environment
+	endpoints *endpointSet
+	outliers  *outlierDetector
+
+	row      int        // failures one after the other; 0: attempts are not bounded
+	failedAt float64    // the latest, in ms
+	until    float64    // no attempt is sent before, in ms
+	window   int        // trials that may be in flight
+	trials   []*attempt // attempts in flight of which it isn't known whether they got a connection
 	reach    []reachResult
 }
 
 // reachResult is how the latest attempt at an endpoint ended while some endpoint was unreachable.
 type reachResult struct {
-	target  *endpoint
-	at      float64 // ms
-	reached bool
-	since   float64 // when unreachable: time of the first such result in a row, in ms
+	endpoint *endpoint
+	at       float64 // ms
+	reached  bool
+	since    float64 // if not reached: time of the first such result in a row, in ms
 }
 
-// mayTry tells whether this machine's failures let another attempt go out.
-func (l *localFailure) mayTry(now float64) bool {
+// mayTry tells whether this machine's failures let another attempt be sent.
+func (l *localFailure) mayTry() bool {
 	if l.row == 0 {
 		return true
 	}
-	if now-l.failedAt > localMemoryMs {
-		l.row, l.trials = 0, nil
+	if l.now-l.failedAt > localMemoryMs {
+		l.reset()
 		return true
 	}
 	for i := 0; i < len(l.trials); {
-		if a := l.trials[i]; now-a.sentAt >= settledAfterMs {
-			l.succeeded(a)
+		if trial := l.trials[i]; l.now-trial.sentAt >= settledAfterMs {
+			l.succeeded(trial)
 		} else {
 			i++
 		}
 	}
-	return l.row == 0 || now >= l.until && len(l.trials) < l.window
+	return l.row == 0 || l.now >= l.until && len(l.trials) < l.window
 }
 
-// sent notes an attempt that goes out.
-func (l *localFailure) sent(a *attempt) {
+// reset lets attempts be sent without a bound again.
+func (l *localFailure) reset() { l.row, l.trials = 0, nil }
+
+// sent notes an attempt that is sent.
+func (l *localFailure) sent(attempt *attempt) {
 	if l.row > 0 {
-		l.trials = append(l.trials, a)
+		l.trials = append(l.trials, attempt)
 	}
 }
 
 // succeeded notes that an attempt did not fail on this machine.
-func (l *localFailure) succeeded(a *attempt) {
-	i := slices.Index(l.trials, a)
-	if i < 0 {
+func (l *localFailure) succeeded(attempt *attempt) {
+	if !l.removeTrial(attempt) {
 		return
 	}
-	l.trials = slices.Delete(l.trials, i, i+1)
 	if l.window *= 2; l.window >= unlimitedWindow {
-		l.row, l.trials = 0, nil
+		l.reset()
 	}
 }
 
-// failedLocally takes back an attempt that this machine could not make, and holds its request for
-// the next: no server has seen anything of it.
-func (b *Balancer) failedLocally(a *attempt) {
-	l := &b.local
-	if i := slices.Index(l.trials, a); i >= 0 {
+// removeTrial takes an attempt from the trials and tells whether it was one.
+func (l *localFailure) removeTrial(attempt *attempt) bool {
+	i := slices.Index(l.trials, attempt)
+	if i >= 0 {
 		l.trials = slices.Delete(l.trials, i, i+1)
 	}
-	if l.row == 0 || a.sentAt >= l.failedAt { // else it went out before the failure that is known
+	return i >= 0
+}
+
+// failed takes back an attempt that this machine could not make: no endpoint has seen anything of
+// it.
+func (l *localFailure) failed(attempt *attempt) {
+	l.removeTrial(attempt)
+	if l.row == 0 || attempt.sentAt >= l.failedAt { // else it was sent before the failure that is known
 		l.row++
 		backoff := min(firstLocalBackoffMs*float64(l.row), lastLocalBackoffMs)
-		l.failedAt, l.until, l.window = b.now, b.now+backoff*(1+b.rng.Float64()), 1
+		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
-	if a.charged {
-		a.target.slowStart.allowance += a.cost
-	}
-	r := a.request
-	r.tries.counted = slices.DeleteFunc(r.tries.counted, func(o *attempt) bool { return o == a || o.unreachable })
-}
-
-// retryLocally holds a request again of which an attempt failed on this machine.
-func (b *Balancer) retryLocally(r *request) {
-	if b.now >= r.timing.deadline {
-		b.finishUnserved(r)
-		return
+	if attempt.charged {
+		attempt.endpoint.slowStart.allowance += attempt.cost
 	}
-	b.queue.queued = append(b.queue.queued, r)
+	attempt.request.tries.uncount(attempt)
 }
 
-// judge tells whose failure an attempt's end was. One server that can't be reached is at fault
-// itself: its machine or its part of the network is gone. When of the servers tried of late at
-// least two and more than half can't be reached, it is this machine that has lost its network;
-// the servers that were blamed before that was seen are cleared.
-func (b *Balancer) attributeFailure(a *attempt, st Status) Status {
-	l := &b.local
-	if st != StatusUnreachable && len(l.reach) == 0 {
-		return st
-	}
-	span := b.set.Limits.ConnectTimeoutMs
-	if span <= 0 {
-		span = defaultReachMs
-	}
-	l.reach = slices.DeleteFunc(l.reach, func(x reachResult) bool { return b.now-x.at > span })
-	switch st {
+// attribute tells whose failure an attempt's end was. One endpoint that can't be reached is at
+// fault itself: its machine or its part of the network is gone. When of the endpoints tried
+// recently at least two and more than half can't be reached, it is this machine that has lost its
+// network; the endpoints that were blamed before that was seen are cleared.
+func (l *localFailure) attribute(attempt *attempt, status Status) Status {
+	if status != StatusUnreachable && len(l.reach) == 0 {
+		return status
+	}
+	l.expireReach()
+	switch status {
 	case StatusUnreachable:
-		l.noteReach(reachResult{target: a.target, at: b.now, since: b.now})
+		l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, since: l.now})
 	case StatusOK, StatusServerError, StatusReset:
-		if len(l.reach) > 0 && a.sentAt >= l.reach[0].at { // else it tells of the time before
-			l.noteReach(reachResult{target: a.target, at: b.now, reached: true})
+		if len(l.reach) > 0 && attempt.sentAt >= l.reach[0].at { // else it tells of the time before
+			l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
 		}
-		return st
+		return status
 	default:
-		return st
-	}
-	lost := 0
-	for _, x := range l.reach {
-		if !x.reached {
-			lost++
-		}
+		return status
 	}
-	if lost < 2 || 2*lost <= len(l.reach) {
-		a.unreachable = true
+	if !l.mostUnreachable() {
+		attempt.unreachable = true
 		return StatusConnectFailed
 	}
-	for _, x := range l.reach {
-		if !x.reached && b.endpoints.byAddr[x.target.id] == x.target {
-			b.clear(x.target, x.since)
+	for _, result := range l.reach {
+		if !result.reached && l.endpoints.byAddr[result.endpoint.id] == result.endpoint {
+			l.outliers.clear(result.endpoint, result.since)
 		}
 	}
 	return StatusLocalFailure
 }
 
-// noteReach keeps the latest result of each server, the oldest first.
-func (l *localFailure) noteReach(x reachResult) {
-	l.reach = slices.DeleteFunc(l.reach, func(o reachResult) bool {
-		if o.target == x.target && !o.reached && !x.reached {
-			x.since = o.since
-		}
-		return o.target == x.target
-	})
-	if len(l.reach) == maxReachResults {
-		l.reach = slices.Delete(l.reach, 0, 1)
+// expireReach forgets the results that are older than a connect may take.
+func (l *localFailure) expireReach() {
+	span := l.set.Limits.ConnectTimeoutMs
+	if span <= 0 {
+		span = defaultReachMs
 	}
-	l.reach = append(l.reach, x)
+	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
 }
 
-// clear takes back what a server was blamed for since then, as this machine had lost its network.
-// The next attempt validates it.
-func (b *Balancer) clear(s *endpoint, since float64) {
-	if s.health.unreachableAt >= since {
-		s.health.unreachableAt = 0
+// mostUnreachable tells whether at least two and more than half of the endpoints tried recently
+// could not be reached.
+func (l *localFailure) mostUnreachable() bool {
+	lost := 0
+	for _, result := range l.reach {
+		if !result.reached {
+			lost++
+		}
 	}
-	if s.health.state == StateUnhealthy && s.health.since >= since {
-		s.health.silent, s.health.consecutiveEjections = false, max(s.health.consecutiveEjections-1, 0)
-		b.enter(s, StateUnhealthyPending)
+	return lost >= 2 && 2*lost > len(l.reach)
+}
+
+// noteReach keeps the latest result of each endpoint, the oldest first.
+func (l *localFailure) noteReach(latest reachResult) {
+	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool {
+		if result.endpoint == latest.endpoint && !result.reached && !latest.reached {
+			latest.since = result.since
+		}
+		return result.endpoint == latest.endpoint
+	})
+	if len(l.reach) == maxReachResults {
+		l.reach = slices.Delete(l.reach, 0, 1)
 	}
+	l.reach = append(l.reach, latest)
 }
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -220,7 +220,7 @@
 			}
 			r := m.b.queue.open[id]
 			if allowed *= 2; answered {
-				actions = m.outcome(id, r.tries.sent-1, r.tries.counted[0].target.id, StatusOK, 1)
+				actions = m.outcome(id, r.tries.sent-1, r.tries.counted[0].endpoint.id, StatusOK, 1)
 			} else {
 				allowed = unlimitedWindow
 				actions = m.tick(settledAfterMs)
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -2,29 +2,34 @@
 
 package policy
 
-// mean moves a running mean towards x; the first value is taken whole.
-func mean(old, x, weight float64) float64 {
-	if old == 0 {
-		return x
+// maxFinite is the largest number taken from outside: it leaves room for sums and squares.
+const maxFinite = 1e15
+
+// ewma moves an exponentially weighted moving average towards a sample; the first sample is taken
+// whole. 0 stands for no sample yet.
+func ewma(average, sample, weight float64) float64 {
+	if average == 0 {
+		return sample
 	}
-	return old + weight*(x-old)
+	return average + weight*(sample-average)
 }
 
-// finite makes what came from outside safe to calculate with: not a number and negative
-// become 0, infinite and huge the largest number that leaves room for sums and squares.
+// finite makes a number from outside safe to calculate with: not a number and negative become 0,
+// infinite and huge maxFinite.
 func finite(x float64) float64 {
 	if !(x > 0) {
 		return 0
 	}
-	return min(x, 1e15)
+	return min(x, maxFinite)
 }
 
-func hashAddr(a Addr) uint64 {
-	h := uint64(0)
-	for _, x := range a {
-		h = h<<8 | uint64(x)
+// hashAddr gives each address another number.
+func hashAddr(addr Addr) uint64 {
+	hash := uint64(0)
+	for _, octet := range addr {
+		hash = hash<<8 | uint64(octet)
 	}
-	return h
+	return hash
 }
 
 // mix is the finalizer of splitmix64.
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -1,4 +1,4 @@
-// This file holds the four states of a server: demotion, ejection and validation.
+// This file holds the states of an endpoint: ejection, validation and health checks.
 
 package policy
 
@@ -7,238 +7,255 @@
 )
 
 const (
-	// failWeight is the weight of an attempt in its server's share of failures, failShare
-	// the least median of these shares with which failures are the fleet's, not a server's.
-	outcomeWeight, minCommonFailureRate = 0.05, 0.01
-	// unansweredMost is the share of attempts that went unanswered up to their aim from which on
-	// that is the fleet's, not a server's.
+	// outcomeWeight is the weight of an attempt in its endpoint's failure rate and in the share of
+	// unanswered attempts.
+	outcomeWeight = 0.05
+	// minCommonFailureRate is the least median failure rate with which failures are the fleet's,
+	// not an endpoint's.
+	minCommonFailureRate = 0.01
+	// maxCommonFailureFactor is how many times the median an endpoint's failure rate may be then.
+	maxCommonFailureFactor = 3
+	// maxUnansweredShare is the share of attempts that went unanswered up to their objective from
+	// which on that is the fleet's, not an endpoint's.
 	maxUnansweredShare = 0.5
-	// probeCap bounds the validations under way at once.
+	// maxHealthChecks bounds the health checks under way at once.
 	maxHealthChecks = 2
+	// maxConsecutiveEjections bounds the doubling of the ejection time, maxEjectionMs that time.
+	maxConsecutiveEjections, maxEjectionMs = 5, 60000.0
+	// servedPerEjection is how many served requests take back an ejection, for each that counts.
+	servedPerEjection = 16
+	// rejectedWindowCut is what an endpoint that rejected an attempt keeps of its window.
+	rejectedWindowCut = 0.7
 )
 
-// outlierDetector holds what tells failures of one endpoint from those of all.
+// outlierDetector moves endpoints between the states, and tells failures of one endpoint from
+// those of all.
 type outlierDetector struct {
+	*environment
+	endpoints *endpointSet
+	queue     *admissionQueue
+	selector  *selector
+	slowStart *slowStart
+	limiter   *concurrencyLimiter
+	classes   *classStats
+	traffic   *requestRate
+	watch     *watchScheduler
+
 	failureRates []float64 // scratch space of medianFailureRate
 	unanswered   float64   // recent share of attempts that their endpoints left unanswered
 	checking     int       // health checks under way
 }
 
-// recordOutcome takes what an attempt's end says about its server.
-func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
-	s := a.target
-	switch st {
-	case StatusOK:
-		b.earnAllowance(s, a.cost)
-		b.served(a, rtt)
-	case StatusServerError, StatusReset:
-		s.traffic.heardAt = b.now
-		if b.isCommonFailure(s) {
-			b.recheck(s)
-		} else {
-			b.demote(s, false)
-		}
-		s.health.failureRate += outcomeWeight * (1 - s.health.failureRate)
-	case StatusConnectFailed:
-		b.demote(s, true)
-		if s.health.unreachableAt == 0 {
-			s.health.unreachableAt = b.now
-		}
-	case StatusTimeout:
-		b.limiter.abandoned.unanswered(rtt, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
-		a.request.class.unanswered(b.now, rtt)
-		if !b.set.Limits.Cancellation && rtt > 0 {
-			b.limiter.abandoned.add(a)
-		}
-		// A server that answered others meanwhile is not to blame for a costly
-		// request; it counts as slow.
-		if s.traffic.heardAt > a.sentAt {
-			b.learnHint(a.request, rtt)
-			b.observeLatency(s, b.objectiveFraction(a.request, rtt))
-		} else {
-			b.demote(s, true)
-		}
-	case StatusCancelled:
-		// Its client left, or it was late: so long at least it takes.
-		a.request.class.unanswered(b.now, rtt)
-		if b.now >= a.request.timing.objectiveAt && s.traffic.heardAt <= a.sentAt && b.outliers.unanswered < maxUnansweredShare {
-			b.demote(s, true)
-		}
-		if x := b.objectiveFraction(a.request, rtt); x > b.recentLatency(s) {
-			b.observeRecentLatency(s, x)
-		}
-	case StatusRejected:
-		s.traffic.heardAt = b.now
-		b.shrinkWindow(s, 0.7, 1)
+// onError takes an endpoint's answer of failure, or a connection that it broke.
+func (d *outlierDetector) onError(endpoint *endpoint) {
+	endpoint.traffic.heardAt = d.now
+	if d.isCommonFailure(endpoint) {
+		d.recheck(endpoint)
+	} else {
+		d.eject(endpoint, false)
 	}
+	endpoint.health.failureRate += outcomeWeight * (1 - endpoint.health.failureRate)
 }
 
-// common tells whether the server fails no more than the fleet does, as when a network
-// breaks connections at random: that says nothing of this one server. When each such failure
-// ejected its server, all were out at once and two thirds of the requests were refused.
-func (b *Balancer) isCommonFailure(s *endpoint) bool {
-	median := b.medianFailureRate()
-	return median >= minCommonFailureRate && s.health.failureRate <= 3*median
+// onConnectFailed takes a connect that failed.
+func (d *outlierDetector) onConnectFailed(endpoint *endpoint) {
+	d.eject(endpoint, true)
+	if endpoint.health.unreachableAt == 0 {
+		endpoint.health.unreachableAt = d.now
+	}
 }
 
-// recheck demotes a server and has it validated at once, without an ejection.
-func (b *Balancer) recheck(s *endpoint) {
-	if s.health.state != StateUnhealthy {
-		b.enter(s, StateUnhealthy)
-		s.health.silent, s.health.served = false, 0
-		b.enter(s, StateUnhealthyPending)
+// onAnswer notes that an endpoint lives. One that no connect reached for long may be a new
+// process, warming up and not yet listed: it is taken to have started now. Time-outs alone don't
+// tell: crowded endpoints would be left to idle.
+func (d *outlierDetector) onAnswer(endpoint *endpoint) {
+	unreachableAt := endpoint.health.unreachableAt
+	if unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs {
+		endpoint.slowStart.startedAt, endpoint.slowStart.allowance = d.now, d.rng.Float64()
+		endpoint.window.size = 1
+		d.slowStart.begin(endpoint)
+	}
+	endpoint.traffic.heardAt, endpoint.health.unreachableAt = d.now, 0
+	for _, attempt := range endpoint.traffic.inFlight {
+		if attempt.stalled {
+			attempt.stalled = false
+			d.limiter.stalled--
+		}
 	}
-	b.fetchList()
 }
 
-// demote makes a server Unhealthy; failures of one moment count as one ejection.
-func (b *Balancer) demote(s *endpoint, silent bool) {
-	if s.health.state != StateUnhealthy {
-		s.health.consecutiveEjections = min(s.health.consecutiveEjections+1, maxEjections)
-		b.enter(s, StateUnhealthy)
-		s.health.silent = silent
-		s.health.served, s.latency.mean, s.latency.samples = 0, 0, 0
-		s.window.size = max(s.window.size/2, 1)
+// onServed takes a request that an endpoint has served: it is healthy, and after enough of them
+// an ejection is taken back. It reports false for an attempt that was sent before the endpoint
+// failed: that says nothing about what came after.
+func (d *outlierDetector) onServed(attempt *attempt) bool {
+	endpoint, health := attempt.endpoint, &attempt.endpoint.health
+	if health.state == StateUnhealthy && attempt.sentAt < health.since && !health.silent {
+		return false
 	}
-	b.fetchList()
+	if health.state != StateConnected {
+		d.enter(endpoint, StateConnected)
+	}
+	if health.silent {
+		health.silent = false
+		health.takeBackEjection()
+	}
+	if health.served++; health.served >= servedPerEjection*health.consecutiveEjections {
+		health.served = 0
+		health.takeBackEjection()
+	}
+	return true
 }
 
-// ejectionTime is how long a server stays Unhealthy before it is validated again: one aim for
-// a stray failure, or the time in which the agent comes by each server if that is longer,
-// doubled with each further ejection up to a minute. A probe is answered beside the requests
-// and clears a server that fails them: held for a few aims, less than an agent takes to
-// come by, failing servers kept an even share for as long as they failed. While the others
-// have no room none is ejected: a server that fails some requests is better than refusing
-// them all. One that answers nothing is not.
-func (b *Balancer) ejectionTime(s *endpoint) float64 {
-	if b.queue.scarce && !s.health.silent {
+// takeBackEjection counts one ejection less.
+func (h *endpointHealth) takeBackEjection() {
+	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
+}
+
+// isCommonFailure tells whether the endpoint fails no more than the fleet does, as when a network
+// breaks connections at random: that says nothing of this one endpoint, and an ejection for each
+// such failure would eject all at once.
+func (d *outlierDetector) isCommonFailure(endpoint *endpoint) bool {
+	median := d.medianFailureRate()
+	return median >= minCommonFailureRate && endpoint.health.failureRate <= maxCommonFailureFactor*median
+}
+
+// medianFailureRate is the middle one of the usable endpoints' failure rates; of one or two
+// endpoints it tells nothing.
+func (d *outlierDetector) medianFailureRate() float64 {
+	rates := d.failureRates[:0]
+	d.countWork(d.endpoints.all)
+	for _, endpoint := range d.endpoints.all {
+		if endpoint.usable {
+			rates = append(rates, endpoint.health.failureRate)
+		}
+	}
+	d.failureRates = rates
+	if len(rates) < 3 {
 		return 0
 	}
-	meet := b.set.Limits.KeepaliveMs * float64(b.subset()) / max(b.traffic.recent, 1)
-	return min(max(b.classes.shortestObjectiveMs, meet)*float64(int(1)<<max(s.health.consecutiveEjections-1, 0)), maxEjectionMs)
+	slices.Sort(rates)
+	return rates[len(rates)/2]
 }
 
-// ejectSilent demotes servers that took attempts and have answered nothing for
-// several answer times: hung or gone silent, they would stay Connected.
-func (b *Balancer) ejectSilent() {
-	b.countWork(b.endpoints.busy)
-	for _, s := range b.endpoints.busy {
-		silent := func(a *attempt, times float64) bool {
-			return b.now-max(s.traffic.heardAt, a.sentAt) >= b.expected(a.request)*times
-		}
-		soon := 8 / float64(max(min(len(s.traffic.inFlight), 3), 1))
-		if len(s.traffic.inFlight) > 0 && s.health.state != StateUnhealthy && silent(s.traffic.inFlight[0], soon) {
-			b.demote(s, true)
+// countUnanswered keeps the share of attempts that went unanswered up to their objective, at
+// endpoints that answered no later ones either.
+func (d *outlierDetector) countUnanswered(attempt *attempt, status Status) {
+	unanswered := 0.0
+	if status == StatusTimeout || status == StatusCancelled {
+		if d.now < attempt.request.timing.objectiveAt {
+			return // its client left early: that tells nothing
 		}
-		for _, a := range s.traffic.inFlight {
-			if s.health.silent && s.health.state == StateUnhealthy && silent(a, soon) {
-				b.releaseStalled(a, silent(a, 8))
-			}
+		if attempt.endpoint.traffic.heardAt <= attempt.sentAt {
+			unanswered = 1
 		}
 	}
+	d.unanswered += outcomeWeight * (unanswered - d.unanswered)
 }
 
-// release lets go of an attempt on a server that fell silent under it. It stands in no queue
-// that the agent's limit is to keep short: held by the limit up to deadlines of a minute and
-// more, such attempts took all of it, and nothing was sent to the servers that lived. Where
-// the request may go elsewhere in time the attempt is called off, and else the request ends
-// when it can no longer earn anything, as those do that are held. The limit lets go only when
-// it is sure: crowded servers seem silent for a while too, and need the limit most.
-func (b *Balancer) releaseStalled(a *attempt, sure bool) {
-	r, c := a.request, a.request.class
-	if sure && !a.stalled {
-		a.stalled = true
-		b.limiter.stalled++
+// mostUnanswered tells whether so many attempts go unanswered that it is not an endpoint's fault.
+func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
+
+// recheck has an endpoint validated at once, without an ejection.
+func (d *outlierDetector) recheck(endpoint *endpoint) {
+	if endpoint.health.state != StateUnhealthy {
+		d.enter(endpoint, StateUnhealthy)
+		endpoint.health.silent, endpoint.health.served = false, 0
+		d.enter(endpoint, StateUnhealthyPending)
 	}
-	again := c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && b.idempotencyWindowLeft(r) > 0
-	switch {
-	case a.cancelled || r.closed || r.started:
-	case c.LateWeight == 0 && b.now >= r.timing.objectiveAt:
-		a.cancelled = true
-		b.finishUnserved(r)
-	case again && b.set.Limits.Cancellation && len(r.tries.counted) < r.tries.limit && b.retries.tokens >= 1 &&
-		b.now+b.expected(r) < r.timing.objectiveAt:
-		a.cancelled = true
-		b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
-	}
-}
-
-// revalidate, on each request, refreshes servers that were Unhealthy long enough to
-// pending, to be validated in the background.
-func (b *Balancer) revalidateEjected() {
-	b.countWork(b.endpoints.ejected)
-	for _, s := range b.endpoints.ejected {
-		if s.health.state == StateUnhealthy && s.usable && len(s.traffic.inFlight) == 0 && b.now-s.health.since >= b.ejectionTime(s) {
-			b.enter(s, StateUnhealthyPending)
-			b.fetchList()
-		}
-		pending := s.health.state == StateUnhealthyPending && s.usable
-		if pending && b.set.Limits.HealthChecks && !s.health.checking && b.outliers.checking < maxHealthChecks {
-			s.health.checking = true
-			b.outliers.checking++
-			b.do(Action{Kind: ActionHealthCheck, Server: s.id})
-		}
+	d.watch.fetch()
+}
+
+// eject takes an endpoint for unhealthy; silent tells that it gave no answer, not a bad one.
+// Failures of one moment count as one ejection.
+func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
+	health := &endpoint.health
+	if health.state != StateUnhealthy {
+		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
+		d.enter(endpoint, StateUnhealthy)
+		health.silent, health.served = silent, 0
+		endpoint.latency.mean, endpoint.latency.samples = 0, 0
+		endpoint.window.size = max(endpoint.window.size/2, 1)
 	}
+	d.watch.fetch()
 }
 
-func (b *Balancer) onHealthChecked(ev *Event) {
-	s := b.endpoints.byAddr[ev.Server]
-	if s == nil || !s.health.checking {
-		return
+// clear takes back what an endpoint was blamed for since then, as this machine had lost its
+// network. The next attempt validates it.
+func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
+	health := &endpoint.health
+	if health.unreachableAt >= since {
+		health.unreachableAt = 0
 	}
-	s.health.checking = false
-	b.outliers.checking--
-	switch {
-	case s.health.state != StateUnhealthyPending:
-	case ev.Status == StatusOK:
-		b.recordAnswer(s)
-		b.enter(s, StateConnected)
-	case ev.Status != StatusRejected:
-		b.demote(s, true)
+	if health.state == StateUnhealthy && health.since >= since {
+		health.silent = false
+		health.takeBackEjection()
+		d.enter(endpoint, StateUnhealthyPending)
 	}
 }
 
-// medianFails is the middle one of the usable servers' shares of failures; of one or two
-// servers it tells nothing.
-func (b *Balancer) medianFailureRate() float64 {
-	b.outliers.failureRates = b.outliers.failureRates[:0]
-	b.countWork(b.endpoints.all)
-	for _, s := range b.endpoints.all {
-		if s.usable {
-			b.outliers.failureRates = append(b.outliers.failureRates, s.health.failureRate)
-		}
-	}
-	if len(b.outliers.failureRates) < 3 {
+// ejectionTime is how long, in ms, an endpoint stays unhealthy before it is validated again: one
+// latency objective for a stray failure, or the time in which the agent comes by each endpoint if
+// that is longer, doubled with each further ejection up to a minute. A health check is answered
+// beside the requests and clears an endpoint that fails them: ejected for less than an agent takes
+// to come by, failing endpoints would keep an even share for as long as they fail. While the
+// others have no capacity none is ejected: an endpoint that fails some requests is better than
+// rejecting them all. One that answers nothing is not.
+func (d *outlierDetector) ejectionTime(endpoint *endpoint) float64 {
+	if d.queue.scarce && !endpoint.health.silent {
 		return 0
 	}
-	slices.Sort(b.outliers.failureRates)
-	return b.outliers.failureRates[len(b.outliers.failureRates)/2]
+	meetMs := d.set.Limits.KeepaliveMs * float64(d.selector.subset()) / max(d.traffic.recent, 1)
+	doublings := max(endpoint.health.consecutiveEjections-1, 0)
+	return min(max(d.classes.shortestObjectiveMs, meetMs)*float64(int(1)<<doublings), maxEjectionMs)
 }
 
-// noteAnswered keeps the share of attempts that went unanswered up to their aim, on servers that
-// answered no later ones either.
-func (b *Balancer) countUnanswered(a *attempt, st Status) {
-	none := 0.0
-	if st == StatusTimeout || st == StatusCancelled {
-		if b.now < a.request.timing.objectiveAt {
-			return // its client left early: that tells nothing
+// revalidate, on each request, lets endpoints that were unhealthy long enough be validated, and
+// checks their health in the background where the settings allow it.
+func (d *outlierDetector) revalidate() {
+	d.countWork(d.endpoints.ejected)
+	for _, endpoint := range d.endpoints.ejected {
+		health := &endpoint.health
+		if health.state == StateUnhealthy && endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
+			d.now-health.since >= d.ejectionTime(endpoint) {
+			d.enter(endpoint, StateUnhealthyPending)
+			d.watch.fetch()
 		}
-		if a.target.traffic.heardAt <= a.sentAt {
-			none = 1
+		pending := health.state == StateUnhealthyPending && endpoint.usable
+		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
+			health.checking = true
+			d.checking++
+			d.do(Action{Kind: ActionHealthCheck, Server: endpoint.id})
 		}
 	}
-	b.outliers.unanswered += outcomeWeight * (none - b.outliers.unanswered)
 }
 
-// enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *endpoint, to State) {
-	if s.health.state > StateUnknown || to > StateUnknown {
-		b.endpoints.epoch++
+// onHealthChecked takes the result of a health check.
+func (d *outlierDetector) onHealthChecked(ev *Event) {
+	endpoint := d.endpoints.byAddr[ev.Server]
+	if endpoint == nil || !endpoint.health.checking {
+		return
+	}
+	endpoint.health.checking = false
+	d.checking--
+	switch {
+	case endpoint.health.state != StateUnhealthyPending:
+	case ev.Status == StatusOK:
+		d.onAnswer(endpoint)
+		d.enter(endpoint, StateConnected)
+	case ev.Status != StatusRejected:
+		d.eject(endpoint, true)
+	}
+}
+
+// enter puts an endpoint in a new state; tiers have changed.
+func (d *outlierDetector) enter(endpoint *endpoint, state State) {
+	if endpoint.health.state > StateUnknown || state > StateUnknown {
+		d.endpoints.epoch++
 	}
-	if to > StateUnknown {
-		b.endpoints.ejected.add(s)
+	if state > StateUnknown {
+		d.endpoints.ejected.insert(endpoint)
 	} else {
-		b.endpoints.ejected.remove(s)
+		d.endpoints.ejected.remove(endpoint)
 	}
-	s.health.state, s.health.since = to, b.now
+	endpoint.health.state, endpoint.health.since = state, d.now
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -123,7 +123,7 @@
 	if _, s3 := r.sent(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.ejectionTime(srv) + 1
+	r.now += r.b.outliers.ejectionTime(srv) + 1
 	id, s4 := r.sent(0, 7)
 	if srv.health.state != StateUnhealthyPending || s4 != s {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.health.state, s4)
@@ -153,7 +153,7 @@
 	r := newRig(t, set, 3)
 	id, s := r.sent(0, 7)
 	r.outcome(id, 0, s, StatusServerError, 5)
-	r.now += 2 * r.b.ejectionTime(r.b.endpoints.byAddr[s])
+	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -165,7 +165,7 @@
 	if r.b.endpoints.byAddr[s].health.state != StateUnhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.ejectionTime(r.b.endpoints.byAddr[s])
+	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
 	r.ask(0, 8)
 	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusOK, LatencyMs: 5})
 	if r.b.endpoints.byAddr[s].health.state != StateConnected {
@@ -298,10 +298,10 @@
 func TestColdServerIsChargedForCostlyRequests(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.b.latency.hints.mean = 50
-	if c := r.b.cost(&request{hint: 1}); c != 1 {
+	if c := r.b.latency.hints.cost(&request{hint: 1}); c != 1 {
 		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
 	}
-	if c := r.b.cost(&request{hint: 200}); c != 4 {
+	if c := r.b.latency.hints.cost(&request{hint: 200}); c != 4 {
 		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
 	}
 }
@@ -367,7 +367,7 @@
 		set.Replicas = agents
 		r := newRig(t, set, 1)
 		r.b.latency.uncontended = calm
-		return r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(0)])
+		return r.b.latency.crowdedThreshold(r.b.endpoints.byAddr[addr(0)])
 	}
 	if one, many := limit(1, 0.01), limit(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("least limits: %.2f for one agent, want about a third; %.2f for twenty, want little", one, many)
@@ -378,7 +378,7 @@
 	r := newRig(t, testSettings(), 1)
 	r.list(ListDelta, Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	r.b.latency.uncontended = 0.2
-	if cold, warm := r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(1)]), r.b.crowdedThreshold(r.b.endpoints.byAddr[addr(0)]); cold < 2*warm {
+	if cold, warm := r.b.latency.crowdedThreshold(r.b.endpoints.byAddr[addr(1)]), r.b.latency.crowdedThreshold(r.b.endpoints.byAddr[addr(0)]); cold < 2*warm {
 		t.Errorf("limit %.2f of a cold server, %.2f of a warm one", cold, warm)
 	}
 }
@@ -407,7 +407,7 @@
 	r.list(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	r.b.endpoints.byAddr[addr(2)].traffic.sentAt = 0
 	for i := range 2 {
-		r.b.demote(r.b.endpoints.byAddr[addr(i)], true)
+		r.b.outliers.eject(r.b.endpoints.byAddr[addr(i)], true)
 	}
 	if _, s := r.sent(0, 9); s != addr(2) {
 		t.Errorf("sent to %v, want the cold server", s)
@@ -461,8 +461,8 @@
 		r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
 		bad := r.b.endpoints.byAddr[addr(0)]
 		for range 3 {
-			r.b.enter(bad, StateConnected)
-			r.b.demote(bad, false)
+			r.b.outliers.enter(bad, StateConnected)
+			r.b.outliers.eject(bad, false)
 		}
 		if full {
 			for range 40 { // more than the other windows hold
@@ -506,8 +506,8 @@
 		t.Fatalf("state %d, ejections %d to %d, window %v to %v", srv.health.state, ejections, srv.health.consecutiveEjections, window, srv.window.size)
 	}
 	srv.health.failureRate = 0.5
-	r.b.enter(srv, StateConnected)
-	r.b.recordOutcome(&attempt{target: srv}, StatusReset, 20)
+	r.b.outliers.enter(srv, StateConnected)
+	r.b.recordOutcome(&attempt{endpoint: srv}, StatusReset, 20)
 	if srv.health.state != StateUnhealthy || srv.health.consecutiveEjections != ejections+1 {
 		t.Fatalf("fails half of all: state %d, ejections %d to %d", srv.health.state, ejections, srv.health.consecutiveEjections)
 	}
@@ -518,7 +518,7 @@
 func TestSingleShotDoesNotCheckAServer(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.endpoints.byAddr[addr(0)]
-	r.b.enter(bad, StateUnhealthyPending)
+	r.b.outliers.enter(bad, StateUnhealthyPending)
 	free, once := 0, 0
 	for range 200 {
 		r.now += 10
@@ -528,7 +528,7 @@
 				*n++
 			}
 			r.outcome(id, 0, s, StatusOK, 5)
-			r.b.enter(bad, StateUnhealthyPending)
+			r.b.outliers.enter(bad, StateUnhealthyPending)
 		}
 	}
 	if free == 0 || once > 0 {
@@ -732,13 +732,13 @@
 	classes := r.b.classes.all
 	once, free := &request{class: classes[1], timing: requestTiming{objectiveAt: r.now + 500}}, &request{class: classes[0], timing: requestTiming{objectiveAt: r.now + 500}}
 	for range 2 * classMemory { // of class 1 all are served, of class 0 none
-		r.b.countClass(classes[0])
-		r.b.countClass(classes[1])
+		r.b.classes.count(classes[0])
+		r.b.classes.count(classes[1])
 		classes[1].servedInTime += 1.0 / classMemory
 	}
-	with := r.b.priorityOf(free) / r.b.priorityOf(once)
+	with := r.b.queue.priorityOf(free) / r.b.queue.priorityOf(once)
 	r.b.classes.worst = classes[1]
-	if without := r.b.priorityOf(free) / r.b.priorityOf(once); with <= without {
+	if without := r.b.queue.priorityOf(free) / r.b.queue.priorityOf(once); with <= without {
 		t.Errorf("the starved class weighs %.2f, when served well %.2f", with, without)
 	}
 }
@@ -889,7 +889,7 @@
 			set.Prices.Handshake = 0.1
 			r := newRig(t, set, 60)
 			r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
-			r.b.demote(r.b.endpoints.all[0], true)
+			r.b.outliers.eject(r.b.endpoints.all[0], true)
 			used := map[Addr]bool{}
 			for range 300 {
 				r.now += c.gap
@@ -927,13 +927,13 @@
 			id, s = r.sent(0, r.b.rng.Uint64())
 			r.outcome(id, 0, s, StatusOK, 20)
 		}
-		r.b.demote(r.b.endpoints.byAddr[s], true)
-		if hold := r.b.ejectionTime(r.b.endpoints.byAddr[s]); hold < 1000 {
+		r.b.outliers.eject(r.b.endpoints.byAddr[s], true)
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold < 1000 {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
-		r.b.endpoints.byAddr[s].health.consecutiveEjections = maxEjections
+		r.b.endpoints.byAddr[s].health.consecutiveEjections = maxConsecutiveEjections
 		r.b.traffic.recent = 0.1
-		if hold := r.b.ejectionTime(r.b.endpoints.byAddr[s]); hold > maxEjectionMs {
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold > maxEjectionMs {
 			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
 		}
 	}
@@ -1039,7 +1039,7 @@
 		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
 			if q := r.b.queue.open[id]; q != nil && q.tries.inFlight > 0 {
 				a := q.tries.counted[len(q.tries.counted)-1]
-				count(r.outcome(id, a.index, a.target.id, StatusTimeout, 10))
+				count(r.outcome(id, a.index, a.endpoint.id, StatusTimeout, 10))
 			}
 		}
 	}
@@ -1078,7 +1078,7 @@
 		r.list(ListDelta, Entry{Server: addr(99), Health: HealthReady, Weight: 1, StartedMs: r.now})
 		cold := r.b.endpoints.byAddr[addr(99)]
 		cold.slowStart.allowance = 0
-		r.b.earnAllowance(r.b.endpoints.byAddr[addr(0)], 1)
+		r.b.slowStart.earn(r.b.endpoints.byAddr[addr(0)], 1, r.b.selector.subset())
 		return cold.slowStart.allowance
 	}
 	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -26,75 +26,38 @@
 				f.key, f.old, f.new)
 		}
 	}
-	span, coldMs := b.rateSpan(), b.set.Contract.SlowStartMs
-	b.renameTenants(set.Tenants)
+	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.set.Contract.SlowStartMs
+	b.moveTenants(set.Tenants)
 	b.set = set
-	b.renameClasses()
-	for _, s := range b.endpoints.all { // another cold time may have begun anew for them
-		b.startWarmUp(s)
+	b.queue.keepUnserved(b.classes.reload())
+	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
+		b.slowStart.begin(endpoint)
 	}
 	// Counts that fade over a time stand for as much as before.
-	b.traffic.recent *= b.rateSpan() / span
-	if coldMs > 0 {
-		b.slowStart.flow *= b.set.Contract.SlowStartMs / coldMs
+	b.traffic.recent *= b.traffic.spanMs() / oldSpanMs
+	if oldSlowStartMs > 0 {
+		b.slowStart.flow *= b.set.Contract.SlowStartMs / oldSlowStartMs
 	}
 	return nil
 }
 
-// renameClasses makes the settings' classes those that come in from now on. Of a class by the
-// same name all stays known; open requests keep the one that they hold.
-func (b *Balancer) renameClasses() {
-	byName := map[string]*class{}
-	for _, c := range b.classes.all {
-		byName[c.Name] = c
-	}
-	worst := b.classes.worst
-	b.setClasses()
-	renamed := map[*class]*class{}
-	for _, c := range b.classes.all {
-		old := byName[c.Name]
-		if old == nil {
-			continue
-		}
-		c.meanMs, c.meanAt, c.answers = old.meanMs, old.meanAt, old.answers
-		c.requestShare, c.servedInTime, c.counts = old.requestShare, old.servedInTime, old.counts
-		renamed[old] = c
-		if old == worst {
-			b.classes.worst = c
-		}
-	}
-	kept := b.queue.unserved[:0]
-	for _, p := range b.queue.unserved {
-		if p.class = renamed[p.class]; p.class != nil {
-			kept = append(kept, p)
-		}
-	}
-	b.queue.unserved = kept
-}
-
-// renameTenants moves the tenants' shares, and the open requests, to the places that the
-// names have in the new settings; who is named there no more is nobody's.
-func (b *Balancer) renameTenants(tenants []Tenant) {
-	at := map[string]int{}
-	usage := make([]float64, len(tenants))
-	for i, t := range tenants {
-		at[t.Name] = i
-	}
-	place := func(old int) int {
+// moveTenants moves the tenants' shares, and the open requests, to the indexes that the names
+// have in the new settings; -1 stands for who is named there no more.
+func (b *Balancer) moveTenants(tenants []Tenant) {
+	byName := map[string]int{}
+	for i, tenant := range tenants {
+		byName[tenant.Name] = i
+	}
+	index := func(old int) int {
 		if old >= 0 && old < len(b.set.Tenants) {
-			if i, ok := at[b.set.Tenants[old].Name]; ok {
+			if i, ok := byName[b.set.Tenants[old].Name]; ok {
 				return i
 			}
 		}
 		return -1
 	}
-	for old, share := range b.quotas.usage {
-		if i := place(old); i >= 0 {
-			usage[i] = share
-		}
-	}
-	for _, r := range b.queue.open {
-		r.tenant = place(r.tenant)
+	b.quotas.move(tenants, index)
+	for _, request := range b.queue.open {
+		request.tenant = index(request.tenant)
 	}
-	b.quotas.usage = usage
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -73,7 +73,7 @@
 	for _, s := range r.b.endpoints.all {
 		before[s.id] = *s
 	}
-	limit, budget, rate, expect := r.b.limiter.scale, r.b.retries.tokens, r.b.rate(), r.b.classes.all[0].meanMs
+	limit, budget, rate, expect := r.b.limiter.scale, r.b.retries.tokens, r.b.traffic.perMs(), r.b.classes.all[0].meanMs
 	set.Tenants = []Tenant{{Name: "c", QuotaShare: 0.2}, {Name: "b", QuotaShare: 0.2}, {Name: "a", QuotaShare: 0.6}}
 	set.Classes = []Class{set.Classes[2], set.Classes[0]}
 	set.Limits.KeepaliveMs *= 2
@@ -87,13 +87,13 @@
 			t.Errorf("of server %v something was forgotten", s.id)
 		}
 	}
-	if r.b.limiter.scale != limit || r.b.retries.tokens != budget || !near(r.b.rate(), rate) {
-		t.Errorf("limit %v, budget %v, rate %v; before %v, %v, %v", r.b.limiter.scale, r.b.retries.tokens, r.b.rate(), limit, budget, rate)
+	if r.b.limiter.scale != limit || r.b.retries.tokens != budget || !near(r.b.traffic.perMs(), rate) {
+		t.Errorf("limit %v, budget %v, rate %v; before %v, %v, %v", r.b.limiter.scale, r.b.retries.tokens, r.b.traffic.perMs(), limit, budget, rate)
 	}
 	if r.b.classes.all[1].meanMs != expect || r.b.quotas.usage[2] != 0.9 || r.b.quotas.usage[1] != 0.1 || r.b.quotas.usage[0] != 0 {
 		t.Errorf("class %+v, tenants %v", r.b.classes.all[1], r.b.quotas.usage)
 	}
-	if !r.b.overQuota(2) || r.b.overQuota(1) {
+	if !r.b.quotas.over(2) || r.b.quotas.over(1) {
 		t.Error("the tenants' portions are not those of the new settings")
 	}
 }
--- a/policy/recovery_test.go
+++ b/policy/recovery_test.go
@@ -10,7 +10,7 @@
 func TestWorstClassIsKnownSoon(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	served := func(c *class, inTime bool) {
-		r.b.countClass(c)
+		r.b.classes.count(c)
 		if inTime {
 			c.servedInTime += 1.0 / classMemory
 		}
@@ -40,14 +40,14 @@
 	for i := range 20 {
 		c.learn(float64(i), 2*c.LatencyObjectiveMs)
 	}
-	late := c.expected(20)
+	late := c.expectedMs(20)
 	if late < c.LatencyObjectiveMs {
 		t.Fatalf("after 20 late answers %v ms are expected", late)
 	}
-	if soon := c.expected(20 + c.DeadlineMs/20); soon < late*0.9 {
+	if soon := c.expectedMs(20 + c.DeadlineMs/20); soon < late*0.9 {
 		t.Errorf("forgotten at once: %v of %v ms", soon, late)
 	}
-	if then := c.expected(20 + 3*c.DeadlineMs); then > calm+0.1*(late-calm) {
+	if then := c.expectedMs(20 + 3*c.DeadlineMs); then > calm+0.1*(late-calm) {
 		t.Errorf("after three times as long as clients wait %v ms are expected, calm is %v", then, calm)
 	}
 }
@@ -65,7 +65,7 @@
 				c.learn(now, 30)
 			}
 		}
-		return c.expected(6000)
+		return c.expectedMs(6000)
 	}
 	if x := expect(1); x > 150 {
 		t.Errorf("a third unanswered: %v ms expected", x)
@@ -99,7 +99,7 @@
 // hasRoomAt tells whether a server takes one more request of the first class.
 func (b *Balancer) hasRoomAt(now float64, s *endpoint) bool {
 	b.now = now
-	return b.hasCapacity(s, &request{class: b.classes.all[0]})
+	return b.selector.hasCapacity(s, &request{class: b.classes.all[0]})
 }
 
 // lateRig is an agent at its limit of one attempt, which is past its aim, with another request
@@ -131,7 +131,7 @@
 	if a := find(actions, ActionCancel); a == nil || a.Request != out {
 		t.Fatalf("not called off: %+v", actions)
 	}
-	if a := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].target.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
+	if a := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].endpoint.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
 		t.Errorf("its place was not taken: %+v", a)
 	}
 	worth := testSettings()
@@ -179,9 +179,9 @@
 		if srv.traffic.abandoned != 1 {
 			t.Fatalf("its server holds %d abandoned", srv.traffic.abandoned)
 		}
-		limit := r.b.limitFloor() * r.b.limiter.scale
+		limit := r.b.limiter.floor() * r.b.limiter.scale
 		r.b.limiter.inFlight = int(math.Ceil(limit)) - 1
-		if r.b.underLimit() {
+		if r.b.limiter.allows() {
 			t.Error("it does not count in the limit")
 		}
 		r.b.limiter.inFlight = 0
@@ -196,7 +196,7 @@
 	}
 	r := quick(t, testSettings(), 1)
 	s := r.b.endpoints.all[0]
-	add := func() { r.b.limiter.abandoned.add(&attempt{target: s, sentAt: r.now - 600}) }
+	add := func() { r.b.limiter.abandoned.add(&attempt{endpoint: s, sentAt: r.now - 600}) }
 	r.b.limiter.abandoned.sojourn, s.traffic.answeredSentAt = 1000, 0
 	add()
 	if r.b.limiter.abandoned.settle(r.now); s.traffic.abandoned != 1 {
@@ -273,17 +273,17 @@
 // be sent yet the warm ones would be.
 func TestColdServersCountInPartBesideWarmOnes(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	whole := r.b.limitFloor()
+	whole := r.b.limiter.floor()
 	cold := make([]Entry, 4)
 	for i := range cold {
 		cold[i] = Entry{Server: addr(4 + i), Health: HealthReady, Weight: 1, StartedMs: r.now}
 	}
 	r.list(ListDelta, cold...)
-	if got, want := r.b.limitFloor(), whole*(1+r.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
+	if got, want := r.b.limiter.floor(), whole*(1+r.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
 		t.Errorf("with as many cold ones %v, want %v", got, want)
 	}
 	r.b.now += r.b.set.Contract.SlowStartMs
-	if got := r.b.limitFloor(); got != 2*whole {
+	if got := r.b.limiter.floor(); got != 2*whole {
 		t.Errorf("when they are warm %v, want %v", got, 2*whole)
 	}
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,184 +1,126 @@
-// This file holds attempts: what may be sent where, and what may be sent again.
+// This file holds what may be sent where, and what may be sent again.
 
 package policy
 
-import (
-	"slices"
-)
-
 const (
-	// retryRatio is how many attempts after the first each answer in time pays for,
-	// retryBurst what is saved up: enough for a moment in which half the servers vanish.
+	// retryRatio is how many attempts after the first each answer in time pays for, retryBurst
+	// what is saved up: enough for a moment in which half the endpoints vanish.
 	retryRatio, retryBurst = 0.5, 20.0
-	// holdUpMs is how long an agent may stand still between reading its clock and writing: it
-	// shares its processors. What must not go out after a time is not begun in the last part
-	// of that time.
+	// writeDelayMarginMs is how long an agent may stand still between reading its clock and
+	// writing: it shares its processors. What must not go out after a time is not begun in the
+	// last part of that time.
 	writeDelayMarginMs = 150.0
 )
 
-// retryBudget is what attempts after the first are paid from.
-type retryBudget struct {
-	tokens float64 // attempts that may still be made
+// retryPolicy decides what may be sent where, and holds the retry budget.
+type retryPolicy struct {
+	*environment
+	endpoints *endpointSet
+	tokens    float64 // attempts after a first that may still be made
 }
 
-// maySend is the guard of all attempts: rules 2, 3 and the limits. Rule 4 is in
-// hasRoom, whose credit every attempt is charged in send.
-func (b *Balancer) maySend(r *request, s *endpoint) bool {
-	if !s.usable || r.closed || r.started || r.tries.inFlight > 0 || b.now >= r.timing.deadline ||
-		len(r.tries.counted) >= r.tries.limit {
+// maySend is the guard of all attempts: no attempt beyond the limits, none after the deadline or
+// beside another one, and none of what may have run where that is not safe. The allowance of an
+// endpoint that is warming up is not its concern: see selector.hasCapacity.
+func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
+	tries := &request.tries
+	if !endpoint.usable || request.closed || request.started || tries.inFlight > 0 ||
+		p.now >= request.timing.deadline || len(tries.counted) >= tries.limit {
 		return false
 	}
-	for _, a := range r.tries.counted {
-		if a.target == s && len(b.endpoints.all) > len(r.tries.counted) {
+	for _, attempt := range tries.counted {
+		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(tries.counted) {
 			return false // further attempts go elsewhere
 		}
 	}
-	if r.idempotency.mayHaveRun == 0 {
-		return true
-	}
-	c := r.class
-	switch c.Effect {
+	return request.idempotency.mayHaveRun == 0 || p.mayRepeatAt(request, endpoint)
+}
+
+// mayRepeatAt tells whether a request that may have run may be sent to the endpoint.
+func (p *retryPolicy) mayRepeatAt(request *request, endpoint *endpoint) bool {
+	switch request.class.Effect {
 	case EffectIdempotent:
 		return true
 	case EffectIdempotentWithKey:
-		if b.idempotencyWindowLeft(r) <= 0 {
+		if p.idempotencyWindowLeftMs(request) <= 0 {
 			return false
 		}
-		return c.Group == GroupAll || c.Group == GroupZone && s.zone == r.idempotency.firstEndpoint.zone ||
-			c.Group == GroupCell && s.cell == r.idempotency.firstEndpoint.cell
+		first := request.idempotency.firstEndpoint
+		switch request.class.Group {
+		case GroupAll:
+			return true
+		case GroupZone:
+			return endpoint.zone == first.zone
+		case GroupCell:
+			return endpoint.cell == first.cell
+		}
 	}
 	return false
 }
 
-// repeatWithin is for how long a keyed request that may have run may still be sent again. The
-// window counts from the earliest time at which it may have run, and a repeat may be held up just
-// before its first byte, so a window shorter than that allows none.
-func (b *Balancer) idempotencyWindowLeft(r *request) float64 {
-	return r.idempotency.earliestRunAt + r.class.IdempotencyWindowMs - writeDelayMarginMs - 2*b.set.RoundMs - b.now
+// idempotencyWindowLeftMs is for how long a request with an idempotency key that may have run may
+// still be sent again. The window counts from the earliest time at which it may have run, and a
+// retry may be held up just before its first byte, so a window shorter than that allows none.
+func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
+	return request.idempotency.earliestRunAt + request.class.IdempotencyWindowMs -
+		writeDelayMarginMs - 2*p.set.RoundMs - p.now
 }
 
-func (b *Balancer) send(r *request, s *endpoint) bool {
-	if !b.maySend(r, s) {
-		return false
-	}
-	a := &attempt{request: r, target: s, index: r.tries.sent, alone: len(s.traffic.inFlight) == 0, sentAt: b.now, cost: b.cost(r)}
-	r.tries.counted = append(r.tries.counted, a)
-	r.tries.sent++
-	b.local.sent(a)
-	r.tries.inFlight++
-	within := 0.0
-	if r.idempotency.mayHaveRun == 0 {
-		r.idempotency.earliestRunAt, r.idempotency.firstEndpoint = b.now, s
-	} else if r.class.Effect == EffectIdempotentWithKey {
-		within = b.idempotencyWindowLeft(r)
-	}
-	r.idempotency.mayHaveRun++
-	s.traffic.inFlight = append(s.traffic.inFlight, a)
-	b.endpoints.busy.add(s)
-	if s.traffic.sentAt > 0 {
-		s.traffic.meanGapMs = mean(s.traffic.meanGapMs, b.now-s.traffic.sentAt, endpointSmoothing)
-	}
-	s.traffic.sentAt, b.limiter.lastAttemptAt = b.now, b.now
-	b.limiter.inFlight++
-	r.class.counts.Attempts++
-	if b.capacityFraction(s) < 1 {
-		s.slowStart.allowance -= a.cost
-		a.charged = true
+// mayRepeatNow tells whether a request that may have run may still be sent again somewhere.
+func (p *retryPolicy) mayRepeatNow(request *request) bool {
+	switch request.class.Effect {
+	case EffectIdempotent:
+		return true
+	case EffectIdempotentWithKey:
+		return p.idempotencyWindowLeftMs(request) > 0
 	}
-	b.do(Action{Kind: ActionSend, Request: r.id, Server: s.id, DelayMs: r.timing.deadline - b.now, WithinMs: within})
-	return true
+	return false
 }
 
-func (b *Balancer) onOutcome(ev *Event) {
-	r := b.queue.open[ev.Request]
-	if r == nil {
-		return
-	}
-	a := r.attempt(ev.Attempt)
-	if a == nil || a.done {
-		return
-	}
-	s := a.target
-	a.done = true
-	b.stats.outcomes.add(ev.Status)
-	status := b.attributeFailure(a, ev.Status)
-	r.tries.inFlight--
-	b.limiter.inFlight--
-	if a.stalled {
-		b.limiter.stalled--
-	}
-	if i := slices.Index(s.traffic.inFlight, a); i >= 0 {
-		s.traffic.inFlight = slices.Delete(s.traffic.inFlight, i, i+1)
-	}
-	if len(s.traffic.inFlight) == 0 {
-		b.endpoints.busy.remove(s)
-	}
-	if ev.Status.NeverRan() {
-		r.idempotency.mayHaveRun--
-	}
-	if status == StatusLocalFailure {
-		b.failedLocally(a)
-	} else {
-		b.local.succeeded(a)
-		b.countUnanswered(a, status)
-		b.closeIdle(s)
-		b.adaptLimit(a, status, finite(ev.LatencyMs))
-		b.recordOutcome(a, status, finite(ev.LatencyMs))
-	}
-	switch {
-	case r.closed || r.started || ev.Final || status == StatusOK:
-		b.close(r)
-	case status == StatusLocalFailure:
-		b.retryLocally(r)
-	default:
-		b.retry(r, status)
-	}
-}
+// earn saves up for an answer that came in time.
+func (p *retryPolicy) earn() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
 
-// attempt is the request's attempt of that number, or nil.
-func (r *request) attempt(index int) *attempt {
-	for _, a := range r.tries.counted {
-		if a.index == index {
-			return a
-		}
+// charge decides whether a request that was not answered, for the reason given, may be sent again,
+// and charges the budget if so. An attempt that reached no endpoint is free.
+func (p *retryPolicy) charge(request *request, reason Status) bool {
+	effect := request.class.Effect
+	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
+		effect == EffectIdempotentWithKey
+	price := 1.0
+	if reason == StatusConnectFailed {
+		price = 0
+	}
+	spent := p.tokens < price || len(request.tries.counted) >= request.tries.limit
+	if !repeatable || spent || reason == StatusNotSent || p.now >= request.timing.deadline {
+		return false
 	}
-	return nil
+	p.tokens -= price
+	return true
 }
 
-// retry holds an unanswered request for another server where class, time and the retry
-// budget allow, or ends it. It competes with first tries, so that trouble does not multiply
-// the load: with a request or two out at each of a thousand agents no window holds back
-// what all send on together.
-func (b *Balancer) retry(r *request, why Status) {
-	c := r.class
-	able := r.idempotency.mayHaveRun == 0 || c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey
-	price := 1.0
-	if why == StatusConnectFailed {
-		price = 0 // no server was asked for anything
-	}
-	spent := b.retries.tokens < price || len(r.tries.counted) >= r.tries.limit
-	if !able || spent || why == StatusNotSent || b.now >= r.timing.deadline {
-		b.finishUnserved(r)
+// retry queues an unanswered request for another endpoint where class, time and the retry budget
+// allow, or ends it. It competes with first attempts, so that failures do not multiply the load:
+// with a request or two in flight at each of a thousand agents no window holds back what all send
+// on together.
+func (b *Balancer) retry(request *request, reason Status) {
+	if !b.retries.charge(request, reason) {
+		b.finishUnserved(request)
 		return
 	}
-	b.retries.tokens -= price
-	b.queue.queued = append(b.queue.queued, r)
+	b.queue.push(request)
 }
 
-// closeIdle closes a server's idle connections where keeping them costs more than opening
-// one again, when this agent comes back to the server as seldom as its last sends say.
-// All agents' requests are taken for this one's times their number. A thousand agents
-// that each met every server kept 400 connections a server open.
-func (b *Balancer) closeIdle(s *endpoint) {
-	p := &b.set.Prices
-	all := b.traffic.requests / max(b.now-b.traffic.startedAt, 1) * float64(b.set.Replicas) // requests a ms
-	if p.Connection > 0 && len(s.traffic.inFlight) == 0 &&
-		(s.traffic.meanGapMs == 0 || s.traffic.meanGapMs*all*p.Connection > 100*float64(len(b.endpoints.all))*p.Handshake) {
-		b.do(Action{Kind: ActionCloseIdle, Server: s.id})
+// retryLocally queues a request again of which an attempt failed on this machine.
+func (b *Balancer) retryLocally(request *request) {
+	if b.now >= request.timing.deadline {
+		b.finishUnserved(request)
+		return
 	}
+	b.queue.push(request)
 }
 
-// repeatable tells whether a client may repeat a request of the class that may have run.
-func isRepeatable(c *class) bool {
-	return c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && c.Group == GroupAll
+// isRepeatable tells whether a client may repeat a request of the class that may have run.
+func isRepeatable(class *class) bool {
+	return class.Effect == EffectIdempotent ||
+		class.Effect == EffectIdempotentWithKey && class.Group == GroupAll
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,4 +1,4 @@
-// This file holds the choice of a server: tiers, then the capped key hash.
+// This file holds the choice of an endpoint: tiers, then rendezvous hashing with bounded load.
 
 package policy
 
@@ -7,188 +7,267 @@
 )
 
 const (
-	// capFactor is c: how far above its even share of the agent's attempts a
-	// server may go before a key's request moves on to the next in hash order.
+	// boundedLoadFactor is how far above its even share of the agent's attempts an endpoint may go
+	// before a key's request moves on to the next in hash order.
 	boundedLoadFactor = 3.0
-	// keyWait is the part of its aim that a request may wait for one of the keyServers
-	// nearest its key: going on at once would lose the warm key just when time is short.
+	// keyAffinityWait is the part of its objective that a request may wait for one of the
+	// keyEndpoints nearest its key: going on at once would lose the warm key just when time is
+	// short.
 	keyAffinityWait, keyEndpoints = 0.25, 2
-	// keyMemory is over how many requests keys are counted, keySpread into how many parts
-	// a key is split that alone would be a server's even share: it is not alone there.
+	// keyHistory is over how many requests keys are counted, popularKeyParts into how many parts
+	// a key is split that alone would be an endpoint's even share: it is not alone there.
 	keyHistory, popularKeyParts = 128, 4.0
-	// leastServers is the smallest subset of the fleet an agent sends to.
+	// minSubset is the least number of endpoints an agent sends to, where so many are listed.
 	minSubset = 16
+	// recentSlack is how much slower than the fleet an endpoint may seem by chance,
+	// minRecentWeight what the slowest keeps of its weight.
+	recentSlack, minRecentWeight = 1.1, 0.02
+	// slowStartWeightFactor is how many times its share one that is warming up weighs in a key's
+	// order, up to 1: its allowance limits it.
+	slowStartWeightFactor = 4
+	// tiers is the number of tiers.
+	tiers = 3
 )
 
 // selector chooses the endpoint of a request.
 type selector struct {
-	tier       []*endpoint // scratch space of selectEndpoint
+	*environment
+	endpoints *endpointSet
+	classes   *classStats
+	traffic   *requestRate
+	limiter   *concurrencyLimiter
+	slowStart *slowStart
+	latency   *latencyTracker
+	retries   *retryPolicy
+
+	scratch    []*endpoint // of candidates
 	recentKeys keyCounter
 	zones      zoneWeights
 	kinds      machineKindWeights
 }
 
-// zoneWeights is how much more an endpoint of the local zone weighs than one of another zone.
-// Latencies are means in fractions of the latency objective.
-type zoneWeights struct {
-	weight        float64
-	localLatency  float64
-	remoteLatency float64
-}
-
-// machineKindWeights holds a weight for each kind of machine, learnt from its answer times, which
-// are means in fractions of the latency objective.
-type machineKindWeights struct {
-	meanLatency float64 // of all kinds
-	kind        [256]struct{ latency, weight float64 }
-}
-
-func newSelector() selector {
-	s := selector{recentKeys: keyCounter{count: map[uint64]int{}}, zones: zoneWeights{weight: minLocalZoneWeight}}
-	for i := range s.kinds.kind {
-		s.kinds.kind[i].weight = 1
-	}
-	return s
+func newSelector(env *environment) selector {
+	return selector{environment: env, recentKeys: keyCounter{count: map[uint64]int{}},
+		zones: newZoneWeights(), kinds: newMachineKindWeights()}
 }
 
-// rank is the server's tier for the request.
-func (b *Balancer) tierOf(s *endpoint, r *request) int {
-	switch s.health.state {
+// tierOf is the endpoint's tier for the request, from 0, the best.
+func (s *selector) tierOf(endpoint *endpoint, request *request) int {
+	switch endpoint.health.state {
 	case StateUnhealthy:
 		return 2
 	case StateUnhealthyPending:
-		// What must not run twice does not check a server while others are healthy.
-		once := r.class.Effect == EffectNonIdempotent
-		if once || b.set.Limits.HealthChecks && b.now-s.health.since < b.classes.shortestObjectiveMs {
+		// What must not run twice does not validate an endpoint while others are healthy.
+		once := request.class.Effect == EffectNonIdempotent
+		checked := s.set.Limits.HealthChecks && s.now-endpoint.health.since < s.classes.shortestObjectiveMs
+		if once || checked {
 			return 1
 		}
 	}
 	return 0
 }
 
-// pick walks the best tier that has anyone in the order of the key's hash and takes the
-// first server that is under its cap and has room. Only those that matter are scored.
-func (b *Balancer) selectEndpoint(r *request) *endpoint {
-	waits, subset := b.waits(r), b.subset()
-	for rank := range 3 {
-		tier, n, seen := b.selector.tier[:0], 0, 0
-		r.placement.tierWeight = 0
-		var near [keyEndpoints]*endpoint
-		for _, s := range b.endpoints.all {
-			seen++
-			if b.tierOf(s, r) != rank || !b.maySend(r, s) {
-				continue
-			}
-			if n++; n > subset && len(tier) > 0 {
-				break
-			}
-			r.placement.tierWeight += s.weight * b.capacityFraction(s)
-			if !waits && !b.hasCapacity(s, r) {
-				continue
-			}
-			s.score = b.score(r, s)
-			tier = append(tier, s)
-			for i, at := 0, s; i < keyEndpoints && at != nil; i++ {
-				if near[i] == nil || at.score < near[i].score {
-					near[i], at = at, near[i]
-				}
-			}
-		}
-		b.selector.tier = tier
-		b.stats.work += uint64(seen)
-		if r.placement.tierWeight == 0 {
+// selectEndpoint gives the first endpoint of the best tier that has any, in the order of the
+// request's hash, that is under its load bound and has capacity; nil if there is none.
+func (s *selector) selectEndpoint(request *request) *endpoint {
+	waits, subset := s.waitsForKey(request), s.subset()
+	for tier := range tiers {
+		candidates, nearest := s.candidates(request, tier, subset, waits)
+		if request.placement.tierWeight == 0 {
 			continue // an empty tier passes down
 		}
-		if waits && len(tier) > keyEndpoints {
-			r.placement.nearest, r.placement.epoch = near, b.endpoints.epoch
-			tier = near[:]
+		if waits && len(candidates) > keyEndpoints {
+			request.placement.nearest, request.placement.epoch = nearest, s.endpoints.epoch
+			candidates = nearest[:]
 		}
-		var best *endpoint
-		for _, s := range tier {
-			if (best == nil || s.score < best.score) && b.accepts(s, r) {
-				best = s
+		return s.best(candidates, request)
+	}
+	return nil
+}
+
+// candidates scores the endpoints of a tier that the request may be sent to, up to subset of them,
+// and gives those nearest its key. Where the request doesn't wait only those that have capacity
+// are scored. It sets the request's tierWeight.
+func (s *selector) candidates(request *request, tier, subset int, waits bool) ([]*endpoint,
+	[keyEndpoints]*endpoint) {
+	scored, inTier, seen := s.scratch[:0], 0, 0
+	var nearest [keyEndpoints]*endpoint
+	request.placement.tierWeight = 0
+	for _, endpoint := range s.endpoints.all {
+		seen++
+		if s.tierOf(endpoint, request) != tier || !s.retries.maySend(request, endpoint) {
+			continue
+		}
+		if inTier++; inTier > subset && len(scored) > 0 {
+			break
+		}
+		request.placement.tierWeight += endpoint.weight * s.capacityFraction(endpoint)
+		if !waits && !s.hasCapacity(endpoint, request) {
+			continue
+		}
+		endpoint.score = s.score(request, endpoint)
+		scored = append(scored, endpoint)
+		for i, next := 0, endpoint; i < keyEndpoints && next != nil; i++ {
+			if nearest[i] == nil || next.score < nearest[i].score {
+				nearest[i], next = next, nearest[i]
 			}
 		}
-		return best
 	}
-	return nil
+	s.scratch = scored
+	s.work += uint64(seen)
+	return scored, nearest
 }
 
-// subset is how many servers of a tier, in an order of its own, an agent sends to: those
-// it can meet every few seconds. A quiet agent met each server of the fleet once a minute:
-// it opened a connection for each request and could not learn which were slow or hung
-// . Orders differ, so each server keeps its share; keys find theirs within. Where
-// connections have no price, more servers keep more keys warm.
-func (b *Balancer) subset() int {
-	n := b.traffic.recent
-	if b.set.Limits.KeepaliveMs <= 0 {
-		n = math.Inf(1)
-	} else if b.set.Prices.Handshake > 0 {
-		n /= 4
+// best is the candidate with the lowest score that accepts the request, or nil.
+func (s *selector) best(candidates []*endpoint, request *request) *endpoint {
+	var best *endpoint
+	for _, endpoint := range candidates {
+		if (best == nil || endpoint.score < best.score) && s.accepts(endpoint, request) {
+			best = endpoint
+		}
 	}
-	return int(min(max(n, minSubset), float64(len(b.endpoints.all))))
+	return best
 }
 
-// waits tells whether the request still waits for the servers nearest its key.
-func (b *Balancer) waits(r *request) bool {
-	return r.key != 0 && len(r.tries.counted) == 0 && b.now-r.timing.arrived < keyAffinityWait*(r.timing.objectiveAt-r.timing.arrived)
+// accepts tells whether the endpoint is under its load bound in the tier of the request's last
+// selection and has capacity.
+func (s *selector) accepts(endpoint *endpoint, request *request) bool {
+	share := endpoint.weight * s.capacityFraction(endpoint) / request.placement.tierWeight
+	most := math.Ceil(boundedLoadFactor * float64(s.limiter.inFlight+1) * share)
+	return float64(endpoint.load()) < most && s.hasCapacity(endpoint, request)
 }
 
-// split gives a key the hash that orders the servers for it. A popular key is split into
-// parts, each with its own order: one was twenty times what its server can do,
-// and with one request out the cap sees nothing of that. The fewer agents share a server,
-// the more each sees, and is left to the cap.
-func (b *Balancer) splitKey(key uint64) uint64 {
-	if key == 0 {
-		return b.rng.Uint64()
-	}
-	share := b.selector.recentKeys.add(key) - 1.0/keyHistory
-	servers := float64(b.subset())
-	blind := min(float64(b.set.Replicas)/max(boundedLoadFactor*servers, 1), 1)
-	parts := max(share*popularKeyParts*servers*blind, 1)
-	return key + uint64(parts*b.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
-}
-
-// score orders servers by weighted rendezvous hashing: every agent of a zone
-// finds the same order for a key, and a server's share of keys is that of its weight.
-func (b *Balancer) score(r *request, s *endpoint) float64 {
-	x := mix(r.hash ^ s.hash)
-	u := float64(x>>11) / (1 << 53)
-	w := s.weight * b.selector.kinds.kind[s.machineKind&255].weight * min(4*b.slowStartShare(s), 1) // its credit limits it
-	w *= b.pacing(s)
-	if s.zone == b.set.Zone {
-		w *= b.selector.zones.weight
-	}
-	return -math.Log(u+1e-18) / w
-}
-
-// pacing is what a server keeps of its weight: one that answers later than the fleet gets
-// less, so that its queue can drain. Tiers ignore latency, and windows need many answers: at
-// 80 agents, each meeting a server every few seconds, jammed servers kept their even share
-// for 15 s while two thirds of the fleet stood idle.
-func (b *Balancer) pacing(s *endpoint) float64 {
-	if b.latency.recent == 0 {
+// hasCapacity bounds what an endpoint holds of this agent: its window, one at a time until it is
+// validated, and its allowance while it is warming up.
+func (s *selector) hasCapacity(endpoint *endpoint, request *request) bool {
+	if endpoint.health.state >= StateUnhealthyPending {
+		return endpoint.load() == 0
+	}
+	if !endpoint.windowOpen(s.now) {
+		return false
+	}
+	cost := s.latency.hints.cost(request)
+	if s.capacityFraction(endpoint) == 1 || endpoint.slowStart.allowance >= cost {
+		return true
+	}
+	if s.slowStart.warmWeight() > 0 {
+		return false
+	}
+	if s.slowStart.flow > 0 {
+		return s.slowStart.rested(endpoint, cost)
+	}
+	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
+	// more than it answers, as one attempt of this agent at a time waits there and the limit
+	// bounds them all.
+	return len(endpoint.traffic.inFlight) == 0 && (s.latency.answers > 0 || s.hasFirstTurn(endpoint))
+}
+
+// hasFirstTurn paces an agent that no endpoint has answered yet: agents take turns by the latency
+// objective, or all would go on calling what can't answer. All together make attemptsPerEndpoint
+// attempts at each endpoint in that time, whatever they are asked: an agent's rate is not known in
+// its first moments. Of an endpoint that is warming up that is as many as the contract allows it
+// of what it does warm. The first turn comes at a part of that time after the agent was notified of
+// the start, which differs from agent to agent. Else each would make its first attempt with its
+// first request, before anything tells what the endpoints bear.
+func (s *selector) hasFirstTurn(endpoint *endpoint) bool {
+	alone := s.classes.shortestObjectiveMs // a turn of one that is alone
+	if multiple := s.set.Contract.OverloadMultiple; multiple > 0 {
+		alone /= min(s.capacityFraction(endpoint)*multiple, 1)
+	}
+	turn := alone * max(float64(s.set.Replicas)/(attemptsPerEndpoint*s.slowStart.fleetCapacity()), 1)
+	// The fractions of the golden ratio's multiples by successive numbers are spread evenly,
+	// however many agents there are.
+	_, part := math.Modf(math.Phi * float64(s.set.Index))
+	return s.now-s.limiter.lastAttemptAt >= turn && s.now-endpoint.health.since >= part*(turn-alone)
+}
+
+// subset is how many endpoints of a tier, in an order of its own, an agent sends to: those it can
+// meet every few seconds. An agent that meets an endpoint more seldom opens a connection for each
+// request and can't learn which are slow or hung. Orders differ, so each endpoint keeps its share;
+// keys find theirs within. Where connections have no price, more endpoints keep more keys warm.
+func (s *selector) subset() int {
+	size := s.traffic.recent
+	if s.set.Limits.KeepaliveMs <= 0 {
+		size = math.Inf(1)
+	} else if s.set.Prices.Handshake > 0 {
+		size /= 4
+	}
+	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
+}
+
+// waitsForKey tells whether the request still waits for the endpoints nearest its key.
+func (s *selector) waitsForKey(request *request) bool {
+	timing := &request.timing
+	return request.key != 0 && len(request.tries.counted) == 0 &&
+		s.now-timing.arrived < keyAffinityWait*(timing.objectiveAt-timing.arrived)
+}
+
+// keyEndpointsFull tells whether the request waits for the endpoints nearest its key and none of
+// them accepts it yet.
+func (s *selector) keyEndpointsFull(request *request) bool {
+	placement := &request.placement
+	nearest := placement.nearest
+	return s.waitsForKey(request) && nearest[0] != nil && placement.epoch == s.endpoints.epoch &&
+		!s.accepts(nearest[0], request) && !s.accepts(nearest[1], request)
+}
+
+// score orders endpoints by weighted rendezvous hashing: every agent of a zone finds the same
+// order for a key, and an endpoint's share of keys is that of its weight.
+func (s *selector) score(request *request, endpoint *endpoint) float64 {
+	hash := mix(request.hash ^ endpoint.hash)
+	uniform := float64(hash>>11) / (1 << 53)
+	warmth := min(slowStartWeightFactor*s.slowStart.share(endpoint), 1)
+	weight := endpoint.weight * s.kinds.of(endpoint) * warmth
+	weight *= s.recentWeight(endpoint)
+	if endpoint.zone == s.set.Zone {
+		weight *= s.zones.weight
+	}
+	return -math.Log(uniform+1e-18) / weight
+}
+
+// recentWeight is what an endpoint keeps of its weight: one that answers later than the fleet
+// gets less, so that its queue can drain. Tiers ignore latency, and windows need many answers:
+// where agents are many and each meets an endpoint every few seconds, these alone would leave
+// an overloaded endpoint its even share.
+func (s *selector) recentWeight(endpoint *endpoint) float64 {
+	if s.latency.recent == 0 {
 		return 1
 	}
-	slower := b.recentLatency(s) / (recentSlack * b.latency.recent)
+	slower := s.latency.recentOf(endpoint) / (recentSlack * s.latency.recent)
 	if slower <= 1 {
 		return 1
 	}
 	return max(1/(slower*slower), minRecentWeight)
 }
 
-// takes tells whether the server is under its cap in the tier of the request's
-// last pick and has room.
-func (b *Balancer) accepts(s *endpoint, r *request) bool {
-	share := s.weight * b.capacityFraction(s) / r.placement.tierWeight
-	most := math.Ceil(boundedLoadFactor * float64(b.limiter.inFlight+1) * share)
-	return float64(len(s.traffic.inFlight)+s.traffic.abandoned) < most && b.hasCapacity(s, r)
+// hashOf gives a key the hash that orders the endpoints for it. A popular key is split into parts,
+// each with its own order: it may be many times what its endpoint can do, and with one request in
+// flight the load bound sees nothing of that. The fewer agents share an endpoint, the more each
+// sees, and is left to the load bound.
+func (s *selector) hashOf(key uint64) uint64 {
+	if key == 0 {
+		return s.rng.Uint64()
+	}
+	share := s.recentKeys.add(key) - 1.0/keyHistory
+	endpoints := float64(s.subset())
+	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
+	parts := max(share*popularKeyParts*endpoints*unseen, 1)
+	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
+}
+
+// observe takes an answer time, as a part of the objective, into the weights of zones and machine
+// kinds.
+func (s *selector) observe(endpoint *endpoint, fraction float64) {
+	s.zones.observe(endpoint.zone == s.set.Zone, fraction, s.set.Prices.CrossZone)
+	if s.set.Weights == "off" {
+		s.kinds.observe(endpoint, fraction)
+	}
 }
 
-// keyCounter counts how often each key came among the last keyMemory requests.
+// keyCounter counts how often each key came among the last keyHistory requests.
 type keyCounter struct {
 	last  [keyHistory]uint64
-	next  int
+	next  int // index in last of the oldest
 	total int
 	count map[uint64]int
 }
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -6,99 +6,139 @@
 	"math"
 )
 
-const (
-	// classMemory is over how many of its requests the share of a class served in time counts.
-	classMemory   = 32
-	maxEjections  = 5 // bounds the doubling of a bad server's ejection time
-	maxEjectionMs = 60000.0
-)
+// classMemory is over how many of its requests the share of a class served in time counts.
+const classMemory = 32
 
 // class is a class of requests and what was learnt of it.
 type class struct {
 	Class
-	meanMs       float64 // mean answer time, as of expectAt
-	meanAt       float64
+	meanMs       float64 // mean answer time, as of meanAt
+	meanAt       float64 // ms
 	answers      float64 // that it was learnt from
-	requestShare float64 // share of all requests of late
-	servedInTime float64 // share of its last classMemory requests that were served within the aim
+	requestShare float64 // recent share of all requests
+	servedInTime float64 // share of its last classMemory requests served within the objective
 	counts       ClassCounts
 }
 
-// classStats holds the classes of requests and what compares them.
-type classStats struct {
-	all                 []*class
-	worst               *class  // the class served worst
-	meanPriority        float64 // mean priority weight of a request
-	meanObjectiveMs     float64 // mean latency objective of recent requests
-	shortestObjectiveMs float64
-	longestDeadlineMs   float64
-}
-
-// calm is the answer time that a class of which nothing is known is held to have.
+// uncontendedMs is the answer time that a class of which nothing is known is taken to have.
 func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * crowdedFraction / 2 }
 
 // learn takes an answer time into the class's mean, which follows the answers of the time
 // after which its clients give up.
-func (c *class) learn(now, rtt float64) {
+func (c *class) learn(now, rttMs float64) {
 	weight := max(4*fleetSmoothing, 1/(c.answers+2))
 	if c.answers > 0 {
 		weight = max(weight, 1-math.Exp((c.meanAt-now)/c.DeadlineMs))
 	}
-	c.meanMs = mean(c.meanMs, min(rtt, 2*c.LatencyObjectiveMs), weight)
+	c.meanMs = ewma(c.meanMs, min(rttMs, 2*c.LatencyObjectiveMs), weight)
 	c.answers++
 	c.meanAt = now
 }
 
+// served counts a request that was answered, after rttMs, and had its objective's end at
+// objectiveAt.
+func (c *class) served(now, rttMs, objectiveAt float64) {
+	c.learn(now, rttMs)
+	c.counts.Served++
+	if now <= objectiveAt {
+		c.counts.WithinObjective++
+		c.servedInTime += 1.0 / classMemory
+	}
+}
+
 // unanswered takes an attempt into the mean that was given up on after its age. What it would
-// have taken is not known, nor whether its server lives: it counts as twice the mean at most,
+// have taken is not known, nor whether its endpoint lives: it counts as twice the mean at most,
 // so that the mean runs away only where most go unanswered.
-func (c *class) unanswered(now, age float64) {
-	if expected := c.expected(now); age > expected {
-		c.learn(now, min(age, 2*expected))
+func (c *class) unanswered(now, ageMs float64) {
+	if expected := c.expectedMs(now); ageMs > expected {
+		c.learn(now, min(ageMs, 2*expected))
 	}
 }
 
-// expected is the class's mean answer time. Late answers are forgotten over the time after
-// which clients give up: nobody waits any more for what was in the queues then. A class held
-// to be late for good is sent only when no other is held, and then nothing of it tells that
-// servers have become quick.
-func (c *class) expected(now float64) float64 {
-	calm := c.uncontendedMs()
-	if c.meanMs <= calm {
+// expectedMs is the class's mean answer time. Late answers are forgotten over the time after
+// which clients give up: nobody waits any more for what was in the queues then. A class taken
+// to be late for good would be sent only when no other is queued, and then no answer of it
+// would show that the endpoints have become quick.
+func (c *class) expectedMs(now float64) float64 {
+	uncontended := c.uncontendedMs()
+	if c.meanMs <= uncontended {
 		return c.meanMs
 	}
-	return calm + (c.meanMs-calm)*math.Exp((c.meanAt-now)/c.DeadlineMs)
+	return uncontended + (c.meanMs-uncontended)*math.Exp((c.meanAt-now)/c.DeadlineMs)
+}
+
+// classStats holds the classes of requests and what compares them.
+type classStats struct {
+	*environment
+	all                 []*class
+	worst               *class  // the class with the least share served in time
+	meanPriority        float64 // mean priority weight of a request
+	meanObjectiveMs     float64 // mean latency objective of recent requests
+	shortestObjectiveMs float64
+	longestDeadlineMs   float64
+}
+
+func newClassStats(env *environment) classStats {
+	c := classStats{environment: env}
+	c.reset()
+	return c
+}
+
+// reset takes the classes from the settings; nothing is known of them yet.
+func (c *classStats) reset() {
+	c.all, c.shortestObjectiveMs, c.longestDeadlineMs = nil, math.Inf(1), 0
+	for _, settings := range c.set.Classes {
+		class := &class{Class: settings, requestShare: 1 / float64(len(c.set.Classes)), servedInTime: 1}
+		class.meanMs = class.uncontendedMs()
+		c.all = append(c.all, class)
+		c.shortestObjectiveMs = min(c.shortestObjectiveMs, settings.LatencyObjectiveMs)
+		c.longestDeadlineMs = max(c.longestDeadlineMs, settings.DeadlineMs)
+	}
+	c.worst = c.all[0]
 }
 
-// takeClasses makes the settings' classes those of the Balancer; nothing is known of them yet.
-func (b *Balancer) setClasses() {
-	b.classes.all, b.classes.shortestObjectiveMs, b.classes.longestDeadlineMs = nil, math.Inf(1), 0
-	for _, c := range b.set.Classes {
-		of := &class{Class: c, requestShare: 1 / float64(len(b.set.Classes)), servedInTime: 1}
-		of.meanMs = of.uncontendedMs()
-		b.classes.all = append(b.classes.all, of)
-		b.classes.shortestObjectiveMs = min(b.classes.shortestObjectiveMs, c.LatencyObjectiveMs)
-		b.classes.longestDeadlineMs = max(b.classes.longestDeadlineMs, c.DeadlineMs)
+// reload takes the classes from new settings. Of a class by the same name all stays known; open
+// requests keep the class that they hold. It returns the new class of each old one that is still
+// named.
+func (c *classStats) reload() map[*class]*class {
+	byName := map[string]*class{}
+	for _, old := range c.all {
+		byName[old.Name] = old
+	}
+	worst := c.worst
+	c.reset()
+	successor := map[*class]*class{}
+	for _, class := range c.all {
+		old := byName[class.Name]
+		if old == nil {
+			continue
+		}
+		class.meanMs, class.meanAt, class.answers = old.meanMs, old.meanAt, old.answers
+		class.requestShare, class.servedInTime, class.counts = old.requestShare, old.servedInTime, old.counts
+		successor[old] = class
+		if old == worst {
+			c.worst = class
+		}
 	}
-	b.classes.worst = b.classes.all[0]
+	return successor
 }
 
-// tally keeps the classes' shares of requests and of those served in time.
-func (b *Balancer) countClass(of *class) {
-	b.classes.meanPriority = 0
-	aims, all := 0.0, 0.0
-	for _, c := range b.classes.all {
-		c.requestShare *= shareDecay
-		if c == of {
-			c.requestShare += 1 - shareDecay
-			c.servedInTime -= c.servedInTime / classMemory
+// count notes a request of a class, and that it was not served in time so far.
+func (c *classStats) count(counted *class) {
+	c.meanPriority = 0
+	objectives, shares := 0.0, 0.0
+	for _, class := range c.all {
+		class.requestShare *= shareDecay
+		if class == counted {
+			class.requestShare += 1 - shareDecay
+			class.servedInTime -= class.servedInTime / classMemory
 		}
-		b.classes.meanPriority += c.requestShare * c.PriorityWeight
-		aims += c.requestShare * c.LatencyObjectiveMs
-		all += c.requestShare
-		if c.servedInTime < b.classes.worst.servedInTime {
-			b.classes.worst = c
+		c.meanPriority += class.requestShare * class.PriorityWeight
+		objectives += class.requestShare * class.LatencyObjectiveMs
+		shares += class.requestShare
+		if class.servedInTime < c.worst.servedInTime {
+			c.worst = class
 		}
 	}
-	b.classes.meanObjectiveMs = aims / all
+	c.meanObjectiveMs = objectives / shares
 }
--- a/policy/service_test.go
+++ b/policy/service_test.go
@@ -124,8 +124,8 @@
 		r.now += 10
 		r.outcome(id, 0, s, StatusOK, 3.5*work)
 	}
-	want := attemptsPerEndpoint * servers * r.b.rate() / (set.Tenants[0].QuotaPerS / 1000)
-	if got := r.b.limitFloor(); !near(got, max(want, 1)) {
+	want := attemptsPerEndpoint * servers * r.b.traffic.perMs() / (set.Tenants[0].QuotaPerS / 1000)
+	if got := r.b.limiter.floor(); !near(got, max(want, 1)) {
 		t.Errorf("may always have %v out, its part of the settings' is %v", got, want)
 	}
 }
@@ -136,7 +136,7 @@
 	set := fleetSettings(2000)
 	r := newRig(t, set, 12)
 	r.now += 60000 // alone for long: the floor is the settings'
-	limit := func() float64 { return r.b.limitFloor() * r.b.limiter.scale }
+	limit := func() float64 { return r.b.limiter.floor() * r.b.limiter.scale }
 	answer := func(took float64) {
 		id, s := r.sent(0, r.b.rng.Uint64())
 		r.now += 60000
--- a/policy/sets_test.go
+++ b/policy/sets_test.go
@@ -33,8 +33,8 @@
 		}
 		known = known && b.capacityFraction(s) != 1
 	}
-	if known && b.slowStart.warmWeight != fresh {
-		w.t.Fatalf("warm weight %v, counted anew %v", b.slowStart.warmWeight, fresh)
+	if known && b.slowStart.warm != fresh {
+		w.t.Fatalf("warm weight %v, counted anew %v", b.slowStart.warm, fresh)
 	}
 }
 
@@ -46,8 +46,8 @@
 	w := &world{t: t, b: r.b}
 	r.list(ListDelta, Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	r.now += 600
-	if r.ask(0, 0); r.b.warmWeight() != 3 || len(r.b.slowStart.warming) != 0 {
-		t.Fatalf("weight %v of warm servers, %d cold; want 3 and none", r.b.warmWeight(), len(r.b.slowStart.warming))
+	if r.ask(0, 0); r.b.slowStart.warmWeight() != 3 || len(r.b.slowStart.warming) != 0 {
+		t.Fatalf("weight %v of warm servers, %d cold; want 3 and none", r.b.slowStart.warmWeight(), len(r.b.slowStart.warming))
 	}
 	set.Contract.SlowStartMs = 5000
 	if err := r.b.Reconfigure(set); err != nil {
@@ -56,7 +56,7 @@
 	w.checkSets()
 	r.now++ // a weight holds for its moment
 	r.ask(0, 0)
-	if got := r.b.warmWeight(); got != 2 || len(r.b.slowStart.warming) != 1 {
+	if got := r.b.slowStart.warmWeight(); got != 2 || len(r.b.slowStart.warming) != 1 {
 		t.Errorf("weight %v of warm servers, %d cold; want 2 and 1", got, len(r.b.slowStart.warming))
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,130 +1,166 @@
-// This file holds how much a server that is warming up may be sent.
+// This file holds which endpoints are warming up, and how much they may be sent.
 
 package policy
 
 import (
 	"math"
+	"slices"
 )
 
 const (
-	// slowStartBurst bounds what a cold server's credit saves up: all may spend it at once.
-	slowStartBurst = 1.0
-	// slowStartMargin is what an even share may cost a cold server, in its present capacity:
-	// warm ones may be crowded by half and save two thirds by their warm keys.
+	// maxAllowance bounds what an endpoint's allowance saves up, in mean requests: all agents may
+	// spend it at once.
+	maxAllowance = 1.0
+	// slowStartMargin is what an even share may cost an endpoint that is warming up, in its present
+	// capacity: warm ones may be crowded by half and save two thirds by their warm keys.
 	slowStartMargin = 5.0
-	// goldenRatio spreads the agents' first turns: the parts after the point of its multiples
-	// by successive numbers are spread evenly, however many agents there are.
-	goldenRatio = math.Phi
+	// ageErrorFactor is how many times its capacity an endpoint that is warming up may be taken to
+	// have, for an error in its age: warm ones may be crowded by half, which slowStartMargin
+	// allows for.
+	ageErrorFactor = 1.5
 )
 
+// StartToleranceMs is how much older than it is an endpoint that is warming up may be taken for,
+// in ms: at its start, where that means most, it then counts as ageErrorFactor times what it can
+// do.
+func (c *Contract) StartToleranceMs() float64 {
+	if c.SlowStartFrom >= 1 {
+		return c.SlowStartMs
+	}
+	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
+}
+
+// capacityFraction is the part of its capacity that an endpoint has by the contract: it grows
+// evenly with the age of its process, from SlowStartFrom to 1.
+func (env *environment) capacityFraction(endpoint *endpoint) float64 {
+	contract, start := &env.set.Contract, &endpoint.slowStart
+	age := env.now - start.startedAt
+	if start.startedAt <= 0 || age >= contract.SlowStartMs {
+		return 1
+	}
+	if start.startedAt != start.listedAt && age > contract.PollWithinMs {
+		return 1 // a restart that was assumed, and that the list has not confirmed in its time
+	}
+	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+}
+
 // slowStart holds which endpoints are warming up and what they may be sent.
 type slowStart struct {
+	*environment
+	endpoints  *endpointSet
 	warming    []*endpoint // that may not have their whole capacity yet
-	warmWeight float64     // weight of the warm endpoints, as of warmAt and warmEpoch
+	warm       float64     // weight of the warm endpoints, as of warmAt and warmEpoch
 	warmAt     float64     // ms
 	warmEpoch  uint64
 	stale      bool    // an endpoint began or ended its slow start since
 	flow       float64 // work sent to a warm endpoint of weight 1, fading over the slow start time
 	flowAt     float64 // ms
-	capacity   float64 // of all usable endpoints, in warm ones, as of capacityAt
+	capacity   float64 // of all usable endpoints, as of capacityAt
 	capacityAt float64 // ms
 }
 
-// ageErrorFactor is how many times its capacity a server that is warming up may be taken to have, for
-// an error in its age: warm servers may be crowded by half, which slowStartMargin allows for.
-const ageErrorFactor = 1.5
-
-// StartToleranceMs is how much older than it is a server that is warming up may be taken for, in ms:
-// at its start, where that means most, it then counts as ageErrorFactor times what it can do.
-func (c *Contract) StartToleranceMs() float64 {
-	if c.SlowStartFrom >= 1 {
-		return c.SlowStartMs
+// begin notes that an endpoint's start has changed: it may be warming up.
+func (w *slowStart) begin(endpoint *endpoint) {
+	w.stale = true
+	if !endpoint.slowStart.warming && endpoint.slowStart.startedAt > 0 {
+		endpoint.slowStart.warming = true
+		w.warming = append(w.warming, endpoint)
 	}
-	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
 }
 
-// hasRoom bounds what a server holds of this agent: its window, one at a time
-// until it is validated, and a cold server's credit.
-func (b *Balancer) hasCapacity(s *endpoint, r *request) bool {
-	if s.health.state >= StateUnhealthyPending {
-		return len(s.traffic.inFlight)+s.traffic.abandoned == 0
-	}
-	// A window under one is kept by pausing: with many agents even one attempt of
-	// each can be too much, and a server that tipped needs rest to recover.
-	if len(s.traffic.inFlight)+s.traffic.abandoned >= max(int(s.window.size), 1) {
-		return false
+// forget drops an endpoint that is no longer listed.
+func (w *slowStart) forget(forgotten *endpoint) {
+	if forgotten.slowStart.warming {
+		w.warming = slices.DeleteFunc(w.warming, func(other *endpoint) bool { return other == forgotten })
 	}
-	if s.window.size < 1 && b.now-s.traffic.sentAt < s.latency.lastMs/s.window.size {
-		return false
-	}
-	if b.capacityFraction(s) == 1 || s.slowStart.allowance >= b.cost(r) {
-		return true
+}
+
+// finishWarm takes those that are warm by now from the ones that are warming up.
+func (w *slowStart) finishWarm() {
+	w.countWork(w.warming)
+	w.warming = slices.DeleteFunc(w.warming, func(endpoint *endpoint) bool {
+		endpoint.slowStart.warming = w.capacityFraction(endpoint) != 1
+		w.stale = w.stale || !endpoint.slowStart.warming
+		return !endpoint.slowStart.warming
+	})
+}
+
+// warmWeight is the weight of the endpoints of the top tier that are not warming up, counted
+// anew only where a tier, the list or who is warming up has changed.
+func (w *slowStart) warmWeight() float64 {
+	if w.warmAt == w.now && w.warmEpoch == w.endpoints.epoch {
+		return w.warm
 	}
-	if b.warmWeight() > 0 {
-		return false
+	w.finishWarm()
+	if w.warmEpoch == w.endpoints.epoch && !w.stale {
+		w.warmAt = w.now
+		return w.warm
 	}
-	if b.slowStart.flow > 0 {
-		return (b.now-s.traffic.sentAt)*b.slowStart.flow*s.weight*b.slowStartShare(s) >= b.cost(r)*b.set.Contract.SlowStartMs
+	w.warm, w.warmAt, w.warmEpoch, w.stale = 0, w.now, w.endpoints.epoch, false
+	w.countWork(w.endpoints.all)
+	for _, endpoint := range w.endpoints.all {
+		if endpoint.usable && endpoint.health.state <= StateUnknown && w.capacityFraction(endpoint) == 1 {
+			w.warm += endpoint.weight
+		}
 	}
-	// It never met a warm server, so nothing tells what a cold one may be sent: no more than
-	// it answers, as one attempt of this agent at a time waits there and the limit bounds them
-	// all.
-	return len(s.traffic.inFlight) == 0 && (b.latency.answers > 0 || b.hasFirstTurn(s))
+	return w.warm
 }
 
-// hasTurn paces an agent that no server has answered yet: agents take turns by the aim, or all
-// would go on calling what can't answer. All together make attemptsPerServer attempts at each
-// server in that time, whatever they are asked: an agent's rate is not known in its first
-// moments, and one that was asked at once took itself for a busy one. Of a cold server that is
-// as many as the contract allows it of what it does warm. The first turn comes at a part of that
-// time after the agent was told of the start, which differs from agent to agent. Else each would
-// make its first attempt with its first request, before anything tells what the servers bear:
-// where agents are many, that was all that was asked in the first seconds, up to the budget.
-func (b *Balancer) hasFirstTurn(s *endpoint) bool {
-	alone := b.classes.shortestObjectiveMs // a turn of one that is alone
-	if multiple := b.set.Contract.OverloadMultiple; multiple > 0 {
-		alone /= min(b.capacityFraction(s)*multiple, 1)
+// fleetCapacity is what the usable endpoints can do, in warm ones. Those that are warming up
+// count in part beside warm ones: their allowance bounds what they are sent, and the rest of an
+// even share would be sent to the warm ones. Alone they count as whole.
+func (w *slowStart) fleetCapacity() float64 {
+	if w.capacityAt == w.now {
+		return w.capacity
 	}
-	turn := alone * max(float64(b.set.Replicas)/(attemptsPerEndpoint*b.capacity()), 1)
-	_, part := math.Modf(goldenRatio * float64(b.set.Index))
-	return b.now-b.limiter.lastAttemptAt >= turn && b.now-s.health.since >= part*(turn-alone)
-}
-
-// slowStartShare is the part of an even share that a server may be sent: of a cold one what
-// keeps the contract, so that its keys move to it as it warms up.
-func (b *Balancer) slowStartShare(s *endpoint) float64 {
-	if k := b.capacityFraction(s); k < 1 {
-		return k * b.set.Contract.OverloadMultiple / slowStartMargin
+	w.capacity, w.capacityAt = float64(w.endpoints.ready), w.now
+	if w.warmWeight() == 0 {
+		return w.capacity
 	}
-	return 1
+	w.countWork(w.warming)
+	for _, endpoint := range w.warming {
+		if endpoint.usable {
+			w.capacity -= 1 - w.capacityFraction(endpoint)
+		}
+	}
+	return w.capacity
 }
 
-// cost is the work of a request in units of the mean one, and never less: hints are
-// rough, and a cold server would be sent the small ones that are not.
-func (b *Balancer) cost(r *request) float64 {
-	if r.hint > b.latency.hints.mean {
-		return r.hint / b.latency.hints.mean
+// share is the part of an even share that an endpoint may be sent: of one that is warming up
+// what keeps the contract, so that its keys move to it as it warms up.
+func (w *slowStart) share(endpoint *endpoint) float64 {
+	if fraction := w.capacityFraction(endpoint); fraction < 1 {
+		return fraction * w.set.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
 }
 
-// earn keeps each cold server's credit: for all that warm servers have served it
-// may get its share by weight and ramp. Then the servers' shares of all agents
-// together stay in proportion to what they can do, without any agreement. What was
-// turned away earns nothing: in a storm it made cold servers' shares ninefold.
-func (b *Balancer) earnAllowance(s *endpoint, cost float64) {
-	if b.capacityFraction(s) < 1 {
+// earn raises the allowances after a warm endpoint has served work of the cost given, in mean
+// requests: each endpoint that is warming up may get its share by weight and capacity. Then the
+// shares of all agents together stay in proportion to what the endpoints can do, without any
+// agreement. What was rejected earns nothing: rejections come fast, and under overload they would
+// multiply the allowances. subset is how many endpoints the agent sends to.
+func (w *slowStart) earn(server *endpoint, cost float64, subset int) {
+	if w.capacityFraction(server) < 1 {
 		return
 	}
-	warm := b.warmWeight() * float64(b.subset()) / float64(len(b.endpoints.all)) // of its subset
+	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // of its subset
 	if warm > 0 {
-		b.slowStart.flow = b.slowStart.flow*math.Exp((b.slowStart.flowAt-b.now)/b.set.Contract.SlowStartMs) + cost/warm
-		b.slowStart.flowAt = b.now
+		w.flow = w.flow*math.Exp((w.flowAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
+		w.flowAt = w.now
 	}
-	b.countWork(b.slowStart.warming)
-	for _, o := range b.slowStart.warming {
-		if b.capacityFraction(o) < 1 && warm > 0 {
-			o.slowStart.allowance = min(o.slowStart.allowance+cost*b.slowStartShare(o)*o.weight/warm, slowStartBurst)
+	w.countWork(w.warming)
+	for _, endpoint := range w.warming {
+		if w.capacityFraction(endpoint) < 1 && warm > 0 {
+			start := &endpoint.slowStart
+			start.allowance = min(start.allowance+cost*w.share(endpoint)*endpoint.weight/warm, maxAllowance)
 		}
 	}
 }
+
+// rested tells whether an endpoint has rested long enough for another request of the cost
+// given where no endpoint is warm: as long as its share of what a warm one was sent before takes.
+func (w *slowStart) rested(endpoint *endpoint, cost float64) bool {
+	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * w.share(endpoint)
+	return earned >= cost*w.set.Contract.SlowStartMs
+}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,11 +1,13 @@
+// This file holds what diagnostics may read of the Balancer.
+
 package policy
 
 // ClassCounts counts the requests of a class since the start.
 type ClassCounts struct {
 	Requests        uint64 // requests that came in
 	Attempts        uint64 // attempts sent
-	Served          uint64 // requests answered by a server
-	WithinObjective uint64 // of those, within the aim
+	Served          uint64 // requests answered by an endpoint
+	WithinObjective uint64 // of those, within the latency objective
 	Rejected        uint64 // final answers that a retry is harmless after
 	Failed          uint64 // final answers of failure
 }
@@ -14,8 +16,8 @@
 type ClassSnapshot struct {
 	Name       string
 	Counts     ClassCounts
-	Queued     int     // requests that wait for room
-	ExpectedMs float64 // how long an answer is expected to take
+	Queued     int     // requests that wait for capacity
+	ExpectedMs float64 // how long an answer is expected to take, in ms
 }
 
 // OutcomeCounts counts how attempts ended since the start.
@@ -24,6 +26,7 @@
 	Cancelled, NotSent, LocalFailure, Unreachable            uint64
 }
 
+// add counts an attempt that ended with the status.
 func (c *OutcomeCounts) add(st Status) {
 	switch st {
 	case StatusOK:
@@ -49,60 +52,76 @@
 	}
 }
 
-// TierSnapshot counts the usable servers of one tier.
+// TierSnapshot counts the usable endpoints of one tier.
 type TierSnapshot struct {
 	Endpoints    int
 	WarmingUp    int // of those, below their full capacity by the contract
-	WithCapacity int // of those, with room for one more attempt of this agent
+	WithCapacity int // of those, with capacity for one more attempt of this agent
 }
 
-// Snapshot is the state of a Balancer that decides what is sent and what is refused. It is
+// Snapshot is the state of a Balancer that decides what is sent and what is rejected. It is
 // read by diagnostics alone.
 type Snapshot struct {
-	Limit              float64 // attempts that may be out
-	Floor              float64 // the agent's part of the fleet's attempts, of which the limit is a multiple
-	Inflight           int     // attempts out, and of these on servers that fell silent
-	Stalled            int
-	Abandoned          int     // attempts that are not waited for and may still run
-	Sojourn            float64 // how long work is held to stay with the servers, in ms
-	Queued             int
-	RetryBudget        float64
-	UncontendedLatency float64 // mean answer times as parts of the aim: calm, and of late
+	Limit       float64 // attempts that may be in flight
+	Floor       float64 // the agent's part of the fleet's attempts, of which Limit is a multiple
+	Inflight    int     // attempts in flight
+	Stalled     int     // of these, at endpoints that fell silent
+	Abandoned   int     // attempts that are not waited for and may still run
+	Sojourn     float64 // how long work is taken to stay with the endpoints, in ms
+	Queued      int     // requests that wait for capacity
+	RetryBudget float64 // attempts after a first that may still be made
+	// Latency is the mean of the last answer times, UncontendedLatency the mean while nothing is
+	// crowded, as parts of the latency objective.
+	UncontendedLatency float64
 	Latency            float64
 	Outcomes           OutcomeCounts
-	Tiers              [3]TierSnapshot // by rank, best first
+	Tiers              [3]TierSnapshot // best first
 	Classes            []ClassSnapshot
 }
 
-// Snapshot describes the Balancer at the time now. It changes no decision.
+// Snapshot describes the Balancer at the time now, in ms. It changes no decision.
 func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.now = now
-	floor := b.limitFloor()
-	s := Snapshot{Limit: floor * b.limiter.scale, Floor: floor, Inflight: b.limiter.inFlight, Stalled: b.limiter.stalled,
-		Abandoned: len(b.limiter.abandoned.all), Sojourn: b.limiter.abandoned.sojourn,
-		Queued: len(b.queue.queued), RetryBudget: b.retries.tokens, Outcomes: b.stats.outcomes,
-		UncontendedLatency: b.latency.uncontended, Latency: b.latency.recent}
-	held := map[*class]int{}
-	for _, r := range b.queue.queued {
-		held[r.class]++
-	}
-	for _, c := range b.classes.all {
-		s.Classes = append(s.Classes, ClassSnapshot{
-			Name: c.Name, Counts: c.counts, Queued: held[c], ExpectedMs: c.expected(now)})
+	snapshot := Snapshot{
+		Limit:              b.limiter.limit(),
+		Floor:              b.limiter.floor(),
+		Inflight:           b.limiter.inFlight,
+		Stalled:            b.limiter.stalled,
+		Abandoned:          len(b.limiter.abandoned.all),
+		Sojourn:            b.limiter.abandoned.sojourn,
+		Queued:             len(b.queue.queued),
+		RetryBudget:        b.retries.tokens,
+		Outcomes:           b.outcomes,
+		UncontendedLatency: b.latency.uncontended,
+		Latency:            b.latency.recent,
+		Classes:            b.classSnapshots(),
 	}
-	one := &request{class: b.classes.all[0], timing: requestTiming{arrived: now, objectiveAt: now}}
-	for _, o := range b.endpoints.all {
-		if !o.usable {
+	probe := &request{class: b.classes.all[0], timing: requestTiming{arrived: now, objectiveAt: now}}
+	for _, endpoint := range b.endpoints.all {
+		if !endpoint.usable {
 			continue
 		}
-		tier := &s.Tiers[b.tierOf(o, one)]
+		tier := &snapshot.Tiers[b.selector.tierOf(endpoint, probe)]
 		tier.Endpoints++
-		if b.capacityFraction(o) < 1 {
+		if b.capacityFraction(endpoint) < 1 {
 			tier.WarmingUp++
 		}
-		if b.hasCapacity(o, one) {
+		if b.selector.hasCapacity(endpoint, probe) {
 			tier.WithCapacity++
 		}
 	}
-	return s
+	return snapshot
+}
+
+func (b *Balancer) classSnapshots() []ClassSnapshot {
+	queued := map[*class]int{}
+	for _, request := range b.queue.queued {
+		queued[request.class]++
+	}
+	var snapshots []ClassSnapshot
+	for _, class := range b.classes.all {
+		snapshots = append(snapshots, ClassSnapshot{Name: class.Name, Counts: class.counts,
+			Queued: queued[class], ExpectedMs: class.expectedMs(b.now)})
+	}
+	return snapshots
 }
