--- a/policy/selection.go
+++ b/policy/selection.go
@@ -216,7 +216,7 @@
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := mix(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
-	warmth := min(slowStartWeightFactor*s.slowStart.share(endpoint), 1)
+	warmth := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.of(endpoint) * warmth
 	weight *= s.recentWeight(endpoint)
 	if endpoint.zone == s.set.Zone {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -35,11 +35,9 @@
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
 	contract, start := &env.set.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
-	if start.startedAt <= 0 || age >= contract.SlowStartMs {
-		return 1
-	}
-	if start.startedAt != start.listedAt && age > contract.PollWithinMs {
-		return 1 // a restart that was assumed, and that the list has not confirmed in its time
+	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
+		start.startedAt != start.listedAt && age > contract.PollWithinMs {
+		return 1 // long past, or a restart that was assumed and not confirmed by the list in its time
 	}
 	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
 }
@@ -126,10 +124,11 @@
 	return w.capacity
 }
 
-// share is the part of an even share that an endpoint may be sent: of one that is warming up
-// what keeps the contract, so that its keys move to it as it warms up.
-func (w *slowStart) share(endpoint *endpoint) float64 {
-	if fraction := w.capacityFraction(endpoint); fraction < 1 {
+// share is the part of an even share that an endpoint may be sent of which only the fraction given
+// of the capacity is there: of one that is warming up what keeps the contract, so that its keys
+// move to it as it warms up.
+func (w *slowStart) share(fraction float64) float64 {
+	if fraction < 1 {
 		return fraction * w.set.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
@@ -151,9 +150,9 @@
 	}
 	w.countWork(w.warming)
 	for _, endpoint := range w.warming {
-		if w.capacityFraction(endpoint) < 1 && warm > 0 {
+		if fraction := w.capacityFraction(endpoint); fraction < 1 && warm > 0 {
 			start := &endpoint.slowStart
-			start.allowance = min(start.allowance+cost*w.share(endpoint)*endpoint.weight/warm, maxAllowance)
+			start.allowance = min(start.allowance+cost*w.share(fraction)*endpoint.weight/warm, maxAllowance)
 		}
 	}
 }
@@ -161,6 +160,7 @@
 // rested tells whether an endpoint has rested long enough for another request of the cost
 // given where no endpoint is warm: as long as its share of what a warm one was sent before takes.
 func (w *slowStart) rested(endpoint *endpoint, cost float64) bool {
-	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * w.share(endpoint)
+	share := w.share(w.capacityFraction(endpoint))
+	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * share
 	return earned >= cost*w.set.Contract.SlowStartMs
 }
