--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -6,21 +6,22 @@
 
 const (
 	// firstLocalBackoffMs is the time to the next attempt after this machine failed one: a table
-	// of the system or a range of ports has room again as soon as anybody closes something.
+	// of the system or a range of ports has entries to give again as soon as anybody closes something.
 	// It doubles once, and up to as much again is added at random, since all agents of a machine
-	// fail together. At most 20 ms keeps what waits within a small part of the usual latency objectives.
+	// fail together. At most 20 ms keeps what waits within a small part of the usual latency
+	// objectives.
 	firstLocalBackoffMs, lastLocalBackoffMs = 5.0, 10.0
 	// settledAfterMs is after how long an attempt that is still in flight is taken to have got its
 	// connection: errors of this machine come back from the system call, at once.
 	settledAfterMs = 2 * lastLocalBackoffMs
-	// freeWindow is the window of trials from which on attempts are not counted any more.
+	// unlimitedWindow is the window of trials from which on attempts are not bounded any more.
 	unlimitedWindow = 16
-	// localMemoryMs is after how long without a failure of this machine none is feared any more:
+	// localMemoryMs is after how long without a failure of this machine none is expected any more:
 	// many times the longest backoff.
 	localMemoryMs = 1000.0
 	// maxReachResults bounds the endpoints whose latest results are kept while some are unreachable.
 	maxReachResults = 16
-	// usualReachMs is for how long a server counts as unreachable where no connect timeout is set.
+	// defaultReachMs is for how long an endpoint counts as unreachable where no connect timeout is set.
 	defaultReachMs = 1000.0
 )
 
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -1,3 +1,5 @@
+// This file holds how settings change while an agent runs.
+
 package policy
 
 import "fmt"
@@ -5,15 +7,15 @@
 // Reconfigure puts other settings in force between two events, or leaves all as it is and
 // returns an error that names the setting that makes no sense or can't change without a
 // restart. What is open goes on under the terms it was taken with: its class, its deadline
-// and its attempts. What was learnt of servers stays, with their states, ejections and slow
+// and its attempts. What was learnt of endpoints stays, with their states, ejections and slow
 // start, and so do the limit on attempts and the retry budget; what was learnt of classes and
 // tenants stays with their names.
 func (b *Balancer) Reconfigure(set Settings) error {
 	if err := set.validate(); err != nil {
 		return err
 	}
-	// The watch, the order of the servers and what is near rest on these.
-	for _, f := range []struct {
+	// The watch, the order of the endpoints and the zone weights depend on these.
+	for _, fixed := range []struct {
 		key      string
 		old, new any
 	}{
@@ -21,9 +23,9 @@
 		{"index", b.set.Index, set.Index},
 		{"zone", b.set.Zone, set.Zone},
 	} {
-		if f.old != f.new {
+		if fixed.old != fixed.new {
 			return fmt.Errorf("settings: %s: can't change without a restart, is %v and would be %v",
-				f.key, f.old, f.new)
+				fixed.key, fixed.old, fixed.new)
 		}
 	}
 	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.set.Contract.SlowStartMs
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,27 +1,29 @@
-// Package policy decides, for one agent (a sidecar balancer), where each
-// request of its client goes: which server, when, for how long, whether again,
-// and when to give up. It is a state machine without I/O: the caller hands in
-// events with a clock and carries out the actions that come back, in order.
+// Package policy decides, for one agent of a load-balancing sidecar, where each request of its
+// client goes: which endpoint, when, for how long, whether again, and when to give up. It is a
+// state machine without I/O: the caller hands in events with a clock and carries out the actions
+// that come back, in order.
 //
-// Each file holds the decisions of one concern; types.go and settings.go hold the interface.
+// Balancer is the facade. Each of its components holds the decisions of one concern, in a file of
+// that name; types.go holds the events and actions, settings.go the settings. All times are in
+// milliseconds of the agent's clock, which begins anywhere and never goes back.
 package policy
 
-// Addr names a server: four bytes of address and a port. It has no meaning
-// beyond equality and is sent back exactly as it came.
+// Addr names a server: four bytes of address and a port. It has no meaning beyond equality and is
+// sent back exactly as it came.
 type Addr [6]byte
 
 // RequestID names one try of a client; an id is never used twice.
 type RequestID uint32
 
-// State is what an agent holds a listed server to be.
+// State is what an agent takes a listed endpoint to be.
 type State uint8
 
 // The four states, best first.
 const (
-	StateConnected State = iota
-	StateUnknown
-	StateUnhealthyPending
-	StateUnhealthy
+	StateConnected        State = iota // it has answered
+	StateUnknown                       // listed, and nothing is known of it
+	StateUnhealthyPending              // ejected for long enough, to be validated
+	StateUnhealthy                     // ejected
 )
 
 // Effect tells whether a request of a class may run more than once.
@@ -34,173 +36,72 @@
 	EffectNonIdempotent     Effect = "single_shot" // must never run twice
 )
 
-// Group tells which servers drop repeats of a guarded request.
+// Group tells which servers drop repeats of a request with an idempotency key.
 type Group string
 
-// The groups a guarded class may have.
+// The groups a class of EffectIdempotentWithKey may have.
 const (
-	GroupAll  Group = "all"
-	GroupZone Group = "zone"
-	GroupCell Group = "cell"
+	GroupAll  Group = "all"  // all servers
+	GroupZone Group = "zone" // those of the zone of the first attempt
+	GroupCell Group = "cell" // those of the cell of the first attempt
 )
 
-// Class is one class of requests.
-type Class struct {
-	Name                string  `json:"name"`
-	LatencyObjectiveMs  float64 `json:"aimMs"`
-	ObjectiveStretch    float64 `json:"aimStretch"`
-	DeadlineMs          float64 `json:"giveUpMs"`
-	Effect              Effect  `json:"effect"`
-	Group               Group   `json:"group"`
-	IdempotencyWindowMs float64 `json:"keyTtlMs"`
-	PriorityWeight      float64 `json:"credit"`
-	LateWeight          float64 `json:"lateShare"`
-	Streamed            bool    `json:"streamed"`
-}
-
-// Tenant is a customer with a share of what the servers can do.
-type Tenant struct {
-	Name       string  `json:"name"`
-	QuotaPerS  float64 `json:"quotaPerS"`
-	QuotaShare float64 `json:"portion"`
-}
-
-// Limits is what a deployment permits an agent.
-type Limits struct {
-	Cancellation     bool    `json:"cancelling"`
-	ConnectTimeoutMs float64 `json:"connectTimeoutMs"`
-	KeepaliveMs      float64 `json:"keepaliveMs"`
-	MaxAttempts      int     `json:"maxAttempts"`
-	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`
-	HedgedRequests   bool    `json:"parallelTries"`
-	HealthChecks     bool    `json:"probing"`
-	RetryAfter       bool    `json:"retryAfter"`
-	MaxOpenRequests  int     `json:"openCap"`
-}
-
-// Contract holds the figures of the four rules.
-type Contract struct {
-	AnswerSlackMs    float64 `json:"answerSlackMs"`
-	PollWithinMs     float64 `json:"askWithinMs"`
-	SlowStartFrom    float64 `json:"coldFrom"`
-	SlowStartMs      float64 `json:"coldMs"`
-	DrainGraceMs     float64 `json:"drainGraceMs"`
-	OverloadMultiple float64 `json:"fallMultiple"`
-	OverloadWindowMs float64 `json:"tipAfterMs"`
-}
-
-// Prices are points taken off the result, each times its share or rate.
-type Prices struct {
-	CrossZone   float64 `json:"crossZone"`
-	Handshake   float64 `json:"handshake"`
-	Connection  float64 `json:"connection"`
-	LateFail    float64 `json:"lateFail"`
-	HealthCheck float64 `json:"probe"`
-	Waste       float64 `json:"waste"`
-	Membership  float64 `json:"membershipMode"`
-}
-
-// Objective holds the weights of the result's components.
-type Objective struct {
-	Whole       float64 `json:"whole"`
-	WorstWindow float64 `json:"worstWindow"`
-	WorstClass  float64 `json:"worstClass"`
-	WorstTenant float64 `json:"worstTenant"`
-}
-
-// How changes of the list reach an agent.
-const (
-	MembershipPushed    = "pushed"     // by themselves
-	MembershipOnRequest = "on_request" // to who watches or polls; each call is work for discovery
-	MembershipWatched   = "watched"    // to who follows, at no cost
-)
-
-// Report names the values of the servers' load reports.
-type Report struct {
-	How   string   `json:"how"`
-	Names []string `json:"names"`
-}
-
-// Settings is what an agent is told at its start.
-type Settings struct {
-	Classes    []Class   `json:"classes"`
-	Tenants    []Tenant  `json:"tenants"`
-	Limits     Limits    `json:"limits"`
-	Contract   Contract  `json:"contract"`
-	Prices     Prices    `json:"prices"`
-	Objective  Objective `json:"objectiveMix"`
-	Report     Report    `json:"report"`
-	Membership string    `json:"membershipMode"` // Pushed, OnRequest or Watched
-	Clients    struct {
-		MarksRetry bool `json:"marksRetry"`
-	} `json:"clients"`
-	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"`
-	} `json:"familyInfo"`
-	Index           int     `json:"index"`
-	Replicas        int     `json:"replicasOfMe"`
-	OverQuotaWeight float64 `json:"overShareWorth"`
-	RoundMs         float64 `json:"roundMs"`
-	Weights         string  `json:"weights"` // "off", "nominal", "rough" or "live"
-	WeightBy        string  `json:"worthBy"` // "request" or "work"
-	Zone            int     `json:"zone"`
-}
-
-// Health is what the list says of a server.
+// Health is what the endpoint list says of a server.
 type Health uint8
 
-// The list's words.
+// The health of a listed server.
 const (
-	HealthDraining Health = iota
-	HealthReady
-	HealthGone
+	HealthDraining Health = iota // takes nothing new and finishes what it has
+	HealthReady                  // takes requests
+	HealthGone                   // no longer there
 )
 
-// Entry is one line of the list of servers.
+// Entry is one line of the endpoint list.
 type Entry struct {
 	Server      Addr
-	Zone        int
-	Cell        int
-	MachineKind int
-	StartedMs   float64 // clock time of the latest start; 0: long past
+	Zone        int     // index of its zone
+	Cell        int     // cell within which repeats may be dropped, see GroupCell
+	MachineKind int     // index of its kind of machine
+	StartedMs   float64 // clock time of the latest start of its process; 0: long past
 	Health      Health
-	Weight      float64
+	Weight      float64 // hint of its capacity, see Settings.Weights; 0 counts as 1
 }
 
-// ListKind tells how a list event changes the list at hand.
+// ListKind tells how a list event changes the endpoint list at hand.
 type ListKind uint8
 
 // The kinds of list events.
 const (
-	ListDelta ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
-	ListWatchEnded // a watch that had told something has ended
+	ListDelta      ListKind = iota // its entries replace those of the same servers
+	ListFull                       // its entries are the whole list
+	ListCached                     // the whole list as it was kept before the agent started
+	ListFailed                     // a call of discovery has failed
+	ListWatchEnded                 // a watch that had notified has ended
 )
 
-// Status is how an attempt or a probe ended.
+// Status is how an attempt or a health check ended.
 type Status uint16
 
-// The endings.
+// The statuses.
 const (
 	StatusOK            Status = 100
-	StatusServerError   Status = 301
-	StatusRejected      Status = 302
-	StatusTimeout       Status = 303
-	StatusConnectFailed Status = 304
-	StatusReset         Status = 305
-	StatusCancelled     Status = 306
-	StatusNotSent       Status = 307
-	// LocalFailure is an attempt that this machine could not make, as a table or a range of ports
-	// of its own was exhausted: it never ran, and says nothing of its server.
+	StatusServerError   Status = 301 // the server answered with a failure
+	StatusRejected      Status = 302 // the server turned it away before it ran
+	StatusTimeout       Status = 303 // no answer within Action.DelayMs
+	StatusConnectFailed Status = 304 // no connection to the server
+	StatusReset         Status = 305 // the connection broke
+	StatusCancelled     Status = 306 // ActionCancel, or the client left
+	StatusNotSent       Status = 307 // beyond a limit, or its request was finished
+	// StatusLocalFailure is an attempt that this machine could not make, as a table or a range of
+	// ports of its own was exhausted: it never ran, and says nothing of its server.
 	StatusLocalFailure Status = 308
-	// Unreachable is an attempt whose connect ended with the word that there is no way to the
-	// server: it never ran. Whether that is the server's failure or this machine's is decided here.
+	// StatusUnreachable is an attempt whose connect ended with the word that there is no way to
+	// the server: it never ran. Whether that is the server's failure or this machine's is decided
+	// here.
 	StatusUnreachable Status = 309
 )
 
-// NeverRan tells whether the ending proves that the attempt did not run.
+// NeverRan tells whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool {
 	switch s {
 	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure, StatusUnreachable:
@@ -212,9 +113,10 @@
 // EventKind tells which fields of an Event count.
 type EventKind uint8
 
-// The events.
+// The events, with the fields that count. Of EventRequest these are Request, Class, Tenant, Key,
+// TimeLeftMs, HintMs, HasHint and Retry.
 const (
-	EventRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, LeftMs, HintMs, HasHint, Retry
+	EventRequest         EventKind = iota + 1 // a request came
 	EventOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Report
 	EventResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
 	EventClientGone                           // Request: the client left
@@ -224,41 +126,42 @@
 	EventPeerMessage                          // a message of another agent; carries nothing that is used
 )
 
-// Event is something that happened to one agent.
+// Event is something that happened to one agent. What comes from outside may be any number:
+// an index out of range, not a number, negative or infinite times are survived.
 type Event struct {
 	Kind       EventKind
 	Request    RequestID
-	Class      int
-	Tenant     int
-	Key        uint64 // 0: none
-	TimeLeftMs float64
-	HintMs     float64
-	HasHint    bool
-	Retry      bool
-	Attempt    int
-	Server     Addr
-	Status     Status
-	LatencyMs  float64
-	Final      bool // the request is finished
-	Report     []float32
+	Class      int       // index in Settings.Classes
+	Tenant     int       // index in Settings.Tenants; others: none
+	Key        uint64    // 0: none
+	TimeLeftMs float64   // until the client gives up
+	HintMs     float64   // hint of the request's work, if HasHint
+	HasHint    bool      // a hint was given
+	Retry      bool      // marked by the client as its retry
+	Attempt    int       // number among the request's attempts, from 0
+	Server     Addr      // that the attempt or health check went to
+	Status     Status    // how it ended
+	LatencyMs  float64   // after which it ended
+	Final      bool      // the request is finished
+	Report     []float32 // load report, by Settings.Report; not used
 	List       ListKind
 	Entries    []Entry // not changed and not kept by the Balancer
-	Token      uint32
+	Token      uint32  // of the ActionTimer
 }
 
 // ActionKind tells which fields of an Action count.
 type ActionKind uint8
 
-// The actions.
+// The actions, with the fields that count.
 const (
-	ActionSend        ActionKind = iota + 1 // Request, Server, Ms: time-out, WithinMs
+	ActionSend        ActionKind = iota + 1 // Request, Server, DelayMs: time-out, WithinMs
 	ActionCancel                            // Request, Attempt
-	ActionReject                            // Request, Ms: advice
+	ActionReject                            // Request, DelayMs: when a retry is welcome
 	ActionFail                              // Request
 	ActionHealthCheck                       // Server
-	ActionTimer                             // Ms, Token
-	ActionWatch                             // subscribe to the list
-	ActionFetch                             // ask for the whole list once
+	ActionTimer                             // DelayMs, Token
+	ActionWatch                             // watch the endpoint list
+	ActionFetch                             // fetch the whole endpoint list once
 	ActionLog                               // Text
 	ActionCloseIdle                         // Server: close idle connections to it
 )
@@ -268,11 +171,11 @@
 	Kind    ActionKind
 	Request RequestID
 	Server  Addr
-	Attempt int
-	DelayMs float64
+	Attempt int     // number among the request's attempts, from 0
+	DelayMs float64 // time-out, wait of a timer, or advice to the client, by Kind
 	// WithinMs is how soon an attempt must begin: one that can't, as its connection comes up
 	// late, must not begin at all. 0: at any time.
 	WithinMs float64
-	Token    uint32
+	Token    uint32 // comes back with the timer's event
 	Text     string
 }
