--- /dev/null
+++ b/policy/attempt_test.go
@@ -0,0 +1,31 @@
+package policy
+
+import "testing"
+
+// A thousand agents that each met every server kept 400 connections a server
+// open. They are closed where their price is above that of opening them again.
+func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
+	for _, c := range []struct {
+		agents                int
+		connection, handshake float64
+		closes                bool
+	}{{1000, 0.08, 0.08, true}, {5, 0.08, 0.08, false}, {1000, 0, 0.08, false}, {5, 0.08, 0, true}} {
+		set := testSettings()
+		set.Replicas, set.Prices.Connection, set.Prices.Handshake = c.agents, c.connection, c.handshake
+		r := newRig(t, set, 4)
+		r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
+		closed := 0
+		for i := range 400 {
+			r.now += 20
+			id, s := r.sent(0, r.b.rng.Uint64())
+			if a := find(r.outcome(id, 0, s, StatusOK, 10), ActionCloseIdle); a != nil && i >= 200 {
+				if closed++; a.Server != s {
+					t.Fatalf("closed %v, want the idle %v", a.Server, s)
+				}
+			}
+		}
+		if c.closes != (closed > 150) || !c.closes && closed > 50 {
+			t.Errorf("%+v: %d of 200 idle connections closed", c, closed)
+		}
+	}
+}
--- a/policy/service_test.go
+++ b/policy/concurrency_limit_test.go
@@ -2,11 +2,60 @@
 
 import (
 	"container/heap"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
 )
 
+// Cold servers count in the agent's part of the limit by what they can do: what they may not
+// be sent yet the warm ones would be.
+func TestColdServersCountInPartBesideWarmOnes(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	whole := r.b.limiter.floor()
+	cold := make([]Entry, 4)
+	for i := range cold {
+		cold[i] = Entry{Server: addr(4 + i), Health: HealthReady, Weight: 1, StartedMs: r.now}
+	}
+	r.list(ListDelta, cold...)
+	if got, want := r.b.limiter.floor(), whole*(1+r.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
+		t.Errorf("with as many cold ones %v, want %v", got, want)
+	}
+	r.b.now += r.b.set.Contract.SlowStartMs
+	if got := r.b.limiter.floor(); got != 2*whole {
+		t.Errorf("when they are warm %v, want %v", got, 2*whole)
+	}
+}
+
+// While answers are late an agent's part goes down to leastAttempts a server, and no further.
+func TestLimitFallsToItsLeast(t *testing.T) {
+	r := quick(t, testSettings(), 30)
+	least := minAttemptsPerEndpoint / attemptsPerEndpoint
+	for range 100 {
+		id, s := r.sent(0, 0)
+		r.now += 500
+		r.outcome(id, 0, s, StatusOK, 500)
+	}
+	if r.b.limiter.scale != least {
+		t.Errorf("%v times its part, want %v", r.b.limiter.scale, least)
+	}
+}
+
+// A longer list does not take back what late answers took of the limit.
+func TestLongerListKeepsALoweredLimit(t *testing.T) {
+	r := quick(t, testSettings(), 3)
+	r.b.set.Replicas = 100
+	r.b.limiter.scale = minAttemptsPerEndpoint / attemptsPerEndpoint
+	var more []Entry
+	for i := range 60 {
+		more = append(more, Entry{Server: addr(3 + i), Health: HealthReady, Weight: 1})
+	}
+	r.list(ListDelta, more...)
+	if r.b.limiter.scale != minAttemptsPerEndpoint/attemptsPerEndpoint {
+		t.Errorf("%v times its part", r.b.limiter.scale)
+	}
+}
+
 // due is something that happens to an agent in virtual time.
 type due struct {
 	at float64
@@ -15,10 +64,14 @@
 
 type dues []due
 
-func (d dues) Len() int           { return len(d) }
+func (d dues) Len() int { return len(d) }
+
 func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
+
+func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+
 func (d *dues) Pop() any {
 	old := *d
 	x := old[len(old)-1]
--- a/policy/sets_test.go
+++ b/policy/endpoint_set_test.go
@@ -5,6 +5,57 @@
 	"testing"
 )
 
+func TestDrainingAndGoneGetNothing(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
+	r.list(ListDelta, Entry{Server: addr(0), Health: HealthDraining, Weight: 1})
+	for key := range uint64(20) {
+		id, s := r.sent(0, key+1)
+		if s == addr(0) {
+			t.Fatal("sent to a draining server")
+		}
+		r.outcome(id, 0, s, StatusOK, 20)
+	}
+	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1})
+	for key := range uint64(20) {
+		id, s := r.sent(0, key+1)
+		if s == addr(1) {
+			t.Fatal("sent to a server that left the list")
+		}
+		r.outcome(id, 0, s, StatusOK, 20)
+	}
+}
+
+func TestEmptyListIsAnsweredInTime(t *testing.T) {
+	r := newRig(t, testSettings(), 0)
+	id, actions := r.ask(1, 1)
+	for range 130 {
+		if a := find(actions, ActionReject); a != nil {
+			if a.Request != id {
+				t.Fatalf("refused %d, want %d", a.Request, id)
+			}
+			return
+		}
+		actions = r.tick(10)
+	}
+	t.Error("a request with an empty list was never answered")
+}
+
+// Found by the fuzzer: a keyed request ahead of the first list crashed the agent.
+func TestKeyedRequestBeforeTheFirstList(t *testing.T) {
+	b, err := New(testSettings(), 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.Start(0, nil)
+	b.Handle(1, &Event{Kind: EventRequest, Request: 1, Class: 0, Key: 5, TimeLeftMs: 600}, nil)
+	b.Handle(2, &Event{Kind: EventTimer, Token: timerTick}, nil)
+	list := []Entry{{Server: addr(1), Health: HealthReady, Weight: 1}}
+	if a := find(b.Handle(3, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil), ActionSend); a == nil || a.Request != 1 {
+		t.Error("the request was not sent once there was a list")
+	}
+}
+
 // checkSets compares the sets that the decisions walk with the whole list: whoever belongs to
 // one is in it, in the order of the list, and the weight of warm servers is that of a new count.
 func (w *world) checkSets() {
--- /dev/null
+++ b/policy/endpoint_test.go
@@ -0,0 +1,30 @@
+package policy
+
+import "testing"
+
+// Under a window below one the pause follows the last answer: taken from the mean it was
+// seconds long after a crowd had passed, and nothing told that the server stood idle.
+func TestPauseFollowsTheLastAnswer(t *testing.T) {
+	r := newRig(t, testSettings(), 1)
+	s := r.b.endpoints.all[0]
+	for _, rtt := range []float64{900, 900, 900, 900, 30} {
+		s.window.size = 0.5
+		r.now += 5000
+		id, _ := r.sent(0, 0)
+		r.now += rtt
+		r.outcome(id, 0, s.id, StatusOK, rtt)
+	}
+	s.window.size = 0.5
+	if r.now = s.traffic.sentAt + 59; r.b.hasRoomAt(r.now, s) {
+		t.Error("no pause")
+	}
+	if r.now = s.traffic.sentAt + 61; !r.b.hasRoomAt(r.now, s) {
+		t.Error("pauses for longer than two answers")
+	}
+}
+
+// hasRoomAt tells whether a server takes one more request of the first class.
+func (b *Balancer) hasRoomAt(now float64, s *endpoint) bool {
+	b.now = now
+	return b.selector.hasCapacity(s, &request{class: b.classes.all[0]})
+}
--- /dev/null
+++ b/policy/outlier_detection_test.go
@@ -0,0 +1,172 @@
+package policy
+
+import "testing"
+
+func TestStateTransitions(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 0 // the key stays whole
+	r := newRig(t, set, 4)
+	id, s := r.sent(0, 7)
+	srv := r.b.endpoints.byAddr[s]
+	if srv.health.state != StateUnknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", srv.health.state)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, StatusOK, 50)
+	if srv.health.state != StateConnected {
+		t.Fatalf("served: state %d, want Connected", srv.health.state)
+	}
+	id, s2 := r.sent(0, 7)
+	if s2 != s {
+		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	}
+	actions := r.outcome(id, 0, s, StatusServerError, 5)
+	if srv.health.state != StateUnhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", srv.health.state)
+	}
+	if find(actions, ActionFetch) == nil {
+		t.Error("a demotion did not force a refresh of the list")
+	}
+	if a := find(actions, ActionSend); a == nil || a.Server == s {
+		t.Errorf("the free request did not go on to another server: %+v", actions)
+	}
+	// While it is Unhealthy its key goes elsewhere; after its hold the next
+	// request makes it pending, and a served answer Connected.
+	if _, s3 := r.sent(0, 7); s3 == s {
+		t.Error("an Unhealthy server was chosen before the better tier")
+	}
+	r.now += r.b.outliers.ejectionTime(srv) + 1
+	id, s4 := r.sent(0, 7)
+	if srv.health.state != StateUnhealthyPending || s4 != s {
+		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.health.state, s4)
+	}
+	r.now += 50
+	r.outcome(id, 0, s, StatusOK, 50)
+	if srv.health.state != StateConnected {
+		t.Fatalf("validated: state %d, want Connected", srv.health.state)
+	}
+}
+
+func TestFullDemotesNobody(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(1, 7)
+	actions := r.outcome(id, 0, s, StatusRejected, 1)
+	if got := r.b.endpoints.byAddr[s].health.state; got == StateUnhealthy {
+		t.Error("full demoted the server")
+	}
+	if a := find(actions, ActionSend); a == nil || a.Server == s {
+		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+	}
+}
+
+func TestProbesValidateWhereAllowed(t *testing.T) {
+	set := testSettings()
+	set.Limits.HealthChecks = true
+	r := newRig(t, set, 3)
+	id, s := r.sent(0, 7)
+	r.outcome(id, 0, s, StatusServerError, 5)
+	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
+	_, actions := r.ask(0, 7)
+	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
+		t.Fatalf("no probe of the pending server: %+v", actions)
+	}
+	if a := find(actions, ActionSend); a == nil || a.Server == s {
+		t.Error("a request went to a pending server before its probe")
+	}
+	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusTimeout, LatencyMs: 100})
+	if r.b.endpoints.byAddr[s].health.state != StateUnhealthy {
+		t.Error("a failed probe did not demote")
+	}
+	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
+	r.ask(0, 8)
+	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusOK, LatencyMs: 5})
+	if r.b.endpoints.byAddr[s].health.state != StateConnected {
+		t.Error("a good probe did not set Connected")
+	}
+}
+
+// South's rough days: a server that failed often rests long while others can take
+// its requests, but is tried again at once while they are full.
+func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		r := newRig(t, testSettings(), 4)
+		r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
+		bad := r.b.endpoints.byAddr[addr(0)]
+		for range 3 {
+			r.b.outliers.enter(bad, StateConnected)
+			r.b.outliers.eject(bad, false)
+		}
+		if full {
+			for range 40 { // more than the other windows hold
+				r.ask(0, 0)
+			}
+		}
+		r.now += r.b.classes.shortestObjectiveMs + 1
+		r.ask(0, 0)
+		if tried := bad.health.state == StateUnhealthyPending; tried != full {
+			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
+		}
+	}
+}
+
+// Failures that all servers share, as of a network that breaks connections, cost none of
+// them an ejection or its window; one that fails more than the others is demoted.
+func TestFailuresOfTheWholeFleetCostNoEjection(t *testing.T) {
+	r := newRig(t, testSettings(), 6)
+	end := func(id RequestID, s Addr, st Status) {
+		r.now += 20
+		r.outcome(id, 0, s, st, 20)
+	}
+	failed := map[Addr]int{}
+	for i := range 600 {
+		id, s := r.sent(1, 0)
+		if i%12 == 0 {
+			end(id, s, StatusReset)
+			failed[s]++
+		} else {
+			end(id, s, StatusOK)
+		}
+	}
+	if len(failed) < 6 {
+		t.Fatalf("only %d of the servers failed", len(failed))
+	}
+	id, s := r.sent(1, 0)
+	srv := r.b.endpoints.byAddr[s]
+	ejections, window := srv.health.consecutiveEjections, srv.window.size
+	end(id, s, StatusReset)
+	if srv.health.state != StateUnhealthyPending || srv.health.consecutiveEjections != ejections || srv.window.size != window {
+		t.Fatalf("state %d, ejections %d to %d, window %v to %v", srv.health.state, ejections, srv.health.consecutiveEjections, window, srv.window.size)
+	}
+	srv.health.failureRate = 0.5
+	r.b.outliers.enter(srv, StateConnected)
+	r.b.recordOutcome(&attempt{endpoint: srv}, StatusReset, 20)
+	if srv.health.state != StateUnhealthy || srv.health.consecutiveEjections != ejections+1 {
+		t.Fatalf("fails half of all: state %d, ejections %d to %d", srv.health.state, ejections, srv.health.consecutiveEjections)
+	}
+}
+
+// A quiet agent checked each slow server again after one aim, with a request; and
+// a probe clears a server that fails its requests, so it must not come sooner either.
+func TestQuietAgentHoldsAFailedServerLonger(t *testing.T) {
+	for _, probing := range []bool{false, true} {
+		set := testSettings()
+		set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, probing
+		r := newRig(t, set, 20)
+		var s Addr
+		for range 60 {
+			r.now += 500
+			var id RequestID
+			id, s = r.sent(0, r.b.rng.Uint64())
+			r.outcome(id, 0, s, StatusOK, 20)
+		}
+		r.b.outliers.eject(r.b.endpoints.byAddr[s], true)
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold < 1000 {
+			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
+		}
+		r.b.endpoints.byAddr[s].health.consecutiveEjections = maxConsecutiveEjections
+		r.b.traffic.recent = 0.1
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold > maxEjectionMs {
+			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
+		}
+	}
+}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -97,5 +97,3 @@
 		t.Error("the tenants' portions are not those of the new settings")
 	}
 }
-
-func near(x, y float64) bool { return x-y < 1e-9 && y-x < 1e-9 }
--- /dev/null
+++ b/policy/retry_test.go
@@ -0,0 +1,122 @@
+package policy
+
+import "testing"
+
+// A repeat that is held up for 0.15 s between its decision and its first byte, or as long as it
+// may begin and then so, still goes out within the window in which repeats are dropped. Where the
+// window is shorter than that, none goes out.
+func TestRepeatsLeaveRoomForAHoldUp(t *testing.T) {
+	const heldUp = 150
+	for _, ttl := range []float64{100, 150, 160, 200, 400, 4000} {
+		repeated := false
+		for after := 1.0; after < ttl+10; after++ {
+			set := testSettings()
+			set.Classes[2].IdempotencyWindowMs, set.Classes[2].LatencyObjectiveMs, set.Classes[2].DeadlineMs = ttl, 20000, 30000
+			r := newRig(t, set, 6)
+			r.id++
+			first := find(r.do(Event{Kind: EventRequest, Request: r.id, Class: 2, Key: 5, TimeLeftMs: 30000}), ActionSend)
+			sent := r.now
+			r.now += after
+			a := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSend)
+			if a == nil {
+				continue
+			}
+			repeated = true
+			if a.WithinMs <= 0 || r.now+a.WithinMs+heldUp > sent+ttl {
+				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, a.WithinMs)
+			}
+		}
+		if want := ttl > heldUp+2*testSettings().RoundMs+1; repeated != want {
+			t.Errorf("a window of %v ms: repeated %v, want %v", ttl, repeated, want)
+		}
+	}
+}
+
+func TestSingleShotIsNotRepeated(t *testing.T) {
+	for _, st := range []Status{StatusServerError, StatusTimeout, StatusReset, StatusCancelled} {
+		r := newRig(t, testSettings(), 3)
+		id, s := r.sent(1, 5)
+		actions := r.outcome(id, 0, s, st, 50)
+		if find(actions, ActionSend) != nil || find(actions, ActionReject) != nil || find(actions, ActionFail) == nil {
+			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
+		}
+	}
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(1, 5)
+	if actions := r.outcome(id, 0, s, StatusConnectFailed, 50); find(actions, ActionSend) == nil {
+		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+	}
+}
+
+func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
+	r := newRig(t, testSettings(), 6)
+	id, s := r.sent(2, 5)
+	if first := find(r.b.actions, ActionSend); first == nil || first.WithinMs != 0 {
+		t.Fatalf("the first attempt may not begin at any time: %+v", first)
+	}
+	actions := r.outcome(id, 0, s, StatusServerError, 20)
+	a := find(actions, ActionSend)
+	if a == nil || r.b.endpoints.byAddr[a.Server].cell != r.b.endpoints.byAddr[s].cell {
+		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+	}
+	// A connection that comes up late must not carry it past that time.
+	ttl := r.b.set.Classes[2].IdempotencyWindowMs
+	if sent := r.b.queue.open[id].idempotency.earliestRunAt; a.WithinMs <= 0 || r.now+a.WithinMs > sent+ttl {
+		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, a.WithinMs, ttl)
+	}
+	r.now += 496 // just inside the 500 ms less the margin
+	actions = r.outcome(id, 1, a.Server, StatusServerError, 20)
+	if find(actions, ActionSend) != nil || find(actions, ActionFail) == nil && len(r.b.queue.queued) == 0 {
+		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+	}
+}
+
+// A started stream belongs to the client: nothing more is sent or answered for it.
+func TestStartedStreamIsLeftAlone(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].Streamed = true
+	r := newRig(t, set, 4)
+	id, s := r.sent(0, 3)
+	r.now += 30
+	r.do(Event{Kind: EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	for range 200 {
+		for _, a := range r.tick(10) {
+			if a.Request == id && a.Kind != ActionTimer {
+				t.Fatalf("action %+v for a request whose answer streams", a)
+			}
+		}
+	}
+	actions := r.do(Event{Kind: EventOutcome, Request: id, Attempt: 0, Server: s, Status: StatusReset, LatencyMs: 2000, Final: true})
+	if find(actions, ActionSend) != nil || find(actions, ActionFail) != nil || len(r.b.queue.open) != 0 {
+		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.queue.open))
+	}
+}
+
+// Each of many agents sent every full request on to the next server, and all
+// together kept the servers too full to serve any. Attempts after the first are paid for
+// by answers in time, but for those after one that reached no server.
+func TestResendsHaveABudget(t *testing.T) {
+	for _, st := range []Status{StatusOK, StatusRejected, StatusConnectFailed} {
+		r := newRig(t, testSettings(), 20)
+		first, more := 0, 0
+		for range 200 {
+			r.now += 20
+			id, actions := r.ask(0, r.b.rng.Uint64())
+			for try := 0; ; try++ {
+				a := find(actions, ActionSend)
+				if a == nil || a.Request != id {
+					break
+				}
+				if try == 0 {
+					first++
+				} else {
+					more++
+				}
+				actions = r.outcome(id, try, a.Server, st, 5)
+			}
+		}
+		if st == StatusOK && first != 200 || st == StatusRejected && more != retryBurst || st == StatusConnectFailed && more != 400 {
+			t.Errorf("ending %d: 200 requests over 4 s became %d first and %d further attempts", st, first, more)
+		}
+	}
+}
--- a/policy/classes_test.go
+++ b/policy/service_level_test.go
@@ -128,3 +128,73 @@
 		}
 	}
 }
+
+// The share of a class served in time follows its last requests: of a class that did well for
+// long and is served no more an agent with few requests has to know before long.
+func TestWorstClassIsKnownSoon(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	served := func(c *class, inTime bool) {
+		r.b.classes.count(c)
+		if inTime {
+			c.servedInTime += 1.0 / classMemory
+		}
+	}
+	well, badly := r.b.classes.all[0], r.b.classes.all[1]
+	for i := range 2000 {
+		served(well, true)
+		served(badly, i%10 != 0)
+	}
+	if r.b.classes.worst != badly {
+		t.Fatalf("worst is %s", r.b.classes.worst.Name)
+	}
+	for i := range 40 {
+		served(well, false)
+		served(badly, i%10 != 0)
+	}
+	if r.b.classes.worst != well {
+		t.Errorf("worst is still %s: %.2f of %s and %.2f of %s are served", r.b.classes.worst.Name, well.servedInTime, well.Name,
+			badly.servedInTime, badly.Name)
+	}
+}
+
+// What answers took is forgotten over the time after which clients give up.
+func TestExpectedTimeIsForgotten(t *testing.T) {
+	c := newRig(t, testSettings(), 1).b.classes.all[0]
+	calm := c.uncontendedMs()
+	for i := range 20 {
+		c.learn(float64(i), 2*c.LatencyObjectiveMs)
+	}
+	late := c.expectedMs(20)
+	if late < c.LatencyObjectiveMs {
+		t.Fatalf("after 20 late answers %v ms are expected", late)
+	}
+	if soon := c.expectedMs(20 + c.DeadlineMs/20); soon < late*0.9 {
+		t.Errorf("forgotten at once: %v of %v ms", soon, late)
+	}
+	if then := c.expectedMs(20 + 3*c.DeadlineMs); then > calm+0.1*(late-calm) {
+		t.Errorf("after three times as long as clients wait %v ms are expected, calm is %v", then, calm)
+	}
+}
+
+// Unanswered attempts are taken into what is expected, and yet a third of the servers that
+// answer nothing does not make a class seem late that the others answer at once.
+func TestUnansweredAttemptsCountInExpectedTime(t *testing.T) {
+	expect := func(unanswered int) float64 {
+		c := newRig(t, testSettings(), 1).b.classes.all[0]
+		for i := range 300 {
+			now := float64(i) * 20
+			if i%3 < unanswered {
+				c.unanswered(now, 600)
+			} else {
+				c.learn(now, 30)
+			}
+		}
+		return c.expectedMs(6000)
+	}
+	if x := expect(1); x > 150 {
+		t.Errorf("a third unanswered: %v ms expected", x)
+	}
+	if x := expect(3); x < 300 {
+		t.Errorf("all unanswered: %v ms expected", x)
+	}
+}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -1,6 +1,208 @@
 package policy
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
+
+// coldRig is an agent that has met no warm server: all it has listed have just started.
+func coldRig(t *testing.T, replicas, servers int) *rig {
+	t.Helper()
+	set := testSettings()
+	set.Replicas = replicas
+	r := newRig(t, set, 0)
+	entries := make([]Entry, servers)
+	for i := range entries {
+		entries[i] = Entry{Server: addr(i), Health: HealthReady, Weight: 1, StartedMs: r.now}
+	}
+	r.list(ListFull, entries...)
+	return r
+}
+
+// An agent that has met no warm server sends a cold one an attempt at a time, not none.
+func TestColdServersAloneGetOneAttemptAtATime(t *testing.T) {
+	r := coldRig(t, 1, 3)
+	id, s := r.sent(0, 0)
+	r.now += 20
+	r.outcome(id, 0, s, StatusOK, 20)
+	seen := map[Addr]bool{}
+	for range 3 {
+		_, s := r.sent(0, 0)
+		if seen[s] {
+			t.Fatalf("server %v was sent a second attempt", s)
+		}
+		seen[s] = true
+		r.now += 5
+	}
+	if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
+		t.Errorf("all servers hold one, and another was sent: %+v", actions)
+	}
+}
+
+// Until the first answer such agents take turns by the aim, so that all together have no more
+// out than their limit, two a server, though nothing tells yet how long an attempt takes.
+func TestColdServersAloneArePacedUntilTheFirstAnswer(t *testing.T) {
+	r := coldRig(t, 40, 10) // half an attempt for each agent
+	id, s := r.sent(0, 0)
+	began := r.now
+	r.now += 10
+	actions := r.outcome(id, 0, s, StatusRejected, 10)
+	contract := testSettings().Contract
+	for r.now < began+1200 {
+		// The aim of 300 ms for half an attempt, and longer where the contract allows less.
+		ramp := contract.SlowStartFrom + (1-contract.SlowStartFrom)*(r.now-began)/contract.SlowStartMs
+		wait := 600 / min(contract.OverloadMultiple*ramp, 1)
+		turn := r.now >= began+wait
+		if a := find(actions, ActionSend); a != nil {
+			if !turn {
+				t.Fatalf("sent again after %.0f ms", r.now-began)
+			}
+			return
+		}
+		if r.now >= began+wait+10 {
+			t.Fatalf("nothing was sent in its turn, after %.0f ms", r.now-began)
+		}
+		r.now += 10
+		_, actions = r.ask(0, 0)
+	}
+	t.Error("nothing was sent in its turn")
+}
+
+// A cold server gets no more than its share by ramp, even after a quiet time.
+func TestColdServerBudget(t *testing.T) {
+	r := newRig(t, testSettings(), 5)
+	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now - 10})
+	got, all := 0, 2000
+	for range all {
+		r.now++
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		if s == addr(4) {
+			got++
+		}
+		r.outcome(id, 0, s, StatusOK, 20)
+	}
+	even := float64(all) / 4
+	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
+		t.Errorf("a cold server got %d of %d sends; want some, and at most %.0f", got, all, limit)
+	}
+}
+
+// Attempts that warm servers turned away were counted as what they take, and
+// a storm of them let the agents push cold servers over.
+func TestTurnedAwayAttemptsEarnNoColdCredit(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now})
+	cold := r.b.endpoints.byAddr[addr(4)]
+	for _, st := range []Status{StatusRejected, StatusOK} {
+		cold.slowStart.allowance = -1
+		id, s := r.sent(1, 7)
+		r.outcome(id, 0, s, st, 20)
+		if earned := cold.slowStart.allowance > -1; earned != (st == StatusOK) {
+			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.slowStart.allowance)
+		}
+	}
+}
+
+// 69 requests hinted as ten mean ones pushed a cold server over.
+func TestColdServerIsChargedForCostlyRequests(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	r.b.latency.hints.mean = 50
+	if c := r.b.latency.hints.cost(&request{hint: 1}); c != 1 {
+		t.Errorf("a request hinted small costs %.2f mean ones, want 1", c)
+	}
+	if c := r.b.latency.hints.cost(&request{hint: 200}); c != 4 {
+		t.Errorf("a request hinted at four times the mean costs %.2f, want 4", c)
+	}
+}
+
+// Many quiet agents: each earns a cold server a small part of one request. Together
+// they are to send it what the parts add up to: neither nothing nor one each.
+func TestManyQuietAgentsShareAColdServersCredit(t *testing.T) {
+	got, agents, each := 0, 400, 20
+	for seed := range agents {
+		b, err := New(testSettings(), uint64(seed))
+		if err != nil {
+			t.Fatal(err)
+		}
+		r := &rig{t: t, b: b, now: 1e6}
+		entries := make([]Entry, 10)
+		for i := range entries {
+			entries[i] = Entry{Server: addr(i), Health: HealthReady, Weight: 1}
+		}
+		entries[0].StartedMs = r.now
+		r.list(ListFull, entries...)
+		for range each {
+			id, s := r.sent(0, b.rng.Uint64())
+			if s == addr(0) {
+				got++
+			}
+			r.outcome(id, 0, s, StatusOK, 20)
+		}
+	}
+	c := testSettings().Contract
+	share := float64(agents*each) / 9 * c.SlowStartFrom * c.OverloadMultiple / slowStartMargin
+	if float64(got) > share*1.3 || float64(got) < share*0.2 {
+		t.Errorf("%d agents sent a cold server %d requests, want up to about %.0f", agents, got, share)
+	}
+}
+
+// A zone was lost and only cold servers were left.
+func TestColdServersServeWhenTheWarmOnesFailed(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	for range 200 {
+		r.now += 10
+		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		r.outcome(id, 0, s, StatusOK, 20)
+	}
+	r.list(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: 1, StartedMs: r.now})
+	r.b.endpoints.byAddr[addr(2)].traffic.sentAt = 0
+	for i := range 2 {
+		r.b.outliers.eject(r.b.endpoints.byAddr[addr(i)], true)
+	}
+	if _, s := r.sent(0, 9); s != addr(2) {
+		t.Errorf("sent to %v, want the cold server", s)
+	}
+}
+
+// Servers came back from silence cold, before the list told.
+func TestReturnFromSilenceIsRamped(t *testing.T) {
+	r := newRig(t, testSettings(), 3)
+	id, s := r.sent(0, 9)
+	r.outcome(id, 0, s, StatusConnectFailed, 100)
+	r.now += r.b.set.Contract.OverloadWindowMs + 500
+	for key := uint64(9); ; key++ {
+		id, to := r.sent(0, 9)
+		r.now += 20
+		r.outcome(id, 0, to, StatusOK, 20)
+		if to == s {
+			break
+		}
+		if key > 50 {
+			t.Fatal("the silent server was never checked again")
+		}
+	}
+	if srv := r.b.endpoints.byAddr[s]; r.b.capacityFraction(srv) >= 0.5 {
+		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacityFraction(srv))
+	}
+}
+
+// The fleet doubled, and quiet agents, each sending to a subset, earned the new
+// servers the credit of a whole fleet's share: they idled while the old ones were crowded.
+func TestColdCreditIsReckonedByTheSubset(t *testing.T) {
+	earned := func(keepalive float64) float64 {
+		set := testSettings()
+		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
+		r := newRig(t, set, 64)
+		r.list(ListDelta, Entry{Server: addr(99), Health: HealthReady, Weight: 1, StartedMs: r.now})
+		cold := r.b.endpoints.byAddr[addr(99)]
+		cold.slowStart.allowance = 0
+		r.b.slowStart.earn(r.b.endpoints.byAddr[addr(0)], 1, r.b.selector.subset())
+		return cold.slowStart.allowance
+	}
+	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
+		t.Errorf("credit earned: %.5f sending to 65 servers, %.5f to 16 of them; want four times", whole, part)
+	}
+}
 
 // Of many agents that are told of servers that are all cold, each makes its first attempt in its
 // own turn: together they send no more than two attempts a server in the aim, and of a cold server what the
@@ -76,3 +278,37 @@
 	}
 	t.Error("nothing was sent within five times the aim")
 }
+
+// An error in a server's age within the tolerance makes it count as ageErrorFactor times what it
+// can do at most, at any age, and never as warm before its time by more than the tolerance.
+func TestStartToleranceBoundsTheCapacity(t *testing.T) {
+	for _, c := range []Contract{
+		{SlowStartFrom: 0.05, SlowStartMs: 3000}, {SlowStartFrom: 0.2, SlowStartMs: 8000}, {SlowStartFrom: 0.53, SlowStartMs: 7000},
+		{SlowStartFrom: 0.9, SlowStartMs: 1000}, {SlowStartFrom: 1, SlowStartMs: 1000}, {SlowStartFrom: 0.3}, {SlowStartMs: 5000},
+	} {
+		tolerance := c.StartToleranceMs()
+		if !(tolerance >= 0) || tolerance > c.SlowStartMs {
+			t.Fatalf("%+v: the tolerance is %v ms", c, tolerance)
+		}
+		set := testSettings()
+		set.Contract.SlowStartFrom, set.Contract.SlowStartMs = c.SlowStartFrom, c.SlowStartMs
+		b, err := New(set, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for age := 0.0; age < c.SlowStartMs; age += c.SlowStartMs / 100 {
+			b.now = 1e6
+			right := b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: b.now - age, listedAt: b.now - age}})
+			older := b.now - age - tolerance
+			if taken := b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: older, listedAt: older}}); taken > ageErrorFactor*right+1e-9 {
+				t.Fatalf("%+v, %v ms old: counts as %v, is %v", c, age, taken, right)
+			}
+		}
+	}
+	if (&Contract{SlowStartFrom: 0.2, SlowStartMs: 8000}).StartToleranceMs() != 1000 {
+		t.Error("not the tolerance by hand")
+	}
+	if math.IsNaN((&Contract{}).StartToleranceMs()) {
+		t.Error("without slow start there is none")
+	}
+}
