--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -111,3 +111,20 @@
 		t.Errorf("weight %v of warm servers, %d cold; want 2 and 1", got, len(r.b.slowStart.warming))
 	}
 }
+
+// The set stays in the endpoints' order, holds each once, and bears the removal of what it lacks.
+func TestOrderedEndpointsStayInOrder(t *testing.T) {
+	var set orderedEndpoints
+	first, second, third := &endpoint{order: 1}, &endpoint{order: 2}, &endpoint{order: 3}
+	for _, endpoint := range []*endpoint{third, first, second, first, third} {
+		set.insert(endpoint)
+	}
+	if !slices.Equal(set, orderedEndpoints{first, second, third}) {
+		t.Fatalf("%d endpoints, or out of order", len(set))
+	}
+	set.remove(second)
+	set.remove(second)
+	if !slices.Equal(set, orderedEndpoints{first, third}) {
+		t.Errorf("%d endpoints are left, want the first and the third", len(set))
+	}
+}
--- a/policy/endpoint_weights_test.go
+++ b/policy/endpoint_weights_test.go
@@ -66,3 +66,27 @@
 		}
 	}
 }
+
+// Weights stay within their bounds however long one side is slower.
+func TestWeightsStayWithinTheirBounds(t *testing.T) {
+	zones, kinds := newZoneWeights(), newMachineKindWeights()
+	slow, fast := &endpoint{machineKind: 1}, &endpoint{machineKind: 2}
+	for range 1000 {
+		zones.observe(true, 0.1, 0.05)
+		zones.observe(false, 0.4, 0.05)
+		kinds.observe(slow, 0.4)
+		kinds.observe(fast, 0.1)
+	}
+	if zones.weight != zonePriceFactor*0.05 {
+		t.Errorf("a quick local zone weighs %v, want %v", zones.weight, zonePriceFactor*0.05)
+	}
+	if kinds.of(slow) != minMachineKindWeight || kinds.of(fast) != 1 {
+		t.Errorf("kinds weigh %v and %v, want %v and 1", kinds.of(slow), kinds.of(fast), minMachineKindWeight)
+	}
+	for range 1000 {
+		zones.observe(true, 0.9, 0.05)
+	}
+	if zones.weight != minLocalZoneWeight {
+		t.Errorf("a slow local zone weighs %v, want %v", zones.weight, minLocalZoneWeight)
+	}
+}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // A day with one agent and four servers: the first answers were quick (a few hot
 // keys), and what came after counted as crowded at one attempt a server, for good.
@@ -119,3 +122,23 @@
 		t.Errorf("no window grew once calm was known: %.2f", w)
 	}
 }
+
+// The regression finds a line from its points, and tells nothing before it has seen enough.
+func TestHintRegressionFindsTheLine(t *testing.T) {
+	hints := hintRegression{}
+	for i := range 400 {
+		hint := float64(10 + i%7*10)
+		if i == minHintAnswers-1 && hints.expectedMs(&request{hint: hint}) != 0 {
+			t.Errorf("tells a time after %d answers", i)
+		}
+		hints.learn(&request{hint: hint}, 5+2*hint)
+	}
+	for _, hint := range []float64{10, 40, 100} {
+		if got := hints.expectedMs(&request{hint: hint}); math.Abs(got-5-2*hint) > 0.5 {
+			t.Errorf("%.2f ms for a hint of %v, want %v", got, hint, 5+2*hint)
+		}
+	}
+	if got := hints.expectedMs(&request{}); got != 0 {
+		t.Errorf("%.2f ms without a hint", got)
+	}
+}
--- /dev/null
+++ b/policy/quota_test.go
@@ -0,0 +1,61 @@
+package policy
+
+import "testing"
+
+// A tenant is over its quota when its share of the requests is more than quotaTolerance times it.
+func TestQuotaTrackerComparesSharesWithQuotas(t *testing.T) {
+	cases := []struct {
+		name     string
+		quota    float64
+		requests int // of ten, from tenant 0
+		over     bool
+	}{
+		{"all of it within a quota of all", 1, 10, false},
+		{"half of it within a quota of half", 0.5, 5, false},
+		{"within the tolerance", 0.47, 5, false},
+		{"beyond the tolerance", 0.4, 5, true},
+		{"all of it beyond a quota of half", 0.5, 10, true},
+		{"nothing beyond a quota of nothing", 0, 0, false},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			env := &environment{set: Settings{Tenants: []Tenant{{QuotaShare: test.quota}, {QuotaShare: 1}}}}
+			quotas := newQuotaTracker(env)
+			for i := range 10000 {
+				tenant := 1
+				if i%10 < test.requests {
+					tenant = 0
+				}
+				quotas.count(tenant)
+			}
+			if got := quotas.over(0); got != test.over {
+				t.Errorf("over its quota: %v with a share of %.3f, want %v", got, quotas.usage[0], test.over)
+			}
+		})
+	}
+}
+
+// A tenant that the settings don't name changes nothing and is never over its quota.
+func TestQuotaTrackerLeavesOutUnknownTenants(t *testing.T) {
+	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
+	quotas.count(0)
+	before := quotas.usage[0]
+	for _, tenant := range []int{-1, 1, 1 << 30} {
+		quotas.count(tenant)
+		if quotas.over(tenant) {
+			t.Errorf("tenant %d is over a quota", tenant)
+		}
+	}
+	if quotas.usage[0] != before {
+		t.Errorf("the share went from %v to %v", before, quotas.usage[0])
+	}
+}
+
+// Shares go with the tenants' names to their new indexes.
+func TestQuotaTrackerMovesShares(t *testing.T) {
+	quotas := quotaTracker{environment: &environment{}, usage: []float64{0.1, 0.2, 0.7}}
+	quotas.move(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
+	if len(quotas.usage) != 2 || quotas.usage[0] != 0.7 || quotas.usage[1] != 0.1 {
+		t.Errorf("shares %v, want 0.7 and 0.1", quotas.usage)
+	}
+}
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // Where clients don't mark their retries, a request like an unserved one is not counted as
 // one more that the fleet has to bear: in a storm of retries every agent's part of what may be
@@ -33,3 +36,25 @@
 		}
 	}
 }
+
+// Requests that come evenly are measured at their rate, from soon after the start on; retries
+// count for the lifetime alone.
+func TestRequestRateMeasuresAnEvenRate(t *testing.T) {
+	env := &environment{now: 1000, set: Settings{Limits: Limits{KeepaliveMs: 10000}}}
+	rate := requestRate{environment: env}
+	rate.start()
+	for i := range 60000 {
+		env.now += 0.5
+		rate.count(i%2 == 1)
+		if i > 10000 && math.Abs(rate.perMs()-1) > 0.05 {
+			t.Fatalf("%.3f requests a ms after %.0f ms, want 1", rate.perMs(), env.now-1000)
+		}
+	}
+	if got := rate.lifetimePerMs(); math.Abs(got-2) > 1e-9 {
+		t.Errorf("%.3f requests a ms with the retries, want 2", got)
+	}
+	env.now += 100000
+	if got := rate.perMs(); got > 0.001 {
+		t.Errorf("%.3f requests a ms after ten spans without any", got)
+	}
+}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -120,3 +120,65 @@
 		}
 	}
 }
+
+// What may have run is sent again only where its class allows it.
+func TestRetryPolicyKeepsToTheEffect(t *testing.T) {
+	first := &endpoint{zone: 1, cell: 1, usable: true}
+	sameCell, sameZone := &endpoint{zone: 1, cell: 1, usable: true}, &endpoint{zone: 1, cell: 2, usable: true}
+	elsewhere := &endpoint{zone: 2, cell: 3, usable: true}
+	keyed := func(group Group) Class {
+		return Class{Effect: EffectIdempotentWithKey, Group: group, IdempotencyWindowMs: 1000}
+	}
+	cases := []struct {
+		name       string
+		class      Class
+		mayHaveRun int
+		after      float64 // ms since the first attempt
+		want       [3]bool // at sameCell, sameZone, elsewhere
+	}{
+		{"idempotent", Class{Effect: EffectIdempotent}, 1, 5000, [3]bool{true, true, true}},
+		{"non-idempotent", Class{Effect: EffectNonIdempotent}, 1, 0, [3]bool{}},
+		{"non-idempotent that never ran", Class{Effect: EffectNonIdempotent}, 0, 0, [3]bool{true, true, true}},
+		{"key known to all", keyed(GroupAll), 1, 500, [3]bool{true, true, true}},
+		{"key known in the zone", keyed(GroupZone), 1, 500, [3]bool{true, true, false}},
+		{"key known in the cell", keyed(GroupCell), 1, 500, [3]bool{true, false, false}},
+		{"key at the end of its window", keyed(GroupAll), 1, 1000 - writeDelayMarginMs, [3]bool{}},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			env := &environment{now: 10000 + test.after}
+			retries := retryPolicy{environment: env, endpoints: &endpointSet{}}
+			request := &request{class: &class{Class: test.class},
+				timing: requestTiming{deadline: 1e6}, tries: requestTries{limit: 2},
+				idempotency: requestIdempotency{mayHaveRun: test.mayHaveRun, earliestRunAt: 10000, firstEndpoint: first}}
+			for i, endpoint := range []*endpoint{sameCell, sameZone, elsewhere} {
+				if got := retries.maySend(request, endpoint); got != test.want[i] {
+					t.Errorf("endpoint %d: %v, want %v", i, got, test.want[i])
+				}
+			}
+		})
+	}
+}
+
+// The budget bounds retries to what answers have earned, up to retryBurst; an attempt that reached
+// nobody is free.
+func TestRetryBudgetIsCharged(t *testing.T) {
+	retries := retryPolicy{environment: &environment{}, tokens: 1}
+	request := &request{class: &class{Class: Class{Effect: EffectIdempotent}},
+		timing: requestTiming{deadline: 1000}, tries: requestTries{limit: 3}}
+	if !retries.charge(request, StatusServerError) || retries.tokens != 0 {
+		t.Fatalf("the last token pays no retry; %v left", retries.tokens)
+	}
+	if retries.charge(request, StatusServerError) {
+		t.Error("a retry without a token")
+	}
+	if !retries.charge(request, StatusConnectFailed) || retries.tokens != 0 {
+		t.Errorf("an attempt that reached nobody is not free; %v left", retries.tokens)
+	}
+	for range 100 {
+		retries.earn()
+	}
+	if retries.tokens != retryBurst {
+		t.Errorf("%v tokens saved up, want %v", retries.tokens, retryBurst)
+	}
+}
