--- a/policy/abandoned_test.go
+++ b/policy/abandoned_test.go
@@ -6,8 +6,8 @@
 )
 
 // Where the settings allow no cancelling, an attempt that timed out still stands in its
-// server's queue. It counts in the limit until the server answers what was sent after it, or
-// until work does not stay with the servers for so long.
+// endpoint's queue. It counts in the limit until the endpoint answers what was sent after it, or
+// until work does not stay with the endpoints for so long.
 func TestAbandonedAttemptsStayInTheLimit(t *testing.T) {
 	for _, cancelling := range []bool{false, true} {
 		set := testSettings()
@@ -60,7 +60,7 @@
 	}
 }
 
-// The estimate of how long work stays with the servers runs up to its bound while most goes
+// The estimate of how long work stays with the endpoints runs up to its bound while most goes
 // unanswered, and is that of the answers while most is answered.
 func TestSojournEstimate(t *testing.T) {
 	estimate := func(answered func(i int) bool) float64 {
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// priorityOf is what a unit of server time spent on the request earns, by the objective's
+// priorityOf is what a unit of an endpoint's time spent on the request earns, by the objective's
 // weights: its class's priority weight counts as a part of the whole, and in full of the worst
 // class if it is of it.
 func (q *admissionQueue) priorityOf(request *request) float64 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The class of least worth was starved though the worst class counts.
-func TestWorstClassCountsAmongHeld(t *testing.T) {
+// The worst class counts in the order of the queue, so that a class of low weight is not starved.
+func TestWorstClassCountsAmongQueued(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Whole: 0.5, WorstClass: 0.5}
 	r := newRig(t, set, 2)
@@ -21,9 +21,9 @@
 	}
 }
 
-// An agent that may have few requests open refuses what it can't hold at once, the
+// An agent that may have few requests open rejects what it can't hold at once, the
 // least valuable first, and never what is already out.
-func TestOpenCapRefusesAtOnce(t *testing.T) {
+func TestMaxOpenRequestsRejectsAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Limits.MaxOpenRequests = 4
 	r := newRig(t, s, 1)
@@ -46,8 +46,8 @@
 	}
 }
 
-// lateRig is an agent at its limit of one attempt, which is past its aim, with another request
-// held.
+// lateRig is an agent at its limit of one attempt, which is past its latency objective, with
+// another request held.
 func lateRig(t *testing.T, set Settings, class int) (r *rig, out, held RequestID) {
 	t.Helper()
 	set.Replicas = 2
@@ -64,9 +64,9 @@
 }
 
 // In a shortage an attempt that can earn nothing any more is called off and its request
-// answered, so that its place serves one that is held; what may not be repeated is waited for,
+// answered, so that its place serves one that is queued; what may not be repeated is waited for,
 // and so is what is worth something when it is late.
-func TestLateAttemptsAreCalledOffInAShortage(t *testing.T) {
+func TestLateAttemptsAreCancelledInAShortage(t *testing.T) {
 	r, out, held := lateRig(t, testSettings(), 0)
 	actions := r.tick(20)
 	if a := find(actions, ActionReject); a == nil || a.Request != out {
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A thousand agents that each met every server kept 400 connections a server
-// open. They are closed where their price is above that of opening them again.
+// Where connections cost more than they save, as with many agents that each meet every endpoint, idle
+// ones are closed.
 func TestIdleConnectionsAreClosedWhereTheyCostMore(t *testing.T) {
 	for _, c := range []struct {
 		agents                int
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -11,7 +11,7 @@
 func TestDecisionsBeforeAPanic(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.b.queue.queued = append(r.b.queue.queued, &request{id: 99, class: r.b.classes.all[0], timing: requestTiming{arrived: -1e9, deadline: 1e9},
-		tries: requestTries{limit: 3, counted: []*attempt{nil}}}) // looking for a server for it panics
+		tries: requestTries{limit: 3, counted: []*attempt{nil}}}) // looking for an endpoint for it panics
 	func() {
 		defer func() {
 			if recover() == nil {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Cold servers count in the agent's part of the limit by what they can do: what they may not
+// Warming endpoints count in the agent's part of the limit by what they can do: what they may not
 // be sent yet the warm ones would be.
-func TestColdServersCountInPartBesideWarmOnes(t *testing.T) {
+func TestWarmingEndpointsCountInPartBesideWarmOnes(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	whole := r.b.limiter.floor()
 	cold := make([]Entry, 4)
@@ -27,7 +27,8 @@
 	}
 }
 
-// While answers are late an agent's part goes down to leastAttempts a server, and no further.
+// While answers are late an agent's part goes down to minAttemptsPerEndpoint an endpoint, and no
+// further.
 func TestLimitFallsToItsLeast(t *testing.T) {
 	r := quick(t, testSettings(), 30)
 	least := minAttemptsPerEndpoint / attemptsPerEndpoint
@@ -79,10 +80,10 @@
 	return x
 }
 
-// One agent of a healthy service in a fleet of 2,000: its settings tell the replicas and the
-// quota of the whole fleet, its list names the servers of the service. Each call is answered
-// after 5 ms, so it must be sent, and hardly ever held back: with 12 servers 72 in 100 were
-// refused, as two attempts a listed server were divided among all the fleet's agents.
+// One agent of a healthy service in a fleet of 2,000: its settings tell the replicas and the quota of
+// the whole fleet, its list names the endpoints of the service. Each call is answered after 5 ms, so it
+// must be sent, and hardly ever shed: two attempts an endpoint must not be divided among all the
+// fleet's agents.
 func TestLimitOfAServiceInALargeFleet(t *testing.T) {
 	for _, quota := range []float64{220000, 0} {
 		for _, servers := range []int{12, 60, 200} {
@@ -105,7 +106,7 @@
 }
 
 // playService plays one agent that asks 110 times a second for 40 s, and counts what is
-// asked and refused, after 10 s of warming up; held are the waits in the agent before the
+// asked and rejected, after 10 s of warming up; held are the waits in the agent before the
 // first attempt, in ms.
 func playService(t *testing.T, set Settings, servers int, seed uint64) (asked, refused int, held []float64) {
 	t.Helper()
@@ -163,9 +164,9 @@
 	return asked, refused, held
 }
 
-// Settings that tell of the listed servers alone are left alone: calm answers of a loaded
+// Settings that tell of the listed endpoints alone are left alone: uncontended answers of a loaded
 // deployment take a multiple of their work, and a limit that took them for the work itself let
-// out too much when more was asked than the servers could do.
+// in flight too much when more was asked than the endpoints could do.
 func TestLimitOfAPlainDeploymentIsItsSettings(t *testing.T) {
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -41,7 +41,7 @@
 	t.Error("a request with an empty list was never answered")
 }
 
-// Found by the fuzzer: a keyed request ahead of the first list crashed the agent.
+// A request with a key may come before the first list.
 func TestKeyedRequestBeforeTheFirstList(t *testing.T) {
 	b, err := New(testSettings(), 1)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // checkSets compares the sets that the decisions walk with the whole list: whoever belongs to
-// one is in it, in the order of the list, and the weight of warm servers is that of a new count.
+// one is in it, in the order of the list, and the weight of warm endpoints is that of a new count.
 func (w *world) checkSets() {
 	w.t.Helper()
 	b := w.b
@@ -89,8 +89,8 @@
 	}
 }
 
-// Where new settings give servers a longer cold time, those that were warm are cold again.
-func TestALongerColdTimeIsSeenInTheSets(t *testing.T) {
+// Where new settings give endpoints a longer slow start time, those that were warm warm up again.
+func TestALongerSlowStartIsSeenInTheSets(t *testing.T) {
 	set := testSettings()
 	set.Contract.SlowStartMs = 500
 	r := newRig(t, set, 3)
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Under a window below one the pause follows the last answer: taken from the mean it was
-// seconds long after a crowd had passed, and nothing told that the server stood idle.
+// Under a window below one the pause follows the last answer: taken from the mean it would stay long
+// after a crowd has passed, and nothing would tell that the endpoint stands idle.
 func TestPauseFollowsTheLastAnswer(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	s := r.b.endpoints.all[0]
@@ -23,7 +23,7 @@
 	}
 }
 
-// hasRoomAt tells whether a server takes one more request of the first class.
+// hasRoomAt tells whether an endpoint takes one more request of the first class.
 func (b *Balancer) hasRoomAt(now float64, s *endpoint) bool {
 	b.now = now
 	return b.selector.hasCapacity(s, &request{class: b.classes.all[0]})
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Lists come by the watch alone: no failure at servers has an agent ask for the whole list, in the
+// Lists come by the watch alone: no failure at endpoints has an agent ask for the whole list, in the
 // modes that agents on sockets use.
 func TestFailuresFetchNoList(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
@@ -93,7 +93,7 @@
 	return s
 }
 
-// The list that an agent starts with may be old, and what it misses may count as told before the
+// The list that an agent starts with may be old, and what it misses may count as notified before the
 // agent has started: its first call comes within the drains' grace, whatever its number.
 func TestFirstCallComesWithinTheDrainsGrace(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
@@ -142,7 +142,7 @@
 }
 
 // However many agents there are, each asks within the time after which the contract takes
-// it as told.
+// it as notified.
 func TestTurnsFitTheContract(t *testing.T) {
 	for _, index := range []int{0, 500, 999} {
 		set := fleetSettings(1000)
@@ -190,7 +190,7 @@
 }
 
 // A watch that has lived and ended is opened anew while what it misses does not yet count
-// as told: 6 s after it fell silent, of which noticing takes 3 and a call up to 2. So in
+// as notified: 6 s after it fell silent, of which noticing takes 3 and a call up to 2. So in
 // either mode, however large the fleet and however often it happens.
 func TestLostWatchIsOpenedAnewInTime(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
@@ -216,7 +216,7 @@
 // A watch that tells and ends at once is opened anew as soon as any, the first time: what it
 // should have told counts soon. Each further time waits longer, as long as that still counts
 // by the contract, or discovery would be called for ever.
-func TestWatchThatEndsAsSoonAsItHasTold(t *testing.T) {
+func TestWatchThatEndsAsSoonAsItHasNotified(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		b := caller(t, MembershipOnRequest, agents-1, agents)
 		for range 5 { // discovery is down
@@ -238,12 +238,12 @@
 	}
 }
 
-// Whatever went wrong before, an agent is told 6 s after discovery could be reached: what a
-// call still took that failed just as discovery came back, the wait after it and the next
-// call, which may wait for 2 s, are together shorter. So in a fleet of any size, after any
-// number of failures, at a discovery that refuses at once or hangs, and for the first call.
-// And the agents don't come back together: of any fifth of the last wait no more than
-// three fifths of them call in it.
+// Whatever went wrong before, an agent is notified 6 s after discovery could be reached: what a
+// call still took that failed just as discovery came back, the wait after it and the next call,
+// which may wait for 2 s, are together shorter. So in a fleet of any size, after any number of
+// failures, at a discovery that refuses connections at once or hangs, and for the first call. And
+// the agents don't come back together: of any fifth of the last wait no more than three fifths of
+// them call in it.
 func TestCallsHoldTheContractInAFleetOfAnySize(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		for _, took := range []float64{0, 2000, 2500} {
@@ -289,7 +289,7 @@
 	}
 }
 
-// What the agent's own discovery has when it is back counts as told at once: no wait before
+// What the agent's own discovery has when it is back counts as notified at once: no wait before
 // a call may take the drains' grace, however many calls have failed.
 func TestLocalDiscoveryIsCalledOften(t *testing.T) {
 	set := testSettings()
@@ -307,7 +307,7 @@
 	}
 }
 
-func TestListIsFollowedAgainAfterFailures(t *testing.T) {
+func TestListIsWatchedAgainAfterFailures(t *testing.T) {
 	set := testSettings()
 	set.Membership = "on_request"
 	b, err := New(set, 3)
--- a/policy/endpoint_weights_test.go
+++ b/policy/endpoint_weights_test.go
@@ -4,7 +4,7 @@
 
 // Olive's quiet day: with a price on crossing, the own zone was given half of what it
 // could serve. It gets more while it answers as fast as the rest, and gives it back.
-func TestOwnZoneGetsMoreWhileItIsQuick(t *testing.T) {
+func TestLocalZoneGetsMoreWhileItIsQuick(t *testing.T) {
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
 	r := newRig(t, set, 6)
@@ -34,7 +34,7 @@
 
 // Machines 2.5 times apart got equal shares, and the small ones choked. Where
 // the list tells no weights a kind's answer times do.
-func TestSlowKindOfMachineGetsLess(t *testing.T) {
+func TestSlowMachineKindGetsLess(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		set := testSettings()
 		set.Weights = weights
@@ -60,7 +60,7 @@
 		if slow > 250 {
 			t.Errorf("weights %q: the slow half of the fleet got %d of 600 requests", weights, slow)
 		}
-		// Where the list tells weights, only a server's own answers count against it.
+		// Where the list tells weights, only an endpoint's own answers count against it.
 		if w := r.b.selector.kinds.kind[1].weight; (w == 1) != (weights == "nominal") {
 			t.Errorf("weights %q: the slow kind weighs %.2f", weights, w)
 		}
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A day with one agent and four servers: the first answers were quick (a few hot
-// keys), and what came after counted as crowded at one attempt a server, for good.
-func TestLoneAgentLearnsThatItsServersAreCalm(t *testing.T) {
+// A lone agent learns from its own attempts how long uncontended answers take: where the first ones
+// were quick, as of a few hot keys, what comes after must not count as crowded for good.
+func TestLoneAgentLearnsTheUncontendedLatency(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
 		set.Replicas = agents
@@ -27,9 +27,9 @@
 	}
 }
 
-// Few agents see most of the load: what answers well within the aim is not crowded,
-// however low calm was taken. Cold servers are slower before they are.
-func TestLeastLimitFallsWithTheAgents(t *testing.T) {
+// Few agents see most of the load: what answers well within the latency objective is not crowded,
+// however low the uncontended time was taken. Warming endpoints are slower before they are.
+func TestCrowdedThresholdFallsWithTheAgents(t *testing.T) {
 	limit := func(agents int, calm float64) float64 {
 		set := testSettings()
 		set.Replicas = agents
@@ -52,7 +52,7 @@
 }
 
 // Agents restarted one by one while the fleet was crowded.
-func TestACrowdAtTheStartIsNotTakenForCalm(t *testing.T) {
+func TestACrowdAtTheStartIsNotTakenForUncontended(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range uncontendedSamples {
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
@@ -70,7 +70,7 @@
 	r := newRig(t, set, 1)
 	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 	srv := r.b.endpoints.all[0]
-	for range 300 { // long enough to know the calm answer time
+	for range 300 { // long enough to know the uncontended answer time
 		id, s := r.sent(0, 1)
 		r.now += 20
 		r.outcome(id, 0, s, StatusOK, 20)
@@ -86,15 +86,15 @@
 	if srv.window.size >= grown {
 		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window.size)
 	}
-	// With many agents one attempt of each keeps a tipped server busy.
+	// With many agents one attempt of each keeps an overloaded endpoint busy.
 	if srv.window.size >= 1 {
 		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window.size)
 	}
 }
 
-// Windows that grew before calm was known crowded the servers, and the
-// crowded time became the measure of calm.
-func TestNoWindowGrowsBeforeCalmIsKnown(t *testing.T) {
+// No window grows before the uncontended answer time is known: what crowded the endpoints would
+// become the measure.
+func TestNoWindowGrowsBeforeTheUncontendedLatencyIsKnown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range uncontendedSamples - 1 {
 		id, s := r.sent(0, r.b.rng.Uint64())
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -9,7 +9,7 @@
 	until   float64
 	failed  int // attempts that failed so
 	sent    int
-	servers map[Addr]int // attempts that went out after that, by server
+	servers map[Addr]int // attempts that went out after that, by endpoint
 	refused int
 }
 
@@ -41,7 +41,7 @@
 	return m.id, m.do(Event{Kind: EventRequest, Request: m.id, Class: class, TimeLeftMs: 20000})
 }
 
-// playFailingMachine has requests come at once at an agent of four servers whose machine fails
+// playFailingMachine has requests come at once at an agent of four endpoints whose machine fails
 // for so many ms.
 func playFailingMachine(t *testing.T, status Status, requests int, ms float64) *machine {
 	set := testSettings()
@@ -61,7 +61,7 @@
 	return m
 }
 
-// Attempts that this machine can't make cost nothing: no request is refused for them, no server
+// Attempts that this machine can't make cost nothing: no request is rejected for them, no endpoint
 // is blamed, nothing is taken from limit and retry budget, and they are few.
 func TestAttemptsThatThisMachineFails(t *testing.T) {
 	for _, status := range []Status{StatusLocalFailure, StatusUnreachable} {
@@ -91,9 +91,9 @@
 	}
 }
 
-// A request whose time ends while this machine fails never ran: it is refused, with when to come
+// A request whose time ends while this machine fails never ran: it is rejected, with when to come
 // back, whatever its class, and after more attempts than the class may have.
-func TestRefusedWhileThisMachineFails(t *testing.T) {
+func TestRejectedWhileThisMachineFails(t *testing.T) {
 	for class := range 3 {
 		r := newRig(t, testSettings(), 4)
 		id, actions := r.ask(class, 0)
@@ -124,9 +124,9 @@
 	}
 }
 
-// The only server is tried again after a failure of this machine, and a cold one gets the work
+// The only endpoint is tried again after a failure of this machine, and a warming one gets the work
 // back that its slow start paid for.
-func TestServerIsTriedAgainAfterLocalFailure(t *testing.T) {
+func TestEndpointIsTriedAgainAfterLocalFailure(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now - 100},
 		Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
@@ -162,7 +162,7 @@
 	r.sent(0, 0)
 }
 
-// One server that can't be reached is at fault itself, as are two of five.
+// One endpoint that can't be reached is at fault itself, as are two of five.
 func TestServersThatCannotBeReached(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
 	r.b.limiter.scale = 1e6
@@ -195,7 +195,7 @@
 	for _, answered := range []bool{true, false} {
 		m := playFailingMachine(t, StatusLocalFailure, 0, 0)
 		for _, s := range m.b.endpoints.all {
-			s.window.size = 1e6 // room is not at issue
+			s.window.size = 1e6 // capacity is not at issue
 		}
 		id, actions := m.long(0)
 		m.outcome(id, 0, find(actions, ActionSend).Server, StatusLocalFailure, 0.1)
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -30,7 +30,7 @@
 	if a := find(actions, ActionSend); a == nil || a.Server == s {
 		t.Errorf("the free request did not go on to another server: %+v", actions)
 	}
-	// While it is Unhealthy its key goes elsewhere; after its hold the next
+	// While it is unhealthy its key goes elsewhere; after its hold the next
 	// request makes it pending, and a served answer Connected.
 	if _, s3 := r.sent(0, 7); s3 == s {
 		t.Error("an Unhealthy server was chosen before the better tier")
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestFullDemotesNobody(t *testing.T) {
+func TestRejectionEjectsNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(1, 7)
 	actions := r.outcome(id, 0, s, StatusRejected, 1)
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestProbesValidateWhereAllowed(t *testing.T) {
+func TestHealthChecksValidateWhereAllowed(t *testing.T) {
 	set := testSettings()
 	set.Limits.HealthChecks = true
 	r := newRig(t, set, 3)
@@ -85,12 +85,12 @@
 	}
 }
 
-// South's rough days: a server that failed often rests long while others can take
+// An endpoint that failed often rests long while others can take
 // its requests, but is tried again at once while they are full.
-func TestFailingServerIsTriedAgainWhileOthersAreFull(t *testing.T) {
+func TestFailingEndpointIsTriedAgainWhileOthersAreFull(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		r := newRig(t, testSettings(), 4)
-		r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
+		r.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
 		bad := r.b.endpoints.byAddr[addr(0)]
 		for range 3 {
 			r.b.outliers.enter(bad, StateConnected)
@@ -109,7 +109,7 @@
 	}
 }
 
-// Failures that all servers share, as of a network that breaks connections, cost none of
+// Failures that all endpoints share, as of a network that breaks connections, cost none of
 // them an ejection or its window; one that fails more than the others is demoted.
 func TestFailuresOfTheWholeFleetCostNoEjection(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
@@ -145,9 +145,9 @@
 	}
 }
 
-// A quiet agent checked each slow server again after one aim, with a request; and
-// a probe clears a server that fails its requests, so it must not come sooner either.
-func TestQuietAgentHoldsAFailedServerLonger(t *testing.T) {
+// A quiet agent checked each slow endpoint again after one latency objective, with a request; and
+// a health check clears an endpoint that fails its requests, so it must not come sooner either.
+func TestQuietAgentEjectsForLonger(t *testing.T) {
 	for _, probing := range []bool{false, true} {
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, probing
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// world plays random clients, servers and lists against one Balancer and
+// world plays random clients, endpoints and lists against one Balancer and
 // checks the rules from outside, on the actions alone.
 type world struct {
 	t        *testing.T
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -6,13 +6,13 @@
 )
 
 // Where clients don't mark their retries, a request like an unserved one is not counted as
-// one more that the fleet has to bear: in a storm of retries every agent's part of what may be
+// one more that the fleet has to bear: in a burst of retries every agent's part of what may be
 // out grew with them.
 func TestUnmarkedRetriesAreNotForeseen(t *testing.T) {
 	for _, marks := range []bool{false, true} {
 		set := testSettings()
 		set.Clients.MarksRetry = marks
-		r := newRig(t, set, 0) // nobody to send to: each is refused at its deadline
+		r := newRig(t, set, 0) // nobody to send to: each is rejected at its deadline
 		rate := func(key uint64) float64 {
 			before := r.b.traffic.recent
 			id, _ := r.ask(0, key)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A repeat that is held up for 0.15 s between its decision and its first byte, or as long as it
+// A retry that is held up for 0.15 s between its decision and its first byte, or as long as it
 // may begin and then so, still goes out within the window in which repeats are dropped. Where the
 // window is shorter than that, none goes out.
 func TestRepeatsLeaveRoomForAHoldUp(t *testing.T) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// Each of many agents sent every full request on to the next server, and all
-// together kept the servers too full to serve any. Attempts after the first are paid for
-// by answers in time, but for those after one that reached no server.
+// Where each of many agents sends every rejected attempt on to the next endpoint, all together keep
+// the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
+// but for those after one that reached no endpoint.
 func TestResendsHaveABudget(t *testing.T) {
 	for _, st := range []Status{StatusOK, StatusRejected, StatusConnectFailed} {
 		r := newRig(t, testSettings(), 20)
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -13,9 +13,8 @@
 	}
 }
 
-// Kyushu's and south's failing servers: what must not run twice would be lost on a
-// server that is only being checked.
-func TestSingleShotDoesNotCheckAServer(t *testing.T) {
+// What must not run twice would be lost on an endpoint that is only being validated.
+func TestNonIdempotentRequestsValidateNoEndpoint(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	bad := r.b.endpoints.byAddr[addr(0)]
 	r.b.outliers.enter(bad, StateUnhealthyPending)
@@ -36,13 +35,13 @@
 	}
 }
 
-// Held requests that wait for their key's servers must not
-// keep others from servers that have room.
+// Queued requests that wait for their key's endpoints must not
+// keep others from endpoints that have capacity.
 func TestWaitingForAKeyBlocksNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	r.b.limiter.scale = 1000 // the servers' windows are at issue, not the agent's limit
+	r.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
 	for range 30 {
-		r.ask(0, 42) // one key: fills its two servers, the rest are held
+		r.ask(0, 42) // one key: fills its two endpoints, the rest are queued
 	}
 	if len(r.b.queue.queued) == 0 {
 		t.Fatal("nothing is held; the test does not test what it says")
@@ -59,8 +58,8 @@
 }
 
 // Crossing zones costs time and a price: of many keys more stay in the own zone
-// than its servers' part, and still most other servers are used.
-func TestOwnZoneIsPreferredByKey(t *testing.T) {
+// than its endpoints' part, and still most other endpoints are used.
+func TestLocalZoneIsPreferredByKey(t *testing.T) {
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
@@ -76,16 +75,16 @@
 	}
 }
 
-// With many agents, each with one request out, a popular key put twenty times
-// the mean on one server. Few agents leave it to the cap; a rare key stays whole.
-func TestPopularKeyIsSplitWhereTheCapIsBlind(t *testing.T) {
+// With many agents, each with one request in flight, a popular key would put many times the mean on
+// one endpoint, and is split. Few agents leave it to the load bound; a rare key stays whole.
+func TestPopularKeyIsSplitWhereTheLoadBoundSeesNothing(t *testing.T) {
 	for _, c := range []struct {
 		agents, every int
 		least, most   int
 	}{
 		{1000, 4, 5, 40},  // a quarter of the traffic, many agents: spread
 		{2, 4, 1, 1},      // the same, two agents: the cap sees enough
-		{1000, 150, 1, 1}, // rare: its server keeps it warm
+		{1000, 150, 1, 1}, // rare: its endpoint keeps it warm
 	} {
 		set := testSettings()
 		set.Replicas = c.agents
@@ -111,8 +110,8 @@
 	}
 }
 
-// A quiet agent of many met each of hundreds of servers once a minute. It keeps
-// to a subset it meets often; agents' subsets differ, so that each server has its share;
+// A quiet agent of many met each of hundreds of endpoints once a minute. It keeps
+// to a subset it meets often; agents' subsets differ, so that each endpoint has its share;
 // a busy agent uses the whole fleet, and what is down in the subset is replaced.
 func TestQuietAgentsKeepToASubset(t *testing.T) {
 	for _, c := range []struct {
@@ -130,7 +129,7 @@
 			used := map[Addr]bool{}
 			for range 300 {
 				r.now += c.gap
-				r.b.endpoints.all[0].health.since = r.now // stays Unhealthy
+				r.b.endpoints.all[0].health.since = r.now // stays unhealthy
 				id, s := r.sent(0, r.b.rng.Uint64())
 				r.outcome(id, 0, s, StatusOK, 3)
 				if used[s] = true; s == r.b.endpoints.all[0].id {
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// classPlay is one agent whose requests come faster than its servers answer them: each server
+// classPlay is one agent whose requests come faster than its endpoints answer them: each endpoint
 // answers one at a time, after answerMs.
 type classPlay struct {
 	t        *testing.T
@@ -17,10 +17,10 @@
 	next     RequestID
 	class    map[RequestID]int
 	tries    map[RequestID]int
-	free     map[Addr]float64 // when each server has answered all that it was sent
+	free     map[Addr]float64 // when each endpoint has answered all that it was sent
 	answerMs float64
 	asked    []int
-	served   []int // within the aim
+	served   []int // within the latency objective
 }
 
 func newClassPlay(t *testing.T, set Settings, servers int, seed uint64) *classPlay {
@@ -62,7 +62,7 @@
 }
 
 // play asks perMs requests a ms for so long, of classes drawn alike, and counts what is asked
-// and served within the aim.
+// and served within the latency objective.
 func (p *classPlay) play(perMs, ms float64) {
 	p.asked, p.served = make([]int, len(p.b.classes.all)), make([]int, len(p.b.classes.all))
 	end := p.now + ms
@@ -89,12 +89,13 @@
 	}
 }
 
-// share is the part of a class's requests that was served within its aim.
+// share is the part of a class's requests that was served within its latency objective.
 func (p *classPlay) share(class int) float64 {
 	return float64(p.served[class]) / float64(p.asked[class])
 }
 
-// twoClasses are settings of two classes of equal worth, the first with the shorter aim.
+// twoClasses are settings of two classes of equal worth, the first with the shorter latency
+// objective.
 func twoClasses(worth float64) Settings {
 	set := testSettings()
 	set.Classes = []Class{
@@ -106,8 +107,8 @@
 	return set
 }
 
-// A class whose answers were late while the servers were slow is served again as soon as they
-// are quick. Half as much again is asked as the servers can answer, so something is always held.
+// A class whose answers were late while the endpoints were slow is served again as soon as they
+// are quick. Half as much again is asked as the endpoints can answer, so something is always queued.
 func TestClassIsServedAgainAfterLateAnswers(t *testing.T) {
 	for _, worth := range []float64{1, 5} {
 		for _, seed := range []uint64{1, 2, 3} {
@@ -176,7 +177,7 @@
 	}
 }
 
-// Unanswered attempts are taken into what is expected, and yet a third of the servers that
+// Unanswered attempts are taken into what is expected, and yet a third of the endpoints that
 // answer nothing does not make a class seem late that the others answer at once.
 func TestUnansweredAttemptsCountInExpectedTime(t *testing.T) {
 	expect := func(unanswered int) float64 {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// coldRig is an agent that has met no warm server: all it has listed have just started.
-func coldRig(t *testing.T, replicas, servers int) *rig {
+// coldRig is an agent that has met no warm endpoint: all it has listed have just started.
+func warmingRig(t *testing.T, replicas, servers int) *rig {
 	t.Helper()
 	set := testSettings()
 	set.Replicas = replicas
@@ -19,9 +19,9 @@
 	return r
 }
 
-// An agent that has met no warm server sends a cold one an attempt at a time, not none.
+// An agent that has met no warm endpoint sends a warming one an attempt at a time, not none.
 func TestColdServersAloneGetOneAttemptAtATime(t *testing.T) {
-	r := coldRig(t, 1, 3)
+	r := warmingRig(t, 1, 3)
 	id, s := r.sent(0, 0)
 	r.now += 20
 	r.outcome(id, 0, s, StatusOK, 20)
@@ -39,17 +39,19 @@
 	}
 }
 
-// Until the first answer such agents take turns by the aim, so that all together have no more
-// out than their limit, two a server, though nothing tells yet how long an attempt takes.
-func TestColdServersAloneArePacedUntilTheFirstAnswer(t *testing.T) {
-	r := coldRig(t, 40, 10) // half an attempt for each agent
+// Until the first answer such agents take turns by the latency objective, so that all together have
+// no more out than their limit, two an endpoint, though nothing tells yet how long an attempt
+// takes.
+func TestWarmingEndpointsAloneArePacedUntilTheFirstAnswer(t *testing.T) {
+	r := warmingRig(t, 40, 10) // half an attempt for each agent
 	id, s := r.sent(0, 0)
 	began := r.now
 	r.now += 10
 	actions := r.outcome(id, 0, s, StatusRejected, 10)
 	contract := testSettings().Contract
 	for r.now < began+1200 {
-		// The aim of 300 ms for half an attempt, and longer where the contract allows less.
+		// The latency objective of 300 ms for half an attempt, and longer where the contract allows
+		// less.
 		ramp := contract.SlowStartFrom + (1-contract.SlowStartFrom)*(r.now-began)/contract.SlowStartMs
 		wait := 600 / min(contract.OverloadMultiple*ramp, 1)
 		turn := r.now >= began+wait
@@ -68,7 +70,7 @@
 	t.Error("nothing was sent in its turn")
 }
 
-// A cold server gets no more than its share by ramp, even after a quiet time.
+// A warming endpoint gets no more than its share by capacity, even after a quiet time.
 func TestColdServerBudget(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
 	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now - 10})
@@ -87,9 +89,9 @@
 	}
 }
 
-// Attempts that warm servers turned away were counted as what they take, and
-// a storm of them let the agents push cold servers over.
-func TestTurnedAwayAttemptsEarnNoColdCredit(t *testing.T) {
+// Attempts that warm endpoints rejected earn no allowance: a burst of them would let the agents
+// overload those that are warming up.
+func TestRejectedAttemptsEarnNoAllowance(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	cold := r.b.endpoints.byAddr[addr(4)]
@@ -103,8 +105,9 @@
 	}
 }
 
-// 69 requests hinted as ten mean ones pushed a cold server over.
-func TestColdServerIsChargedForCostlyRequests(t *testing.T) {
+// A request hinted as many mean ones costs as much of the allowance: a burst of such requests would
+// overload an endpoint that is warming up.
+func TestAllowanceIsChargedForCostlyRequests(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	r.b.latency.hints.mean = 50
 	if c := r.b.latency.hints.cost(&request{hint: 1}); c != 1 {
@@ -115,7 +118,7 @@
 	}
 }
 
-// Many quiet agents: each earns a cold server a small part of one request. Together
+// Many quiet agents: each earns a warming endpoint a small part of one request. Together
 // they are to send it what the parts add up to: neither nothing nor one each.
 func TestManyQuietAgentsShareAColdServersCredit(t *testing.T) {
 	got, agents, each := 0, 400, 20
@@ -146,8 +149,8 @@
 	}
 }
 
-// A zone was lost and only cold servers were left.
-func TestColdServersServeWhenTheWarmOnesFailed(t *testing.T) {
+// Where a zone is lost and only endpoints that are warming up are left, these serve.
+func TestWarmingEndpointsServeWhenTheWarmOnesFailed(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
 		r.now += 10
@@ -164,8 +167,9 @@
 	}
 }
 
-// Servers came back from silence cold, before the list told.
-func TestReturnFromSilenceIsRamped(t *testing.T) {
+// An endpoint that comes back after no connect reached it for long may be a new process that the list
+// does not tell yet: it gets slow start.
+func TestReturnFromSilenceGetsSlowStart(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id, s := r.sent(0, 9)
 	r.outcome(id, 0, s, StatusConnectFailed, 100)
@@ -187,8 +191,8 @@
 }
 
 // The fleet doubled, and quiet agents, each sending to a subset, earned the new
-// servers the credit of a whole fleet's share: they idled while the old ones were crowded.
-func TestColdCreditIsReckonedByTheSubset(t *testing.T) {
+// endpoints the allowance of a whole fleet's share: they idled while the old ones were crowded.
+func TestAllowanceIsReckonedByTheSubset(t *testing.T) {
 	earned := func(keepalive float64) float64 {
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepalive, 0.1
@@ -204,9 +208,10 @@
 	}
 }
 
-// Of many agents that are told of servers that are all cold, each makes its first attempt in its
-// own turn: together they send no more than two attempts a server in the aim, and of a cold server what the
-// contract allows it of that, however many of them are asked at once.
+// Of many agents that are notified of endpoints that are all warming up, each makes its first
+// attempt in its own turn: together they send no more than two attempts an endpoint in the latency
+// objective, and of a warming endpoint what the contract allows it of that, however many of them
+// are asked at once.
 func TestFirstAttemptsAtColdServersTakeTurns(t *testing.T) {
 	const agents, servers = 900, 20
 	first := map[int]int{} // agents by the second of their first attempt
@@ -233,8 +238,9 @@
 			waits++
 		}
 	}
-	// Two a server in the aim of 300 ms are 133 a second, of which the contract allows so many of
-	// servers that began at 0.1 of their capacity: in all 0.57, 0.84 and 1 of it after each second.
+	// Two an endpoint in the latency objective of 300 ms are 133 a second, of which the contract
+	// allows so many of endpoints that began at 0.1 of their capacity: in all 0.57, 0.84 and 1 of
+	// it after each second.
 	for second, most := range []int{80, 155, 200} {
 		if n := first[second]; n > most || n == 0 {
 			t.Errorf("second %d: %d agents of %d made their first attempt, at most %d may", second, n, agents, most)
@@ -262,15 +268,15 @@
 	}
 }
 
-// Where the settings tell no multiple, nothing falls by it: turns go by the aim alone, and an
-// agent is not kept from cold servers for their whole cold time.
+// Where the settings tell no multiple, nothing falls by it: turns go by the latency objective
+// alone, and an agent is not kept from warming endpoints for their whole slow start time.
 func TestFirstAttemptWithoutAMultiple(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.Index, set.Contract.OverloadMultiple = 10, 9, 0
 	r := newRig(t, set, 0)
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now},
 		Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
-	for range 15 { // two of ten may have one out in the aim of 300 ms
+	for range 15 { // two of ten may have one out in the latency objective of 300 ms
 		r.now += 100
 		if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
 			return
@@ -279,7 +285,7 @@
 	t.Error("nothing was sent within five times the aim")
 }
 
-// An error in a server's age within the tolerance makes it count as ageErrorFactor times what it
+// An error in an endpoint's age within the tolerance makes it count as ageErrorFactor times what it
 // can do at most, at any age, and never as warm before its time by more than the tolerance.
 func TestStartToleranceBoundsTheCapacity(t *testing.T) {
 	for _, c := range []Contract{
--- a/policy/stalled_test.go
+++ b/policy/stalled_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Hung servers stay Connected in the source's scheme; silence demotes them.
-func TestHungServerIsLeft(t *testing.T) {
+// A hung endpoint gives no outcome that would eject it; its silence does.
+func TestHungEndpointIsEjected(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 { // learn what an answer takes
 		id, s := r.sent(0, uint64(r.b.rng.Int64()))
@@ -19,9 +19,9 @@
 	t.Error("a server that answers nothing for 300 ms was not demoted")
 }
 
-// Attempts on servers that fell silent must not take the agent's whole limit up to their
-// deadlines, where the settings allow no cancelling either: the servers that live idle then.
-func TestStuckAttemptsLeaveTheLimit(t *testing.T) {
+// Attempts at endpoints that fell silent must not take the agent's whole limit up to their
+// deadlines, where the settings allow no cancelling either: the endpoints that live idle then.
+func TestStalledAttemptsLeaveTheLimit(t *testing.T) {
 	set := testSettings()
 	set.Limits.Cancellation = false
 	r := quick(t, set, 3)
@@ -59,10 +59,10 @@
 	}
 }
 
-// What may be repeated is called off on a silent server and goes elsewhere while there is
+// What may be repeated is cancelled at a silent endpoint and goes elsewhere while there is
 // time; what may not is waited for as long as its answer is worth anything, and then answered
 // at once.
-func TestSilentServersAttempts(t *testing.T) {
+func TestAttemptsAtSilentEndpoints(t *testing.T) {
 	r := quick(t, testSettings(), 6)
 	id, s := r.sent(0, 5)
 	var off *Action
--- a/policy/unserved_test.go
+++ b/policy/unserved_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // The client's retry of a hopeless request is judged by the client's time, also where retries
-// are not marked; a request with another key has its whole aim.
+// are not marked; a request with another key has its whole latency objective.
 func TestRetryKeepsTheClientsTime(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		set := testSettings()
