--- a/policy/admission.go
+++ b/policy/admission.go
@@ -30,6 +30,7 @@
 	unserved []unservedRequest
 }
 
+// newAdmissionQueue gives an empty queue that asks the components given.
 func newAdmissionQueue(env *environment, classes *classStats, quotas *quotaTracker,
 	latency *latencyTracker) admissionQueue {
 	return admissionQueue{environment: env, classes: classes, quotas: quotas, latency: latency,
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,7 +3,6 @@
 package policy
 
 import (
-	"math"
 	"math/rand/v2"
 )
 
@@ -132,6 +131,7 @@
 	}
 }
 
+// onTimer does what a timer of the token was set for.
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
 	case timerWatch:
@@ -168,6 +168,3 @@
 // looked at so far: what a decision costs, without a clock. Its growth with the size of the
 // list can be tested where times can't.
 func (b *Balancer) Work() uint64 { return b.work }
-
-// never is a time before all others.
-var never = math.Inf(-1)
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -18,6 +18,7 @@
 	ready   int    // endpoints listed as ready
 }
 
+// newEndpointSet gives an empty set.
 func newEndpointSet(env *environment) endpointSet {
 	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
 }
@@ -127,18 +128,21 @@
 // orderedEndpoints is a set of endpoints in the agent's own order.
 type orderedEndpoints []*endpoint
 
+// find gives the index at which an endpoint is or belongs, and whether it is there.
 func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
 	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
 		return cmp.Compare(x.order, y.order)
 	})
 }
 
+// insert adds an endpoint that is not in the set yet.
 func (o *orderedEndpoints) insert(endpoint *endpoint) {
 	if i, found := o.find(endpoint); !found {
 		*o = slices.Insert(*o, i, endpoint)
 	}
 }
 
+// remove takes out an endpoint that is in the set.
 func (o *orderedEndpoints) remove(endpoint *endpoint) {
 	if i, found := o.find(endpoint); found {
 		*o = slices.Delete(*o, i, i+1)
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -36,6 +36,7 @@
 	shortWatches int     // watches in a row that ended as soon as they had notified
 }
 
+// newWatchScheduler gives a scheduler that has never fetched the list.
 func newWatchScheduler(env *environment) watchScheduler {
 	return watchScheduler{environment: env, fetchedAt: never}
 }
@@ -109,6 +110,7 @@
 	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
 }
 
+// watchAfter sets the time of the next call that watches the list.
 func (w *watchScheduler) watchAfter(delayMs float64) {
 	w.do(Action{Kind: ActionTimer, DelayMs: delayMs, Token: timerWatch})
 }
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -20,6 +20,7 @@
 	remoteLatency float64
 }
 
+// newZoneWeights gives the local zone its least weight.
 func newZoneWeights() zoneWeights { return zoneWeights{weight: minLocalZoneWeight} }
 
 // observe takes an answer time, as a part of the objective. Where crossing has a price the local
@@ -44,6 +45,7 @@
 	kind        [256]struct{ latency, weight float64 }
 }
 
+// newMachineKindWeights gives all kinds a weight of 1.
 func newMachineKindWeights() machineKindWeights {
 	weights := machineKindWeights{}
 	for i := range weights.kind {
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -2,9 +2,14 @@
 
 package policy
 
+import "math"
+
 // maxFinite is the largest number taken from outside: it leaves room for sums and squares.
 const maxFinite = 1e15
 
+// never is a time before all others, in ms.
+var never = math.Inf(-1)
+
 // ewma moves an exponentially weighted moving average towards a sample; the first sample is taken
 // whole. 0 stands for no sample yet.
 func ewma(average, sample, weight float64) float64 {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -11,6 +11,7 @@
 	usage []float64 // by tenant, over about the last 500 requests
 }
 
+// newQuotaTracker gives a tracker of the tenants that the settings name, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
 	return quotaTracker{environment: env, usage: make([]float64, len(env.set.Tenants))}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -46,6 +46,7 @@
 	kinds      machineKindWeights
 }
 
+// newSelector gives a selector that has learnt nothing; the components that it asks are set after.
 func newSelector(env *environment) selector {
 	return selector{environment: env, recentKeys: keyCounter{count: map[uint64]int{}},
 		zones: newZoneWeights(), kinds: newMachineKindWeights()}
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -78,6 +78,7 @@
 	longestDeadlineMs   float64
 }
 
+// newClassStats gives the classes of the settings.
 func newClassStats(env *environment) classStats {
 	c := classStats{environment: env}
 	c.reset()
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -113,6 +113,7 @@
 	return snapshot
 }
 
+// classSnapshots describes the classes, in the order of the settings.
 func (b *Balancer) classSnapshots() []ClassSnapshot {
 	queued := map[*class]int{}
 	for _, request := range b.queue.queued {
