--- a/policy/selection.go
+++ b/policy/selection.go
@@ -147,8 +147,11 @@
 	if !endpoint.windowOpen(s.now) {
 		return false
 	}
+	if s.capacityFraction(endpoint) == 1 {
+		return true
+	}
 	cost := s.latency.hints.cost(request)
-	if s.capacityFraction(endpoint) == 1 || endpoint.slowStart.allowance >= cost {
+	if endpoint.slowStart.allowance >= cost {
 		return true
 	}
 	if s.slowStart.warmWeight() > 0 {
