--- a/policy/abandoned_test.go
+++ b/policy/abandoned_test.go
@@ -14,18 +14,18 @@
 		set.Limits.Cancellation = cancelling
 		r := quick(t, set, 3)
 		r.b.limiter.abandoned.sojourn = 2000
-		id, s := r.sent(1, 5)
+		id, server := r.sent(1, 5)
 		r.now += 600
-		r.outcome(id, 0, s, StatusTimeout, 600)
+		r.outcome(id, 0, server, StatusTimeout, 600)
 		if want := map[bool]int{false: 1, true: 0}[cancelling]; len(r.b.limiter.abandoned.all) != want {
 			t.Fatalf("cancelling %v: %d abandoned, want %d", cancelling, len(r.b.limiter.abandoned.all), want)
 		}
 		if cancelling {
 			continue
 		}
-		srv := r.b.endpoints.byAddr[s]
-		if srv.traffic.abandoned != 1 {
-			t.Fatalf("its server holds %d abandoned", srv.traffic.abandoned)
+		target := r.b.endpoints.byAddr[server]
+		if target.traffic.abandoned != 1 {
+			t.Fatalf("its server holds %d abandoned", target.traffic.abandoned)
 		}
 		limit := r.b.limiter.floor() * r.b.limiter.scale
 		r.b.limiter.inFlight = int(math.Ceil(limit)) - 1
@@ -33,29 +33,29 @@
 			t.Error("it does not count in the limit")
 		}
 		r.b.limiter.inFlight = 0
-		srv.traffic.answeredSentAt = r.now - 601
-		if r.b.limiter.abandoned.settle(r.now); srv.traffic.abandoned != 1 {
+		target.traffic.answeredSentAt = r.now - 601
+		if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 1 {
 			t.Error("over by an answer to what was sent before it")
 		}
-		srv.traffic.answeredSentAt = r.now - 599
-		if r.b.limiter.abandoned.settle(r.now); srv.traffic.abandoned != 0 || len(r.b.limiter.abandoned.all) != 0 {
+		target.traffic.answeredSentAt = r.now - 599
+		if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 0 || len(r.b.limiter.abandoned.all) != 0 {
 			t.Error("not over by an answer to what was sent after it")
 		}
 	}
 	r := quick(t, testSettings(), 1)
-	s := r.b.endpoints.all[0]
-	add := func() { r.b.limiter.abandoned.add(&attempt{endpoint: s, sentAt: r.now - 600}) }
-	r.b.limiter.abandoned.sojourn, s.traffic.answeredSentAt = 1000, 0
+	target := r.b.endpoints.all[0]
+	add := func() { r.b.limiter.abandoned.add(&attempt{endpoint: target, sentAt: r.now - 600}) }
+	r.b.limiter.abandoned.sojourn, target.traffic.answeredSentAt = 1000, 0
 	add()
-	if r.b.limiter.abandoned.settle(r.now); s.traffic.abandoned != 1 {
+	if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 1 {
 		t.Error("over too early")
 	}
-	if r.b.limiter.abandoned.settle(r.now + 401); s.traffic.abandoned != 0 {
+	if r.b.limiter.abandoned.settle(r.now + 401); target.traffic.abandoned != 0 {
 		t.Error("counts for ever")
 	}
 	add()
-	s.usable = false
-	if r.b.limiter.abandoned.settle(r.now); s.traffic.abandoned != 0 {
+	target.usable = false
+	if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 0 {
 		t.Error("counts on a server that is gone")
 	}
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -30,8 +30,8 @@
 	sent, refused := 0, 0
 	for range 10 {
 		_, actions := r.ask(0, 0)
-		for _, a := range actions {
-			switch a.Kind {
+		for _, action := range actions {
+			switch action.Kind {
 			case ActionSend:
 				sent++
 			case ActionReject:
@@ -69,14 +69,14 @@
 func TestLateAttemptsAreCancelledInAShortage(t *testing.T) {
 	r, out, held := lateRig(t, testSettings(), 0)
 	actions := r.tick(20)
-	if a := find(actions, ActionReject); a == nil || a.Request != out {
+	if action := find(actions, ActionReject); action == nil || action.Request != out {
 		t.Fatalf("its request was not answered: %+v", actions)
 	}
-	if a := find(actions, ActionCancel); a == nil || a.Request != out {
+	if action := find(actions, ActionCancel); action == nil || action.Request != out {
 		t.Fatalf("not called off: %+v", actions)
 	}
-	if a := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].endpoint.id, StatusCancelled, 310), ActionSend); a == nil || a.Request != held {
-		t.Errorf("its place was not taken: %+v", a)
+	if action := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].endpoint.id, StatusCancelled, 310), ActionSend); action == nil || action.Request != held {
+		t.Errorf("its place was not taken: %+v", action)
 	}
 	worth := testSettings()
 	worth.Classes[0].LateWeight = 0.5
@@ -88,15 +88,15 @@
 	}{"single shot": {testSettings(), 1}, "guarded in a cell": {testSettings(), 2}, "worth something late": {worth, 0},
 		"cancelling not allowed": {forbidden, 0}} {
 		r, out, _ := lateRig(t, c.set, c.class)
-		for _, a := range r.tick(20) {
-			if a.Request == out && a.Kind != ActionTimer {
-				t.Errorf("%s: %+v", name, a)
+		for _, action := range r.tick(20) {
+			if action.Request == out && action.Kind != ActionTimer {
+				t.Errorf("%s: %+v", name, action)
 			}
 		}
 	}
 	r, _, held = lateRig(t, testSettings(), 0)
 	r.do(Event{Kind: EventClientGone, Request: held})
-	if a := find(r.tick(20), ActionCancel); a != nil {
-		t.Errorf("called off with nobody waiting: %+v", a)
+	if action := find(r.tick(20), ActionCancel); action != nil {
+		t.Errorf("called off with nobody waiting: %+v", action)
 	}
 }
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -17,10 +17,10 @@
 		closed := 0
 		for i := range 400 {
 			r.now += 20
-			id, s := r.sent(0, r.b.rng.Uint64())
-			if a := find(r.outcome(id, 0, s, StatusOK, 10), ActionCloseIdle); a != nil && i >= 200 {
-				if closed++; a.Server != s {
-					t.Fatalf("closed %v, want the idle %v", a.Server, s)
+			id, server := r.sent(0, r.b.rng.Uint64())
+			if action := find(r.outcome(id, 0, server, StatusOK, 10), ActionCloseIdle); action != nil && i >= 200 {
+				if closed++; action.Server != server {
+					t.Fatalf("closed %v, want the idle %v", action.Server, server)
 				}
 			}
 		}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -20,12 +20,12 @@
 		}()
 		r.ask(1, 0)
 	}()
-	a := find(r.b.Decided(), ActionSend)
-	if a == nil || a.Request != r.id || r.b.limiter.inFlight != 1 {
+	action := find(r.b.Decided(), ActionSend)
+	if action == nil || action.Request != r.id || r.b.limiter.inFlight != 1 {
 		t.Fatalf("decided %+v with %d in flight", r.b.Decided(), r.b.limiter.inFlight)
 	}
 	r.b.queue.queued = nil
-	r.outcome(a.Request, 0, a.Server, StatusOK, 20)
+	r.outcome(action.Request, 0, action.Server, StatusOK, 20)
 	if r.b.limiter.inFlight != 0 || len(r.b.queue.open) != 0 {
 		t.Errorf("%d in flight, %d requests left", r.b.limiter.inFlight, len(r.b.queue.open))
 	}
@@ -47,9 +47,9 @@
 	b.Start(now, nil)
 	list := []Entry{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: HealthReady, Weight: 1}}
 	b.Handle(now, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil)
-	for _, a := range b.Handle(now, &Event{Kind: EventRequest, Request: 1, Key: 7, TimeLeftMs: 800}, nil) {
-		if a.Kind == ActionSend {
-			fmt.Println("send request", a.Request, "to", a.Server)
+	for _, action := range b.Handle(now, &Event{Kind: EventRequest, Request: 1, Key: 7, TimeLeftMs: 800}, nil) {
+		if action.Kind == ActionSend {
+			fmt.Println("send request", action.Request, "to", action.Server)
 		}
 	}
 	// Output: send request 1 to [10 0 0 1 31 144]
@@ -62,9 +62,9 @@
 	r.list(ListDelta, Entry{Server: addr(9), Health: HealthGone}, Entry{Server: addr(1), Health: HealthDraining})
 	final := map[RequestID]int{}
 	count := func(actions []Action) {
-		for _, a := range actions {
-			if a.Kind == ActionReject || a.Kind == ActionFail {
-				final[a.Request]++
+		for _, action := range actions {
+			if action.Kind == ActionReject || action.Kind == ActionFail {
+				final[action.Request]++
 			}
 		}
 	}
@@ -74,13 +74,13 @@
 			r.id++
 			actions := r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, TimeLeftMs: x, HintMs: x, HasHint: true})
 			count(actions)
-			if a := find(actions, ActionSend); a != nil {
+			if action := find(actions, ActionSend); action != nil {
 				r.now++
-				st := []Status{StatusOK, StatusServerError, StatusTimeout}[i%3]
-				final[r.id] += map[Status]int{StatusOK: 1}[st]
-				count(r.outcome(r.id, 0, a.Server, st, x))
-				count(r.outcome(r.id, 0, a.Server, st, x))
-				count(r.outcome(r.id, -1, a.Server, st, x))
+				status := []Status{StatusOK, StatusServerError, StatusTimeout}[i%3]
+				final[r.id] += map[Status]int{StatusOK: 1}[status]
+				count(r.outcome(r.id, 0, action.Server, status, x))
+				count(r.outcome(r.id, 0, action.Server, status, x))
+				count(r.outcome(r.id, -1, action.Server, status, x))
 			}
 		}
 	}
@@ -118,18 +118,18 @@
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
 			finals, actions := 0, r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 3, TimeLeftMs: left})
-			a := find(actions, ActionSend)
-			if (a != nil) != (left > 0) {
-				t.Fatalf("clock %v, %v ms left: sent %v", start, left, a != nil)
+			action := find(actions, ActionSend)
+			if (action != nil) != (left > 0) {
+				t.Fatalf("clock %v, %v ms left: sent %v", start, left, action != nil)
 			}
-			if a != nil {
+			if action != nil {
 				r.now += 20
-				r.outcome(r.id, 0, a.Server, StatusOK, 20)
+				r.outcome(r.id, 0, action.Server, StatusOK, 20)
 				finals++
 			}
 			for range 3 {
-				for _, a := range append(actions, r.tick(10)...) {
-					if a.Request == r.id && (a.Kind == ActionReject || a.Kind == ActionFail) {
+				for _, action := range append(actions, r.tick(10)...) {
+					if action.Request == r.id && (action.Kind == ActionReject || action.Kind == ActionFail) {
 						finals++
 					}
 				}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -33,9 +33,9 @@
 	r := quick(t, testSettings(), 30)
 	least := minAttemptsPerEndpoint / attemptsPerEndpoint
 	for range 100 {
-		id, s := r.sent(0, 0)
+		id, server := r.sent(0, 0)
 		r.now += 500
-		r.outcome(id, 0, s, StatusOK, 500)
+		r.outcome(id, 0, server, StatusOK, 500)
 	}
 	if r.b.limiter.scale != least {
 		t.Errorf("%v times its part, want %v", r.b.limiter.scale, least)
@@ -121,22 +121,22 @@
 	tries := map[RequestID]int{}
 	begin := fleetStart
 	do := func(now float64, actions []Action) {
-		for _, a := range actions {
+		for _, action := range actions {
 			counts := now-begin >= warmUp
-			switch a.Kind {
+			switch action.Kind {
 			case ActionSend:
-				if counts && tries[a.Request] == 0 {
-					held = append(held, now-cameAt[a.Request])
+				if counts && tries[action.Request] == 0 {
+					held = append(held, now-cameAt[action.Request])
 				}
-				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: a.Request, Attempt: tries[a.Request],
-					Server: a.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
-				tries[a.Request]++
+				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: action.Request, Attempt: tries[action.Request],
+					Server: action.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
+				tries[action.Request]++
 			case ActionReject, ActionFail:
 				if counts {
 					refused++
 				}
 			case ActionTimer:
-				heap.Push(&todo, due{now + a.DelayMs, Event{Kind: EventTimer, Token: a.Token}})
+				heap.Push(&todo, due{now + action.DelayMs, Event{Kind: EventTimer, Token: action.Token}})
 			}
 		}
 	}
@@ -174,9 +174,9 @@
 	set.Tenants = []Tenant{{Name: "a", QuotaShare: 1, QuotaPerS: 0.9 * servers * 1000 / work}}
 	r := newRig(t, set, servers)
 	for range 400 {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 3.5*work)
+		r.outcome(id, 0, server, StatusOK, 3.5*work)
 	}
 	want := attemptsPerEndpoint * servers * r.b.traffic.perMs() / (set.Tenants[0].QuotaPerS / 1000)
 	if got := r.b.limiter.floor(); !near(got, max(want, 1)) {
@@ -192,9 +192,9 @@
 	r.now += 60000 // alone for long: the floor is the settings'
 	limit := func() float64 { return r.b.limiter.floor() * r.b.limiter.scale }
 	answer := func(took float64) {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 60000
-		r.outcome(id, 0, s, StatusOK, took)
+		r.outcome(id, 0, server, StatusOK, took)
 	}
 	floor := limit()
 	if floor > 0.02 {
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -10,19 +10,19 @@
 	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 	r.list(ListDelta, Entry{Server: addr(0), Health: HealthDraining, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
-		if s == addr(0) {
+		id, server := r.sent(0, key+1)
+		if server == addr(0) {
 			t.Fatal("sent to a draining server")
 		}
-		r.outcome(id, 0, s, StatusOK, 20)
+		r.outcome(id, 0, server, StatusOK, 20)
 	}
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1})
 	for key := range uint64(20) {
-		id, s := r.sent(0, key+1)
-		if s == addr(1) {
+		id, server := r.sent(0, key+1)
+		if server == addr(1) {
 			t.Fatal("sent to a server that left the list")
 		}
-		r.outcome(id, 0, s, StatusOK, 20)
+		r.outcome(id, 0, server, StatusOK, 20)
 	}
 }
 
@@ -30,9 +30,9 @@
 	r := newRig(t, testSettings(), 0)
 	id, actions := r.ask(1, 1)
 	for range 130 {
-		if a := find(actions, ActionReject); a != nil {
-			if a.Request != id {
-				t.Fatalf("refused %d, want %d", a.Request, id)
+		if action := find(actions, ActionReject); action != nil {
+			if action.Request != id {
+				t.Fatalf("refused %d, want %d", action.Request, id)
 			}
 			return
 		}
@@ -51,7 +51,7 @@
 	b.Handle(1, &Event{Kind: EventRequest, Request: 1, Class: 0, Key: 5, TimeLeftMs: 600}, nil)
 	b.Handle(2, &Event{Kind: EventTimer, Token: timerTick}, nil)
 	list := []Entry{{Server: addr(1), Health: HealthReady, Weight: 1}}
-	if a := find(b.Handle(3, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil), ActionSend); a == nil || a.Request != 1 {
+	if action := find(b.Handle(3, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil), ActionSend); action == nil || action.Request != 1 {
 		t.Error("the request was not sent once there was a list")
 	}
 }
@@ -62,27 +62,27 @@
 	w.t.Helper()
 	b := w.b
 	same := func(name string, set orderedEndpoints, belongs func(*endpoint) bool) {
-		want := slices.DeleteFunc(slices.Clone(b.endpoints.all), func(s *endpoint) bool { return !belongs(s) })
+		want := slices.DeleteFunc(slices.Clone(b.endpoints.all), func(target *endpoint) bool { return !belongs(target) })
 		if !slices.Equal(set, want) {
 			w.t.Fatalf("%s: %d servers, want %d in the list's order", name, len(set), len(want))
 		}
 	}
-	same("ejected", b.endpoints.ejected, func(s *endpoint) bool { return s.health.state > StateUnknown })
-	same("busy", b.endpoints.busy, func(s *endpoint) bool { return len(s.traffic.inFlight) > 0 })
+	same("ejected", b.endpoints.ejected, func(target *endpoint) bool { return target.health.state > StateUnknown })
+	same("busy", b.endpoints.busy, func(target *endpoint) bool { return len(target.traffic.inFlight) > 0 })
 	fresh, known := 0.0, b.slowStart.warmEpoch == b.endpoints.epoch && !b.slowStart.stale
-	for _, s := range b.endpoints.all {
-		if b.capacityFraction(s) < 1 && !slices.Contains(b.slowStart.warming, s) {
-			w.t.Fatalf("%v is cold and not among the cold ones", s.id)
+	for _, target := range b.endpoints.all {
+		if b.capacityFraction(target) < 1 && !slices.Contains(b.slowStart.warming, target) {
+			w.t.Fatalf("%v is cold and not among the cold ones", target.id)
 		}
-		if s.usable && s.health.state <= StateUnknown && b.capacityFraction(s) == 1 {
-			fresh += s.weight
+		if target.usable && target.health.state <= StateUnknown && b.capacityFraction(target) == 1 {
+			fresh += target.weight
 		}
 	}
-	for _, s := range b.slowStart.warming {
-		if b.endpoints.byAddr[s.id] != s {
-			w.t.Fatalf("%v is cold and no longer listed", s.id)
+	for _, target := range b.slowStart.warming {
+		if b.endpoints.byAddr[target.id] != target {
+			w.t.Fatalf("%v is cold and no longer listed", target.id)
 		}
-		known = known && b.capacityFraction(s) != 1
+		known = known && b.capacityFraction(target) != 1
 	}
 	if known && b.slowStart.warm != fresh {
 		w.t.Fatalf("warm weight %v, counted anew %v", b.slowStart.warm, fresh)
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -57,14 +57,14 @@
 			r.now += 100
 			id, actions := r.ask(0, 0)
 			for try, status := range []Status{StatusConnectFailed, StatusOK} { // at first, and then served
-				a := find(actions, ActionSend)
-				if a == nil {
+				action := find(actions, ActionSend)
+				if action == nil {
 					break
 				}
 				if status != StatusOK {
 					failed++
 				}
-				actions = r.outcome(id, try, a.Server, status, 1)
+				actions = r.outcome(id, try, action.Server, status, 1)
 				if find(actions, ActionFetch) != nil {
 					t.Fatalf("%s: fetches the list", mode)
 				}
@@ -128,11 +128,11 @@
 			}
 			b.Start(fleetStart, nil)
 			for failure := range 8 {
-				a := find(b.Handle(fleetStart, &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
-				if a == nil || a.DelayMs < 500 || a.DelayMs > set.Contract.PollWithinMs {
-					t.Fatalf("failure %d: asks again by %+v", failure, a)
+				action := find(b.Handle(fleetStart, &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
+				if action == nil || action.DelayMs < 500 || action.DelayMs > set.Contract.PollWithinMs {
+					t.Fatalf("failure %d: asks again by %+v", failure, action)
 				}
-				waits[a.DelayMs]++
+				waits[action.DelayMs]++
 			}
 		}
 	}
@@ -151,8 +151,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a := find(b.Start(fleetStart, nil), ActionTimer); a == nil || a.DelayMs >= set.Contract.PollWithinMs {
-			t.Errorf("agent %d of 1000 asks first by %+v", index, a)
+		if action := find(b.Start(fleetStart, nil), ActionTimer); action == nil || action.DelayMs >= set.Contract.PollWithinMs {
+			t.Errorf("agent %d of 1000 asks first by %+v", index, action)
 		}
 	}
 }
@@ -174,11 +174,11 @@
 // after tells the agent at now how its call went, and gives the wait before the next one.
 func after(t *testing.T, b *Balancer, now float64, how ListKind) float64 {
 	t.Helper()
-	a := find(b.Handle(now, &Event{Kind: EventEndpointList, List: how}, nil), ActionTimer)
-	if a == nil || a.Token != timerWatch {
-		t.Fatalf("no call follows: %+v", a)
+	action := find(b.Handle(now, &Event{Kind: EventEndpointList, List: how}, nil), ActionTimer)
+	if action == nil || action.Token != timerWatch {
+		t.Fatalf("no call follows: %+v", action)
 	}
-	return a.DelayMs
+	return action.DelayMs
 }
 
 // call lets the agent make its next call at now.
@@ -256,8 +256,8 @@
 					t.Fatal(err)
 				}
 				now := 0.0
-				if a := find(b.Start(now, nil), ActionTimer); a == nil || a.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
-					t.Fatalf("agent %d of %d calls first by %+v", index, agents, a)
+				if action := find(b.Start(now, nil), ActionTimer); action == nil || action.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
+					t.Fatalf("agent %d of %d calls first by %+v", index, agents, action)
 				}
 				for failure := range 8 {
 					call(t, b, now)
@@ -300,9 +300,9 @@
 	}
 	b.Start(0, nil)
 	for i := range 50 {
-		a := find(b.Handle(float64(i), &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
-		if a == nil || a.Token != timerWatch || a.DelayMs > 500 {
-			t.Fatalf("after %d failed calls %+v", i+1, a)
+		action := find(b.Handle(float64(i), &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
+		if action == nil || action.Token != timerWatch || action.DelayMs > 500 {
+			t.Fatalf("after %d failed calls %+v", i+1, action)
 		}
 	}
 }
--- a/policy/endpoint_weights_test.go
+++ b/policy/endpoint_weights_test.go
@@ -12,13 +12,13 @@
 		own := 0
 		for range 400 {
 			r.now += 50
-			id, s := r.sent(0, r.b.rng.Uint64())
+			id, server := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.endpoints.byAddr[s].zone == 0 {
+			if r.b.endpoints.byAddr[server].zone == 0 {
 				own++
 				rtt = homeMs
 			}
-			r.outcome(id, 0, s, StatusOK, rtt)
+			r.outcome(id, 0, server, StatusOK, rtt)
 		}
 		return float64(own) / 400
 	}
@@ -47,15 +47,15 @@
 		slow := 0
 		for i := range 1200 {
 			r.now += 50
-			id, s := r.sent(0, r.b.rng.Uint64())
+			id, server := r.sent(0, r.b.rng.Uint64())
 			rtt := 20.0
-			if r.b.endpoints.byAddr[s].machineKind == 1 {
+			if r.b.endpoints.byAddr[server].machineKind == 1 {
 				rtt = 50
 				if i >= 600 {
 					slow++
 				}
 			}
-			r.outcome(id, 0, s, StatusOK, rtt)
+			r.outcome(id, 0, server, StatusOK, rtt)
 		}
 		if slow > 250 {
 			t.Errorf("weights %q: the slow half of the fleet got %d of 600 requests", weights, slow)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -56,8 +56,8 @@
 	return r.id, r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Key: key, TimeLeftMs: 600})
 }
 
-func (r *rig) outcome(id RequestID, try int, s Addr, st Status, rtt float64) []Action {
-	return r.do(Event{Kind: EventOutcome, Request: id, Attempt: try, Server: s, Status: st, LatencyMs: rtt, Final: st == StatusOK})
+func (r *rig) outcome(id RequestID, try int, server Addr, status Status, rtt float64) []Action {
+	return r.do(Event{Kind: EventOutcome, Request: id, Attempt: try, Server: server, Status: status, LatencyMs: rtt, Final: status == StatusOK})
 }
 
 func find(actions []Action, kind ActionKind) *Action {
@@ -73,11 +73,11 @@
 func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.ask(class, key)
-	a := find(actions, ActionSend)
-	if a == nil {
+	action := find(actions, ActionSend)
+	if action == nil {
 		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
 	}
-	return id, a.Server
+	return id, action.Server
 }
 
 // tick fires the running timer after ms.
@@ -100,12 +100,12 @@
 	t.Helper()
 	r := newRig(t, set, servers)
 	for range 300 {
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, server := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 10)
-		id, s = r.sent(1, uint64(r.b.rng.Int64()))
+		r.outcome(id, 0, server, StatusOK, 10)
+		id, server = r.sent(1, uint64(r.b.rng.Int64()))
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 10)
+		r.outcome(id, 0, server, StatusOK, 10)
 	}
 	r.b.limiter.scale = 1
 	return r
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -17,9 +17,9 @@
 			if i > 100 {
 				rtt = 60
 			}
-			id, s := r.sent(0, uint64(r.b.rng.Int64()))
+			id, server := r.sent(0, uint64(r.b.rng.Int64()))
 			r.now += rtt
-			r.outcome(id, 0, s, StatusOK, rtt)
+			r.outcome(id, 0, server, StatusOK, rtt)
 		}
 		if grown := r.b.latency.uncontended > 0.15; grown != (agents == 1) {
 			t.Errorf("%d agents: after 2400 answers in 0.2 of the aim, one at a time, calm is %.3f", agents, r.b.latency.uncontended)
@@ -55,9 +55,9 @@
 func TestACrowdAtTheStartIsNotTakenForUncontended(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range uncontendedSamples {
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, server := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 270
-		r.outcome(id, 0, s, StatusOK, 270)
+		r.outcome(id, 0, server, StatusOK, 270)
 	}
 	if r.b.latency.uncontended > crowdedFraction/2 {
 		t.Errorf("answers in 0.9 of the aim were taken for calm: %.2f", r.b.latency.uncontended)
@@ -69,26 +69,26 @@
 	set.Replicas = 20 // many: each sees little of the load
 	r := newRig(t, set, 1)
 	r.b.limiter.scale = 1e6 // the agent's own limit is not at issue
-	srv := r.b.endpoints.all[0]
+	target := r.b.endpoints.all[0]
 	for range 300 { // long enough to know the uncontended answer time
-		id, s := r.sent(0, 1)
+		id, server := r.sent(0, 1)
 		r.now += 20
-		r.outcome(id, 0, s, StatusOK, 20)
+		r.outcome(id, 0, server, StatusOK, 20)
 	}
-	grown := srv.window.size
+	grown := target.window.size
 	for range 200 {
 		if id, actions := r.ask(0, 1); find(actions, ActionSend) != nil {
 			r.now += 140
-			r.outcome(id, 0, srv.id, StatusOK, 140)
+			r.outcome(id, 0, target.id, StatusOK, 140)
 		}
 		r.now += 10
 	}
-	if srv.window.size >= grown {
-		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, srv.window.size)
+	if target.window.size >= grown {
+		t.Errorf("answers took seven times as long and the window went from %.2f to %.2f", grown, target.window.size)
 	}
 	// With many agents one attempt of each keeps an overloaded endpoint busy.
-	if srv.window.size >= 1 {
-		t.Errorf("a tipped server is not left to rest: window %.2f", srv.window.size)
+	if target.window.size >= 1 {
+		t.Errorf("a tipped server is not left to rest: window %.2f", target.window.size)
 	}
 }
 
@@ -97,10 +97,10 @@
 func TestNoWindowGrowsBeforeTheUncontendedLatencyIsKnown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range uncontendedSamples - 1 {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 20
-		r.outcome(id, 0, s, StatusOK, 20)
-		if w := r.b.endpoints.byAddr[s].window.size; w > initialWindow {
+		r.outcome(id, 0, server, StatusOK, 20)
+		if w := r.b.endpoints.byAddr[server].window.size; w > initialWindow {
 			t.Fatalf("window %.2f after %.0f answers", w, r.b.latency.answers)
 		}
 	}
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -16,19 +16,19 @@
 // carry answers each attempt at once: as the machine fails it, or OK.
 func (m *machine) carry(actions []Action) {
 	for len(actions) > 0 {
-		a := actions[0]
+		action := actions[0]
 		actions = actions[1:]
-		switch a.Kind {
+		switch action.Kind {
 		case ActionSend:
 			m.sent++
-			number := m.b.queue.open[a.Request].tries.sent - 1
+			number := m.b.queue.open[action.Request].tries.sent - 1
 			if m.now < m.until {
 				m.failed++
-				actions = append(actions, m.outcome(a.Request, number, a.Server, m.status, 0.1)...)
+				actions = append(actions, m.outcome(action.Request, number, action.Server, m.status, 0.1)...)
 				continue
 			}
-			m.servers[a.Server]++
-			actions = append(actions, m.outcome(a.Request, number, a.Server, StatusOK, 20)...)
+			m.servers[action.Server]++
+			actions = append(actions, m.outcome(action.Request, number, action.Server, StatusOK, 20)...)
 		case ActionReject, ActionFail:
 			m.refused++
 		}
@@ -79,9 +79,9 @@
 				t.Errorf("%d, %v ms: a retry budget of %v and a limit of %v times its floor are left",
 					status, ms, m.b.retries.tokens, m.b.limiter.scale)
 			}
-			for _, s := range m.b.endpoints.all {
-				if s.health.state > StateUnknown || s.health.unreachableAt != 0 || s.health.failureRate != 0 || s.health.consecutiveEjections != 0 || s.traffic.abandoned != 0 {
-					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, s.id, s)
+			for _, target := range m.b.endpoints.all {
+				if target.health.state > StateUnknown || target.health.unreachableAt != 0 || target.health.failureRate != 0 || target.health.consecutiveEjections != 0 || target.traffic.abandoned != 0 {
+					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, target.id, target)
 				}
 			}
 			if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
@@ -100,15 +100,15 @@
 		sends := 0
 		for range 200 {
 			for i := 0; i < len(actions); i++ {
-				switch a := actions[i]; a.Kind {
+				switch action := actions[i]; action.Kind {
 				case ActionSend:
-					actions = append(actions, r.outcome(id, sends, a.Server, StatusLocalFailure, 0.1)...)
+					actions = append(actions, r.outcome(id, sends, action.Server, StatusLocalFailure, 0.1)...)
 					sends++
 				case ActionFail:
 					t.Errorf("class %d: failed", class)
 				case ActionReject:
-					if a.DelayMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
-						t.Errorf("class %d: refused for %v ms after %d attempts", class, a.DelayMs, sends)
+					if action.DelayMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
+						t.Errorf("class %d: refused for %v ms after %d attempts", class, action.DelayMs, sends)
 					}
 					id = 0
 				}
@@ -130,20 +130,20 @@
 	r := newRig(t, testSettings(), 0)
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now - 100},
 		Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
-	s := r.b.endpoints.byAddr[addr(0)]
-	s.slowStart.allowance = 5
+	target := r.b.endpoints.byAddr[addr(0)]
+	target.slowStart.allowance = 5
 	id, _ := r.sent(1, 0)
-	if s.slowStart.allowance >= 5 {
+	if target.slowStart.allowance >= 5 {
 		t.Fatal("its slow start was charged nothing")
 	}
-	r.outcome(id, 0, s.id, StatusLocalFailure, 0.1)
-	if s.slowStart.allowance != 5 {
-		t.Errorf("a credit of %v is left of 5", s.slowStart.allowance)
+	r.outcome(id, 0, target.id, StatusLocalFailure, 0.1)
+	if target.slowStart.allowance != 5 {
+		t.Errorf("a credit of %v is left of 5", target.slowStart.allowance)
 	}
 	for range 10 {
-		if a := find(r.tick(5), ActionSend); a != nil {
-			if a.Server != s.id || a.Request != id {
-				t.Errorf("sent %+v", a)
+		if action := find(r.tick(5), ActionSend); action != nil {
+			if action.Server != target.id || action.Request != id {
+				t.Errorf("sent %+v", action)
 			}
 			return
 		}
@@ -154,8 +154,8 @@
 // A failure of long ago holds nothing back, though no trial was made since.
 func TestLocalFailureIsForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	id, s := r.sent(0, 0)
-	r.outcome(id, 0, s, StatusLocalFailure, 0.1)
+	id, server := r.sent(0, 0)
+	r.outcome(id, 0, server, StatusLocalFailure, 0.1)
 	r.do(Event{Kind: EventClientGone, Request: id})
 	r.now += 60000
 	r.sent(0, 0)
@@ -171,20 +171,20 @@
 		r.now += 3
 		id, actions := r.ask(0, 0)
 		for try := 0; ; try++ {
-			a := find(actions, ActionSend)
-			if a == nil {
+			action := find(actions, ActionSend)
+			if action == nil {
 				break
 			}
 			status := StatusOK
-			if lost[a.Server] {
+			if lost[action.Server] {
 				status = StatusUnreachable
 			}
-			actions = r.outcome(id, try, a.Server, status, 1)
+			actions = r.outcome(id, try, action.Server, status, 1)
 		}
 	}
-	for _, s := range r.b.endpoints.all {
-		if lost[s.id] != (s.health.state > StateUnknown) || lost[s.id] && s.health.unreachableAt == 0 {
-			t.Errorf("server %v, lost %v, is in state %d", s.id, lost[s.id], s.health.state)
+	for _, target := range r.b.endpoints.all {
+		if lost[target.id] != (target.health.state > StateUnknown) || lost[target.id] && target.health.unreachableAt == 0 {
+			t.Errorf("server %v, lost %v, is in state %d", target.id, lost[target.id], target.health.state)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 func TestTrialsAfterLocalFailure(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		m := playFailingMachine(t, StatusLocalFailure, 0, 0)
-		for _, s := range m.b.endpoints.all {
-			s.window.size = 1e6 // capacity is not at issue
+		for _, target := range m.b.endpoints.all {
+			target.window.size = 1e6 // capacity is not at issue
 		}
 		id, actions := m.long(0)
 		m.outcome(id, 0, find(actions, ActionSend).Server, StatusLocalFailure, 0.1)
@@ -209,10 +209,10 @@
 		out, allowed := 0, 1
 		for successes := 0; out < 101 && successes < 10; successes++ {
 			sent := 0
-			for _, a := range actions {
-				if a.Kind == ActionSend {
+			for _, action := range actions {
+				if action.Kind == ActionSend {
 					sent++
-					id = a.Request
+					id = action.Request
 				}
 			}
 			if out += sent; m.b.local.row > 0 && sent > allowed {
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -6,55 +6,55 @@
 	set := testSettings()
 	set.Replicas = 0 // the key stays whole
 	r := newRig(t, set, 4)
-	id, s := r.sent(0, 7)
-	srv := r.b.endpoints.byAddr[s]
-	if srv.health.state != StateUnknown {
-		t.Fatalf("a listed server starts in state %d, want Unknown", srv.health.state)
+	id, server := r.sent(0, 7)
+	target := r.b.endpoints.byAddr[server]
+	if target.health.state != StateUnknown {
+		t.Fatalf("a listed server starts in state %d, want Unknown", target.health.state)
 	}
 	r.now += 50
-	r.outcome(id, 0, s, StatusOK, 50)
-	if srv.health.state != StateConnected {
-		t.Fatalf("served: state %d, want Connected", srv.health.state)
+	r.outcome(id, 0, server, StatusOK, 50)
+	if target.health.state != StateConnected {
+		t.Fatalf("served: state %d, want Connected", target.health.state)
 	}
 	id, s2 := r.sent(0, 7)
-	if s2 != s {
-		t.Fatalf("key moved from %v to %v without a cause", s, s2)
+	if s2 != server {
+		t.Fatalf("key moved from %v to %v without a cause", server, s2)
 	}
-	actions := r.outcome(id, 0, s, StatusServerError, 5)
-	if srv.health.state != StateUnhealthy {
-		t.Fatalf("error: state %d, want Unhealthy", srv.health.state)
+	actions := r.outcome(id, 0, server, StatusServerError, 5)
+	if target.health.state != StateUnhealthy {
+		t.Fatalf("error: state %d, want Unhealthy", target.health.state)
 	}
 	if find(actions, ActionFetch) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
-	if a := find(actions, ActionSend); a == nil || a.Server == s {
+	if action := find(actions, ActionSend); action == nil || action.Server == server {
 		t.Errorf("the free request did not go on to another server: %+v", actions)
 	}
 	// While it is unhealthy its key goes elsewhere; after its hold the next
 	// request makes it pending, and a served answer Connected.
-	if _, s3 := r.sent(0, 7); s3 == s {
+	if _, s3 := r.sent(0, 7); s3 == server {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.outliers.ejectionTime(srv) + 1
+	r.now += r.b.outliers.ejectionTime(target) + 1
 	id, s4 := r.sent(0, 7)
-	if srv.health.state != StateUnhealthyPending || s4 != s {
-		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", srv.health.state, s4)
+	if target.health.state != StateUnhealthyPending || s4 != server {
+		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", target.health.state, s4)
 	}
 	r.now += 50
-	r.outcome(id, 0, s, StatusOK, 50)
-	if srv.health.state != StateConnected {
-		t.Fatalf("validated: state %d, want Connected", srv.health.state)
+	r.outcome(id, 0, server, StatusOK, 50)
+	if target.health.state != StateConnected {
+		t.Fatalf("validated: state %d, want Connected", target.health.state)
 	}
 }
 
 func TestRejectionEjectsNobody(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 7)
-	actions := r.outcome(id, 0, s, StatusRejected, 1)
-	if got := r.b.endpoints.byAddr[s].health.state; got == StateUnhealthy {
+	id, server := r.sent(1, 7)
+	actions := r.outcome(id, 0, server, StatusRejected, 1)
+	if got := r.b.endpoints.byAddr[server].health.state; got == StateUnhealthy {
 		t.Error("full demoted the server")
 	}
-	if a := find(actions, ActionSend); a == nil || a.Server == s {
+	if action := find(actions, ActionSend); action == nil || action.Server == server {
 		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
 	}
 }
@@ -63,24 +63,24 @@
 	set := testSettings()
 	set.Limits.HealthChecks = true
 	r := newRig(t, set, 3)
-	id, s := r.sent(0, 7)
-	r.outcome(id, 0, s, StatusServerError, 5)
-	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
+	id, server := r.sent(0, 7)
+	r.outcome(id, 0, server, StatusServerError, 5)
+	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
 	_, actions := r.ask(0, 7)
-	if p := find(actions, ActionHealthCheck); p == nil || p.Server != s {
+	if p := find(actions, ActionHealthCheck); p == nil || p.Server != server {
 		t.Fatalf("no probe of the pending server: %+v", actions)
 	}
-	if a := find(actions, ActionSend); a == nil || a.Server == s {
+	if action := find(actions, ActionSend); action == nil || action.Server == server {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusTimeout, LatencyMs: 100})
-	if r.b.endpoints.byAddr[s].health.state != StateUnhealthy {
+	r.do(Event{Kind: EventHealthChecked, Server: server, Status: StatusTimeout, LatencyMs: 100})
+	if r.b.endpoints.byAddr[server].health.state != StateUnhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s])
+	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
 	r.ask(0, 8)
-	r.do(Event{Kind: EventHealthChecked, Server: s, Status: StatusOK, LatencyMs: 5})
-	if r.b.endpoints.byAddr[s].health.state != StateConnected {
+	r.do(Event{Kind: EventHealthChecked, Server: server, Status: StatusOK, LatencyMs: 5})
+	if r.b.endpoints.byAddr[server].health.state != StateConnected {
 		t.Error("a good probe did not set Connected")
 	}
 }
@@ -113,35 +113,35 @@
 // them an ejection or its window; one that fails more than the others is demoted.
 func TestFailuresOfTheWholeFleetCostNoEjection(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	end := func(id RequestID, s Addr, st Status) {
+	end := func(id RequestID, server Addr, status Status) {
 		r.now += 20
-		r.outcome(id, 0, s, st, 20)
+		r.outcome(id, 0, server, status, 20)
 	}
 	failed := map[Addr]int{}
 	for i := range 600 {
-		id, s := r.sent(1, 0)
+		id, server := r.sent(1, 0)
 		if i%12 == 0 {
-			end(id, s, StatusReset)
-			failed[s]++
+			end(id, server, StatusReset)
+			failed[server]++
 		} else {
-			end(id, s, StatusOK)
+			end(id, server, StatusOK)
 		}
 	}
 	if len(failed) < 6 {
 		t.Fatalf("only %d of the servers failed", len(failed))
 	}
-	id, s := r.sent(1, 0)
-	srv := r.b.endpoints.byAddr[s]
-	ejections, window := srv.health.consecutiveEjections, srv.window.size
-	end(id, s, StatusReset)
-	if srv.health.state != StateUnhealthyPending || srv.health.consecutiveEjections != ejections || srv.window.size != window {
-		t.Fatalf("state %d, ejections %d to %d, window %v to %v", srv.health.state, ejections, srv.health.consecutiveEjections, window, srv.window.size)
+	id, server := r.sent(1, 0)
+	target := r.b.endpoints.byAddr[server]
+	ejections, window := target.health.consecutiveEjections, target.window.size
+	end(id, server, StatusReset)
+	if target.health.state != StateUnhealthyPending || target.health.consecutiveEjections != ejections || target.window.size != window {
+		t.Fatalf("state %d, ejections %d to %d, window %v to %v", target.health.state, ejections, target.health.consecutiveEjections, window, target.window.size)
 	}
-	srv.health.failureRate = 0.5
-	r.b.outliers.enter(srv, StateConnected)
-	r.b.recordOutcome(&attempt{endpoint: srv}, StatusReset, 20)
-	if srv.health.state != StateUnhealthy || srv.health.consecutiveEjections != ejections+1 {
-		t.Fatalf("fails half of all: state %d, ejections %d to %d", srv.health.state, ejections, srv.health.consecutiveEjections)
+	target.health.failureRate = 0.5
+	r.b.outliers.enter(target, StateConnected)
+	r.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
+	if target.health.state != StateUnhealthy || target.health.consecutiveEjections != ejections+1 {
+		t.Fatalf("fails half of all: state %d, ejections %d to %d", target.health.state, ejections, target.health.consecutiveEjections)
 	}
 }
 
@@ -152,20 +152,20 @@
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, probing
 		r := newRig(t, set, 20)
-		var s Addr
+		var server Addr
 		for range 60 {
 			r.now += 500
 			var id RequestID
-			id, s = r.sent(0, r.b.rng.Uint64())
-			r.outcome(id, 0, s, StatusOK, 20)
+			id, server = r.sent(0, r.b.rng.Uint64())
+			r.outcome(id, 0, server, StatusOK, 20)
 		}
-		r.b.outliers.eject(r.b.endpoints.byAddr[s], true)
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold < 1000 {
+		r.b.outliers.eject(r.b.endpoints.byAddr[server], true)
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server]); hold < 1000 {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
-		r.b.endpoints.byAddr[s].health.consecutiveEjections = maxConsecutiveEjections
+		r.b.endpoints.byAddr[server].health.consecutiveEjections = maxConsecutiveEjections
 		r.b.traffic.recent = 0.1
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[s]); hold > maxEjectionMs {
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server]); hold > maxEjectionMs {
 			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
 		}
 	}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -70,36 +70,36 @@
 
 func (w *world) apply(actions []Action) {
 	w.history = append(w.history, actions...)
-	for _, a := range actions {
-		r := w.reqs[a.Request]
-		switch a.Kind {
+	for _, action := range actions {
+		r := w.reqs[action.Request]
+		switch action.Kind {
 		case ActionSend:
-			w.checkSend(r, &a)
+			w.checkSend(r, &action)
 			ends := w.now + 1 + 150*w.rng.Float64()
-			st := []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusServerError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.rng.IntN(10)]
-			if st == StatusTimeout {
-				ends = w.now + a.DelayMs
+			status := []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusServerError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.rng.IntN(10)]
+			if status == StatusTimeout {
+				ends = w.now + action.DelayMs
 			}
 			if w.machineFails() {
-				st, ends = []Status{StatusLocalFailure, StatusUnreachable}[len(w.reqs)%2], w.now+0.1
+				status, ends = []Status{StatusLocalFailure, StatusUnreachable}[len(w.reqs)%2], w.now+0.1
 			}
-			r.tries = append(r.tries, &worldTry{server: a.Server, sentAt: w.now, endsAt: min(ends, w.now+a.DelayMs), status: st})
+			r.tries = append(r.tries, &worldTry{server: action.Server, sentAt: w.now, endsAt: min(ends, w.now+action.DelayMs), status: status})
 		case ActionReject, ActionFail:
 			if r.final++; r.final > 1 {
-				w.t.Fatalf("request %d: a second final answer", a.Request)
+				w.t.Fatalf("request %d: a second final answer", action.Request)
 			}
 			if w.now > r.deadline+w.set.Contract.AnswerSlackMs {
-				w.t.Fatalf("request %d answered %.1f ms after its deadline", a.Request, w.now-r.deadline)
+				w.t.Fatalf("request %d answered %.1f ms after its deadline", action.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if a.Kind == ActionReject && r.mayHaveRun() && (c.Effect == EffectNonIdempotent || c.Effect == EffectIdempotentWithKey && c.Group != GroupAll) {
-				w.t.Fatalf("request %d of effect %s refused though it may have run", a.Request, c.Effect)
+			if action.Kind == ActionReject && r.mayHaveRun() && (c.Effect == EffectNonIdempotent || c.Effect == EffectIdempotentWithKey && c.Group != GroupAll) {
+				w.t.Fatalf("request %d of effect %s refused though it may have run", action.Request, c.Effect)
 			}
 		case ActionCancel:
 			if !w.set.Limits.Cancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
-			if try := r.tries[a.Attempt]; !try.ended {
+			if try := r.tries[action.Attempt]; !try.ended {
 				try.status, try.endsAt = StatusCancelled, w.now+5
 			}
 		case ActionFetch:
@@ -111,7 +111,7 @@
 				w.t.Fatal("probed where it is not allowed")
 			}
 		case ActionTimer:
-			w.timers = append(w.timers, worldTimer{w.now + a.DelayMs, a.Token})
+			w.timers = append(w.timers, worldTimer{w.now + action.DelayMs, action.Token})
 		}
 	}
 }
@@ -124,10 +124,10 @@
 	return slices.ContainsFunc(r.tries, func(t *worldTry) bool { return !t.ended || !t.status.NeverRan() })
 }
 
-func (w *world) checkSend(r *worldReq, a *Action) {
+func (w *world) checkSend(r *worldReq, action *Action) {
 	c := w.set.Classes[r.class]
 	if r.final > 0 || w.now > r.deadline {
-		w.t.Fatalf("request %d sent after its end", a.Request)
+		w.t.Fatalf("request %d sent after its end", action.Request)
 	}
 	counted := 0 // what this machine could not make costs no attempt
 	for _, t := range r.tries {
@@ -136,26 +136,26 @@
 		}
 	}
 	if counted >= w.set.Limits.MaxAttempts {
-		w.t.Fatalf("request %d: attempt %d of at most %d", a.Request, counted+1, w.set.Limits.MaxAttempts)
+		w.t.Fatalf("request %d: attempt %d of at most %d", action.Request, counted+1, w.set.Limits.MaxAttempts)
 	}
-	if since, bad := w.badSince[a.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
-		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", a.Server, w.now-since)
+	if since, bad := w.badSince[action.Server]; bad && w.now-since > w.set.Contract.DrainGraceMs {
+		w.t.Fatalf("sent to %v %.0f ms after it was told to drain", action.Server, w.now-since)
 	}
 	for _, t := range r.tries {
 		if !t.ended && !w.set.Limits.HedgedRequests {
-			w.t.Fatalf("request %d: two attempts out at once", a.Request)
+			w.t.Fatalf("request %d: two attempts out at once", action.Request)
 		}
 		if t.ended && t.status.NeverRan() {
 			continue
 		}
-		x, y := w.list[t.server], w.list[a.Server]
+		x, y := w.list[t.server], w.list[action.Server]
 		switch {
 		case c.Effect == EffectNonIdempotent:
-			w.t.Fatalf("request %d sent again though it may have run", a.Request)
+			w.t.Fatalf("request %d sent again though it may have run", action.Request)
 		case c.Effect == EffectIdempotentWithKey && w.now-t.sentAt > c.IdempotencyWindowMs:
-			w.t.Fatalf("request %d sent again %.0f ms after it may have run", a.Request, w.now-t.sentAt)
+			w.t.Fatalf("request %d sent again %.0f ms after it may have run", action.Request, w.now-t.sentAt)
 		case c.Effect == EffectIdempotentWithKey && (c.Group == GroupZone && x.Zone != y.Zone || c.Group == GroupCell && x.Cell != y.Cell):
-			w.t.Fatalf("request %d sent again outside its group", a.Request)
+			w.t.Fatalf("request %d sent again outside its group", action.Request)
 		}
 	}
 }
@@ -206,17 +206,17 @@
 }
 
 func (w *world) changeList() {
-	s := addr(w.rng.IntN(8))
-	e := Entry{Server: s, Zone: int(s[3]) % 2, Cell: int(s[3]) % 3, Weight: 1 + w.rng.Float64(),
+	server := addr(w.rng.IntN(8))
+	e := Entry{Server: server, Zone: int(server[3]) % 2, Cell: int(server[3]) % 3, Weight: 1 + w.rng.Float64(),
 		Health: []Health{HealthReady, HealthReady, HealthDraining, HealthGone}[w.rng.IntN(4)]}
 	if w.rng.IntN(3) == 0 {
 		e.StartedMs = w.now - 100*w.rng.Float64()
 	}
-	w.list[s] = e
+	w.list[server] = e
 	if e.Health == HealthReady {
-		delete(w.badSince, s)
-	} else if _, told := w.badSince[s]; !told {
-		w.badSince[s] = w.now
+		delete(w.badSince, server)
+	} else if _, told := w.badSince[server]; !told {
+		w.badSince[server] = w.now
 	}
 	w.handle(Event{Kind: EventEndpointList, List: ListDelta, Entries: []Entry{e}})
 }
@@ -261,9 +261,9 @@
 	if n := len(w.b.queue.open); n != 0 || len(w.b.queue.queued) != 0 || w.b.limiter.inFlight != 0 {
 		t.Errorf("seed %d: %d requests, %d held, %d in flight left at the end", seed, n, len(w.b.queue.queued), w.b.limiter.inFlight)
 	}
-	for _, s := range w.b.endpoints.all {
-		if len(s.traffic.inFlight) != 0 {
-			t.Errorf("seed %d: server %v keeps %d attempts", seed, s.id, len(s.traffic.inFlight))
+	for _, target := range w.b.endpoints.all {
+		if len(target.traffic.inFlight) != 0 {
+			t.Errorf("seed %d: server %v keeps %d attempts", seed, target.id, len(target.traffic.inFlight))
 		}
 	}
 	if w.b.limiter.scale < minAttemptsPerEndpoint/attemptsPerEndpoint || len(w.b.limiter.abandoned.all) > maxQueued || w.b.retries.tokens < 0 || w.b.retries.tokens > retryBurst {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -33,7 +33,7 @@
 // its class now may. What comes after goes by the new ones, under the classes' new numbers.
 func TestOpenRequestsKeepTheirTerms(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	free, s := r.sent(0, 1)
+	free, server := r.sent(0, 1)
 	once, o := r.sent(1, 2)
 	set := testSettings()
 	set.Limits.MaxAttempts = 1
@@ -42,14 +42,14 @@
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if a := find(r.outcome(free, 0, s, StatusReset, 5), ActionSend); a == nil || a.Request != free {
-		t.Errorf("what could be repeated is not: %+v", a)
+	if action := find(r.outcome(free, 0, server, StatusReset, 5), ActionSend); action == nil || action.Request != free {
+		t.Errorf("what could be repeated is not: %+v", action)
 	}
 	if actions := r.outcome(once, 0, o, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionFail) == nil {
 		t.Errorf("what could not be repeated: %+v", actions)
 	}
-	next, s := r.sent(0, 3) // class "once" of the new settings: free, and one attempt
-	if actions := r.outcome(next, 0, s, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionReject) == nil {
+	next, server := r.sent(0, 3) // class "once" of the new settings: free, and one attempt
+	if actions := r.outcome(next, 0, server, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionReject) == nil {
 		t.Errorf("a new request: %+v", actions)
 	}
 }
@@ -62,16 +62,16 @@
 	r := newRig(t, set, 4)
 	r.list(ListDelta, Entry{Server: addr(3), Health: HealthReady, Weight: 1, StartedMs: r.now}) // cold
 	for range 30 {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 10)
+		r.outcome(id, 0, server, StatusOK, 10)
 	}
-	id, s := r.sent(2, 7)
-	r.outcome(id, 0, s, StatusServerError, 10)
+	id, server := r.sent(2, 7)
+	r.outcome(id, 0, server, StatusServerError, 10)
 	r.b.quotas.usage[0], r.b.quotas.usage[1] = 0.9, 0.1
 	before := map[Addr]endpoint{}
-	for _, s := range r.b.endpoints.all {
-		before[s.id] = *s
+	for _, target := range r.b.endpoints.all {
+		before[target.id] = *target
 	}
 	limit, budget, rate, expect := r.b.limiter.scale, r.b.retries.tokens, r.b.traffic.perMs(), r.b.classes.all[0].meanMs
 	set.Tenants = []Tenant{{Name: "c", QuotaShare: 0.2}, {Name: "b", QuotaShare: 0.2}, {Name: "a", QuotaShare: 0.6}}
@@ -80,11 +80,11 @@
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range r.b.endpoints.all {
-		b := before[s.id]
-		if s.health.state != b.health.state || s.health.consecutiveEjections != b.health.consecutiveEjections || s.slowStart.allowance != b.slowStart.allowance || s.slowStart.startedAt != b.slowStart.startedAt ||
-			s.window.size != b.window.size || s.latency.mean != b.latency.mean {
-			t.Errorf("of server %v something was forgotten", s.id)
+	for _, target := range r.b.endpoints.all {
+		b := before[target.id]
+		if target.health.state != b.health.state || target.health.consecutiveEjections != b.health.consecutiveEjections || target.slowStart.allowance != b.slowStart.allowance || target.slowStart.startedAt != b.slowStart.startedAt ||
+			target.window.size != b.window.size || target.latency.mean != b.latency.mean {
+			t.Errorf("of server %v something was forgotten", target.id)
 		}
 	}
 	if r.b.limiter.scale != limit || r.b.retries.tokens != budget || !near(r.b.traffic.perMs(), rate) {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -17,13 +17,13 @@
 			first := find(r.do(Event{Kind: EventRequest, Request: r.id, Class: 2, Key: 5, TimeLeftMs: 30000}), ActionSend)
 			sent := r.now
 			r.now += after
-			a := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSend)
-			if a == nil {
+			action := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSend)
+			if action == nil {
 				continue
 			}
 			repeated = true
-			if a.WithinMs <= 0 || r.now+a.WithinMs+heldUp > sent+ttl {
-				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, a.WithinMs)
+			if action.WithinMs <= 0 || r.now+action.WithinMs+heldUp > sent+ttl {
+				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, action.WithinMs)
 			}
 		}
 		if want := ttl > heldUp+2*testSettings().RoundMs+1; repeated != want {
@@ -33,39 +33,39 @@
 }
 
 func TestSingleShotIsNotRepeated(t *testing.T) {
-	for _, st := range []Status{StatusServerError, StatusTimeout, StatusReset, StatusCancelled} {
+	for _, status := range []Status{StatusServerError, StatusTimeout, StatusReset, StatusCancelled} {
 		r := newRig(t, testSettings(), 3)
-		id, s := r.sent(1, 5)
-		actions := r.outcome(id, 0, s, st, 50)
+		id, server := r.sent(1, 5)
+		actions := r.outcome(id, 0, server, status, 50)
 		if find(actions, ActionSend) != nil || find(actions, ActionReject) != nil || find(actions, ActionFail) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", st, actions)
+			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(1, 5)
-	if actions := r.outcome(id, 0, s, StatusConnectFailed, 50); find(actions, ActionSend) == nil {
+	id, server := r.sent(1, 5)
+	if actions := r.outcome(id, 0, server, StatusConnectFailed, 50); find(actions, ActionSend) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
 
 func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
-	id, s := r.sent(2, 5)
+	id, server := r.sent(2, 5)
 	if first := find(r.b.actions, ActionSend); first == nil || first.WithinMs != 0 {
 		t.Fatalf("the first attempt may not begin at any time: %+v", first)
 	}
-	actions := r.outcome(id, 0, s, StatusServerError, 20)
-	a := find(actions, ActionSend)
-	if a == nil || r.b.endpoints.byAddr[a.Server].cell != r.b.endpoints.byAddr[s].cell {
+	actions := r.outcome(id, 0, server, StatusServerError, 20)
+	action := find(actions, ActionSend)
+	if action == nil || r.b.endpoints.byAddr[action.Server].cell != r.b.endpoints.byAddr[server].cell {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	// A connection that comes up late must not carry it past that time.
 	ttl := r.b.set.Classes[2].IdempotencyWindowMs
-	if sent := r.b.queue.open[id].idempotency.earliestRunAt; a.WithinMs <= 0 || r.now+a.WithinMs > sent+ttl {
-		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, a.WithinMs, ttl)
+	if sent := r.b.queue.open[id].idempotency.earliestRunAt; action.WithinMs <= 0 || r.now+action.WithinMs > sent+ttl {
+		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, action.WithinMs, ttl)
 	}
 	r.now += 496 // just inside the 500 ms less the margin
-	actions = r.outcome(id, 1, a.Server, StatusServerError, 20)
+	actions = r.outcome(id, 1, action.Server, StatusServerError, 20)
 	if find(actions, ActionSend) != nil || find(actions, ActionFail) == nil && len(r.b.queue.queued) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
@@ -76,17 +76,17 @@
 	set := testSettings()
 	set.Classes[0].Streamed = true
 	r := newRig(t, set, 4)
-	id, s := r.sent(0, 3)
+	id, server := r.sent(0, 3)
 	r.now += 30
-	r.do(Event{Kind: EventResponseStarted, Request: id, Attempt: 0, Server: s, LatencyMs: 30})
+	r.do(Event{Kind: EventResponseStarted, Request: id, Attempt: 0, Server: server, LatencyMs: 30})
 	for range 200 {
-		for _, a := range r.tick(10) {
-			if a.Request == id && a.Kind != ActionTimer {
-				t.Fatalf("action %+v for a request whose answer streams", a)
+		for _, action := range r.tick(10) {
+			if action.Request == id && action.Kind != ActionTimer {
+				t.Fatalf("action %+v for a request whose answer streams", action)
 			}
 		}
 	}
-	actions := r.do(Event{Kind: EventOutcome, Request: id, Attempt: 0, Server: s, Status: StatusReset, LatencyMs: 2000, Final: true})
+	actions := r.do(Event{Kind: EventOutcome, Request: id, Attempt: 0, Server: server, Status: StatusReset, LatencyMs: 2000, Final: true})
 	if find(actions, ActionSend) != nil || find(actions, ActionFail) != nil || len(r.b.queue.open) != 0 {
 		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.queue.open))
 	}
@@ -96,15 +96,15 @@
 // the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
 // but for those after one that reached no endpoint.
 func TestResendsHaveABudget(t *testing.T) {
-	for _, st := range []Status{StatusOK, StatusRejected, StatusConnectFailed} {
+	for _, status := range []Status{StatusOK, StatusRejected, StatusConnectFailed} {
 		r := newRig(t, testSettings(), 20)
 		first, more := 0, 0
 		for range 200 {
 			r.now += 20
 			id, actions := r.ask(0, r.b.rng.Uint64())
 			for try := 0; ; try++ {
-				a := find(actions, ActionSend)
-				if a == nil || a.Request != id {
+				action := find(actions, ActionSend)
+				if action == nil || action.Request != id {
 					break
 				}
 				if try == 0 {
@@ -112,11 +112,11 @@
 				} else {
 					more++
 				}
-				actions = r.outcome(id, try, a.Server, st, 5)
+				actions = r.outcome(id, try, action.Server, status, 5)
 			}
 		}
-		if st == StatusOK && first != 200 || st == StatusRejected && more != retryBurst || st == StatusConnectFailed && more != 400 {
-			t.Errorf("ending %d: 200 requests over 4 s became %d first and %d further attempts", st, first, more)
+		if status == StatusOK && first != 200 || status == StatusRejected && more != retryBurst || status == StatusConnectFailed && more != 400 {
+			t.Errorf("ending %d: 200 requests over 4 s became %d first and %d further attempts", status, first, more)
 		}
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -5,10 +5,10 @@
 func TestEmptyTopTierPassesDown(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	for range 2 {
-		id, s := r.sent(1, 3)
-		r.outcome(id, 0, s, StatusServerError, 5)
+		id, server := r.sent(1, 3)
+		r.outcome(id, 0, server, StatusServerError, 5)
 	}
-	if _, s := r.sent(0, 3); s == (Addr{}) {
+	if _, server := r.sent(0, 3); server == (Addr{}) {
 		t.Error("nothing was sent though Unhealthy servers are the only ones")
 	}
 }
@@ -22,11 +22,11 @@
 	for range 200 {
 		r.now += 10
 		for class, n := range []*int{&free, &once} {
-			id, s := r.sent(class, uint64(r.b.rng.Int64()))
-			if s == bad.id {
+			id, server := r.sent(class, uint64(r.b.rng.Int64()))
+			if server == bad.id {
 				*n++
 			}
-			r.outcome(id, 0, s, StatusOK, 5)
+			r.outcome(id, 0, server, StatusOK, 5)
 			r.b.outliers.enter(bad, StateUnhealthyPending)
 		}
 	}
@@ -63,10 +63,10 @@
 	r := newRig(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	own, used, all := 0, map[Addr]bool{}, 600
 	for key := range uint64(all) {
-		id, s := r.sent(0, mix(key+1))
-		r.outcome(id, 0, s, StatusOK, 20)
-		used[s] = true
-		if r.b.endpoints.byAddr[s].zone == 0 {
+		id, server := r.sent(0, mix(key+1))
+		r.outcome(id, 0, server, StatusOK, 20)
+		used[server] = true
+		if r.b.endpoints.byAddr[server].zone == 0 {
 			own++
 		}
 	}
@@ -97,11 +97,11 @@
 			if i%c.every == 0 {
 				key = 7
 			}
-			id, s := r.sent(0, key)
+			id, server := r.sent(0, key)
 			if key == 7 && i > keyHistory {
-				used[s] = true
+				used[server] = true
 			}
-			r.outcome(id, 0, s, StatusOK, 20)
+			r.outcome(id, 0, server, StatusOK, 20)
 		}
 		if len(used) < c.least || len(used) > c.most {
 			t.Errorf("%d agents, one request in %d: the key used %d servers, want %d to %d",
@@ -130,17 +130,17 @@
 			for range 300 {
 				r.now += c.gap
 				r.b.endpoints.all[0].health.since = r.now // stays unhealthy
-				id, s := r.sent(0, r.b.rng.Uint64())
-				r.outcome(id, 0, s, StatusOK, 3)
-				if used[s] = true; s == r.b.endpoints.all[0].id {
+				id, server := r.sent(0, r.b.rng.Uint64())
+				r.outcome(id, 0, server, StatusOK, 3)
+				if used[server] = true; server == r.b.endpoints.all[0].id {
 					t.Fatal("an Unhealthy server of the subset was not replaced")
 				}
 			}
 			if len(used) < c.least || len(used) > c.most {
 				t.Fatalf("a request each %.0f ms used %d servers, want %d to %d", c.gap, len(used), c.least, c.most)
 			}
-			for s := range used {
-				all[s]++
+			for server := range used {
+				all[server]++
 			}
 		}
 		if len(all) < 58 {
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -43,20 +43,20 @@
 func (p *classPlay) handle(ev Event) { p.do(p.b.Handle(p.now, &ev, nil)) }
 
 func (p *classPlay) do(actions []Action) {
-	for _, a := range actions {
-		switch a.Kind {
+	for _, action := range actions {
+		switch action.Kind {
 		case ActionSend:
-			at := max(p.free[a.Server], p.now) + p.answerMs
-			p.free[a.Server] = at
-			ev := Event{Kind: EventOutcome, Request: a.Request, Attempt: p.tries[a.Request], Server: a.Server, Status: StatusOK,
+			at := max(p.free[action.Server], p.now) + p.answerMs
+			p.free[action.Server] = at
+			ev := Event{Kind: EventOutcome, Request: action.Request, Attempt: p.tries[action.Request], Server: action.Server, Status: StatusOK,
 				LatencyMs: at - p.now, Final: true}
-			if at-p.now > a.DelayMs {
-				at, ev.Status, ev.LatencyMs, ev.Final = p.now+a.DelayMs, StatusTimeout, a.DelayMs, false
+			if at-p.now > action.DelayMs {
+				at, ev.Status, ev.LatencyMs, ev.Final = p.now+action.DelayMs, StatusTimeout, action.DelayMs, false
 			}
-			p.tries[a.Request]++
+			p.tries[action.Request]++
 			heap.Push(&p.todo, due{at, ev})
 		case ActionTimer:
-			heap.Push(&p.todo, due{p.now + a.DelayMs, Event{Kind: EventTimer, Token: a.Token}})
+			heap.Push(&p.todo, due{p.now + action.DelayMs, Event{Kind: EventTimer, Token: action.Token}})
 		}
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -22,16 +22,16 @@
 // An agent that has met no warm endpoint sends a warming one an attempt at a time, not none.
 func TestColdServersAloneGetOneAttemptAtATime(t *testing.T) {
 	r := warmingRig(t, 1, 3)
-	id, s := r.sent(0, 0)
+	id, server := r.sent(0, 0)
 	r.now += 20
-	r.outcome(id, 0, s, StatusOK, 20)
+	r.outcome(id, 0, server, StatusOK, 20)
 	seen := map[Addr]bool{}
 	for range 3 {
-		_, s := r.sent(0, 0)
-		if seen[s] {
-			t.Fatalf("server %v was sent a second attempt", s)
+		_, server := r.sent(0, 0)
+		if seen[server] {
+			t.Fatalf("server %v was sent a second attempt", server)
 		}
-		seen[s] = true
+		seen[server] = true
 		r.now += 5
 	}
 	if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
@@ -44,10 +44,10 @@
 // takes.
 func TestWarmingEndpointsAloneArePacedUntilTheFirstAnswer(t *testing.T) {
 	r := warmingRig(t, 40, 10) // half an attempt for each agent
-	id, s := r.sent(0, 0)
+	id, server := r.sent(0, 0)
 	began := r.now
 	r.now += 10
-	actions := r.outcome(id, 0, s, StatusRejected, 10)
+	actions := r.outcome(id, 0, server, StatusRejected, 10)
 	contract := testSettings().Contract
 	for r.now < began+1200 {
 		// The latency objective of 300 ms for half an attempt, and longer where the contract allows
@@ -55,7 +55,7 @@
 		ramp := contract.SlowStartFrom + (1-contract.SlowStartFrom)*(r.now-began)/contract.SlowStartMs
 		wait := 600 / min(contract.OverloadMultiple*ramp, 1)
 		turn := r.now >= began+wait
-		if a := find(actions, ActionSend); a != nil {
+		if action := find(actions, ActionSend); action != nil {
 			if !turn {
 				t.Fatalf("sent again after %.0f ms", r.now-began)
 			}
@@ -77,11 +77,11 @@
 	got, all := 0, 2000
 	for range all {
 		r.now++
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
-		if s == addr(4) {
+		id, server := r.sent(0, uint64(r.b.rng.Int64()))
+		if server == addr(4) {
 			got++
 		}
-		r.outcome(id, 0, s, StatusOK, 20)
+		r.outcome(id, 0, server, StatusOK, 20)
 	}
 	even := float64(all) / 4
 	if limit := even * 0.36 * 0.5 * 1.2; float64(got) > limit || got == 0 {
@@ -95,12 +95,12 @@
 	r := newRig(t, testSettings(), 4)
 	r.list(ListDelta, Entry{Server: addr(4), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	cold := r.b.endpoints.byAddr[addr(4)]
-	for _, st := range []Status{StatusRejected, StatusOK} {
+	for _, status := range []Status{StatusRejected, StatusOK} {
 		cold.slowStart.allowance = -1
-		id, s := r.sent(1, 7)
-		r.outcome(id, 0, s, st, 20)
-		if earned := cold.slowStart.allowance > -1; earned != (st == StatusOK) {
-			t.Errorf("ending %d: cold credit went from -1 to %.3f", st, cold.slowStart.allowance)
+		id, server := r.sent(1, 7)
+		r.outcome(id, 0, server, status, 20)
+		if earned := cold.slowStart.allowance > -1; earned != (status == StatusOK) {
+			t.Errorf("ending %d: cold credit went from -1 to %.3f", status, cold.slowStart.allowance)
 		}
 	}
 }
@@ -135,11 +135,11 @@
 		entries[0].StartedMs = r.now
 		r.list(ListFull, entries...)
 		for range each {
-			id, s := r.sent(0, b.rng.Uint64())
-			if s == addr(0) {
+			id, server := r.sent(0, b.rng.Uint64())
+			if server == addr(0) {
 				got++
 			}
-			r.outcome(id, 0, s, StatusOK, 20)
+			r.outcome(id, 0, server, StatusOK, 20)
 		}
 	}
 	c := testSettings().Contract
@@ -154,16 +154,16 @@
 	r := newRig(t, testSettings(), 2)
 	for range 200 {
 		r.now += 10
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
-		r.outcome(id, 0, s, StatusOK, 20)
+		id, server := r.sent(0, uint64(r.b.rng.Int64()))
+		r.outcome(id, 0, server, StatusOK, 20)
 	}
 	r.list(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	r.b.endpoints.byAddr[addr(2)].traffic.sentAt = 0
 	for i := range 2 {
 		r.b.outliers.eject(r.b.endpoints.byAddr[addr(i)], true)
 	}
-	if _, s := r.sent(0, 9); s != addr(2) {
-		t.Errorf("sent to %v, want the cold server", s)
+	if _, server := r.sent(0, 9); server != addr(2) {
+		t.Errorf("sent to %v, want the cold server", server)
 	}
 }
 
@@ -171,22 +171,22 @@
 // does not tell yet: it gets slow start.
 func TestReturnFromSilenceGetsSlowStart(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	id, s := r.sent(0, 9)
-	r.outcome(id, 0, s, StatusConnectFailed, 100)
+	id, server := r.sent(0, 9)
+	r.outcome(id, 0, server, StatusConnectFailed, 100)
 	r.now += r.b.set.Contract.OverloadWindowMs + 500
 	for key := uint64(9); ; key++ {
 		id, to := r.sent(0, 9)
 		r.now += 20
 		r.outcome(id, 0, to, StatusOK, 20)
-		if to == s {
+		if to == server {
 			break
 		}
 		if key > 50 {
 			t.Fatal("the silent server was never checked again")
 		}
 	}
-	if srv := r.b.endpoints.byAddr[s]; r.b.capacityFraction(srv) >= 0.5 {
-		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacityFraction(srv))
+	if target := r.b.endpoints.byAddr[server]; r.b.capacityFraction(target) >= 0.5 {
+		t.Errorf("a server back from silence is taken for warm: ramp %.2f", r.b.capacityFraction(target))
 	}
 }
 
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -27,8 +27,8 @@
 }
 
 // add counts an attempt that ended with the status.
-func (c *OutcomeCounts) add(st Status) {
-	switch st {
+func (c *OutcomeCounts) add(status Status) {
+	switch status {
 	case StatusOK:
 		c.OK++
 	case StatusServerError:
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -7,12 +7,12 @@
 func TestSnapshotTellsTheState(t *testing.T) {
 	play := func(look bool) (Snapshot, []Action) {
 		r := newRig(t, testSettings(), 4)
-		id, s := r.sent(0, 7)
+		id, server := r.sent(0, 7)
 		if look {
 			r.b.Snapshot(r.now)
 		}
 		r.now += 10
-		r.outcome(id, 0, s, StatusServerError, 10)
+		r.outcome(id, 0, server, StatusServerError, 10)
 		r.sent(1, 8)
 		_, last := r.ask(0, 9)
 		return r.b.Snapshot(r.now), last
--- a/policy/stalled_test.go
+++ b/policy/stalled_test.go
@@ -6,13 +6,13 @@
 func TestHungEndpointIsEjected(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for range 200 { // learn what an answer takes
-		id, s := r.sent(0, uint64(r.b.rng.Int64()))
+		id, server := r.sent(0, uint64(r.b.rng.Int64()))
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 10)
+		r.outcome(id, 0, server, StatusOK, 10)
 	}
-	_, s := r.sent(0, 9)
+	_, server := r.sent(0, 9)
 	for range 30 {
-		if r.tick(10); r.b.endpoints.byAddr[s].health.state == StateUnhealthy {
+		if r.tick(10); r.b.endpoints.byAddr[server].health.state == StateUnhealthy {
 			return
 		}
 	}
@@ -26,10 +26,10 @@
 	set.Limits.Cancellation = false
 	r := quick(t, set, 3)
 	r.sent(1, 5)
-	stuck, s := r.sent(1, 6)
+	stuck, server := r.sent(1, 6)
 	waits, actions := r.ask(0, 7)
-	if a := find(actions, ActionSend); a != nil {
-		t.Fatalf("not at its limit: %+v", a)
+	if action := find(actions, ActionSend); action != nil {
+		t.Fatalf("not at its limit: %+v", action)
 	}
 	var sent *Action
 	for waited := 0; sent == nil && waited < 200; waited += 10 {
@@ -43,11 +43,11 @@
 	if r.b.limiter.stalled != 2 || r.b.limiter.inFlight != 3 {
 		t.Fatalf("%d stuck of %d out, want 2 of 3", r.b.limiter.stalled, r.b.limiter.inFlight)
 	}
-	r.outcome(stuck, 0, s, StatusOK, 150)
+	r.outcome(stuck, 0, server, StatusOK, 150)
 	left := 0
 	for _, o := range r.b.endpoints.all {
 		for _, a := range o.traffic.inFlight {
-			if a.stalled && o.id == s {
+			if a.stalled && o.id == server {
 				t.Fatal("stuck on a server that answers")
 			} else if a.stalled {
 				left++
@@ -64,7 +64,7 @@
 // at once.
 func TestAttemptsAtSilentEndpoints(t *testing.T) {
 	r := quick(t, testSettings(), 6)
-	id, s := r.sent(0, 5)
+	id, server := r.sent(0, 5)
 	var off *Action
 	for waited := 0; off == nil && waited < 200; waited += 10 {
 		off = find(r.tick(10), ActionCancel)
@@ -77,12 +77,12 @@
 			t.Fatalf("before the first has ended: %+v", again)
 		}
 	}
-	if a := find(r.outcome(id, 0, s, StatusCancelled, 150), ActionSend); a == nil || a.Request != id || a.Server == s {
-		t.Fatalf("sent elsewhere: %+v", a)
+	if action := find(r.outcome(id, 0, server, StatusCancelled, 150), ActionSend); action == nil || action.Request != id || action.Server == server {
+		t.Fatalf("sent elsewhere: %+v", action)
 	}
 
 	r = quick(t, testSettings(), 6)
-	id, s = r.sent(1, 5)
+	id, server = r.sent(1, 5)
 	asked := r.now
 	for {
 		actions := r.tick(10)
@@ -99,7 +99,7 @@
 			t.Fatalf("after %v ms: %+v", r.now-asked, actions)
 		}
 	}
-	if r.outcome(id, 0, s, StatusCancelled, 310); r.b.limiter.stalled != 0 || r.b.limiter.inFlight != 0 || len(r.b.queue.open) != 0 {
+	if r.outcome(id, 0, server, StatusCancelled, 310); r.b.limiter.stalled != 0 || r.b.limiter.inFlight != 0 || len(r.b.queue.open) != 0 {
 		t.Fatalf("left behind: %d stuck, %d out, %d requests", r.b.limiter.stalled, r.b.limiter.inFlight, len(r.b.queue.open))
 	}
 }
--- a/policy/unserved_test.go
+++ b/policy/unserved_test.go
@@ -9,10 +9,10 @@
 		set := testSettings()
 		set.Clients.MarksRetry = marks
 		r := newRig(t, set, 1)
-		id, s := r.sent(0, 5)
+		id, server := r.sent(0, 5)
 		r.now += 200
 		r.do(Event{Kind: EventClientGone, Request: id})
-		r.outcome(id, 0, s, StatusCancelled, 200)
+		r.outcome(id, 0, server, StatusCancelled, 200)
 		r.id++
 		r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, TimeLeftMs: 600, Retry: marks})
 		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now > 101 {
