--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,272 +4,247 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
 const (
-	// hopeless is the least part of its expected time that a hinted request needs.
-	hopeless = 0.7
-	// maxHeld bounds the requests held for room, and so the work of a decision.
-	maxHeld = 512
+	// infeasibleFraction is the least part of its expected time that a hinted request needs.
+	infeasibleFraction = 0.7
+	// maxQueued bounds the queued requests, and so the work of a decision.
+	maxQueued = 512
+	// maxPlacementFailures is how many requests that would go to any endpoint find none before a
+	// dispatch stops: a few tell of all.
+	maxPlacementFailures = 4
 )
 
-// request is one try of a client, kept until it is answered and no attempt is out.
-type request struct {
-	id          RequestID
-	class       *class
-	tenant      int
-	key         uint64
-	hash        uint64 // what orders the servers for it
-	hint        float64
-	first       float64 // when the client's first try came, as far as known
-	arrived     float64
-	aimAt       float64
-	deadline    float64    // margin already taken off
-	attempts    []*attempt // those that count
-	sends       int        // attempts sent, with those that this machine could not make
-	maxAttempts int
-	open        int // attempts out
-	mayHaveRun  int // attempts that may have run
-	ranAt       float64
-	ranOn       *endpoint
-	near        [keyServers]*endpoint // nearest its key, as of epoch
-	epoch       uint64
-	tierWeight  float64 // of the tier at its last pick
-	value       float64
-	closed      bool
-	started     bool // a streamed answer belongs to the client now
+// admissionQueue holds the open requests and those of them that wait for capacity.
+type admissionQueue struct {
+	*environment
+	classes *classStats
+	quotas  *quotaTracker
+	latency *latencyTracker
+
+	open     map[RequestID]*request
+	queued   []*request // in order of priority after each dispatch
+	scarce   bool       // requests that would go to any endpoint find no capacity
+	unserved []unservedRequest
 }
 
-// unservedRequest is what is remembered of an unserved request, to know its retry.
-type unservedRequest struct {
-	class *class
-	key   uint64
-	first float64
+// newAdmissionQueue gives an empty queue that asks the components given.
+func newAdmissionQueue(env *environment, classes *classStats, quotas *quotaTracker,
+	latency *latencyTracker) admissionQueue {
+	return admissionQueue{environment: env, classes: classes, quotas: quotas, latency: latency,
+		open: map[RequestID]*request{}}
 }
 
-func (b *Balancer) onRequest(ev *Event) {
-	if b.requests[ev.Request] != nil {
-		return
+// push queues a request.
+func (q *admissionQueue) push(request *request) { q.queued = append(q.queued, request) }
+
+// remove takes a request from the queue.
+func (q *admissionQueue) remove(request *request) {
+	if i := slices.Index(q.queued, request); i >= 0 {
+		q.queued = slices.Delete(q.queued, i, i+1)
 	}
-	if ev.Class < 0 || ev.Class >= len(b.classes) {
-		b.end(&request{id: ev.Request, class: &class{}}) // still owed an answer; nothing of it ran
-		return
+}
+
+// priorityOf is what a unit of an endpoint's time spent on the request earns, by the objective's
+// weights: its class's priority weight counts as a part of the whole, and in full of the worst
+// class if it is of it.
+func (q *admissionQueue) priorityOf(request *request) float64 {
+	class, objective := request.class, &q.set.Objective
+	priority := class.PriorityWeight * (objective.Whole + objective.WorstWindow)
+	if class == q.classes.worst {
+		priority += objective.WorstClass * q.classes.meanPriority / class.requestShare
 	}
-	c := b.classes[ev.Class]
-	r := &request{id: ev.Request, class: c, tenant: ev.Tenant, key: ev.Key,
-		arrived: b.now, first: b.now, maxAttempts: b.set.Limits.MaxAttempts}
-	if r.hint = finite(ev.HintMs); !ev.HasHint {
-		r.hint = 0
-	} else if r.hint > 0 {
-		b.meanHint = mean(b.meanHint, r.hint, slowSmooth)
+	if q.now+q.latency.expectedMs(request) > request.timing.objectiveAt {
+		priority *= class.LateWeight + q.set.Prices.LateFail
 	}
-	left := finite(ev.TimeLeftMs)
-	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
-	retry := b.repeats(r, ev.Retry)
-	r.aimAt = min(r.first+c.LatencyObjectiveMs+c.ObjectiveStretch*r.hint, r.deadline)
-	r.hash = b.split(r.key)
-	b.requests[r.id] = r
-	b.seen++
-	c.counts.Requests++
-	if !retry { // retries swell with trouble, and are foreseen nowhere
-		b.recent = b.recent*math.Exp((b.recentAt-b.now)/b.rateSpan()) + 1
-		b.recentAt = b.now
+	if q.quotas.over(request.tenant) {
+		priority *= q.set.OverQuotaWeight
 	}
-	b.count(r.tenant)
-	b.tally(r.class)
-	b.revalidate()
-	b.held = append(b.held, r)
-	// A request whose hinted work cannot fit the aim anywhere would only keep
-	// others waiting: the costly few of a heavy tail.
-	if r.hint > 0 && c.LateWeight == 0 && hopeless*b.hintedTime(r) > r.aimAt-b.now {
-		b.end(r)
+	if q.set.WeightBy != "work" {
+		priority /= class.expectedMs(q.now)
 	}
+	return priority
 }
 
-// value is the worth that a unit of server time spent on the request earns, by
-// the objective: a part of the whole, and all of the worst class if it is of it.
-func (b *Balancer) value(r *request) float64 {
-	c := r.class
-	o := &b.set.Objective
-	v := c.PriorityWeight * (o.Whole + o.WorstWindow)
-	if r.class == b.worst {
-		v += o.WorstClass * b.credit / r.class.asked
+// sort orders the queue by priority; of equals the newest goes first, as under overload the
+// oldest would only end late.
+func (q *admissionQueue) sort() {
+	q.work += uint64(len(q.queued))
+	for _, request := range q.queued {
+		request.priority = q.priorityOf(request)
 	}
-	if b.now+b.expected(r) > r.aimAt {
-		v *= c.LateWeight + b.set.Prices.LateFail
+	slices.SortFunc(q.queued, func(x, y *request) int {
+		return cmp.Or(cmp.Compare(y.priority, x.priority),
+			cmp.Compare(y.timing.arrived, x.timing.arrived), cmp.Compare(x.id, y.id))
+	})
+}
+
+// full tells whether more requests are queued than the agent can bear beside those in flight:
+// past the requests it may have open, clients would wait for a connection with nobody to answer.
+func (q *admissionQueue) full(inFlight int) bool {
+	most := q.set.Limits.MaxOpenRequests
+	return len(q.queued) > maxQueued ||
+		len(q.queued) > 0 && most > 0 && len(q.queued)+inFlight > most
+}
+
+// onRequest queues a new request, or rejects it at once if nothing can serve it in time.
+func (b *Balancer) onRequest(ev *Event) {
+	if b.queue.open[ev.Request] != nil {
+		return
 	}
-	if b.overShare(r.tenant) {
-		v *= b.set.OverQuotaWeight
+	if ev.Class < 0 || ev.Class >= len(b.classes.all) {
+		// It is still owed an answer, and nothing of it ran.
+		b.finishUnserved(&request{id: ev.Request, class: &class{}})
+		return
 	}
-	if b.set.WeightBy != "work" {
-		v /= c.expected(b.now)
+	request, retry := b.newRequest(ev)
+	b.queue.open[request.id] = request
+	request.class.counts.Requests++
+	b.traffic.count(retry)
+	b.quotas.count(request.tenant)
+	b.classes.count(request.class)
+	b.outliers.revalidate()
+	b.queue.push(request)
+	if b.isInfeasible(request) {
+		b.finishUnserved(request)
 	}
-	return v
 }
 
-// dispatch sends what is held as far as there is room: the most valuable first,
-// of equals the newest, as under overload the oldest would only end late.
+// newRequest gives the request that an event brings, and tells whether it is a client's retry.
+func (b *Balancer) newRequest(ev *Event) (created *request, retry bool) {
+	class := b.classes.all[ev.Class]
+	created = &request{id: ev.Request, class: class, tenant: ev.Tenant, key: ev.Key,
+		timing: requestTiming{arrived: b.now, firstArrived: b.now},
+		tries:  requestTries{limit: b.set.Limits.MaxAttempts}}
+	if ev.HasHint {
+		created.hint = finite(ev.HintMs)
+	}
+	if created.hint > 0 {
+		b.latency.hints.note(created.hint)
+	}
+	leftMs := finite(ev.TimeLeftMs)
+	timing := &created.timing
+	timing.deadline = b.now + leftMs - min(b.set.RoundMs, leftMs/4)
+	retry = b.queue.isRetry(created, ev.Retry)
+	objectiveAt := timing.firstArrived + class.LatencyObjectiveMs + class.ObjectiveStretch*created.hint
+	timing.objectiveAt = min(objectiveAt, timing.deadline)
+	created.hash = b.selector.hashOf(created.key)
+	return created, retry
+}
+
+// isInfeasible tells whether a request's hinted work cannot fit its objective anywhere: the costly
+// few of a heavy tail would only keep others waiting.
+func (b *Balancer) isInfeasible(request *request) bool {
+	return request.hint > 0 && request.class.LateWeight == 0 &&
+		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
+}
+
+// dispatch sends what is queued as far as there is capacity, in order of priority, and sheds what
+// is too much.
 func (b *Balancer) dispatch() {
-	b.abandoned.settle(b.now)
-	b.work += uint64(len(b.held))
-	for _, r := range b.held {
-		r.value = b.value(r)
+	b.limiter.abandoned.settle(b.now)
+	b.queue.sort()
+	b.sendQueued()
+	for b.queue.full(b.limiter.inFlight) {
+		b.finishUnserved(b.queue.queued[len(b.queue.queued)-1])
 	}
-	slices.SortFunc(b.held, func(x, y *request) int {
-		return cmp.Or(cmp.Compare(y.value, x.value), cmp.Compare(y.arrived, x.arrived),
-			cmp.Compare(x.id, y.id))
-	})
-	// One that waits for its key's servers is passed over; of others a few failures tell.
-	b.scarce = false
-	for i, failures := 0, 0; i < len(b.held) && failures < 4 && b.underLimit() && b.local.mayTry(b.now); {
-		r := b.held[i]
-		if near := r.near; b.waits(r) && near[0] != nil && r.epoch == b.epoch &&
-			!b.takes(near[0], r) && !b.takes(near[1], r) {
+}
+
+// sendQueued sends queued requests while the limits allow it. A request that waits for its key's
+// endpoints is passed over.
+func (b *Balancer) sendQueued() {
+	queue := &b.queue
+	queue.scarce = false
+	for i, failures := 0, 0; i < len(queue.queued) && failures < maxPlacementFailures &&
+		b.limiter.allows() && b.local.mayTry(); {
+		request := queue.queued[i]
+		if b.selector.keyEndpointsFull(request) {
 			i++
 			continue
 		}
-		if s := b.pick(r); s != nil && b.send(r, s) {
-			b.held = slices.Delete(b.held, i, i+1)
+		if endpoint := b.selector.selectEndpoint(request); endpoint != nil && b.send(request, endpoint) {
+			queue.queued = slices.Delete(queue.queued, i, i+1)
 			continue
 		}
 		i++
-		if !b.waits(r) {
+		if !b.selector.waitsForKey(request) {
 			failures++
 		}
-		b.scarce = failures > 0
-	}
-	for b.tooMany() {
-		b.end(b.held[len(b.held)-1])
+		queue.scarce = failures > 0
 	}
 }
 
-// expire ends held requests that can no longer earn anything, before they cost work.
+// expire ends queued requests that can no longer earn anything, before they cost work.
 func (b *Balancer) expire() {
-	b.work += uint64(len(b.held))
-	for i := 0; i < len(b.held); {
-		r := b.held[i]
-		last := r.aimAt
-		if r.class.LateWeight > 0 {
-			last = r.deadline
+	b.work += uint64(len(b.queue.queued))
+	for i := 0; i < len(b.queue.queued); {
+		request := b.queue.queued[i]
+		last := request.timing.objectiveAt
+		if request.class.LateWeight > 0 {
+			last = request.timing.deadline
 		}
-		if b.now+b.expected(r) > last || b.now >= r.deadline {
-			b.end(r)
+		if b.now+b.latency.expectedMs(request) > last || b.now >= request.timing.deadline {
+			b.finishUnserved(request)
 			continue
 		}
 		i++
 	}
 }
 
-// callOffLate ends requests that are out and can earn nothing any more while others wait for
-// their places: past their aim their answers are worth nothing, and a quarter of an agent's
-// attempts waited for slow servers up to their clients' deadlines while it refused requests.
-// What may not be repeated at will is waited for: nobody could tell whether it has run.
-func (b *Balancer) callOffLate() {
-	if !b.set.Limits.Cancellation || len(b.held) == 0 || b.underLimit() && !b.scarce {
+// cancelLate ends requests that are in flight and can earn nothing any more while others wait for
+// their places: past their objective their answers are worth nothing, and they would wait for slow
+// endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
+// could tell whether it has run.
+func (b *Balancer) cancelLate() {
+	if !b.set.Limits.Cancellation || len(b.queue.queued) == 0 || b.limiter.allows() && !b.queue.scarce {
 		return
 	}
-	b.countWork(b.busy)
-	for _, s := range b.busy {
-		if b.ramp(s) < 1 {
-			continue // slow because it is cold: each further attempt would count against what it bears
+	b.countWork(b.endpoints.busy)
+	for _, endpoint := range b.endpoints.busy {
+		if b.capacityFraction(endpoint) < 1 {
+			continue // slow because it is warming up: each further attempt would count against it
 		}
-		for _, a := range s.out {
-			r := a.r
-			if b.now >= r.aimAt && r.class.LateWeight == 0 && repeatable(r.class) {
-				b.end(r)
+		for _, attempt := range endpoint.traffic.inFlight {
+			request := attempt.request
+			late := b.now >= request.timing.objectiveAt && request.class.LateWeight == 0
+			if late && isRepeatable(request.class) {
+				b.finishUnserved(request)
 			}
 		}
 	}
 }
 
-// expected is how long an answer to the request takes, on the mean.
-func (b *Balancer) expected(r *request) float64 {
-	e := r.class.expected(b.now)
-	if t := b.hintedTime(r); t > 0 {
-		e = max(t, e/4)
-	}
-	return e
-}
-
-// tooMany tells whether more requests are held than the agent can bear: past the
-// requests it may have open, clients would wait for a connection with nobody to answer.
-func (b *Balancer) tooMany() bool {
-	most := b.set.Limits.MaxOpenRequests
-	return len(b.held) > maxHeld || len(b.held) > 0 && most > 0 && len(b.held)+b.inflight > most
-}
-
-// end is the guard of all final answers but served ones: a refusal where the class
+// finishUnserved is the guard of all final answers but served ones: a rejection where the class
 // allows the claim that a retry is harmless, else a failure.
-func (b *Balancer) end(r *request) {
-	if r.closed || r.started {
+func (b *Balancer) finishUnserved(request *request) {
+	if request.closed || request.started {
 		return
 	}
-	b.remember(r)
-	c := r.class
-	harmless := r.mayHaveRun == 0 || repeatable(c)
-	b.close(r)
+	b.queue.remember(request)
+	class := request.class
+	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(class)
+	b.close(request)
 	if harmless {
-		c.counts.Rejected++
-		b.do(Action{Kind: ActionReject, Request: r.id, DelayMs: b.set.Limits.MaxRetryAfterMs})
+		class.counts.Rejected++
+		b.do(Action{Kind: ActionReject, Request: request.id, DelayMs: b.set.Limits.MaxRetryAfterMs})
 	} else {
-		c.counts.Failed++
-		b.do(Action{Kind: ActionFail, Request: r.id})
+		class.counts.Failed++
+		b.do(Action{Kind: ActionFail, Request: request.id})
 	}
 }
 
-// close forgets a finished request as soon as no attempt of it is out.
-func (b *Balancer) close(r *request) {
-	r.closed = true
-	if i := slices.Index(b.held, r); i >= 0 {
-		b.held = slices.Delete(b.held, i, i+1)
-	}
-	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancellation {
-			b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
+// close cancels what is in flight of a finished request, and forgets it as soon as nothing is.
+func (b *Balancer) close(request *request) {
+	request.closed = true
+	b.queue.remove(request)
+	for _, attempt := range request.tries.counted {
+		if !attempt.done && b.set.Limits.Cancellation {
+			b.do(Action{Kind: ActionCancel, Request: request.id, Attempt: attempt.index})
 		}
 	}
-	if r.open == 0 {
-		delete(b.requests, r.id)
-	}
-}
-
-// remember keeps when an unserved request first came, so that its retry is
-// judged by the time that has passed for the client.
-func (b *Balancer) remember(r *request) {
-	b.unserved = slices.DeleteFunc(b.unserved, func(p unservedRequest) bool {
-		return b.now-p.first > p.class.DeadlineMs
-	})
-	if len(b.unserved) < maxHeld {
-		b.unserved = append(b.unserved, unservedRequest{r.class, r.key, r.first})
-	}
-}
-
-// recall finds and forgets the unserved request that this one repeats.
-func (b *Balancer) recall(r *request) (first float64, found bool) {
-	i := slices.IndexFunc(b.unserved, func(p unservedRequest) bool {
-		return p.class == r.class && p.key == r.key
-	})
-	if i < 0 {
-		return 0, false
-	}
-	first = b.unserved[i].first
-	b.unserved = slices.Delete(b.unserved, i, i+1)
-	return first, true
-}
-
-// repeats tells whether the request seems to be a client's retry, and when its first try came.
-// Where clients don't mark their retries, a request with the class and the key of an unserved
-// one is held to be its retry: of the few requests that an agent left unserved within the time
-// that clients wait, hardly another has the same key.
-func (b *Balancer) repeats(r *request, marked bool) bool {
-	if !marked && (b.set.Clients.MarksRetry || r.key == 0) {
-		return false
-	}
-	first, found := b.recall(r)
-	if found {
-		r.first = first
+	if request.tries.inFlight == 0 {
+		delete(b.queue.open, request.id)
 	}
-	return marked || found
 }
--- a/policy/service_test.go
+++ b/policy/concurrency_limit_test.go
@@ -2,11 +2,61 @@
 
 import (
 	"container/heap"
+	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
 )
 
+// Warming endpoints count in the agent's part of the limit by what they can do: what they may not
+// be sent yet the warm ones would be.
+func TestWarmingEndpointsCountInPartBesideWarmOnes(t *testing.T) {
+	r := newRig(t, testSettings(), 4)
+	whole := r.b.limiter.floor()
+	cold := make([]Entry, 4)
+	for i := range cold {
+		cold[i] = Entry{Server: addr(4 + i), Health: HealthReady, Weight: 1, StartedMs: r.now}
+	}
+	r.list(ListDelta, cold...)
+	if got, want := r.b.limiter.floor(), whole*(1+r.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
+		t.Errorf("with as many cold ones %v, want %v", got, want)
+	}
+	r.b.now += r.b.set.Contract.SlowStartMs
+	if got := r.b.limiter.floor(); got != 2*whole {
+		t.Errorf("when they are warm %v, want %v", got, 2*whole)
+	}
+}
+
+// While answers are late an agent's part goes down to minAttemptsPerEndpoint an endpoint, and no
+// further.
+func TestLimitFallsToItsLeast(t *testing.T) {
+	r := quick(t, testSettings(), 30)
+	least := minAttemptsPerEndpoint / attemptsPerEndpoint
+	for range 100 {
+		id, server := r.sent(0, 0)
+		r.now += 500
+		r.outcome(id, 0, server, StatusOK, 500)
+	}
+	if r.b.limiter.scale != least {
+		t.Errorf("%v times its part, want %v", r.b.limiter.scale, least)
+	}
+}
+
+// A longer list does not take back what late answers took of the limit.
+func TestLongerListKeepsALoweredLimit(t *testing.T) {
+	r := quick(t, testSettings(), 3)
+	r.b.set.Replicas = 100
+	r.b.limiter.scale = minAttemptsPerEndpoint / attemptsPerEndpoint
+	var more []Entry
+	for i := range 60 {
+		more = append(more, Entry{Server: addr(3 + i), Health: HealthReady, Weight: 1})
+	}
+	r.list(ListDelta, more...)
+	if r.b.limiter.scale != minAttemptsPerEndpoint/attemptsPerEndpoint {
+		t.Errorf("%v times its part", r.b.limiter.scale)
+	}
+}
+
 // due is something that happens to an agent in virtual time.
 type due struct {
 	at float64
@@ -15,10 +65,14 @@
 
 type dues []due
 
-func (d dues) Len() int           { return len(d) }
+func (d dues) Len() int { return len(d) }
+
 func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
+
+func (d dues) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
+
+func (d *dues) Push(x any) { *d = append(*d, x.(due)) }
+
 func (d *dues) Pop() any {
 	old := *d
 	x := old[len(old)-1]
@@ -26,10 +80,10 @@
 	return x
 }
 
-// One agent of a healthy service in a fleet of 2,000: its settings tell the replicas and the
-// quota of the whole fleet, its list names the servers of the service. Each call is answered
-// after 5 ms, so it must be sent, and hardly ever held back: with 12 servers 72 in 100 were
-// refused, as two attempts a listed server were divided among all the fleet's agents.
+// One agent of a healthy service in a fleet of 2,000: its settings tell the replicas and the quota of
+// the whole fleet, its list names the endpoints of the service. Each call is answered after 5 ms, so it
+// must be sent, and hardly ever shed: two attempts an endpoint must not be divided among all the
+// fleet's agents.
 func TestLimitOfAServiceInALargeFleet(t *testing.T) {
 	for _, quota := range []float64{220000, 0} {
 		for _, servers := range []int{12, 60, 200} {
@@ -52,7 +106,7 @@
 }
 
 // playService plays one agent that asks 110 times a second for 40 s, and counts what is
-// asked and refused, after 10 s of warming up; held are the waits in the agent before the
+// asked and rejected, after 10 s of warming up; held are the waits in the agent before the
 // first attempt, in ms.
 func playService(t *testing.T, set Settings, servers int, seed uint64) (asked, refused int, held []float64) {
 	t.Helper()
@@ -67,22 +121,22 @@
 	tries := map[RequestID]int{}
 	begin := fleetStart
 	do := func(now float64, actions []Action) {
-		for _, a := range actions {
+		for _, action := range actions {
 			counts := now-begin >= warmUp
-			switch a.Kind {
+			switch action.Kind {
 			case ActionSend:
-				if counts && tries[a.Request] == 0 {
-					held = append(held, now-cameAt[a.Request])
+				if counts && tries[action.Request] == 0 {
+					held = append(held, now-cameAt[action.Request])
 				}
-				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: a.Request, Attempt: tries[a.Request],
-					Server: a.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
-				tries[a.Request]++
+				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: action.Request, Attempt: tries[action.Request],
+					Server: action.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
+				tries[action.Request]++
 			case ActionReject, ActionFail:
 				if counts {
 					refused++
 				}
 			case ActionTimer:
-				heap.Push(&todo, due{now + a.DelayMs, Event{Kind: EventTimer, Token: a.Token}})
+				heap.Push(&todo, due{now + action.DelayMs, Event{Kind: EventTimer, Token: action.Token}})
 			}
 		}
 	}
@@ -110,9 +164,9 @@
 	return asked, refused, held
 }
 
-// Settings that tell of the listed servers alone are left alone: calm answers of a loaded
+// Settings that tell of the listed endpoints alone are left alone: uncontended answers of a loaded
 // deployment take a multiple of their work, and a limit that took them for the work itself let
-// out too much when more was asked than the servers could do.
+// in flight too much when more was asked than the endpoints could do.
 func TestLimitOfAPlainDeploymentIsItsSettings(t *testing.T) {
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
@@ -120,12 +174,12 @@
 	set.Tenants = []Tenant{{Name: "a", QuotaShare: 1, QuotaPerS: 0.9 * servers * 1000 / work}}
 	r := newRig(t, set, servers)
 	for range 400 {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 10
-		r.outcome(id, 0, s, StatusOK, 3.5*work)
+		r.outcome(id, 0, server, StatusOK, 3.5*work)
 	}
-	want := attemptsPerServer * servers * r.b.rate() / (set.Tenants[0].QuotaPerS / 1000)
-	if got := r.b.limitFloor(); !near(got, max(want, 1)) {
+	want := attemptsPerEndpoint * servers * r.b.traffic.perMs() / (set.Tenants[0].QuotaPerS / 1000)
+	if got := r.b.limiter.floor(); !near(got, max(want, 1)) {
 		t.Errorf("may always have %v out, its part of the settings' is %v", got, want)
 	}
 }
@@ -136,11 +190,11 @@
 	set := fleetSettings(2000)
 	r := newRig(t, set, 12)
 	r.now += 60000 // alone for long: the floor is the settings'
-	limit := func() float64 { return r.b.limitFloor() * r.b.limitScale }
+	limit := func() float64 { return r.b.limiter.floor() * r.b.limiter.scale }
 	answer := func(took float64) {
-		id, s := r.sent(0, r.b.rng.Uint64())
+		id, server := r.sent(0, r.b.rng.Uint64())
 		r.now += 60000
-		r.outcome(id, 0, s, StatusOK, took)
+		r.outcome(id, 0, server, StatusOK, took)
 	}
 	floor := limit()
 	if floor > 0.02 {
@@ -169,7 +223,7 @@
 	for range 60 {
 		answer(2 * set.Classes[0].LatencyObjectiveMs)
 	}
-	if r.b.limitScale > 1.01 {
-		t.Errorf("%v times the floor after late answers", r.b.limitScale)
+	if r.b.limiter.scale > 1.01 {
+		t.Errorf("%v times the floor after late answers", r.b.limiter.scale)
 	}
 }
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,57 +1,104 @@
-// This file holds what is known of one server and of one attempt.
+// This file holds what is known of one endpoint.
 
 package policy
 
-// server is what the agent knows of one listed server.
+import "slices"
+
+// endpoint is what the agent knows of one listed server. Times are those of the agent's clock,
+// in ms.
 type endpoint struct {
-	id        Addr
-	hash      uint64
-	order     uint64 // its place among the servers, in an order of this agent's own
-	zone      int
-	cell      int
-	kind      int
-	weight    float64
-	listedAt  float64 // start of its process by the list
+	id          Addr
+	hash        uint64 // of the address, for rendezvous hashing
+	order       uint64 // position among the endpoints, in an order of this agent's own
+	zone        int
+	cell        int
+	machineKind int
+	weight      float64
+	usable      bool // listed as ready
+	slowStart   endpointSlowStart
+	health      endpointHealth
+	traffic     endpointTraffic
+	latency     endpointLatency
+	window      endpointWindow
+	score       float64 // for the request that is being placed; lower is better
+}
+
+// load is the number of attempts that the endpoint may be working on for this agent.
+func (e *endpoint) load() int { return len(e.traffic.inFlight) + e.traffic.abandoned }
+
+// windowOpen tells whether the endpoint's window lets another attempt in. A window under one is
+// kept by pausing: with many agents even one attempt of each can be too much, and an endpoint that
+// was overloaded needs rest to recover.
+func (e *endpoint) windowOpen(now float64) bool {
+	if e.load() >= max(int(e.window.size), 1) {
+		return false
+	}
+	return e.window.size >= 1 || now-e.traffic.sentAt >= e.latency.lastMs/e.window.size
+}
+
+// endpointSlowStart is how far an endpoint's process has warmed up.
+type endpointSlowStart struct {
+	listedAt  float64 // start of its process by the endpoint list
 	startedAt float64 // the same, or later where a restart is assumed
-	cold      bool    // in the Balancer's cold ones
-	usable    bool    // listed as ready
-	state     State
-	since     float64 // when the state was entered
-	silent    bool    // demoted for silence, not for an answer
-	lostAt    float64 // first failed connect since it last answered; 0: none
-	ejections int     // how often it failed of late; sets the ejection time
-	fails     float64 // share of its attempts that failed of late, after they may have run
-	good      int     // served since the last change of ejections
-	probing   bool
-	out       []*attempt // attempts out, oldest first
-	abandoned int        // attempts that it may still work on though nobody waits for them
-	passed    float64    // when the latest attempt was sent that it has answered
-	heard     float64    // when it last answered anything
-	lat       float64    // mean answer time as a part of the aim
-	samples   int
-	pace      float64 // answer time as a part of the aim by the last answers, as of paceAt
-	paceAt    float64
-	window    float64 // attempts it may hold of this agent
-	cutAt     float64
-	sentAt    float64 // last attempt
-	gap       float64 // mean time between attempts; 0: unknown
-	rtt       float64 // mean answer time
-	credit    float64 // work a cold server may still be sent
-	score     float64 // place in a request's order; lower is nearer
-}
-
-// attempt is one send of a request.
-type attempt struct {
-	r      *request
-	s      *endpoint
-	index  int
-	sentAt float64
-	alone  bool // no other of this agent was out on its server
-	cost   float64
-	done   bool
-	stuck  bool // out on a server that fell silent under it
-	called bool // called off, to be sent elsewhere
-	// charged is that its server's slow start paid for it, unreachable that its server could
-	// not be reached and was blamed for it.
-	charged, unreachable bool
+	warming   bool    // in slowStart.warming
+	allowance float64 // work it may still be sent while it is warming up, in mean requests
+}
+
+// endpointHealth is an endpoint's state and what led to it.
+type endpointHealth struct {
+	state                State
+	since                float64 // when the state was entered
+	silent               bool    // ejected for silence, not for an answer
+	unreachableAt        float64 // first failed connect since its last answer; 0: none
+	consecutiveEjections int     // recent ejections; sets the ejection time
+	failureRate          float64 // recent share of attempts that failed after they may have run
+	served               int     // requests served since consecutiveEjections last changed
+	checking             bool    // a health check is under way
+}
+
+// endpointTraffic is what this agent has sent to an endpoint and what came back.
+type endpointTraffic struct {
+	inFlight       []*attempt // oldest first
+	abandoned      int        // attempts it may still work on though nobody waits for them
+	answeredSentAt float64    // send time of the latest-sent attempt that it has answered
+	heardAt        float64    // when it last answered anything
+	sentAt         float64    // when the last attempt was sent
+	meanGapMs      float64    // mean time between attempts; 0: unknown
+}
+
+// send notes an attempt that is sent.
+func (t *endpointTraffic) send(sent *attempt) {
+	t.inFlight = append(t.inFlight, sent)
+	if t.sentAt > 0 {
+		t.meanGapMs = ewma(t.meanGapMs, sent.sentAt-t.sentAt, endpointSmoothing)
+	}
+	t.sentAt = sent.sentAt
+}
+
+// remove takes out an attempt that has ended.
+func (t *endpointTraffic) remove(ended *attempt) {
+	if i := slices.Index(t.inFlight, ended); i >= 0 {
+		t.inFlight = slices.Delete(t.inFlight, i, i+1)
+	}
+}
+
+// endpointLatency is an endpoint's answer times. mean and recent are parts of the latency
+// objective.
+type endpointLatency struct {
+	mean     float64
+	samples  int     // answers that mean was learnt from
+	recent   float64 // by the last answers, as of recentAt
+	recentAt float64
+	lastMs   float64 // last answer time
+}
+
+// endpointWindow bounds the attempts that an endpoint may hold of this agent.
+type endpointWindow struct {
+	size  float64
+	cutAt float64 // when it was last reduced
+}
+
+// cut reduces the window to the factor given, not under least.
+func (w *endpointWindow) cut(now, factor, least float64) {
+	w.size, w.cutAt = min(w.size, max(w.size*factor, least)), now
 }
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -9,26 +9,26 @@
 	until   float64
 	failed  int // attempts that failed so
 	sent    int
-	servers map[Addr]int // attempts that went out after that, by server
+	servers map[Addr]int // attempts that went out after that, by endpoint
 	refused int
 }
 
 // carry answers each attempt at once: as the machine fails it, or OK.
 func (m *machine) carry(actions []Action) {
 	for len(actions) > 0 {
-		a := actions[0]
+		action := actions[0]
 		actions = actions[1:]
-		switch a.Kind {
+		switch action.Kind {
 		case ActionSend:
 			m.sent++
-			number := m.b.requests[a.Request].sends - 1
+			number := m.b.queue.open[action.Request].tries.sent - 1
 			if m.now < m.until {
 				m.failed++
-				actions = append(actions, m.outcome(a.Request, number, a.Server, m.status, 0.1)...)
+				actions = append(actions, m.outcome(action.Request, number, action.Server, m.status, 0.1)...)
 				continue
 			}
-			m.servers[a.Server]++
-			actions = append(actions, m.outcome(a.Request, number, a.Server, StatusOK, 20)...)
+			m.servers[action.Server]++
+			actions = append(actions, m.outcome(action.Request, number, action.Server, StatusOK, 20)...)
 		case ActionReject, ActionFail:
 			m.refused++
 		}
@@ -41,7 +41,7 @@
 	return m.id, m.do(Event{Kind: EventRequest, Request: m.id, Class: class, TimeLeftMs: 20000})
 }
 
-// playFailingMachine has requests come at once at an agent of four servers whose machine fails
+// playFailingMachine has requests come at once at an agent of four endpoints whose machine fails
 // for so many ms.
 func playFailingMachine(t *testing.T, status Status, requests int, ms float64) *machine {
 	set := testSettings()
@@ -49,7 +49,7 @@
 		set.Classes[i].LatencyObjectiveMs, set.Classes[i].DeadlineMs, set.Classes[i].IdempotencyWindowMs = 15000, 30000, 10000
 	}
 	m := &machine{rig: newRig(t, set, 4), status: status, servers: map[Addr]int{}}
-	m.b.limitScale = 1e6 // the agent's own limit is not at issue
+	m.b.limiter.scale = 1e6 // the agent's own limit is not at issue
 	m.until = m.now + ms
 	for range requests {
 		_, actions := m.long(int(m.id) % 3)
@@ -61,7 +61,7 @@
 	return m
 }
 
-// Attempts that this machine can't make cost nothing: no request is refused for them, no server
+// Attempts that this machine can't make cost nothing: no request is rejected for them, no endpoint
 // is blamed, nothing is taken from limit and retry budget, and they are few.
 func TestAttemptsThatThisMachineFails(t *testing.T) {
 	for _, status := range []Status{StatusLocalFailure, StatusUnreachable} {
@@ -75,40 +75,40 @@
 			if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
 				t.Errorf("%d, %v ms: %d attempts failed, at most %d wanted", status, ms, m.failed, most)
 			}
-			if m.b.retryBudget != retryBurst || m.b.limitScale < 1e6 {
+			if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
 				t.Errorf("%d, %v ms: a retry budget of %v and a limit of %v times its floor are left",
-					status, ms, m.b.retryBudget, m.b.limitScale)
+					status, ms, m.b.retries.tokens, m.b.limiter.scale)
 			}
-			for _, s := range m.b.servers {
-				if s.state > StateUnknown || s.lostAt != 0 || s.fails != 0 || s.ejections != 0 || s.abandoned != 0 {
-					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, s.id, s)
+			for _, target := range m.b.endpoints.all {
+				if target.health.state > StateUnknown || target.health.unreachableAt != 0 || target.health.failureRate != 0 || target.health.consecutiveEjections != 0 || target.traffic.abandoned != 0 {
+					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, target.id, target)
 				}
 			}
-			if len(m.b.requests) != 0 || m.b.inflight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
-				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.requests), m.b.inflight, m.b.local)
+			if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
+				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.queue.open), m.b.limiter.inFlight, m.b.local)
 			}
 		}
 	}
 }
 
-// A request whose time ends while this machine fails never ran: it is refused, with when to come
+// A request whose time ends while this machine fails never ran: it is rejected, with when to come
 // back, whatever its class, and after more attempts than the class may have.
-func TestRefusedWhileThisMachineFails(t *testing.T) {
+func TestRejectedWhileThisMachineFails(t *testing.T) {
 	for class := range 3 {
 		r := newRig(t, testSettings(), 4)
 		id, actions := r.ask(class, 0)
 		sends := 0
 		for range 200 {
 			for i := 0; i < len(actions); i++ {
-				switch a := actions[i]; a.Kind {
+				switch action := actions[i]; action.Kind {
 				case ActionSend:
-					actions = append(actions, r.outcome(id, sends, a.Server, StatusLocalFailure, 0.1)...)
+					actions = append(actions, r.outcome(id, sends, action.Server, StatusLocalFailure, 0.1)...)
 					sends++
 				case ActionFail:
 					t.Errorf("class %d: failed", class)
 				case ActionReject:
-					if a.DelayMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
-						t.Errorf("class %d: refused for %v ms after %d attempts", class, a.DelayMs, sends)
+					if action.DelayMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
+						t.Errorf("class %d: refused for %v ms after %d attempts", class, action.DelayMs, sends)
 					}
 					id = 0
 				}
@@ -118,32 +118,32 @@
 			}
 			actions = r.tick(5)
 		}
-		if id != 0 || len(r.b.requests) != 0 || len(r.b.held) != 0 {
+		if id != 0 || len(r.b.queue.open) != 0 || len(r.b.queue.queued) != 0 {
 			t.Errorf("class %d: never answered", class)
 		}
 	}
 }
 
-// The only server is tried again after a failure of this machine, and a cold one gets the work
+// The only endpoint is tried again after a failure of this machine, and a warming one gets the work
 // back that its slow start paid for.
-func TestServerIsTriedAgainAfterLocalFailure(t *testing.T) {
+func TestEndpointIsTriedAgainAfterLocalFailure(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
 	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now - 100},
 		Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
-	s := r.b.byAddr[addr(0)]
-	s.credit = 5
+	target := r.b.endpoints.byAddr[addr(0)]
+	target.slowStart.allowance = 5
 	id, _ := r.sent(1, 0)
-	if s.credit >= 5 {
+	if target.slowStart.allowance >= 5 {
 		t.Fatal("its slow start was charged nothing")
 	}
-	r.outcome(id, 0, s.id, StatusLocalFailure, 0.1)
-	if s.credit != 5 {
-		t.Errorf("a credit of %v is left of 5", s.credit)
+	r.outcome(id, 0, target.id, StatusLocalFailure, 0.1)
+	if target.slowStart.allowance != 5 {
+		t.Errorf("a credit of %v is left of 5", target.slowStart.allowance)
 	}
 	for range 10 {
-		if a := find(r.tick(5), ActionSend); a != nil {
-			if a.Server != s.id || a.Request != id {
-				t.Errorf("sent %+v", a)
+		if action := find(r.tick(5), ActionSend); action != nil {
+			if action.Server != target.id || action.Request != id {
+				t.Errorf("sent %+v", action)
 			}
 			return
 		}
@@ -154,37 +154,37 @@
 // A failure of long ago holds nothing back, though no trial was made since.
 func TestLocalFailureIsForgotten(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	id, s := r.sent(0, 0)
-	r.outcome(id, 0, s, StatusLocalFailure, 0.1)
+	id, server := r.sent(0, 0)
+	r.outcome(id, 0, server, StatusLocalFailure, 0.1)
 	r.do(Event{Kind: EventClientGone, Request: id})
 	r.now += 60000
 	r.sent(0, 0)
 	r.sent(0, 0)
 }
 
-// One server that can't be reached is at fault itself, as are two of five.
+// One endpoint that can't be reached is at fault itself, as are two of five.
 func TestServersThatCannotBeReached(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.b.limitScale = 1e6
+	r.b.limiter.scale = 1e6
 	lost := map[Addr]bool{addr(0): true, addr(1): true}
 	for range 200 {
 		r.now += 3
 		id, actions := r.ask(0, 0)
 		for try := 0; ; try++ {
-			a := find(actions, ActionSend)
-			if a == nil {
+			action := find(actions, ActionSend)
+			if action == nil {
 				break
 			}
 			status := StatusOK
-			if lost[a.Server] {
+			if lost[action.Server] {
 				status = StatusUnreachable
 			}
-			actions = r.outcome(id, try, a.Server, status, 1)
+			actions = r.outcome(id, try, action.Server, status, 1)
 		}
 	}
-	for _, s := range r.b.servers {
-		if lost[s.id] != (s.state > StateUnknown) || lost[s.id] && s.lostAt == 0 {
-			t.Errorf("server %v, lost %v, is in state %d", s.id, lost[s.id], s.state)
+	for _, target := range r.b.endpoints.all {
+		if lost[target.id] != (target.health.state > StateUnknown) || lost[target.id] && target.health.unreachableAt == 0 {
+			t.Errorf("server %v, lost %v, is in state %d", target.id, lost[target.id], target.health.state)
 		}
 	}
 }
@@ -194,8 +194,8 @@
 func TestTrialsAfterLocalFailure(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		m := playFailingMachine(t, StatusLocalFailure, 0, 0)
-		for _, s := range m.b.servers {
-			s.window = 1e6 // room is not at issue
+		for _, target := range m.b.endpoints.all {
+			target.window.size = 1e6 // capacity is not at issue
 		}
 		id, actions := m.long(0)
 		m.outcome(id, 0, find(actions, ActionSend).Server, StatusLocalFailure, 0.1)
@@ -209,20 +209,20 @@
 		out, allowed := 0, 1
 		for successes := 0; out < 101 && successes < 10; successes++ {
 			sent := 0
-			for _, a := range actions {
-				if a.Kind == ActionSend {
+			for _, action := range actions {
+				if action.Kind == ActionSend {
 					sent++
-					id = a.Request
+					id = action.Request
 				}
 			}
 			if out += sent; m.b.local.row > 0 && sent > allowed {
 				t.Fatalf("answered %v: %d sent at once after %d successes", answered, sent, successes)
 			}
-			r := m.b.requests[id]
+			r := m.b.queue.open[id]
 			if allowed *= 2; answered {
-				actions = m.outcome(id, r.sends-1, r.attempts[0].s.id, StatusOK, 1)
+				actions = m.outcome(id, r.tries.sent-1, r.tries.counted[0].endpoint.id, StatusOK, 1)
 			} else {
-				allowed = freeWindow
+				allowed = unlimitedWindow
 				actions = m.tick(settledAfterMs)
 			}
 		}
