--- a/internal/agent/backend_response.go
+++ b/internal/agent/backend_response.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -13,60 +12,81 @@
 	"ploverreel/policy"
 )
 
-// answer reads the answer, and reports whether the connection can be used again. Of an
-// answer that is spoilt in any way nothing is believed: it may have run.
-func (a *attempt) answer(c *backendConn, r *bufio.Reader) (res result, keep bool, err error) {
-	var resp *http.Response
-	for i := 0; ; i++ {
-		if resp, err = http.ReadResponse(r, &http.Request{Method: a.request.method}); err != nil {
-			return res, false, fmt.Errorf("answer: %w", err)
-		}
-		if resp.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || resp.ProtoMajor != 1 {
-			return res, false, errors.New("answer: none to this request")
-		}
-		if resp.StatusCode >= 200 {
-			break
-		}
+// Bounds of what is read from a backend.
+const (
+	maxBody       = 64 << 10 // bytes of a request's body and of an answer's
+	maxAnswerHead = 16 << 10 // bytes of an answer's head, with the 1xx answers ahead of it
+	maxInterim    = 8        // 1xx answers ahead of an answer
+)
+
+// answer reads the answer and reports whether the connection can be used again. Of an answer that
+// is spoilt in any way nothing is believed: the request may have run.
+func (a *attempt) answer(conn *backendConn, reader *bufio.Reader) (res result, reusable bool, err error) {
+	response, err := a.finalHead(reader)
+	if err != nil {
+		return result{}, false, err
 	}
 	// Without a length the answer lasts to the end of the connection. One that ends in order makes
 	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
-	chunked := len(resp.TransferEncoding) > 0
-	untilEnd := resp.ContentLength < 0 && !chunked
+	chunked := len(response.TransferEncoding) > 0
+	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
-	case resp.ContentLength > maxBody:
-		return res, false, errTooLong
+	case response.ContentLength > maxBody:
+		return result{}, false, errTooLong
 	case untilEnd:
-		c.left += maxBody + 1 // a read behind the last byte, which finds the end
+		conn.readBudget += maxBody + 1 // a read behind the last byte, which finds the end
 	case chunked:
-		c.left += maxBody + maxAnswerHead // the frames of the chunks
+		conn.readBudget += maxBody + maxAnswerHead // the frames of the chunks
 	default:
-		c.left += int(resp.ContentLength)
+		conn.readBudget += int(response.ContentLength)
 	}
-	body, err := readBody(resp.Body, resp.ContentLength)
+	body, err := readBody(response.Body, response.ContentLength)
 	if err != nil {
-		return res, false, fmt.Errorf("answer: %w", err)
+		return result{}, false, fmt.Errorf("answer: %w", err)
 	}
-	res.load = resp.Header.Get("Server-Load")
-	switch {
-	case resp.StatusCode == http.StatusOK:
-		res.status, res.body, res.contentType = policy.StatusOK, body, resp.Header.Get("Content-Type")
-	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("Not-Started") == "1":
-		res.status = policy.StatusRejected
-	default:
-		res.status = policy.StatusServerError // it may have run
+	return resultOf(response, body), !response.Close && !untilEnd, nil
+}
+
+// finalHead reads the head of the answer and skips the 1xx answers ahead of it.
+func (a *attempt) finalHead(reader *bufio.Reader) (*http.Response, error) {
+	for i := 0; ; i++ {
+		response, err := http.ReadResponse(reader, &http.Request{Method: a.request.method})
+		if err != nil {
+			return nil, fmt.Errorf("answer: %w", err)
+		}
+		if response.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || response.ProtoMajor != 1 {
+			return nil, errNoAnswer
+		}
+		if response.StatusCode >= http.StatusOK {
+			return response, nil
+		}
+	}
+}
+
+// resultOf is what a whole answer means. Any status but 200 may have run, unless the backend says
+// that it did not start the request.
+func resultOf(response *http.Response, body []byte) result {
+	res := result{status: policy.StatusServerError, load: response.Header.Get("Server-Load")}
+	switch response.StatusCode {
+	case http.StatusOK:
+		res.status, res.body, res.contentType = policy.StatusOK, body, response.Header.Get("Content-Type")
+	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		if response.Header.Get("Not-Started") == "1" {
+			res.status = policy.StatusRejected
+		}
 	}
-	return res, !resp.Close && !untilEnd, nil
+	return res
 }
 
-// readBody reads a body whole; a length below 0 is not known.
-func readBody(r io.Reader, length int64) ([]byte, error) {
+// readBody reads a body whole; a length below 0 is not known. It returns errTooLong for more than
+// maxBody bytes.
+func readBody(reader io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
-		_, err := io.ReadFull(r, body)
+		_, err := io.ReadFull(reader, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(r, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(reader, maxBody+1))
 	if err == nil && len(body) > maxBody {
 		err = errTooLong
 	}
@@ -75,7 +95,7 @@
 
 // report reads the values that the settings name from a load report of the form
 // 'TEXT name=value, name=value'. It is taken whole or not at all: a value that is
-// missing or makes no sense would look like an idle backend.
+// missing or makes no sense would look like an idle backend. It returns nil where there is none.
 func report(text string, names []string) []float32 {
 	text, found := strings.CutPrefix(text, "TEXT ")
 	if !found || len(names) == 0 {
@@ -87,11 +107,11 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		for i := range names {
 			if names[i] == name {
-				x, err := strconv.ParseFloat(value, 32)
-				if err != nil || !(x >= 0) || math.IsInf(x, 0) || seen[i] {
+				number, err := strconv.ParseFloat(value, 32)
+				if err != nil || !(number >= 0) || math.IsInf(number, 0) || seen[i] {
 					return nil
 				}
-				values[i], seen[i] = float32(x), true
+				values[i], seen[i] = float32(number), true
 			}
 		}
 	}
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -38,21 +38,21 @@
 	}
 }
 
-// The time that a backend is told is under what the client has left, by what may hold up the
+// The time in Request-Timeout is under what the client has left, by what may hold up the
 // write where there is much time and by an eighth where there is little.
-func TestToldTimeoutAllowsForAHoldUp(t *testing.T) {
+func TestRequestTimeoutAllowsForAHoldUp(t *testing.T) {
 	for _, test := range []struct{ attempt, client, most, least time.Duration }{
-		{attempt: time.Hour, client: time.Hour, most: time.Hour - holdUp, least: time.Hour - time.Minute},
-		{attempt: time.Hour, client: time.Minute, most: time.Minute - holdUp, least: 10 * time.Second},
-		{attempt: time.Minute, client: time.Hour, most: time.Minute - holdUp, least: 10 * time.Second},
+		{attempt: time.Hour, client: time.Hour, most: time.Hour - maxHoldUp, least: time.Hour - time.Minute},
+		{attempt: time.Hour, client: time.Minute, most: time.Minute - maxHoldUp, least: 10 * time.Second},
+		{attempt: time.Minute, client: time.Hour, most: time.Minute - maxHoldUp, least: 10 * time.Second},
 		{attempt: time.Hour, client: 800 * time.Millisecond, most: 700 * time.Millisecond, least: time.Millisecond},
 		{attempt: time.Hour, client: 8 * time.Millisecond, most: 7 * time.Millisecond, least: time.Millisecond},
 		{attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
 	} {
 		a := newAttempt(nil, http.MethodPost, test.attempt)
 		a.request.deadline = time.Now().Add(test.client)
-		if got := a.toldTimeout(); got > test.most || got < test.least {
-			t.Errorf("%v of the attempt and %v of the client are left: told %v", test.attempt, test.client, got)
+		if got := a.requestTimeout(); got > test.most || got < test.least {
+			t.Errorf("%v of the attempt and %v of the client are left: Request-Timeout %v", test.attempt, test.client, got)
 		}
 		a.cancel(nil)
 	}
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -1,10 +1,8 @@
 package agent
 
 import (
-	"bufio"
 	"container/list"
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -52,29 +50,24 @@
 // conn is a connection to a backend, for one attempt at a time.
 type backendConn struct {
 	net.Conn
-	conns *backendConns
-	left  int           // bytes that may still be read for the attempt
-	idle  *list.Element // its place among all that stand idle
-	since time.Time     // when it came to stand idle
-	age   time.Duration // how long it had stood idle; 0: new
-	once  sync.Once
+	conns      *backendConns
+	readBudget int           // bytes that may still be read for the attempt
+	idle       *list.Element // its place among all that stand idle
+	since      time.Time     // when it came to stand idle
+	age        time.Duration // how long it had stood idle; 0: new
+	once       sync.Once
 }
 
-var errTooLong = errors.New("answer: longer than any may be")
-
 // Read bounds what one answer may bring.
 func (c *backendConn) Read(p []byte) (int, error) {
-	if c.left <= 0 {
+	if c.readBudget <= 0 {
 		return 0, errTooLong
 	}
-	n, err := c.Conn.Read(p[:min(len(p), c.left)])
-	c.left -= n
+	n, err := c.Conn.Read(p[:min(len(p), c.readBudget)])
+	c.readBudget -= n
 	return n, err
 }
 
-// readers are kept apart from the connections: only attempts that are out need one.
-var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
-
 func newPool(connect func(context.Context, string, string) (net.Conn, error), timeout, idle time.Duration, most int) *pool {
 	return &pool{connect: connect, after: time.After, timeout: timeout, idleTimeout: idle, maxConns: most, idle: list.New()}
 }
