--- a/internal/agent/idle_lifetime.go
+++ b/internal/agent/idle_lifetime.go
@@ -6,72 +6,85 @@
 )
 
 const (
-	// youngest is the age up to which a connection's end under a request says nothing of
-	// its age; ageSteps are the steps above it, each by a factor of √2.
-	youngest, ageSteps = 64 * time.Millisecond, 24
-	// ageMemory is after how long what was seen counts half: what then is too little to
-	// go by is tried anew.
-	ageMemory = 10 * time.Second
-	// A step is left out that ended leastEnds of its reuses and clearly more of them than
-	// young connections do.
-	leastEnds, endFactor, endShare = 3, 3, 0.1
+	// youngAge is the age up to which a connection's end under a request says nothing of its age;
+	// ageSteps is the number of steps above it, each longer by a factor of √2: up to 262 s.
+	youngAge, ageSteps = 64 * time.Millisecond, 24
+	// ageHalfLife is after how long a count weighs half: ages that were given up are tried anew.
+	ageHalfLife = 10 * time.Second
+	// A step is too old if its connections broke at least minBreaks times and in more than
+	// breakFactor times the share of the young ones, plus breakShare.
+	minBreaks, breakFactor, breakShare = 3, 3, 0.1
 )
 
-// ages learns how long connections may stand idle. A backend, or what stands between,
-// may drop them long before the time in the settings without a word; the next request
-// then ends as a reset, and may have run. The pool's lock guards it.
+// idleLifetimeEstimator learns how long connections may be idle. A backend, or a middlebox before
+// it, may drop them long before the keepalive time of the settings without a word; the next request
+// then ends as a reset, and may have run.
+//
+// It is a histogram of reuses over the idle time, in geometric steps, whose counts decay by half in
+// each ageHalfLife (exponential forgetting). The limit is the lower bound of the first step whose
+// share of broken connections stands out against that of young ones, which break for other reasons.
+// Its constants are of this project, not from a publication: a few resets must be enough to act on,
+// and a single one must not be. The pool's lock guards it. Its zero value is ready for use.
 type idleLifetimeEstimator struct {
-	young ageBucket
-	steps [ageSteps]ageBucket
-	at    time.Time
+	young   reuseCount
+	steps   [ageSteps]reuseCount
+	decayed time.Time // when the counts were last decayed
 }
 
-// step counts the reuses of connections of about one age, and those that broke before
-// the first byte of an answer.
-type ageBucket struct{ uses, ends float64 }
+// reuseCount counts the reuses of connections of about one age, and those of them that broke
+// before the first byte of an answer. The counts decay, and so are no whole numbers.
+type reuseCount struct{ reuses, broken float64 }
 
-func bucketOf(age time.Duration) int {
-	return min(int(2*math.Log2(float64(age)/float64(youngest))), ageSteps-1)
+// stepOf is the index of the step of an age, which must be at least youngAge.
+func stepOf(age time.Duration) int {
+	return min(int(2*math.Log2(float64(age)/float64(youngAge))), ageSteps-1)
 }
 
-// learn notes how the reuse of a connection went that had stood idle for age.
+// observe notes how the reuse of a connection went that had been idle for age.
 func (s *idleLifetimeEstimator) observe(age time.Duration, broke bool, now time.Time) {
-	if s.at.IsZero() {
-		s.at = now
+	s.decay(now)
+	count := &s.young
+	if age >= youngAge {
+		count = &s.steps[stepOf(age)]
 	}
-	if gone := now.Sub(s.at); gone > ageMemory/10 {
-		keep := math.Exp2(-float64(gone) / float64(ageMemory))
-		s.young.fade(keep)
-		for i := range s.steps {
-			s.steps[i].fade(keep)
-		}
-		s.at = now
+	count.reuses++
+	if broke {
+		count.broken++
+	}
+}
+
+// decay brings the counts to the present, at most ten times in a half-life.
+func (s *idleLifetimeEstimator) decay(now time.Time) {
+	if s.decayed.IsZero() {
+		s.decayed = now
 	}
-	st := &s.young
-	if age >= youngest {
-		st = &s.steps[bucketOf(age)]
+	passed := now.Sub(s.decayed)
+	if passed <= ageHalfLife/10 {
+		return
 	}
-	st.uses++
-	if broke {
-		st.ends++
+	keep := math.Exp2(-float64(passed) / float64(ageHalfLife))
+	s.young.scale(keep)
+	for i := range s.steps {
+		s.steps[i].scale(keep)
 	}
+	s.decayed = now
 }
 
-func (s *ageBucket) fade(keep float64) {
-	s.uses *= keep
-	s.ends *= keep
+func (c *reuseCount) scale(factor float64) {
+	c.reuses *= factor
+	c.broken *= factor
 }
 
-// limit is how long a connection may stand idle to be used again, at most most.
-func (s *idleLifetimeEstimator) limit(most time.Duration) time.Duration {
+// limit is how long a connection may have been idle to be used again, at most keepalive.
+func (s *idleLifetimeEstimator) limit(keepalive time.Duration) time.Duration {
 	usual := 0.0
-	if s.young.uses > 0 {
-		usual = s.young.ends / s.young.uses
+	if s.young.reuses > 0 {
+		usual = s.young.broken / s.young.reuses
 	}
-	for i, st := range s.steps {
-		if st.ends >= leastEnds && st.ends > st.uses*(endFactor*usual+endShare) {
-			return min(most, time.Duration(float64(youngest)*math.Exp2(float64(i)/2)))
+	for i, step := range s.steps {
+		if step.broken >= minBreaks && step.broken > step.reuses*(breakFactor*usual+breakShare) {
+			return min(keepalive, time.Duration(float64(youngAge)*math.Exp2(float64(i)/2)))
 		}
 	}
-	return most
+	return keepalive
 }
--- a/internal/agent/idle_lifetime_test.go
+++ b/internal/agent/idle_lifetime_test.go
@@ -13,32 +13,32 @@
 
 // Connections of an age at which they tend to be dropped unseen are not used again;
 // what ends at any age alike says nothing, and in time all is tried anew.
-func TestAges(t *testing.T) {
+func TestIdleLifetimeEstimator(t *testing.T) {
 	now, most := time.Now(), time.Minute
-	var s idleLifetimeEstimator
+	var estimator idleLifetimeEstimator
 	for i := range 100 {
 		broke := i%20 == 0 // as often at any age
-		s.observe(time.Millisecond, broke, now)
-		s.observe(300*time.Millisecond, broke, now)
+		estimator.observe(time.Millisecond, broke, now)
+		estimator.observe(300*time.Millisecond, broke, now)
 	}
-	if got := s.limit(most); got != most {
+	if got := estimator.limit(most); got != most {
 		t.Fatalf("%v though young ones end as often", got)
 	}
 	for i := range 10 {
-		s.observe(110*time.Millisecond, i%3 == 0, now)
+		estimator.observe(110*time.Millisecond, i%3 == 0, now)
 	}
-	if got := s.limit(most); got < 64*time.Millisecond || got > 110*time.Millisecond {
+	if got := estimator.limit(most); got < 64*time.Millisecond || got > 110*time.Millisecond {
 		t.Fatalf("%v though a third end from 110 ms on", got)
 	}
-	s.observe(time.Millisecond, false, now.Add(10*ageMemory))
-	if got := s.limit(most); got != most {
+	estimator.observe(time.Millisecond, false, now.Add(10*ageHalfLife))
+	if got := estimator.limit(most); got != most {
 		t.Fatalf("%v after what was seen is old", got)
 	}
 }
 
 // A backend that drops what stands idle without a word is met with new connections
 // after a few requests that ended so.
-func TestDroppedUnseen(t *testing.T) {
+func TestConnectionsDroppedSilentlyAreReplaced(t *testing.T) {
 	addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
 		if _, err := readRequest(r); err != nil {
 			return
@@ -63,7 +63,7 @@
 		}
 		p.mu.Unlock()
 	}
-	if broken != leastEnds {
-		t.Fatalf("%d requests ended as a reset, want %d", broken, leastEnds)
+	if broken != minBreaks {
+		t.Fatalf("%d requests ended as a reset, want %d", broken, minBreaks)
 	}
 }
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -54,25 +54,25 @@
 }
 
 // rests makes all idle connections rest however slow the test is.
-func (g *backendConns) rests() {
-	g.pool.mu.Lock()
-	defer g.pool.mu.Unlock()
-	for _, c := range g.idle {
+func (b *backendConns) rests() {
+	b.pool.mu.Lock()
+	defer b.pool.mu.Unlock()
+	for _, c := range b.idle {
 		c.since = time.Now().Add(never)
 	}
 }
 
-func (g *backendConns) served(t *testing.T) {
+func (b *backendConns) served(t *testing.T) {
 	t.Helper()
-	if res := newAttempt(g, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
+	if res := newAttempt(b, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 }
 
-func (g *backendConns) idleAndOpen() (idle, open int) {
-	g.pool.mu.Lock()
-	defer g.pool.mu.Unlock()
-	return len(g.idle), g.pool.open
+func (b *backendConns) idleAndOpen() (idle, open int) {
+	b.pool.mu.Lock()
+	defer b.pool.mu.Unlock()
+	return len(b.idle), b.pool.open
 }
 
 // An attempt does not wait out the rest of the only connection: an extra one is opened, the
@@ -87,7 +87,7 @@
 	if idle, open := g.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
 		t.Fatalf("%d idle of %d, %d opened", idle, open, conns.begun.Load())
 	}
-	if !first.since.Equal(since) || first.age != 0 {
+	if !first.since.Equal(since) || first.idleFor != 0 {
 		t.Error("the connection at rest was used, or its rest begun again")
 	}
 	g.rests()
