--- a/internal/agent/backend_conn_test.go
+++ b/internal/agent/backend_conn_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"net"
 	"sync"
+	"testing"
+	"time"
 )
 
 // connector opens connections, as a pool does.
@@ -32,3 +34,27 @@
 		return &readCounter{Conn: c, left: bytes, done: read}, err
 	}
 }
+
+// deadlineConn keeps the deadline that was set.
+type deadlineConn struct {
+	net.Conn
+	deadline time.Time
+}
+
+func (c *deadlineConn) SetDeadline(deadline time.Time) error {
+	c.deadline = deadline
+	return nil
+}
+
+// The deadline that interrupts a connection is past whatever the wall clock was set to: it has a
+// reading of the monotonic clock, which alone counts then.
+func TestInterruptIsPastByTheMonotonicClock(t *testing.T) {
+	conn := &deadlineConn{}
+	(&backendConn{Conn: conn}).interrupt()
+	if conn.deadline == conn.deadline.Round(0) { // which strips the reading
+		t.Errorf("the deadline %v is a wall time", conn.deadline)
+	}
+	if !conn.deadline.Before(time.Now()) {
+		t.Errorf("the deadline %v is not past", conn.deadline)
+	}
+}
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -134,6 +134,10 @@
 	return n, err
 }
 
+// interrupt ends reads and writes, those that wait as well. Its deadline is past by the monotonic
+// clock too: a wall time would count by what the machine's clock was set to.
+func (c *backendConn) interrupt() { _ = c.SetDeadline(time.Now().Add(-time.Second)) }
+
 // unlist takes a connection from the idle ones. The pool must be locked.
 func (c *backendConn) unlist() {
 	c.conns.pool.idle.Remove(c.element)
--- a/internal/agent/round_trip.go
+++ b/internal/agent/round_trip.go
@@ -106,7 +106,7 @@
 			conn.Close()
 		}
 	}()
-	stop := context.AfterFunc(a.ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(a.ctx, conn.interrupt)
 	defer func() {
 		if !stop() {
 			reusable = false // its deadline is set, or is about to be
