--- a/internal/agent/backend_conns.go
+++ b/internal/agent/backend_conns.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fmt"
+	"runtime/debug"
 	"time"
 )
 
@@ -28,6 +30,9 @@
 	// noExtra is until when no extra connection is opened, as one did not come up: the backend may
 	// have no room for it.
 	noExtra time.Time
+	// panicked is a panic in the opening of an extra connection, with its stack, which the next
+	// result of an attempt takes to the loop.
+	panicked error
 }
 
 // get acquires a connection on which no bytes wait: an idle one that has rested or, within the
@@ -120,8 +125,14 @@
 }
 
 // openExtra opens an extra connection for the attempt that waits on up, or for the next if that
-// one has left. One that fails is no attempt's failure, as none depends on it.
+// one has left. One that fails is no attempt's failure, as none depends on it; nor does a panic end
+// the process with all the requests that it serves.
 func (b *backendConns) openExtra(ctx context.Context, up chan<- *backendConn, left <-chan struct{}) {
+	defer func() {
+		if reason := recover(); reason != nil {
+			b.extraPanicked(fmt.Errorf("panic in an extra connection: %v\n%s", reason, debug.Stack()))
+		}
+	}()
 	conn, err := b.connect(ctx)
 	b.extraOpened(err, ctx.Err() != nil)
 	if err != nil {
@@ -150,6 +161,23 @@
 	}
 }
 
+// extraPanicked notes a panic as a failed connect, and keeps it for takePanic.
+func (b *backendConns) extraPanicked(err error) {
+	b.extraOpened(err, false)
+	b.pool.mu.Lock()
+	defer b.pool.mu.Unlock()
+	b.panicked = err
+}
+
+// takePanic returns the panic that is kept, once; nil if there is none.
+func (b *backendConns) takePanic() error {
+	b.pool.mu.Lock()
+	defer b.pool.mu.Unlock()
+	err := b.panicked
+	b.panicked = nil
+	return err
+}
+
 // pick takes the idle connection used last among those that have rested, else the one idle
 // longest, else nil. The pool must be locked.
 func (b *backendConns) pick(now time.Time) *backendConn {
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -198,3 +198,37 @@
 		return idle == 2 && open == 2
 	})
 }
+
+// A panic in the opening of an extra connection fails nobody: the attempt goes out after the rest,
+// its result reports the panic once, and the pool counts no connection for it.
+func TestExtraConnectionThatPanics(t *testing.T) {
+	g, conns, rested := restingPool(t)
+	g.served(t)
+	g.rests()
+	g.pool.connect = func(context.Context, string, string) (net.Conn, error) {
+		conns.begun.Add(1)
+		panic("boom")
+	}
+	done := make(chan result, 1)
+	go func() { done <- newAttempt(g, http.MethodPost, noAnswer).run() }()
+	eventually(t, "the panic", func() bool {
+		g.pool.mu.Lock()
+		defer g.pool.mu.Unlock()
+		return g.panicked != nil
+	})
+	rested <- time.Now()
+	if res := <-done; res.status != policy.StatusOK || res.broken == nil {
+		t.Fatalf("ended %d, broken by %v", res.status, res.broken)
+	}
+	if idle, open := g.idleAndOpen(); idle != 1 || open != 1 || g.opening {
+		t.Errorf("%d idle of %d, opening %v", idle, open, g.opening)
+	}
+	g.rests()
+	close(rested)
+	if res := newAttempt(g, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK || res.broken != nil {
+		t.Errorf("the next ended %d, broken by %v", res.status, res.broken)
+	}
+	if n := conns.begun.Load(); n != 2 {
+		t.Errorf("%d connects: one that panicked is tried again at once", n)
+	}
+}
--- a/internal/agent/round_trip.go
+++ b/internal/agent/round_trip.go
@@ -70,7 +70,7 @@
 	body        []byte
 	contentType string // the answer's Content-Type
 	load        string // the answer's Server-Load
-	broken      error  // a panic, with its stack
+	broken      error  // a panic in the attempt or in the opening of an extra connection, with its stack
 }
 
 // run sends the attempt and waits for its end. When it returns, the connection is closed or free
@@ -81,6 +81,9 @@
 		if reason := recover(); reason != nil {
 			res = result{status: policy.StatusReset, broken: fmt.Errorf("panic in an attempt: %v\n%s", reason, debug.Stack())}
 		}
+		if res.broken == nil {
+			res.broken = a.conns.takePanic()
+		}
 		a.cancel(nil)
 		res.elapsed = time.Since(a.started)
 	}()
