--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -51,6 +51,17 @@
 	return req, err
 }
 
+// byteCounter is a backend that answers nothing and tells how many bytes its first connection brought.
+func byteCounter(t *testing.T) (addr string, read chan int64) {
+	t.Helper()
+	read = make(chan int64, 1)
+	addr = rawBackend(t, func(_ net.Conn, r *bufio.Reader) {
+		n, _ := io.Copy(io.Discard, r)
+		read <- n
+	})
+	return addr, read
+}
+
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 func testPool() *pool { return newPool((&net.Dialer{}).DialContext, never, never, 100) }
@@ -114,7 +125,7 @@
 }
 
 // How an attempt ended tells whether it has run; in doubt it may have.
-func TestEndings(t *testing.T) {
+func TestOutcomesOfAnswers(t *testing.T) {
 	answer := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(c net.Conn, r *bufio.Reader) {
 			if _, err := readRequest(r); err == nil {
@@ -263,11 +274,7 @@
 
 // An attempt withdrawn while its connection comes up sends nothing on it.
 func TestWithdrawnSendsNothing(t *testing.T) {
-	read := make(chan int64, 1)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		n, _ := io.Copy(io.Discard, r)
-		read <- n
-	})
+	addr, read := byteCounter(t)
 	p := testPool()
 	var a *attempt
 	plain := p.connect
@@ -290,11 +297,7 @@
 // A repeat that may begin only for a while is not begun after it, though its connection came
 // up: no byte goes out, and it never ran.
 func TestTooLateToBegin(t *testing.T) {
-	read := make(chan int64, 1)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		n, _ := io.Copy(io.Discard, r)
-		read <- n
-	})
+	addr, read := byteCounter(t)
 	p := testPool()
 	var a *attempt
 	plain := p.connect
@@ -365,22 +368,27 @@
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
 		t.Fatalf("got %v", got)
 	}
-	for _, bad := range []string{"", "JSON {}", "TEXT qps=much, util=1", "TEXT qps=1", "TEXT qps=NaN, util=1",
-		"TEXT qps=+Inf, util=1", "TEXT qps=-1, util=1", "TEXT qps=1, qps=2, util=1", "TEXT qps, util=1"} {
-		if got := report(bad, []string{"qps", "util"}); got != nil {
-			t.Fatalf("%q gave %v", bad, got)
-		}
+	for _, test := range []struct{ name, load string }{
+		{"none", ""}, {"another form", "JSON {}"}, {"no number", "TEXT qps=much, util=1"}, {"one is missing", "TEXT qps=1"},
+		{"not a number", "TEXT qps=NaN, util=1"}, {"infinite", "TEXT qps=+Inf, util=1"}, {"negative", "TEXT qps=-1, util=1"},
+		{"one comes twice", "TEXT qps=1, qps=2, util=1"}, {"no value", "TEXT qps, util=1"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := report(test.load, []string{"qps", "util"}); got != nil {
+				t.Fatalf("%q gave %v", test.load, got)
+			}
+		})
 	}
 }
 
 // What a backend sends beyond an answer must not answer the next request: whether it
 // comes with the answer or behind it, the connection is not used again.
-func TestSurplusAnswersNothing(t *testing.T) {
+func TestSurplusBytesAnswerNothing(t *testing.T) {
 	for _, c := range []struct{ name, surplus string }{
 		{"second copy", strings.Replace(okAnswer, "done", "gone", 1)}, {"noise", "\x00noise"},
 	} {
 		for _, apart := range []bool{false, true} {
-			t.Run(fmt.Sprint(c.name, apart), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s apart=%v", c.name, apart), func(t *testing.T) {
 				sent := make(chan struct{}, 100)
 				addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
 					for {
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -25,26 +25,28 @@
 // connection is.
 func TestDrainWithdrawsUpToTheWrite(t *testing.T) {
 	for _, at := range []string{"connect", "write"} {
-		c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
-		p := testPool()
-		a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
-		b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
-		p.connect = func(context.Context, string, string) (net.Conn, error) {
-			if at == "connect" {
-				b.withdraw()
-			}
-			return hookedConn{c, func() {
-				if at == "write" {
+		t.Run(at, func(t *testing.T) {
+			c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
+			p := testPool()
+			a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+			b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
+			p.connect = func(context.Context, string, string) (net.Conn, error) {
+				if at == "connect" {
 					b.withdraw()
 				}
-			}}, nil
-		}
-		res := a.run()
-		if began := c.written.Len() > 0; began != (at == "write") || began != (res.status == policy.StatusOK) {
-			t.Errorf("withdrawn at the %s: %d bytes written, ended %d", at, c.written.Len(), res.status)
-		}
-		if at == "connect" && res.status != policy.StatusRejected {
-			t.Errorf("withdrawn at the %s: ended %d", at, res.status)
-		}
+				return hookedConn{c, func() {
+					if at == "write" {
+						b.withdraw()
+					}
+				}}, nil
+			}
+			res := a.run()
+			if began := c.written.Len() > 0; began != (at == "write") || began != (res.status == policy.StatusOK) {
+				t.Errorf("withdrawn at the %s: %d bytes written, ended %d", at, c.written.Len(), res.status)
+			}
+			if at == "connect" && res.status != policy.StatusRejected {
+				t.Errorf("withdrawn at the %s: ended %d", at, res.status)
+			}
+		})
 	}
 }
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -41,20 +41,25 @@
 // The time in Request-Timeout is under what the client has left, by what may hold up the
 // write where there is much time and by an eighth where there is little.
 func TestRequestTimeoutAllowsForAHoldUp(t *testing.T) {
-	for _, test := range []struct{ attempt, client, most, least time.Duration }{
-		{attempt: time.Hour, client: time.Hour, most: time.Hour - maxHoldUp, least: time.Hour - time.Minute},
-		{attempt: time.Hour, client: time.Minute, most: time.Minute - maxHoldUp, least: 10 * time.Second},
-		{attempt: time.Minute, client: time.Hour, most: time.Minute - maxHoldUp, least: 10 * time.Second},
-		{attempt: time.Hour, client: 800 * time.Millisecond, most: 700 * time.Millisecond, least: time.Millisecond},
-		{attempt: time.Hour, client: 8 * time.Millisecond, most: 7 * time.Millisecond, least: time.Millisecond},
-		{attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
+	for _, test := range []struct {
+		name                         string
+		attempt, client, most, least time.Duration
+	}{
+		{name: "much of both", attempt: time.Hour, client: time.Hour, most: time.Hour - maxHoldUp, least: time.Hour - time.Minute},
+		{name: "less of the client", attempt: time.Hour, client: time.Minute, most: time.Minute - maxHoldUp, least: 10 * time.Second},
+		{name: "less of the attempt", attempt: time.Minute, client: time.Hour, most: time.Minute - maxHoldUp, least: 10 * time.Second},
+		{name: "little of the client", attempt: time.Hour, client: 800 * time.Millisecond, most: 700 * time.Millisecond, least: time.Millisecond},
+		{name: "very little of the client", attempt: time.Hour, client: 8 * time.Millisecond, most: 7 * time.Millisecond, least: time.Millisecond},
+		{name: "the client's time is over", attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
 	} {
-		a := newAttempt(nil, http.MethodPost, test.attempt)
-		a.request.deadline = time.Now().Add(test.client)
-		if got := a.requestTimeout(); got > test.most || got < test.least {
-			t.Errorf("%v of the attempt and %v of the client are left: Request-Timeout %v", test.attempt, test.client, got)
-		}
-		a.cancel(nil)
+		t.Run(test.name, func(t *testing.T) {
+			a := newAttempt(nil, http.MethodPost, test.attempt)
+			defer a.cancel(nil)
+			a.request.deadline = time.Now().Add(test.client)
+			if got := a.requestTimeout(); got > test.most || got < test.least {
+				t.Errorf("%v of the attempt and %v of the client are left: Request-Timeout %v", test.attempt, test.client, got)
+			}
+		})
 	}
 }
 
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -1,9 +1,7 @@
 package agent
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -42,13 +40,12 @@
 				}
 				var g *backendConns
 				var rested chan time.Time
-				got := make(chan int64, 1)
+				var got chan int64
 				switch waits {
 				case "connect":
-					g = testPool().newBackendConns(rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-						n, _ := io.Copy(io.Discard, r)
-						got <- n
-					}))
+					var addr string
+					addr, got = byteCounter(t)
+					g = testPool().newBackendConns(addr)
 					plain := g.pool.connect
 					g.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						gone()
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -79,22 +79,24 @@
 	}
 }
 
-// What ends an attempt before the last byte of its request is told by its kind.
-func TestEndingsOfThisMachine(t *testing.T) {
+// A connect that fails has its status by the kind of the error.
+func TestOutcomesOfFailedConnects(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
 		syscall.ENFILE: policy.StatusLocalFailure, syscall.EADDRNOTAVAIL: policy.StatusLocalFailure,
 		syscall.EAGAIN: policy.StatusLocalFailure, syscall.EINTR: policy.StatusLocalFailure,
 		syscall.ENETUNREACH: policy.StatusUnreachable, syscall.EHOSTUNREACH: policy.StatusUnreachable,
 		syscall.ECONNREFUSED: policy.StatusConnectFailed, syscall.ETIMEDOUT: policy.StatusConnectFailed,
 	} {
-		p := testPool()
-		p.connect = (&failingConnects{errno: errno, fail: 1}).connect
-		if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
-			t.Errorf("%v: ended %d, want %d", errno, got, want)
-		}
-		if p.open != 0 {
-			t.Errorf("%v: %d connections counted as open", errno, p.open)
-		}
+		t.Run(errno.Error(), func(t *testing.T) {
+			p := testPool()
+			p.connect = (&failingConnects{errno: errno, fail: 1}).connect
+			if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+				t.Errorf("%v: ended %d, want %d", errno, got, want)
+			}
+			if p.open != 0 {
+				t.Errorf("%v: %d connections counted as open", errno, p.open)
+			}
+		})
 	}
 }
 
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -132,15 +132,17 @@
 		"priced":        func(p *pool) { p.allowExtra = false },
 		"no descriptor": func(p *pool) { p.maxConns = 1 },
 	} {
-		g, conns, rested := restingPool(t)
-		set(g.pool)
-		g.served(t)
-		g.rests()
-		close(rested)
-		g.served(t)
-		if n := conns.begun.Load(); n != 1 {
-			t.Errorf("%s: %d connections", name, n)
-		}
+		t.Run(name, func(t *testing.T) {
+			g, conns, rested := restingPool(t)
+			set(g.pool)
+			g.served(t)
+			g.rests()
+			close(rested)
+			g.served(t)
+			if n := conns.begun.Load(); n != 1 {
+				t.Errorf("%d connections", n)
+			}
+		})
 	}
 }
 
