--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -81,26 +81,26 @@
 // start gives the client a new process of the agent, which knows nothing.
 func (c *client) start() error {
 	m := c.m
-	set := m.cfg.Settings
-	set.Zone, set.Index, set.Replicas = c.zone, c.number, m.cfg.Agents
+	settings := m.cfg.Settings
+	settings.Zone, settings.Index, settings.Replicas = c.zone, c.number, m.cfg.Agents
 	quota := m.cfg.Rate
 	if m.cfg.QuotaOfService {
-		set.Index, set.Replicas, quota = c.inService, c.replicas, 1000*c.quota
+		settings.Index, settings.Replicas, quota = c.inService, c.replicas, 1000*c.quota
 	}
-	set.Tenants = slices.Clone(set.Tenants)
-	for i := range set.Tenants {
-		t := &set.Tenants[i]
-		if len(set.Tenants) == 1 {
-			t.QuotaShare = 1
+	settings.Tenants = slices.Clone(settings.Tenants)
+	for i := range settings.Tenants {
+		tenant := &settings.Tenants[i]
+		if len(settings.Tenants) == 1 {
+			tenant.QuotaShare = 1
 		}
-		t.QuotaPerS = quota * t.QuotaShare
+		tenant.QuotaPerS = quota * tenant.QuotaShare
 	}
-	b, err := c.newDecider(set, m.cfg.Seed<<16+uint64(c.number)+c.starts<<40)
+	decider, err := c.newDecider(settings, m.cfg.Seed<<16+uint64(c.number)+c.starts<<40)
 	if err != nil {
 		return err
 	}
 	c.starts++
-	c.agent = &agent{m: m, client: c, decider: b, requests: map[policy.RequestID]*request{},
+	c.agent = &agent{m: m, client: c, decider: decider, requests: map[policy.RequestID]*request{},
 		conns: map[*server]int{}, idle: map[*server]idleSince{}, knownStarts: map[*server]bool{}}
 	return nil
 }
@@ -131,33 +131,33 @@
 }
 
 // ask is a client's request; one that is turned away comes once more after the advice.
-func (c *client) sendRequest(r *request) {
-	m, a := c.m, c.agent
+func (c *client) sendRequest(request *request) {
+	m, agent := c.m, c.agent
 	m.lastRequest++
-	r.id, r.agent = m.lastRequest, a
-	a.requests[r.id] = r
-	if r.retries == 0 {
+	request.id, request.agent = m.lastRequest, agent
+	agent.requests[request.id] = request
+	if request.retries == 0 {
 		m.second().Requests++
-		m.shares.addRequest(r)
+		m.shares.addRequest(request)
 	}
-	left := m.clientTimeoutMs(r.class)
-	a.handle(policy.Event{Kind: policy.EventRequest, Request: r.id, Class: r.class, Tenant: r.tenant, Key: r.key,
-		HintMs: r.hintMs, HasHint: r.hintMs > 0, TimeLeftMs: left, Retry: r.retries > 0 && m.cfg.Settings.Clients.MarksRetry})
-	m.maxQueued = max(m.maxQueued, len(a.requests)-a.inFlight)
-	m.queue.pushLate(m.now+left, (*requestDeadline)(r))
+	timeLeftMs := m.clientTimeoutMs(request.class)
+	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant, Key: request.key,
+		HintMs: request.hintMs, HasHint: request.hintMs > 0, TimeLeftMs: timeLeftMs, Retry: request.retries > 0 && m.cfg.Settings.Clients.MarksRetry})
+	m.maxQueued = max(m.maxQueued, len(agent.requests)-agent.inFlight)
+	m.queue.pushLate(m.now+timeLeftMs, (*requestDeadline)(request))
 }
 
 func (d *requestDeadline) fire(*Model) {
-	r := (*request)(d)
-	if r.final {
+	request := (*request)(d)
+	if request.final {
 		return
 	}
-	r.final = true
-	r.agent.handle(policy.Event{Kind: policy.EventClientGone, Request: r.id})
-	if len(r.agent.m.cfg.Traffic) > 0 { // plain clients come again after refusals alone
-		r.agent.client.retry(r)
+	request.final = true
+	request.agent.handle(policy.Event{Kind: policy.EventClientGone, Request: request.id})
+	if len(request.agent.m.cfg.Traffic) > 0 { // plain clients come again after refusals alone
+		request.agent.client.retry(request)
 	}
-	r.forget()
+	request.forget()
 }
 
 // forget drops a request that has its answer and no attempt out.
@@ -188,8 +188,8 @@
 	}
 	m := a.m
 	for i := range ev.Entries {
-		if s := m.serverAt(ev.Entries[i].Server); s.startedAt > 0 && ev.Entries[i].StartedMs == s.startedAt {
-			a.knownStarts[s] = true
+		if server := m.serverAt(ev.Entries[i].Server); server.startedAt > 0 && ev.Entries[i].StartedMs == server.startedAt {
+			a.knownStarts[server] = true
 		}
 	}
 	var actions []policy.Action
@@ -205,17 +205,17 @@
 	m := a.m
 	for i := range actions {
 		act := &actions[i]
-		r := a.requests[act.Request]
+		request := a.requests[act.Request]
 		switch act.Kind {
 		case policy.ActionSend:
-			a.send(r, act)
+			a.send(request, act)
 		case policy.ActionCancel:
-			if r != nil && r.inFlight != nil && r.inFlight.index == act.Attempt {
-				r.inFlight.end(policy.StatusCancelled)
+			if request != nil && request.inFlight != nil && request.inFlight.index == act.Attempt {
+				request.inFlight.end(policy.StatusCancelled)
 			}
 		case policy.ActionReject, policy.ActionFail:
-			if r != nil {
-				r.reject(act.Kind == policy.ActionReject)
+			if request != nil {
+				request.reject(act.Kind == policy.ActionReject)
 			}
 		case policy.ActionTimer:
 			m.schedule(m.now+act.DelayMs, a.timer(act.Token))
@@ -229,16 +229,16 @@
 
 // giveUp is the module's answer to a request that it does not serve. A client comes again
 // after a refusal.
-func (r *request) reject(refused bool) {
+func (r *request) reject(mayRetry bool) {
 	m := r.agent.m
 	r.final = true
 	switch {
-	case refused && r.retries >= m.maxRetries():
+	case mayRetry && r.retries >= m.maxRetries():
 		m.secondOf(r.arrivedAt).Rejected++
-	case refused && r.retries == 0:
+	case mayRetry && r.retries == 0:
 		m.secondOf(r.arrivedAt).RejectedFirst++
 	}
-	if refused {
+	if mayRetry {
 		r.agent.client.retry(r)
 	}
 	r.forget()
@@ -246,15 +246,15 @@
 
 // askAgain is a client's retry of an unserved request, after a while and within the time after
 // which it gives up.
-func (c *client) retry(r *request) {
+func (c *client) retry(unserved *request) {
 	m := c.m
-	wait := 30 + 200*m.rng.Float64()
-	if r.retries >= m.maxRetries() || m.now+wait >= r.arrivedAt+m.cfg.Settings.Classes[r.class].DeadlineMs {
+	waitMs := 30 + 200*m.rng.Float64()
+	if unserved.retries >= m.maxRetries() || m.now+waitMs >= unserved.arrivedAt+m.cfg.Settings.Classes[unserved.class].DeadlineMs {
 		return
 	}
-	again := &request{class: r.class, tenant: r.tenant, key: r.key, workFactor: r.workFactor, hintMs: r.hintMs,
-		arrivedAt: r.arrivedAt, retries: r.retries + 1}
-	m.after(wait, func() { c.sendRequest(again) })
+	again := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key, workFactor: unserved.workFactor, hintMs: unserved.hintMs,
+		arrivedAt: unserved.arrivedAt, retries: unserved.retries + 1}
+	m.after(waitMs, func() { c.sendRequest(again) })
 }
 
 // longestCall is how long, in ms, a call waits for its turn at discovery before it fails.
@@ -289,55 +289,55 @@
 
 func (t *timer) fire(*Model) { t.agent.handle(policy.Event{Kind: policy.EventTimer, Token: t.token}) }
 
-func (a *agent) healthCheck(at policy.Addr) {
-	m, s := a.m, a.m.serverAt(at)
-	if s == nil {
+func (a *agent) healthCheck(addr policy.Addr) {
+	m, server := a.m, a.m.serverAt(addr)
+	if server == nil {
 		return
 	}
 	m.second().HealthChecks++
-	round := 2 * m.hop(a.client.zone, s.zone)
-	m.after(round, func() {
-		ev := policy.Event{Kind: policy.EventHealthChecked, Server: at, Status: policy.StatusOK, LatencyMs: round}
+	roundTripMs := 2 * m.hop(a.client.zone, server.zone)
+	m.after(roundTripMs, func() {
+		ev := policy.Event{Kind: policy.EventHealthChecked, Server: addr, Status: policy.StatusOK, LatencyMs: roundTripMs}
 		switch {
-		case s.silent || !m.linked(a.client.zone, s.zone):
-			late := max(m.cfg.Settings.Limits.ConnectTimeoutMs-round, 0)
-			ev.Status, ev.LatencyMs = policy.StatusConnectFailed, round+late
-			m.after(late, func() { a.handle(ev) })
+		case server.silent || !m.linked(a.client.zone, server.zone):
+			untilTimeoutMs := max(m.cfg.Settings.Limits.ConnectTimeoutMs-roundTripMs, 0)
+			ev.Status, ev.LatencyMs = policy.StatusConnectFailed, roundTripMs+untilTimeoutMs
+			m.after(untilTimeoutMs, func() { a.handle(ev) })
 			return
-		case s.down:
+		case server.down:
 			ev.Status = policy.StatusConnectFailed
 		}
 		a.handle(ev)
 	})
 }
 
-func (a *agent) send(r *request, act *policy.Action) {
-	m, s := a.m, a.m.serverAt(act.Server)
-	if s == nil {
+func (a *agent) send(request *request, act *policy.Action) {
+	m, server := a.m, a.m.serverAt(act.Server)
+	if server == nil {
 		return
 	}
-	sec := m.second()
-	sec.Attempts++
-	if r.attempts > 0 {
-		sec.Retries++
-	} else if r.retries == 0 {
-		m.waits.add(m.now - r.arrivedAt)
+	count := m.second()
+	count.Attempts++
+	if request.attempts > 0 {
+		count.Retries++
+	} else if request.retries == 0 {
+		m.waits.add(m.now - request.arrivedAt)
 	}
-	if s.zone != a.client.zone {
-		sec.CrossZone++
+	if server.zone != a.client.zone {
+		count.CrossZone++
 	}
-	if m.region(s.zone) != m.region(a.client.zone) {
-		sec.CrossRegion++
+	if m.region(server.zone) != m.region(a.client.zone) {
+		count.CrossRegion++
 	}
-	if !a.takeIdle(s) {
-		sec.Connects++
+	if !a.takeIdle(server) {
+		count.Connects++
 	}
-	t := &attempt{request: r, index: r.attempts, server: s, sentAt: m.now}
-	r.attempts++
-	r.inFlight = t
+	sent := &attempt{request: request, index: request.attempts, server: server, sentAt: m.now}
+	request.attempts++
+	request.inFlight = sent
 	a.inFlight++
-	m.schedule(m.now+m.hop(a.client.zone, s.zone), (*attemptArrived)(t))
-	m.queue.pushLate(m.now+act.DelayMs, (*attemptTimedOut)(t))
+	m.schedule(m.now+m.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
+	m.queue.pushLate(m.now+act.DelayMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
@@ -346,33 +346,33 @@
 func (t *attemptAnswered) fire(*Model) { (*attempt)(t).end(policy.StatusOK) }
 
 // end is how an attempt ends for its agent; what is no longer waited for is not served.
-func (t *attempt) end(st policy.Status) {
+func (t *attempt) end(status policy.Status) {
 	if t.ended {
 		return
 	}
 	t.ended = true
 	t.server.abandon(t)
-	r := t.request
-	a := r.agent
-	m := a.m
-	r.inFlight = nil
-	a.inFlight--
-	if st == policy.StatusOK {
-		a.conns[t.server] = t.serverProcess
-		a.idle[t.server] = append(a.idle[t.server], m.now)
+	request := t.request
+	agent := request.agent
+	m := agent.m
+	request.inFlight = nil
+	agent.inFlight--
+	if status == policy.StatusOK {
+		agent.conns[t.server] = t.serverProcess
+		agent.idle[t.server] = append(agent.idle[t.server], m.now)
 	} else {
-		delete(a.conns, t.server)
-		delete(a.idle, t.server)
+		delete(agent.conns, t.server)
+		delete(agent.idle, t.server)
 	}
-	if st == policy.StatusOK && !r.final && !a.ended {
-		r.final = true
-		if m.now-r.arrivedAt <= m.cfg.Settings.Classes[r.class].LatencyObjectiveMs {
+	if status == policy.StatusOK && !request.final && !agent.ended {
+		request.final = true
+		if m.now-request.arrivedAt <= m.cfg.Settings.Classes[request.class].LatencyObjectiveMs {
 			m.second().WithinObjective++
-			m.shares.addServed(r)
-			m.secondOf(r.arrivedAt).Served++
+			m.shares.addServed(request)
+			m.secondOf(request.arrivedAt).Served++
 		}
 	}
-	a.handle(policy.Event{Kind: policy.EventOutcome, Request: r.id, Attempt: t.index, Server: t.server.addr,
-		Status: st, LatencyMs: m.now - t.sentAt, Final: r.final})
-	r.forget()
+	agent.handle(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: t.index, Server: t.server.addr,
+		Status: status, LatencyMs: m.now - t.sentAt, Final: request.final})
+	request.forget()
 }
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -10,8 +10,8 @@
 type idleSince []float64
 
 // kept are those that rest no longer than the settings keep them.
-func (a *agent) idleTimes(s *server) idleSince {
-	rest := a.idle[s]
+func (a *agent) idleTimes(server *server) idleSince {
+	rest := a.idle[server]
 	for len(rest) > 0 && a.m.now-rest[0] > a.m.cfg.Settings.Limits.KeepaliveMs {
 		rest = rest[1:]
 	}
@@ -19,13 +19,13 @@
 }
 
 // takeIdle takes the connection to the server that rested last, and tells whether there is one.
-func (a *agent) takeIdle(s *server) bool {
-	rest := a.idleTimes(s)
+func (a *agent) takeIdle(server *server) bool {
+	rest := a.idleTimes(server)
 	found := len(rest) > 0
 	if found {
 		rest = rest[:len(rest)-1]
 	}
-	a.idle[s] = rest
+	a.idle[server] = rest
 	return found
 }
 
@@ -34,13 +34,13 @@
 func (m *Model) addNeeds(c *fleet.Case, sum *Count) {
 	met, kept, work := 0, 0, uint64(0)
 	for _, client := range m.clients {
-		a := client.agent
-		met += len(a.idle)
-		for s := range a.idle {
-			kept += len(a.idleTimes(s))
+		agent := client.agent
+		met += len(agent.idle)
+		for s := range agent.idle {
+			kept += len(agent.idleTimes(s))
 		}
-		if b, ok := a.decider.(*policy.Balancer); ok {
-			work += b.Work()
+		if balancer, ok := agent.decider.(*policy.Balancer); ok {
+			work += balancer.Work()
 		}
 	}
 	agents := float64(len(m.clients))
--- a/internal/fleet/model/days.go
+++ b/internal/fleet/model/days.go
@@ -111,19 +111,19 @@
 	m.second() // so that there are all to the last
 	var sum Count
 	worst := 1.0
-	for _, s := range m.seconds[int(SettleS):] {
-		sum.add(&s)
-		if float64(s.Requests) > m.cfg.Rate/2 { // a whole second
-			worst = min(worst, float64(s.Served)/float64(s.Requests))
+	for _, server := range m.seconds[int(SettleS):] {
+		sum.add(&server)
+		if float64(server.Requests) > m.cfg.Rate/2 { // a whole second
+			worst = min(worst, float64(server.Served)/float64(server.Requests))
 		}
 	}
 	cold, veryCold, fell, ours, queue := 0.0, 0.0, 0, 0, 0
-	for _, s := range m.servers {
-		cold, veryCold, queue = max(cold, s.warmup.maxShare), max(veryCold, s.warmup.maxActualShare), max(queue, s.maxPending)
-		if s.warmup.failed {
+	for _, server := range m.servers {
+		cold, veryCold, queue = max(cold, server.warmup.maxShare), max(veryCold, server.warmup.maxActualShare), max(queue, server.maxPending)
+		if server.warmup.failed {
 			fell++
 		}
-		if s.warmup.failedByNotified {
+		if server.warmup.failedByNotified {
 			ours++
 		}
 	}
@@ -158,9 +158,9 @@
 // inZone are the zone's servers that are up.
 func (m *Model) inZone(zone int) []*server {
 	var all []*server
-	for _, s := range m.servers {
-		if s.zone == zone && !s.down && !s.silent {
-			all = append(all, s)
+	for _, server := range m.servers {
+		if server.zone == zone && !server.down && !server.silent {
+			all = append(all, server)
 		}
 	}
 	return all
@@ -168,12 +168,12 @@
 
 // lose has machines vanish, and discovery notice it.
 func (m *Model) loseMachines(servers []*server) {
-	for _, s := range servers {
-		s.vanish()
+	for _, server := range servers {
+		server.vanish()
 	}
 	m.after(detectionMs, func() {
-		for _, s := range servers {
-			s.listed = policy.HealthGone
+		for _, server := range servers {
+			server.listed = policy.HealthGone
 		}
 		m.announce(servers)
 	})
@@ -197,19 +197,19 @@
 func (m *Model) loseZone() {
 	lost := m.inZone(0)
 	m.loseMachines(lost)
-	for _, c := range m.clients {
-		if c.zone == 0 {
-			c.agent.ended, c.lost = true, true
+	for _, client := range m.clients {
+		if client.zone == 0 {
+			client.agent.ended, client.lost = true, true
 		}
 	}
 	m.rateFactor = lostZonePeak(&m.cfg)
 	m.after(zoneLossMs, func() {
 		m.rateFactor = 1
 		m.restart(lost)
-		for _, c := range m.clients {
-			if c.zone == 0 {
-				c.lost = false
-				c.restart()
+		for _, client := range m.clients {
+			if client.zone == 0 {
+				client.lost = false
+				client.restart()
 			}
 		}
 	})
@@ -217,9 +217,9 @@
 
 // restart starts servers anew, and has discovery tell of it.
 func (m *Model) restart(servers []*server) {
-	for _, s := range servers {
-		s.start()
-		s.listed = policy.HealthReady
+	for _, server := range servers {
+		server.start()
+		server.listed = policy.HealthReady
 	}
 	m.announce(servers)
 }
@@ -227,9 +227,9 @@
 // loseHalf takes every second server of each service; services of one server keep it.
 func (m *Model) loseHalf() {
 	var half []*server
-	for _, v := range m.services {
-		for i := 1; i < len(v.servers); i += 2 {
-			half = append(half, v.servers[i])
+	for _, service := range m.services {
+		for i := 1; i < len(service.servers); i += 2 {
+			half = append(half, service.servers[i])
 		}
 	}
 	m.loseMachines(half)
@@ -263,15 +263,15 @@
 // coldZone restarts the first zone's servers and a part of all agents under a burst.
 func (m *Model) coldZone() {
 	zone := m.inZone(0)
-	for _, s := range zone {
-		s.stop()
+	for _, server := range zone {
+		server.stop()
 	}
 	m.restart(zone)
 	m.rateFactor = burstFactor
 	m.after(burstMs, func() { m.rateFactor = 1 })
-	for _, c := range m.clients {
+	for _, client := range m.clients {
 		if m.rng.Float64() < restartedShare {
-			c.restart()
+			client.restart()
 		}
 	}
 }
@@ -280,21 +280,21 @@
 // more while the servers are cold, and work by an old list until they are told.
 func (m *Model) startAll() {
 	if m.cfg.StaleStart {
-		for _, v := range m.services {
-			v.before = v.list()
+		for _, service := range m.services {
+			service.before = service.list()
 		}
-		for _, c := range m.clients {
-			c.notifiedAt = m.now + c.listMs
+		for _, client := range m.clients {
+			client.notifiedAt = m.now + client.listMs
 		}
 	}
-	for _, s := range m.servers {
-		s.stop()
+	for _, server := range m.servers {
+		server.stop()
 	}
 	m.restart(m.servers)
-	for _, c := range m.clients {
-		c.restart()
+	for _, client := range m.clients {
+		client.restart()
 		if m.cfg.RestartS > 0 {
-			m.after(1000*m.cfg.RestartS*m.rng.Float64(), c.restart)
+			m.after(1000*m.cfg.RestartS*m.rng.Float64(), client.restart)
 		}
 	}
 }
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -21,11 +21,11 @@
 }
 
 // decider is a new one for the client's agent with these settings.
-func (c *client) newDecider(set policy.Settings, seed uint64) (decider, error) {
+func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
 	if c.m.cfg.DelayedView {
-		return &delayedView{m: c.m, servers: c.service, set: set, rng: rand.New(rand.NewPCG(seed, 21)), open: map[policy.RequestID]*openRequest{}}, nil
+		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)), open: map[policy.RequestID]*openRequest{}}, nil
 	}
-	return policy.New(set, seed)
+	return policy.New(settings, seed)
 }
 
 // wait is the time in ms until one more would be answered.
@@ -44,10 +44,10 @@
 		return
 	}
 	m.viewsAt = m.now
-	for _, s := range m.servers {
-		s.view = serverView{up: !s.down && !s.silent && s.listed == policy.HealthReady}
-		if s.view.up {
-			s.view.pending, s.view.msPerRequest = s.pending, m.cfg.WorkMs/(s.capacity(m.now)*float64(m.cfg.Cores))
+	for _, server := range m.servers {
+		server.view = serverView{up: !server.down && !server.silent && server.listed == policy.HealthReady}
+		if server.view.up {
+			server.view.pending, server.view.msPerRequest = server.pending, m.cfg.WorkMs/(server.capacity(m.now)*float64(m.cfg.Cores))
 		}
 	}
 }
@@ -57,18 +57,18 @@
 // answered too late there, or would crowd the server. It knows what no agent can, and yet too
 // late to be perfect.
 type delayedView struct {
-	m       *Model
-	servers *service
-	set     policy.Settings
-	rng     *rand.Rand
-	open    map[policy.RequestID]*openRequest
+	m        *Model
+	servers  *service
+	settings policy.Settings
+	rng      *rand.Rand
+	open     map[policy.RequestID]*openRequest
 }
 
 // viewed is a request that is open.
 type openRequest struct {
 	class      int
 	deadline   float64
-	tries      int
+	attempts   int
 	mayHaveRun bool // of its attempts some
 }
 
@@ -90,16 +90,16 @@
 }
 
 func (l *delayedView) ended(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
-	r := l.open[ev.Request]
-	if r == nil {
+	request := l.open[ev.Request]
+	if request == nil {
 		return out
 	}
 	if ev.Final {
 		delete(l.open, ev.Request)
 		return out
 	}
-	r.mayHaveRun = r.mayHaveRun || !ev.Status.NeverRan()
-	if r.mayHaveRun && l.set.Classes[r.class].Effect != policy.EffectIdempotent {
+	request.mayHaveRun = request.mayHaveRun || !ev.Status.NeverRan()
+	if request.mayHaveRun && l.settings.Classes[request.class].Effect != policy.EffectIdempotent {
 		delete(l.open, ev.Request)
 		return append(out, policy.Action{Kind: policy.ActionFail, Request: ev.Request})
 	}
@@ -107,32 +107,32 @@
 }
 
 func (l *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
-	r := l.open[id]
-	if s := l.pick(r); s != nil && r.tries < l.set.Limits.MaxAttempts && now < r.deadline {
-		r.tries++
-		s.view.pending++
-		return append(out, policy.Action{Kind: policy.ActionSend, Request: id, Server: s.addr, DelayMs: r.deadline - now})
+	request := l.open[id]
+	if server := l.pick(request); server != nil && request.attempts < l.settings.Limits.MaxAttempts && now < request.deadline {
+		request.attempts++
+		server.view.pending++
+		return append(out, policy.Action{Kind: policy.ActionSend, Request: id, Server: server.addr, DelayMs: request.deadline - now})
 	}
 	delete(l.open, id)
-	return append(out, policy.Action{Kind: policy.ActionReject, Request: id, DelayMs: l.set.Limits.MaxRetryAfterMs})
+	return append(out, policy.Action{Kind: policy.ActionReject, Request: id, DelayMs: l.settings.Limits.MaxRetryAfterMs})
 }
 
 // pick is the best of viewDraws servers that were seen up, nil if it would be too late there.
-func (l *delayedView) pick(r *openRequest) *server {
+func (l *delayedView) pick(request *openRequest) *server {
 	l.m.refreshViews()
 	var best *server
 	least := math.Inf(1)
 	all := l.servers.servers
 	for drawn, tries := 0, 0; drawn < viewDraws && tries < 4*len(all); tries++ {
-		s := all[l.rng.IntN(len(all))]
-		if !s.view.up {
+		server := all[l.rng.IntN(len(all))]
+		if !server.view.up {
 			continue
 		}
-		if drawn++; s.view.waitMs() < least {
-			best, least = s, s.view.waitMs()
+		if drawn++; server.view.waitMs() < least {
+			best, least = server, server.view.waitMs()
 		}
 	}
-	if least > l.set.Classes[r.class].LatencyObjectiveMs || best.view.pending >= maxPendingPerCore*l.m.cfg.Cores {
+	if least > l.settings.Classes[request.class].LatencyObjectiveMs || best.view.pending >= maxPendingPerCore*l.m.cfg.Cores {
 		return nil
 	}
 	return best
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -174,10 +174,10 @@
 	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // apart, so that the layout leaves the play's draws alone
 	servers, agents := divide(cfg.Servers, cfg.Services), divide(cfg.Agents, cfg.Services)
 	for k := range cfg.Services {
-		v := &service{}
-		m.services = append(m.services, v)
+		service := &service{}
+		m.services = append(m.services, service)
 		for i := range servers[k] {
-			m.addServer(v, (k+i)%cfg.Zones)
+			m.addServer(service, (k+i)%cfg.Zones)
 		}
 		rate := cfg.Rate / 1000 * float64(servers[k]) / float64(cfg.Servers)
 		var parts []float64
@@ -187,11 +187,11 @@
 			parts, sum = append(parts, part), sum+part
 		}
 		for i, part := range parts {
-			c := &client{m: m, service: v, zone: (k + i) % cfg.Zones, number: len(m.clients), inService: i,
+			client := &client{m: m, service: service, zone: (k + i) % cfg.Zones, number: len(m.clients), inService: i,
 				replicas: agents[k], rate: rate * part / sum, listMs: layout.Float64() * cfg.ListMs}
-			c.quota = rate
-			v.clients, m.clients = append(v.clients, c), append(m.clients, c)
-			if err := c.start(); err != nil {
+			client.quota = rate
+			service.clients, m.clients = append(service.clients, client), append(m.clients, client)
+			if err := client.start(); err != nil {
 				return nil, err
 			}
 		}
@@ -234,14 +234,14 @@
 
 // linked tells whether a message gets from a zone to another.
 func (m *Model) linked(from, to int) bool {
-	a, b := m.region(from), m.region(to)
-	return a == b || !m.isolated[a] && !m.isolated[b]
+	fromRegion, toRegion := m.region(from), m.region(to)
+	return fromRegion == toRegion || !m.isolated[fromRegion] && !m.isolated[toRegion]
 }
 
-func (m *Model) addServer(v *service, zone int) *server {
-	s := &server{m: m, service: v, addr: addr(len(m.servers)), zone: zone, speed: 1, listed: policy.HealthReady}
-	v.servers, m.servers = append(v.servers, s), append(m.servers, s)
-	return s
+func (m *Model) addServer(service *service, zone int) *server {
+	server := &server{m: m, service: service, addr: addr(len(m.servers)), zone: zone, speed: 1, listed: policy.HealthReady}
+	service.servers, m.servers = append(service.servers, server), append(m.servers, server)
+	return server
 }
 
 // addr is the address of the server of that number, which serverAt takes back.
@@ -286,19 +286,19 @@
 // announce lets discovery tell of the servers as they are now; each agent that calls their
 // service hears of it by its own delay.
 func (m *Model) announce(servers []*server) {
-	for _, v := range m.services {
+	for _, service := range m.services {
 		var entries []policy.Entry
-		for _, s := range servers {
-			if s.service == v {
-				entries = append(entries, s.entry())
+		for _, server := range servers {
+			if server.service == service {
+				entries = append(entries, server.entry())
 			}
 		}
 		if len(entries) == 0 {
 			continue
 		}
-		for _, c := range v.clients {
-			m.after(c.listMs, func() {
-				c.agent.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta, Entries: entries})
+		for _, client := range service.clients {
+			m.after(client.listMs, func() {
+				client.agent.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta, Entries: entries})
 			})
 		}
 	}
@@ -306,9 +306,9 @@
 
 // boot starts all agents with the list as it is and lets their clients ask.
 func (m *Model) boot() {
-	for _, c := range m.clients {
-		c.agent.boot()
-		m.schedule(m.now+c.nextDelay(), c)
+	for _, client := range m.clients {
+		client.agent.boot()
+		m.schedule(m.now+client.nextDelay(), client)
 	}
 }
 
@@ -319,9 +319,9 @@
 func (m *Model) play(ctx context.Context, seconds float64) error {
 	end := m.now + seconds*1000
 	for n := 0; !m.queue.empty() && m.queue.next().at <= end && m.err == nil; n++ {
-		e := m.queue.pop()
-		m.now = e.at
-		e.action.fire(m)
+		event := m.queue.pop()
+		m.now = event.at
+		event.action.fire(m)
 		if n%eventsPerCheck == 0 && ctx.Err() != nil {
 			return fmt.Errorf("model: ended at %.1f s: %w", (m.now-Start)/1000, context.Cause(ctx))
 		}
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -60,117 +60,117 @@
 	notified bool
 }
 
-func (l *warmupLoad) add(a arrival) {
-	l.arrivals = append(l.arrivals, a)
-	l.work += a.work
-	l.actual += a.actual
-	if a.notified {
-		l.notified += a.work
+func (l *warmupLoad) add(came arrival) {
+	l.arrivals = append(l.arrivals, came)
+	l.work += came.work
+	l.actual += came.actual
+	if came.notified {
+		l.notified += came.work
 	}
 }
 
 func (l *warmupLoad) dropFirst() {
-	a := l.arrivals[l.first]
+	first := l.arrivals[l.first]
 	l.first++
-	l.work -= a.work
-	l.actual -= a.actual
-	if a.notified {
-		l.notified -= a.work
+	l.work -= first.work
+	l.actual -= first.actual
+	if first.notified {
+		l.notified -= first.work
 	}
 }
 
 // entry is what discovery says of the server.
 func (s *server) entry() policy.Entry {
-	e := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
+	entry := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
 	if s.down {
-		e.Health = policy.HealthGone
+		entry.Health = policy.HealthGone
 	}
-	return e
+	return entry
 }
 
 // ramp is the part of its full speed that a server has warmed up to.
 func (s *server) ramp(now float64) float64 {
-	c := &s.m.cfg.Settings.Contract
-	if age := now - s.startedAt; s.startedAt > 0 && age < c.SlowStartMs {
-		return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
+	contract := &s.m.cfg.Settings.Contract
+	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
+		return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
 	}
 	return 1
 }
 
 // capacity is the part of its full speed at which a server works now.
 func (s *server) capacity(now float64) float64 {
-	c := s.speed * s.ramp(now)
+	speed := s.speed * s.ramp(now)
 	if s.slowed {
-		c /= overloadSlowdown
+		speed /= overloadSlowdown
 	}
-	return c
+	return speed
 }
 
 func (r *attemptArrived) fire(m *Model) {
-	t := (*attempt)(r)
-	s, a := t.server, t.request.agent
-	process, connected := a.conns[s]
-	if s.silent || !m.linked(a.client.zone, s.zone) {
+	attempt := (*attempt)(r)
+	server, agent := attempt.server, attempt.request.agent
+	process, connected := agent.conns[server]
+	if server.silent || !m.linked(agent.client.zone, server.zone) {
 		if !connected {
-			m.schedule(t.sentAt+m.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(t))
+			m.schedule(attempt.sentAt+m.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
 		}
 		return // on a connection nothing tells it from a slow answer
 	}
 	if m.cfg.KeepArrivals {
-		s.arrivalTimes = append(s.arrivalTimes, m.now)
+		server.arrivalTimes = append(server.arrivalTimes, m.now)
 	}
-	if s.down {
-		t.end(policy.StatusConnectFailed)
+	if server.down {
+		attempt.end(policy.StatusConnectFailed)
 		return
 	}
-	stale := connected && process != s.process // the machine knows the connection no more
+	stale := connected && process != server.process // the machine knows the connection no more
 	if !stale {
-		s.countWarmup(t.request, a.knownStarts[s])
+		server.countWarmup(attempt.request, agent.knownStarts[server])
 	}
-	if stale || s.down {
-		m.schedule(m.now+m.hop(a.client.zone, s.zone), (*attemptReset)(t))
+	if stale || server.down {
+		m.schedule(m.now+m.hop(agent.client.zone, server.zone), (*attemptReset)(attempt))
 		return
 	}
-	if !t.ended {
-		t.queued = true
-		s.queue = append(s.queue, t)
-		s.addPending(1)
-		s.maxPending = max(s.maxPending, s.pending)
+	if !attempt.ended {
+		attempt.queued = true
+		server.queue = append(server.queue, attempt)
+		server.addPending(1)
+		server.maxPending = max(server.maxPending, server.pending)
 	}
-	sec := m.second()
-	sec.MaxPending = max(sec.MaxPending, m.pending)
-	s.serve()
+	count := m.second()
+	count.MaxPending = max(count.MaxPending, m.pending)
+	server.serve()
 }
 
 // budget is how many requests of mean work a cold server bears in a window that began at a
 // time, with what is put down to chance.
 func (s *server) budget(began float64) float64 {
-	c := &s.m.cfg.Settings.Contract
-	n := c.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * c.OverloadWindowMs / s.m.cfg.WorkMs
-	if n < smallBudget-1e-9 { // 30 as a product of fractions may come out below it
-		return n + 3*math.Sqrt(n) + 3
+	contract := &s.m.cfg.Settings.Contract
+	mean := contract.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
+	if mean < smallBudget-1e-9 { // 30 as a product of fractions may come out below it
+		return mean + 3*math.Sqrt(mean) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return mean + 2*math.Sqrt(mean) + 2
 }
 
 // weigh counts an attempt that came to a cold server; one over its budget brings it down for
 // good. The window's first capacity counts, as it is the least.
-func (s *server) countWarmup(r *request, known bool) {
-	m, l := s.m, &s.warmup
+func (s *server) countWarmup(request *request, notified bool) {
+	m, load := s.m, &s.warmup
 	if s.startedAt == 0 || s.ramp(m.now) == 1 {
 		return
 	}
 	window := m.cfg.Settings.Contract.OverloadWindowMs
-	l.add(arrival{m.now, m.classWorkFactor(r), m.classWorkFactor(r) * r.workFactor, known})
-	for l.arrivals[l.first].at <= m.now-window {
-		l.dropFirst()
+	load.add(arrival{m.now, m.classWorkFactor(request), m.classWorkFactor(request) * request.workFactor, notified})
+	for load.arrivals[load.first].at <= m.now-window {
+		load.dropFirst()
 	}
 	budget := s.budget(max(m.now-window, s.startedAt))
-	l.maxActualShare = max(l.maxActualShare, l.actual/budget)
-	part := l.work / budget
-	l.maxShare = max(l.maxShare, part)
-	if part > 1 {
-		l.failed, l.failedByNotified = true, l.notified > notifiedShare*l.work
+	load.maxActualShare = max(load.maxActualShare, load.actual/budget)
+	fraction := load.work / budget
+	load.maxShare = max(load.maxShare, fraction)
+	if fraction > 1 {
+		load.failed, load.failedByNotified = true, load.notified > notifiedShare*load.work
 		s.stop()
 		s.down = true
 	}
@@ -180,17 +180,17 @@
 // but for those of a machine that went silent.
 func (s *server) stop() {
 	s.process++
-	for _, t := range s.queue {
-		if t.queued {
-			t.queued = false
+	for _, attempt := range s.queue {
+		if attempt.queued {
+			attempt.queued = false
 			if !s.silent {
-				s.m.schedule(s.m.now+s.m.hop(s.zone, t.request.agent.client.zone), (*attemptReset)(t))
+				s.m.schedule(s.m.now+s.m.hop(s.zone, attempt.request.agent.client.zone), (*attemptReset)(attempt))
 			}
 		}
 	}
 	if !s.silent {
-		for _, c := range s.service.clients {
-			delete(c.agent.conns, s)
+		for _, client := range s.service.clients {
+			delete(client.agent.conns, s)
 		}
 	}
 	s.addPending(-s.pending)
@@ -207,8 +207,8 @@
 func (s *server) start() {
 	s.silent, s.down, s.startedAt = false, false, s.m.now
 	s.warmup = warmupLoad{maxShare: s.warmup.maxShare, maxActualShare: s.warmup.maxActualShare}
-	for _, c := range s.service.clients {
-		delete(c.agent.knownStarts, s)
+	for _, client := range s.service.clients {
+		delete(client.agent.knownStarts, s)
 	}
 }
 
@@ -219,9 +219,9 @@
 
 // leave takes an attempt that is no longer waited for out of the queue. One that is being
 // served is served to its end.
-func (s *server) abandon(t *attempt) {
-	if t.queued && !s.m.cfg.ServesAbandoned {
-		t.queued = false
+func (s *server) abandon(attempt *attempt) {
+	if attempt.queued && !s.m.cfg.ServesAbandoned {
+		attempt.queued = false
 		s.addPending(-1)
 	}
 }
@@ -247,27 +247,27 @@
 			}
 			return
 		}
-		t := s.queue[0]
+		attempt := s.queue[0]
 		s.queue = s.queue[1:]
-		t.queued, t.serverProcess = false, s.process
+		attempt.queued, attempt.serverProcess = false, s.process
 		s.busy++
-		m.schedule(m.now+m.serviceTime(t.request)/s.capacity(m.now), (*attemptServed)(t))
+		m.schedule(m.now+m.serviceTime(attempt.request)/s.capacity(m.now), (*attemptServed)(attempt))
 	}
 }
 
 func (f *attemptServed) fire(m *Model) {
-	t := (*attempt)(f)
-	s, zone := t.server, t.request.agent.client.zone
-	if t.serverProcess != s.process { // its process has ended
-		if !s.silent {
-			t.end(policy.StatusReset)
+	attempt := (*attempt)(f)
+	server, zone := attempt.server, attempt.request.agent.client.zone
+	if attempt.serverProcess != server.process { // its process has ended
+		if !server.silent {
+			attempt.end(policy.StatusReset)
 		}
 		return
 	}
-	s.busy--
-	s.addPending(-1)
-	if m.linked(s.zone, zone) {
-		m.schedule(m.now+m.hop(s.zone, zone), (*attemptAnswered)(t))
+	server.busy--
+	server.addPending(-1)
+	if m.linked(server.zone, zone) {
+		m.schedule(m.now+m.hop(server.zone, zone), (*attemptAnswered)(attempt))
 	}
-	s.serve()
+	server.serve()
 }
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -48,30 +48,30 @@
 // Mix has four classes of different aims, worths and effects and two tenants asked in place of
 // one of each, by clients that come again twice.
 func (cfg *Config) Mix() {
-	class := func(name string, aim, worth float64, effect policy.Effect) policy.Class {
-		return policy.Class{Name: name, LatencyObjectiveMs: aim * cfg.WorkMs, DeadlineMs: 4 * aim * cfg.WorkMs, PriorityWeight: worth,
-			Effect: effect, Group: policy.GroupCell, IdempotencyWindowMs: 2 * aim * cfg.WorkMs}
+	class := func(name string, objective, weight float64, effect policy.Effect) policy.Class {
+		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs, PriorityWeight: weight,
+			Effect: effect, Group: policy.GroupCell, IdempotencyWindowMs: 2 * objective * cfg.WorkMs}
 	}
-	set := &cfg.Settings
-	set.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
+	settings := &cfg.Settings
+	settings.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
 		class("keyed", 12, 3, policy.EffectIdempotentWithKey), class("once", 12, 8, policy.EffectNonIdempotent)}
-	set.Objective = policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1}
-	set.OverQuotaWeight = 0.2
-	set.Tenants = []policy.Tenant{{Name: "large", QuotaShare: 0.7}, {Name: "small", QuotaShare: 0.3}}
+	settings.Objective = policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1}
+	settings.OverQuotaWeight = 0.2
+	settings.Tenants = []policy.Tenant{{Name: "large", QuotaShare: 0.7}, {Name: "small", QuotaShare: 0.3}}
 	cfg.Traffic = []Traffic{{0.4, 0.7}, {0.3, 1}, {0.2, 1.4}, {0.1, 1.4}}
 	cfg.Retries = 2
 }
 
 // draw is a client's new request.
 func (m *Model) newRequest() *request {
-	r := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), arrivedAt: m.now, workFactor: 1}
+	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), arrivedAt: m.now, workFactor: 1}
 	if spread := m.cfg.WorkSpread; spread > 0 {
-		r.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
+		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
 		if m.cfg.Hinted {
-			r.hintMs = m.workOf(r) * math.Exp(hintSpread*m.rng.NormFloat64())
+			request.hintMs = m.workOf(request) * math.Exp(hintSpread*m.rng.NormFloat64())
 		}
 	}
-	return r
+	return request
 }
 
 func (m *Model) drawClass() int {
@@ -186,9 +186,9 @@
 
 // addShares adds what was served of each class, tenant and effect, where there are several.
 func (m *Model) addShares(c *fleet.Case) {
-	set := &m.cfg.Settings
-	if len(set.Classes) > 1 {
-		for i, class := range set.Classes {
+	settings := &m.cfg.Settings
+	if len(settings.Classes) > 1 {
+		for i, class := range settings.Classes {
 			c.Add(servedOf+"class "+class.Name, "share", m.shares.class[i].fraction())
 		}
 		for _, effect := range []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent} {
@@ -197,8 +197,8 @@
 			}
 		}
 	}
-	if len(set.Tenants) > 1 {
-		for i, tenant := range set.Tenants {
+	if len(settings.Tenants) > 1 {
+		for i, tenant := range settings.Tenants {
 			c.Add(servedOf+"tenant "+tenant.Name, "share", m.shares.tenant[i].fraction())
 		}
 	}
