--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -6,68 +6,70 @@
 	"ploverreel/policy"
 )
 
-// client asks its agent at a rate of its own; it outlives the agent's process.
+// client sends requests to its agent at a rate of its own; it outlives the agent's process.
 type client struct {
 	m          *Model
 	agent      *agent
 	service    *service // that it calls
 	zone       int
-	number     int     // of all
-	inService  int     // of those that call the service
-	replicas   int     // as many do
-	quota      float64 // requests a ms that all of them ask
-	rate       float64 // requests a ms that this one asks
-	listMs     float64 // after which it is told of a change of the list
-	notifiedAt float64 // when it is told of the start day's start
-	starts     uint64  // of its agent
-	lost       bool    // with its machine: it asks nothing
+	number     int     // among all clients
+	inService  int     // its number among those that call the service
+	replicas   int     // clients that call the service
+	quota      float64 // requests a ms of all of them
+	rate       float64 // requests a ms of this one
+	listMs     float64 // after which its agent is notified of a change of the list
+	notifiedAt float64 // when its agent is notified of the start day's start, in ms
+	starts     uint64  // of its agent, so far
+	lost       bool    // with its machine: it sends nothing
 }
 
-// agent is one process of the agent.
+// agent is one process of the agent. Its clock and its sockets are those of the model.
 type agent struct {
 	m           *Model
 	client      *client
 	decider     decider
 	requests    map[policy.RequestID]*request
-	inFlight    int                   // attempts out
-	conns       map[*server]int       // the server's process that it has a connection to
-	idle        map[*server]idleSince // its connections that rest
-	knownStarts map[*server]bool      // cold servers of whose start it was told
+	inFlight    int                   // attempts that have not ended
+	conns       map[*server]int       // number of the server's process that it has a connection to
+	idle        map[*server]idleSince // its idle connections
+	knownStarts map[*server]bool      // servers that warm up of whose start it was notified
 	timers      []*timer              // one for each token that was ever used
-	ended       bool
+	ended       bool                  // the process has ended
 }
 
+// request is one of a client. A retry of the client is a request of its own.
 type request struct {
 	agent      *agent
 	id         policy.RequestID
 	class      int
 	tenant     int
 	key        uint64
-	workFactor float64 // in those of mean work, within its class
-	hintMs     float64 // its work as its client estimates it; 0: it tells none
-	arrivedAt  float64
-	attempts   int
-	final      bool
-	retries    int // of its client so far
-	inFlight   *attempt
+	workFactor float64  // its work in requests of its class's mean work
+	hintMs     float64  // its work as its client estimates it; 0: it sends no hint
+	arrivedAt  float64  // when the client first sent it, in ms
+	attempts   int      // so far
+	final      bool     // it is answered or given up
+	retries    int      // of its client, so far
+	inFlight   *attempt // nil: none
 }
 
-// try is an attempt of a request.
+// attempt is one send of a request to a server.
 type attempt struct {
 	request       *request
-	index         int
+	index         int // among those of the request
 	server        *server
-	sentAt        float64
-	serverProcess int  // of its server that serves it
-	ended         bool // its agent waits no longer
-	queued        bool // in its server's queue
+	sentAt        float64 // in ms
+	serverProcess int     // number of the process of its server that serves it
+	ended         bool    // its agent no longer waits for it
+	queued        bool    // in its server's queue
 }
 
-// The moments of requests, attempts and agents.
+// The events of requests, attempts and agents. Each is the thing itself under another type, so that
+// scheduling one allocates nothing.
 type (
 	requestDeadline request
-	attemptArrived  attempt // its server
-	attemptServed   attempt // on its server
+	attemptArrived  attempt // at its server
+	attemptServed   attempt // its server has done its work
 	attemptAnswered attempt
 	attemptReset    attempt
 	attemptTimedOut attempt
@@ -78,7 +80,8 @@
 	}
 )
 
-// start gives the client a new process of the agent, which knows nothing.
+// start gives the client a new process of the agent, which has learnt nothing yet. Its error is that
+// of policy.New.
 func (c *client) start() error {
 	m := c.m
 	settings := m.cfg.Settings
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// restart ends the agent's process with all that it holds and starts another.
+// restart ends the agent's process with all its requests and starts another.
 func (c *client) restart() {
 	old := c.agent
 	old.ended = true
@@ -116,10 +119,11 @@
 	c.agent.boot()
 }
 
-// pause is the time to the client's next request. Where there may be bursts it asks at their
-// rate, and leaves out what is too much at other times.
+// nextDelay is the time in ms to the client's next request: a Poisson process. Where there may be
+// bursts it has their rate, and fire leaves out what is too much at other times (thinning).
 func (c *client) nextDelay() float64 { return c.m.rng.ExpFloat64() / (c.rate * max(c.m.cfg.Peak, 1)) }
 
+// fire sends the client's next request and schedules the one after it.
 func (c *client) fire(m *Model) {
 	if m.stopped {
 		return
@@ -130,7 +134,7 @@
 	m.schedule(m.now+c.nextDelay(), c)
 }
 
-// ask is a client's request; one that is turned away comes once more after the advice.
+// sendRequest gives the client's agent a request.
 func (c *client) sendRequest(request *request) {
 	m, agent := c.m, c.agent
 	m.lastRequest++
@@ -141,12 +145,14 @@
 		m.shares.addRequest(request)
 	}
 	timeLeftMs := m.clientTimeoutMs(request.class)
-	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant, Key: request.key,
-		HintMs: request.hintMs, HasHint: request.hintMs > 0, TimeLeftMs: timeLeftMs, Retry: request.retries > 0 && m.cfg.Settings.Clients.MarksRetry})
+	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
+		Key: request.key, HintMs: request.hintMs, HasHint: request.hintMs > 0, TimeLeftMs: timeLeftMs,
+		Retry: request.retries > 0 && m.cfg.Settings.Clients.MarksRetry})
 	m.maxQueued = max(m.maxQueued, len(agent.requests)-agent.inFlight)
 	m.queue.pushLate(m.now+timeLeftMs, (*requestDeadline)(request))
 }
 
+// fire has the client give up its request.
 func (d *requestDeadline) fire(*Model) {
 	request := (*request)(d)
 	if request.final {
@@ -154,25 +160,26 @@
 	}
 	request.final = true
 	request.agent.handle(policy.Event{Kind: policy.EventClientGone, Request: request.id})
-	if len(request.agent.m.cfg.Traffic) > 0 { // plain clients come again after refusals alone
+	if len(request.agent.m.cfg.Traffic) > 0 { // plain clients retry only what was rejected
 		request.agent.client.retry(request)
 	}
 	request.forget()
 }
 
-// forget drops a request that has its answer and no attempt out.
+// forget drops a request that is final and has no attempt in flight.
 func (r *request) forget() {
 	if r.final && r.inFlight == nil {
 		delete(r.agent.requests, r.id)
 	}
 }
 
+// boot starts the agent with the cached endpoint list.
 func (a *agent) boot() {
 	a.perform(a.decider.Start(a.m.now, nil))
 	a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListCached, Entries: a.client.list()})
 }
 
-// list is what discovery tells the client's agent now.
+// list is the endpoint list that discovery gives the client's agent now.
 func (c *client) list() []policy.Entry {
 	if c.m.now < c.notifiedAt && c.service.before != nil {
 		return c.service.before
@@ -180,8 +187,8 @@
 	return c.service.list()
 }
 
-// handle hands the module an event and does what it says. What it does may end attempts,
-// and so come back here: each depth has its own slice of actions.
+// handle gives the decider an event and performs its actions. These may end attempts, and so call
+// handle again: each depth has its own slice of actions.
 func (a *agent) handle(ev policy.Event) {
 	if a.ended {
 		return
@@ -201,6 +208,7 @@
 	m.spareActions = append(m.spareActions, actions)
 }
 
+// perform does what the decider asks for. Actions without a part in the model are skipped.
 func (a *agent) perform(actions []policy.Action) {
 	m := a.m
 	for i := range actions {
@@ -227,8 +235,8 @@
 	}
 }
 
-// giveUp is the module's answer to a request that it does not serve. A client comes again
-// after a refusal.
+// reject is the decider's answer to a request that it does not serve; mayRetry says that it was
+// rejected, which a client retries, and not failed.
 func (r *request) reject(mayRetry bool) {
 	m := r.agent.m
 	r.final = true
@@ -244,23 +252,23 @@
 	r.forget()
 }
 
-// askAgain is a client's retry of an unserved request, after a while and within the time after
-// which it gives up.
+// retry is a client's retry of an unserved request, after 30 to 230 ms and within the class's deadline.
 func (c *client) retry(unserved *request) {
 	m := c.m
 	waitMs := 30 + 200*m.rng.Float64()
 	if unserved.retries >= m.maxRetries() || m.now+waitMs >= unserved.arrivedAt+m.cfg.Settings.Classes[unserved.class].DeadlineMs {
 		return
 	}
-	again := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key, workFactor: unserved.workFactor, hintMs: unserved.hintMs,
-		arrivedAt: unserved.arrivedAt, retries: unserved.retries + 1}
+	again := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key,
+		workFactor: unserved.workFactor, hintMs: unserved.hintMs, arrivedAt: unserved.arrivedAt, retries: unserved.retries + 1}
 	m.after(waitMs, func() { c.sendRequest(again) })
 }
 
-// longestCall is how long, in ms, a call waits for its turn at discovery before it fails.
+// maxCallMs is how long, in ms, a call waits for its turn at discovery before it fails.
 const maxCallMs = 2000.0
 
-// callDiscovery asks for the list. What waits too long at discovery is work for nobody.
+// callDiscovery fetches the endpoint list. A call that would wait too long at discovery fails, and
+// takes none of its time.
 func (a *agent) callDiscovery() {
 	m := a.m
 	m.second().DiscoveryCalls++
@@ -276,6 +284,7 @@
 	}))
 }
 
+// timer is the agent's timer of that token; it is made once, so that setting it again allocates nothing.
 func (a *agent) timer(token uint32) *timer {
 	for _, t := range a.timers {
 		if t.token == token {
@@ -289,6 +298,8 @@
 
 func (t *timer) fire(*Model) { t.agent.handle(policy.Event{Kind: policy.EventTimer, Token: t.token}) }
 
+// healthCheck connects to a server and reports the outcome after a round trip, or after the connect
+// timeout.
 func (a *agent) healthCheck(addr policy.Addr) {
 	m, server := a.m, a.m.serverAt(addr)
 	if server == nil {
@@ -311,6 +322,7 @@
 	})
 }
 
+// send sends an attempt of a request.
 func (a *agent) send(request *request, act *policy.Action) {
 	m, server := a.m, a.m.serverAt(act.Server)
 	if server == nil {
@@ -345,7 +357,7 @@
 func (t *attemptReset) fire(*Model)    { (*attempt)(t).end(policy.StatusReset) }
 func (t *attemptAnswered) fire(*Model) { (*attempt)(t).end(policy.StatusOK) }
 
-// end is how an attempt ends for its agent; what is no longer waited for is not served.
+// end ends an attempt for its agent and reports the outcome. It does nothing the second time.
 func (t *attempt) end(status policy.Status) {
 	if t.ended {
 		return
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -5,11 +5,11 @@
 	"ploverreel/policy"
 )
 
-// idle are the times since which an agent's connections to a server rest, the latest last. Each
-// is kept for the settings' time; one on which an attempt failed ends all of the server's.
+// idleSince has the times in ms since which an agent's connections to a server are idle, the latest
+// last. Each is kept for the settings' keepalive time; an attempt that fails ends all of the server's.
 type idleSince []float64
 
-// kept are those that rest no longer than the settings keep them.
+// idleTimes are those of the connections that are idle no longer than the settings keep them.
 func (a *agent) idleTimes(server *server) idleSince {
 	rest := a.idle[server]
 	for len(rest) > 0 && a.m.now-rest[0] > a.m.cfg.Settings.Limits.KeepaliveMs {
@@ -18,7 +18,7 @@
 	return rest
 }
 
-// takeIdle takes the connection to the server that rested last, and tells whether there is one.
+// takeIdle takes the connection to the server that became idle last, and reports whether there is one.
 func (a *agent) takeIdle(server *server) bool {
 	rest := a.idleTimes(server)
 	found := len(rest) > 0
@@ -29,8 +29,8 @@
 	return found
 }
 
-// addNeeds adds what an agent needs in the mean: connections made, servers that it met since its
-// start, connections that it keeps at the end and its module's work.
+// addNeeds adds what an agent needs in the mean: connections opened, servers that it met since its
+// start, connections that it keeps at the end and the steps of its decision module.
 func (m *Model) addNeeds(c *fleet.Case, sum *Count) {
 	met, kept, work := 0, 0, uint64(0)
 	for _, client := range m.clients {
--- a/internal/fleet/model/days.go
+++ b/internal/fleet/model/days.go
@@ -10,37 +10,36 @@
 	"ploverreel/policy"
 )
 
-// What the days are made of.
+// The sizes and times of the days' faults.
 const (
-	// Settle is how many seconds a day plays before its trouble and before it is counted.
+	// SettleS is how many seconds a day plays before its fault and before it is counted.
 	SettleS = 2.0
-	// noticeMs is after what time discovery tells of a machine that went silent.
+	// detectionMs is after what time discovery reports a machine that went silent.
 	detectionMs = 2000.0
-	// zoneMs is how long a zone is lost, cutMs how long a region is cut off.
+	// zoneLossMs is how long a zone is lost, partitionMs how long a region is partitioned off.
 	zoneLossMs, partitionMs = 4000.0, 6000.0
-	// halfMs is for how long half of the servers are lost.
+	// halfLossMs is for how long half of the servers are lost.
 	halfLossMs = 5000.0
-	// racks is how many racks a zone's machines stand in, rackPart which of them is lost.
+	// racks is how many racks a zone's machines stand in, lostRack the index of the one that is lost.
 	racks, lostRack = 14, 3
-	// replacedPart is the part of the servers replaced on an ordinary day, here all within
-	// replaceMs.
+	// replacedShare is the part of the servers replaced on an ordinary day, here all within replaceMs.
 	replacedShare, replaceMs = 0.08, 3000.0
-	// burst is how much more is asked while a zone is cold, for burstMs; restarted is the
-	// part of the agents that start anew then.
+	// burstFactor multiplies the rate for burstMs while a zone warms up; restartedShare is the part
+	// of the agents that start anew then.
 	burstFactor, burstMs, restartedShare = 1.5, 3000.0, 0.1
-	// drainS is what a day plays after its last request.
+	// drainS is how many seconds a day plays after its last request.
 	drainS = 1.5
 )
 
-// Day is one thing that may happen to a fleet.
+// Day is a scenario: a fault of a fleet, or none.
 type Day struct {
 	Name     string
 	Help     string
-	peakRate func(cfg *Config) float64 // the most that its bursts multiply the rate by
-	begin    func(m *Model)            // begins its trouble
+	peakRate func(cfg *Config) float64 // the most that its bursts multiply the rate by; nil: it has none
+	begin    func(m *Model)            // begins its fault; nil: it has none
 }
 
-// Days are all of them.
+// Days are all scenarios.
 func Days() []Day {
 	return []Day{
 		{"calm", "nothing happens", nil, nil},
@@ -57,7 +56,8 @@
 	}
 }
 
-// Play plays the day on a new fleet for so many seconds after the settling, and counts it.
+// Play plays the day on a new fleet for so many seconds after SettleS, and counts them. Its error is
+// that of New or the cause of ctx.
 func (d Day) Play(ctx context.Context, cfg Config, seconds float64, log *slog.Logger) (*fleet.Case, error) {
 	if d.peakRate != nil {
 		cfg.Peak = d.peakRate(&cfg)
@@ -106,7 +106,7 @@
 
 func (m *Model) sinceStart() float64 { return (m.now - Start) / 1000 }
 
-// figures counts all since the settling.
+// figures are those of all seconds after SettleS.
 func (m *Model) figures(name string) *fleet.Case {
 	m.second() // so that there are all to the last
 	var sum Count
@@ -155,7 +155,7 @@
 	return c
 }
 
-// inZone are the zone's servers that are up.
+// inZone are the servers of a zone that are up.
 func (m *Model) inZone(zone int) []*server {
 	var all []*server
 	for _, server := range m.servers {
@@ -166,7 +166,7 @@
 	return all
 }
 
-// lose has machines vanish, and discovery notice it.
+// loseMachines has machines vanish, and discovery report it after detectionMs.
 func (m *Model) loseMachines(servers []*server) {
 	for _, server := range servers {
 		server.vanish()
@@ -190,10 +190,10 @@
 	m.loseMachines(rack)
 }
 
-// lostZonePeak is what the other zones are asked while one is lost.
+// lostZonePeak is the factor of the other zones' rate while one is lost.
 func lostZonePeak(cfg *Config) float64 { return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1) }
 
-// loseZone takes the first zone's servers and agents; what its agents were asked, others are.
+// loseZone takes the first zone's servers and agents; the traffic of its clients goes to the others.
 func (m *Model) loseZone() {
 	lost := m.inZone(0)
 	m.loseMachines(lost)
@@ -215,7 +215,7 @@
 	})
 }
 
-// restart starts servers anew, and has discovery tell of it.
+// restart starts servers anew and has discovery publish it.
 func (m *Model) restart(servers []*server) {
 	for _, server := range servers {
 		server.start()
@@ -236,6 +236,7 @@
 	m.after(halfLossMs, func() { m.restart(half) })
 }
 
+// cutRegion partitions the first region from all others.
 func (m *Model) cutRegion() {
 	m.isolated[0] = true
 	m.after(partitionMs, func() { m.isolated[0] = false })
@@ -276,8 +277,8 @@
 	}
 }
 
-// startAll restarts everything: no agent has ever met a warm server. Agents may start once
-// more while the servers are cold, and work by an old list until they are told.
+// startAll restarts everything: no agent has ever met a warm server. Agents may start once more while
+// the servers warm up, and use an old endpoint list until they are notified.
 func (m *Model) startAll() {
 	if m.cfg.StaleStart {
 		for _, service := range m.services {
@@ -312,7 +313,7 @@
 		Regions: size.Regions, Rate: size.Rate, RateSpread: 0.8, Cores: cores, Seed: size.Seed, ListMs: 2000,
 		ZoneMs: 0.1, CrossZoneMs: 0.5, CrossRegionMs: 10, Settings: Settings()}
 	cfg.WorkMs = load * float64(cores*size.Servers) * 1000 / size.Rate
-	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}} // whose quota each agent is told
+	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}} // whose quota is in each agent's settings
 	return cfg, nil
 }
 
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -8,37 +8,38 @@
 )
 
 const (
-	// viewMs is how old at most what agents see of the servers is.
+	// viewIntervalMs is the greatest age, in ms, of what agents see of the servers.
 	viewIntervalMs = 250.0
-	// viewDraws is among how many servers an agent chooses.
+	// viewDraws is the number of servers among which an agent chooses.
 	viewDraws = 4
 )
 
-// decider decides for an agent: a policy.Balancer, or one that sees the servers late.
+// decider decides for an agent: a policy.Balancer or, to compare with, a delayedView.
 type decider interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// decider is a new one for the client's agent with these settings.
+// newDecider is the decider of a new process of the client's agent. Its error is that of policy.New.
 func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
 	if c.m.cfg.DelayedView {
-		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)), open: map[policy.RequestID]*openRequest{}}, nil
+		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
+			open: map[policy.RequestID]*openRequest{}}, nil
 	}
 	return policy.New(settings, seed)
 }
 
-// wait is the time in ms until one more would be answered.
-func (v *serverView) waitMs() float64 { return float64(v.pending+1) * v.msPerRequest }
-
-// view is what was seen of a server.
+// serverView is what was seen of a server.
 type serverView struct {
 	up           bool
-	pending      int     // by it, and sent to it since
-	msPerRequest float64 // the time in ms that it needs for each
+	pending      int     // on it when it was seen, and sent to it since
+	msPerRequest float64 // that it needs at the speed it had then
 }
 
-// look renews what agents see of the servers, if it is too old.
+// waitMs is the time until one more request would be answered.
+func (v *serverView) waitMs() float64 { return float64(v.pending+1) * v.msPerRequest }
+
+// refreshViews renews what agents see of the servers, if it is too old.
 func (m *Model) refreshViews() {
 	if m.now-m.viewsAt < viewIntervalMs {
 		return
@@ -52,10 +53,10 @@
 	}
 }
 
-// lateView sends each request at once to the best of some servers, drawn among those that are
-// up, by what was seen of them of late and was sent to them since. It refuses what would be
-// answered too late there, or would crowd the server. It knows what no agent can, and yet too
-// late to be perfect.
+// delayedView is the baseline with a delayed view of the servers' true state. It sends each request
+// at once to the server with the shortest wait of a few, drawn among those that are up, by what was
+// last seen of them and was sent to them since. It rejects what would miss its latency objective
+// there or overload the server. It knows what no agent can, but with a delay, and so isn't optimal.
 type delayedView struct {
 	m        *Model
 	servers  *service
@@ -64,18 +65,18 @@
 	open     map[policy.RequestID]*openRequest
 }
 
-// viewed is a request that is open.
+// openRequest is a request that has no answer yet.
 type openRequest struct {
 	class      int
-	deadline   float64
-	attempts   int
-	mayHaveRun bool // of its attempts some
+	deadline   float64 // in ms
+	attempts   int     // so far
+	mayHaveRun bool    // some attempt
 }
 
-// Start asks for nothing: it sees the servers.
+// Start has no actions: the baseline needs no endpoint list.
 func (l *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
 
-// Handle sends what comes, and again what did not run or may be repeated.
+// Handle sends what comes, and retries what did not run or may be repeated.
 func (l *delayedView) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.EventRequest:
@@ -89,6 +90,7 @@
 	return out
 }
 
+// ended retries a request after an attempt that did not answer it, or fails it.
 func (l *delayedView) ended(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
 	request := l.open[ev.Request]
 	if request == nil {
@@ -106,6 +108,7 @@
 	return l.send(now, ev.Request, out)
 }
 
+// send sends a request to the server of pick, or rejects it.
 func (l *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
 	request := l.open[id]
 	if server := l.pick(request); server != nil && request.attempts < l.settings.Limits.MaxAttempts && now < request.deadline {
@@ -117,7 +120,8 @@
 	return append(out, policy.Action{Kind: policy.ActionReject, Request: id, DelayMs: l.settings.Limits.MaxRetryAfterMs})
 }
 
-// pick is the best of viewDraws servers that were seen up, nil if it would be too late there.
+// pick is the server with the shortest wait of viewDraws that were seen up; nil if the request would
+// be too late there or overload it.
 func (l *delayedView) pick(request *openRequest) *server {
 	l.m.refreshViews()
 	var best *server
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,12 +1,12 @@
-// Package model plays many agents against many servers in virtual time, to count what they
-// do together. Each agent is one module of package policy and comes by nothing but its own
-// events. All draws come from one seed: the same run gives the same figures.
+// Package model simulates many agents and many servers in virtual time, to count what they do
+// together. Each agent is one policy.Balancer and knows nothing but its own events. All random
+// draws come from one seed: the same run gives the same figures.
 //
 // What it assumes: an agent calls one service, whose servers alone it has listed. Agents are
 // dealt to the services in proportion to the services' servers, and so is the traffic; within
 // a service the agents' parts of it may differ. A service's servers and its callers are spread
-// evenly over the zones. Connections cost nothing, but one that is there hides for a while
-// that its server has gone silent.
+// evenly over the zones. Connections cost nothing, but an open one hides for a while that its
+// server has gone silent. All times are in ms of virtual time, unless a name says otherwise.
 package model
 
 import (
@@ -22,7 +22,7 @@
 // Start is the clock's time in ms at which a model begins.
 const Start = 1e6
 
-// Config is what a model is made of.
+// Config is the size of a fleet, its load and its settings.
 type Config struct {
 	Agents     int // at least as many as services
 	Servers    int // at least as many as services
@@ -30,44 +30,44 @@
 	Zones      int
 	Regions    int
 	Rate       float64 // requests a second, all agents together
-	RateSpread float64 // spread of the agents' rates: of their logarithms; 0: alike
+	RateSpread float64 // standard deviation of the logarithms of the agents' rates; 0: all alike
 	Peak       float64 // the most that a burst multiplies the rate by; 0: no bursts
 	Cores      int     // of a server
 	WorkMs     float64 // mean work of a request, on one core at full speed
 	// One way between two places, in ms.
 	ZoneMs, CrossZoneMs, CrossRegionMs float64
-	ListMs                             float64 // an agent is told of a change of the list within this
+	ListMs                             float64 // within which an agent is notified of a change of the list
 	CallMs                             float64 // discovery's work for a call; it takes calls in turn
 	Seed                               uint64
-	// Traffic tells what is asked of each of the settings' classes; none: all of the first.
+	// Traffic is that of each of the settings' classes; none: all requests are of the first.
 	Traffic []Traffic
 	Retries int // of a client for a request that is not served; at least one
-	// Heavy is the spread of the requests' work: of its logarithm. 0: a server's time for each
-	// request is drawn, and all count alike in its budget.
+	// WorkSpread is the standard deviation of the logarithm of the requests' work (lognormal). 0: a
+	// server's time for each request is exponential, and all count alike in its budget.
 	WorkSpread float64
-	// Hinted has clients tell the work of a request where Heavy is above 0, as they estimate it.
+	// Hinted has clients send an estimate of a request's work where WorkSpread is above 0.
 	Hinted bool
-	// StaleStart has an agent that starts anew on the start day work by the list of before the
-	// start until it is told of the change.
+	// StaleStart has an agent that starts anew on the start day use the endpoint list of before the
+	// start until it is notified of the change.
 	StaleStart bool
 	// RestartS is within how many seconds of the start day's start each agent starts once more;
 	// 0: none does.
 	RestartS float64
-	// RunsOn has servers work on what nobody waits for any more.
+	// ServesAbandoned has servers work on attempts that no agent waits for any more.
 	ServesAbandoned bool
-	// LateView has agents decide by what the servers really hold, seen late, in place of the
-	// module: what the module is measured against.
+	// DelayedView has agents decide by the servers' true state, seen with a delay, in place of the
+	// decision module: the baseline that the module is compared with.
 	DelayedView bool
 	// Settings are those of each agent but for its index, its zone, the replicas and the quota.
 	Settings policy.Settings
-	// ToldService has the settings' replicas and quota be those of the agent's service, not of
-	// the whole fleet.
+	// QuotaOfService has the settings' replicas and quota be those of the agent's service, not of the
+	// whole fleet.
 	QuotaOfService bool
-	// KeepArrivals has each server remember when attempts came.
+	// KeepArrivals has each server keep the times at which attempts arrived.
 	KeepArrivals bool
 }
 
-// Settings are those of a plain deployment: one class of requests that may be repeated.
+// Settings are those of a plain deployment: one class of idempotent requests.
 func Settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{{Name: "free", LatencyObjectiveMs: 300, DeadlineMs: 1500, Effect: policy.EffectIdempotent, PriorityWeight: 1}},
@@ -84,16 +84,16 @@
 
 // Count is what happened in one second, all agents together.
 type Count struct {
-	Requests        int // requests, without repeats by the clients
-	Served          int // of these, answered within the aim, be it in a later second
-	RejectedFirst   int // of these, refused at their first coming
-	Rejected        int // of these, refused for good
-	WithinObjective int // answers within the aim
+	Requests        int // without retries by the clients
+	Served          int // of these, answered within their latency objective, be it in a later second
+	RejectedFirst   int // of these, rejected when they first came
+	Rejected        int // of these, rejected with no retry left
+	WithinObjective int // answers within their latency objective
 	Attempts        int // attempts
 	Retries         int // attempts after a request's first
 	CrossZone       int // attempts to another zone, and of these to another region
 	CrossRegion     int
-	MaxPending      int // most that all servers held at once
+	MaxPending      int // the most that all servers had pending at once
 	DiscoveryCalls  int // to discovery
 	HealthChecks    int
 	Connects        int // attempts whose agent had no idle connection to the server
@@ -115,14 +115,14 @@
 	c.Connects += o.Connects
 }
 
-// service is servers that do the same, and who calls them.
+// service is servers that do the same, and the clients that call them.
 type service struct {
 	servers []*server
 	clients []*client
-	before  []policy.Entry // its list of before the start day's start, if agents may still have that
+	before  []policy.Entry // its endpoint list of before the start day's start, if agents may still have that
 }
 
-// Model is one fleet.
+// Model is one fleet. It is used by one goroutine.
 type Model struct {
 	cfg             Config
 	rng             *rand.Rand
@@ -134,17 +134,17 @@
 	seconds         []Count
 	waits           *waitHistogram
 	shares          *shares
-	viewsAt         float64 // when agents last saw the servers that see them late
+	viewsAt         float64 // when the delayed view was last refreshed
 	lastRequest     policy.RequestID
-	rateFactor      float64 // how many times their rate the clients ask
-	stopped         bool    // the clients ask no more
-	isolated        []bool  // regions that reach no other
-	pending         int     // by all servers
-	maxQueued       int     // most that an agent held back at once
-	discoveryFreeAt float64 // when discovery has done all that it was asked
-	notified        int     // calls of agents that discovery answered
-	spareActions    [][]policy.Action
-	err             error
+	rateFactor      float64           // by which the clients' rate is multiplied now
+	stopped         bool              // the clients send no more
+	isolated        []bool            // regions that are partitioned from all others
+	pending         int               // on all servers
+	maxQueued       int               // the most requests that an agent had queued at once
+	discoveryFreeAt float64           // when discovery has answered all calls
+	notified        int               // calls of agents that discovery answered
+	spareActions    [][]policy.Action // for agent.handle
+	err             error             // ends the play
 }
 
 // Validate reports a fleet in which some service has no caller or no server.
@@ -164,7 +164,8 @@
 	return cfg.validateTraffic()
 }
 
-// New makes a fleet. Nothing happens before it is booted and played.
+// New makes a fleet, which is idle until it is booted and played. Its error is that of Validate or of
+// policy.New.
 func New(cfg Config) (*Model, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -199,8 +200,8 @@
 	return m, nil
 }
 
-// divide deals things to services by a Zipf law with exponent 0.8, two or more each if there
-// are enough.
+// divide deals things to services by Zipf's law with exponent 0.8, at least two each if there are
+// enough.
 func divide(things, services int) []int {
 	least := min(2, things/services)
 	sum := 0.0
@@ -219,9 +220,10 @@
 	return parts
 }
 
+// region is the region of a zone.
 func (m *Model) region(zone int) int { return zone * m.cfg.Regions / m.cfg.Zones }
 
-// hop is the time one way between two zones.
+// hop is the time in ms one way between two zones.
 func (m *Model) hop(from, to int) float64 {
 	switch {
 	case from == to:
@@ -232,12 +234,13 @@
 	return m.cfg.CrossRegionMs
 }
 
-// linked tells whether a message gets from a zone to another.
+// linked reports whether a message gets from a zone to another.
 func (m *Model) linked(from, to int) bool {
 	fromRegion, toRegion := m.region(from), m.region(to)
 	return fromRegion == toRegion || !m.isolated[fromRegion] && !m.isolated[toRegion]
 }
 
+// addServer adds a warm server to a service.
 func (m *Model) addServer(service *service, zone int) *server {
 	server := &server{m: m, service: service, addr: addr(len(m.servers)), zone: zone, speed: 1, listed: policy.HealthReady}
 	service.servers, m.servers = append(service.servers, server), append(m.servers, server)
@@ -249,6 +252,7 @@
 	return policy.Addr{10, byte(i >> 16), byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
+// serverAt is the server at an address. Where there is none it is nil, and the play ends with an error.
 func (m *Model) serverAt(at policy.Addr) *server {
 	if i := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); i < len(m.servers) {
 		return m.servers[i]
@@ -257,9 +261,10 @@
 	return nil
 }
 
+// schedule adds an event at a time, or now if that is past.
 func (m *Model) schedule(at float64, what scheduled) { m.queue.push(max(at, m.now), what) }
 
-// after has something happen so many ms from now.
+// after calls do so many ms from now.
 func (m *Model) after(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
 
 // second is the count of the present second.
@@ -274,7 +279,7 @@
 	return &m.seconds[i]
 }
 
-// list is what discovery says of the service now.
+// list is the service's endpoint list now.
 func (v *service) list() []policy.Entry {
 	all := make([]policy.Entry, len(v.servers))
 	for i, s := range v.servers {
@@ -283,8 +288,8 @@
 	return all
 }
 
-// announce lets discovery tell of the servers as they are now; each agent that calls their
-// service hears of it by its own delay.
+// announce has discovery publish the servers as they are now; each agent that calls their service is
+// notified after a delay of its own.
 func (m *Model) announce(servers []*server) {
 	for _, service := range m.services {
 		var entries []policy.Entry
@@ -304,7 +309,7 @@
 	}
 }
 
-// boot starts all agents with the list as it is and lets their clients ask.
+// boot starts all agents with the endpoint list as it is, and their clients.
 func (m *Model) boot() {
 	for _, client := range m.clients {
 		client.agent.boot()
@@ -312,10 +317,10 @@
 	}
 }
 
-// checkEvery is after how many events a run looks whether it is to end.
+// eventsPerCheck is after how many events a play checks its context.
 const eventsPerCheck = 1 << 14
 
-// play runs the fleet for so many seconds, or until ctx ends.
+// play runs the fleet for so many virtual seconds, or until ctx ends, whose cause it returns then.
 func (m *Model) play(ctx context.Context, seconds float64) error {
 	end := m.now + seconds*1000
 	for n := 0; !m.queue.empty() && m.queue.next().at <= end && m.err == nil; n++ {
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -1,17 +1,18 @@
 package model
 
-// event is something that happens at a time; of one time, in the order of their making.
+// event is an action at a virtual time in ms. Events of one time fire in the order in which they were
+// added.
 type event struct {
 	at     float64
 	order  uint64
 	action scheduled
 }
 
-// happening is what an event does. Its types are pointers, so that an event costs no
-// allocation of its own.
+// scheduled is what an event does. Its types are pointers, so that an event costs no allocation of
+// its own.
 type scheduled interface{ fire(m *Model) }
 
-// call is a happening of the days and tests, of which there are few.
+// call is an action of the days and tests, of which there are few.
 type call func()
 
 func (c call) fire(*Model) { c() }
@@ -20,13 +21,13 @@
 	return e.at < o.at || e.at == o.at && e.order < o.order
 }
 
-// queue holds what is to come: a heap, and a lane in the order of time for what comes a
-// fixed time after its cause, as the many deadlines do.
+// queue has the events to come: a heap of four children a node, and a lane in the order of time for
+// what comes a fixed time after its cause, as the many deadlines do.
 type queue struct {
 	heap  []event
 	lane  []event
-	first int // of the lane
-	order uint64
+	first int    // index of the lane's first event
+	order uint64 // of the event added last
 }
 
 func (q *queue) empty() bool { return len(q.heap) == 0 && q.first == len(q.lane) }
@@ -48,7 +49,7 @@
 	q.heap[i] = e
 }
 
-// pushLate adds an event that is likely to be later than those added so before it.
+// pushLate adds an event that is likely to be later than those which it added before.
 func (q *queue) pushLate(at float64, what scheduled) {
 	if n := len(q.lane); n > q.first && q.lane[n-1].at > at {
 		q.push(at, what)
@@ -66,7 +67,7 @@
 	return &q.lane[q.first]
 }
 
-// pop takes the first event out.
+// pop takes the first event out; the queue must not be empty.
 func (q *queue) pop() event {
 	e := *q.next()
 	if q.first < len(q.lane) && q.lane[q.first].order == e.order {
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -7,57 +7,59 @@
 )
 
 const (
-	// crowd is how many requests a server may hold for each core; one that holds as many for
-	// crowdMs works crowdSlow times slower until it has been empty.
+	// A server with maxPendingPerCore requests for each core, served and waiting, for overloadMs
+	// works overloadSlowdown times slower until it has been empty.
 	maxPendingPerCore, overloadMs, overloadSlowdown = 7, 2000.0, 3.0
-	// knownShare is the part of a fallen server's load from agents that were told of its
-	// start, from which on its fall is theirs.
+	// notifiedShare is the part of a failed server's load from agents that were notified of its
+	// start above which its failure is put down to them.
 	notifiedShare = 2.0 / 3
-	// fewCalls is under how many requests a cold server's budget leaves more to chance.
+	// smallBudget is the number of requests under which the budget of a server that is warming up
+	// has the larger allowance for chance.
 	smallBudget = 30.0
 )
 
-// server serves as many at once as it has cores, in turn.
+// server serves as many requests at once as it has cores, first come, first served.
 type server struct {
 	m               *Model
 	service         *service
 	addr            policy.Addr
 	zone            int
-	speed           float64
-	startedAt       float64       // cold from here on, as the contract says; 0: warm
+	speed           float64       // of a core, 1 is full speed
+	startedAt       float64       // in ms; it warms up from here on, as the contract says; 0: it is warm
 	down            bool          // refuses connections
-	silent          bool          // is silent: what is sent to it is lost
-	listed          policy.Health // what discovery says of it, if it is not down
-	process         int           // counts its processes
-	queue           []*attempt    // waiting; those that are over are passed over
+	silent          bool          // its machine has vanished: what is sent to it is lost
+	listed          policy.Health // its health in the endpoint list, if it is not down
+	process         int           // number of its present process
+	queue           []*attempt    // waiting; those that are no longer queued are skipped
 	pending         int           // served and waiting
-	maxPending      int           // that it ever held
-	busy            int           // cores
-	overloadedSince float64       // since when it holds too much; 0: it does not
+	maxPending      int           // the most that it ever had pending
+	busy            int           // cores in use
+	overloadedSince float64       // in ms; 0: it is not overloaded
 	slowed          bool
-	arrivalTimes    []float64 // times at which attempts came, if they are kept
+	arrivalTimes    []float64 // in ms, if the configuration keeps them
 	warmup          warmupLoad
-	view            serverView // what agents see that see it late
+	view            serverView // what agents with the delayed view see
 }
 
-// coldLoad is what came to a cold server in the last window of the contract.
+// warmupLoad is the load of a server that warms up, in the last overload window of the contract.
 type warmupLoad struct {
 	arrivals         []arrival
-	first            int
-	work             float64 // of all of them, in requests of mean work
-	actual           float64 // the same by their very work
-	notified         float64 // of it, from agents that were told of the start
-	maxShare         float64 // the most of its budget that it ever got
-	maxActualShare   float64 // the same by very work, which nobody knows beforehand: it brings none down
+	first            int     // index of the first arrival in the window
+	work             float64 // of all arrivals, in requests of mean work
+	actual           float64 // the same by their actual work
+	notified         float64 // the part of work from agents that were notified of the start
+	maxShare         float64 // the most that work ever was, as a share of the budget
+	maxActualShare   float64 // the same of actual, which no agent can know beforehand: no server fails by it
 	failed           bool
-	failedByNotified bool // it fell by agents that were told
+	failedByNotified bool // see notifiedShare
 }
 
+// arrival is an attempt that reached a server that warms up.
 type arrival struct {
-	at       float64
+	at       float64 // in ms
 	work     float64 // mean work of its class, in requests of mean work
-	actual   float64 // its very work, in the same
-	notified bool
+	actual   float64 // its actual work, in the same unit
+	notified bool    // its agent was notified of the start
 }
 
 func (l *warmupLoad) add(came arrival) {
@@ -69,6 +71,7 @@
 	}
 }
 
+// dropFirst drops the arrival that left the window.
 func (l *warmupLoad) dropFirst() {
 	first := l.arrivals[l.first]
 	l.first++
@@ -79,7 +82,7 @@
 	}
 }
 
-// entry is what discovery says of the server.
+// entry is the server's line in the endpoint list.
 func (s *server) entry() policy.Entry {
 	entry := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
 	if s.down {
@@ -88,7 +91,8 @@
 	return entry
 }
 
-// ramp is the part of its full speed that a server has warmed up to.
+// ramp is the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
+// within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
@@ -106,6 +110,7 @@
 	return speed
 }
 
+// fire queues the attempt at its server, or ends it where the server or the way to it is gone.
 func (r *attemptArrived) fire(m *Model) {
 	attempt := (*attempt)(r)
 	server, agent := attempt.server, attempt.request.agent
@@ -142,8 +147,9 @@
 	server.serve()
 }
 
-// budget is how many requests of mean work a cold server bears in a window that began at a
-// time, with what is put down to chance.
+// budget is how many requests of mean work a server that warms up bears in a window that began at
+// began: the contract's multiple of what it can serve then, with two standard deviations of a Poisson
+// count for chance, three where the budget is small.
 func (s *server) budget(began float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	mean := contract.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
@@ -153,8 +159,8 @@
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// weigh counts an attempt that came to a cold server; one over its budget brings it down for
-// good. The window's first capacity counts, as it is the least.
+// countWarmup counts an attempt that reached a server which warms up; one over its budget makes it
+// fail for good. The capacity at the beginning of the window counts, as it is the least.
 func (s *server) countWarmup(request *request, notified bool) {
 	m, load := s.m, &s.warmup
 	if s.startedAt == 0 || s.ramp(m.now) == 1 {
@@ -176,8 +182,8 @@
 	}
 }
 
-// end ends the server's process with all that it holds. Agents see its connections close,
-// but for those of a machine that went silent.
+// stop ends the server's process with all that is pending. Agents see its connections close, but
+// for those of a machine that went silent.
 func (s *server) stop() {
 	s.process++
 	for _, attempt := range s.queue {
@@ -203,7 +209,7 @@
 	s.stop()
 }
 
-// begin starts a new process, which is cold.
+// start starts a new process, which warms up.
 func (s *server) start() {
 	s.silent, s.down, s.startedAt = false, false, s.m.now
 	s.warmup = warmupLoad{maxShare: s.warmup.maxShare, maxActualShare: s.warmup.maxActualShare}
@@ -212,12 +218,13 @@
 	}
 }
 
+// addPending changes the number of pending requests, here and in the fleet's sum.
 func (s *server) addPending(n int) {
 	s.pending += n
 	s.m.pending += n
 }
 
-// leave takes an attempt that is no longer waited for out of the queue. One that is being
+// abandon takes an attempt that its agent no longer waits for out of the queue. One that is being
 // served is served to its end.
 func (s *server) abandon(attempt *attempt) {
 	if attempt.queued && !s.m.cfg.ServesAbandoned {
@@ -226,7 +233,7 @@
 	}
 }
 
-// serve takes the next in turn.
+// serve gives free cores the next attempts in the queue.
 func (s *server) serve() {
 	m := s.m
 	if s.pending < maxPendingPerCore*m.cfg.Cores {
@@ -255,10 +262,11 @@
 	}
 }
 
+// fire frees the core and sends the answer, or a reset where the process has ended meanwhile.
 func (f *attemptServed) fire(m *Model) {
 	attempt := (*attempt)(f)
 	server, zone := attempt.server, attempt.request.agent.client.zone
-	if attempt.serverProcess != server.process { // its process has ended
+	if attempt.serverProcess != server.process { // that process has ended
 		if !server.silent {
 			attempt.end(policy.StatusReset)
 		}
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// mostSpread is the largest spread of the requests' work.
+	// maxWorkSpread is the largest Config.WorkSpread.
 	maxWorkSpread = 3.0
-	// hintSpread is that of what clients estimate it as: of the logarithm of the ratio.
+	// hintSpread is the standard deviation of the logarithm of a client's estimate over the work.
 	hintSpread = 0.3
 )
 
-// deadlineMs is what a client gives a request where the configuration tells of no traffic.
+// deadlineMs is the time that a client gives a request where the configuration has no traffic.
 const deadlineMs = 1000
 
-// Traffic is what is asked of one class.
+// Traffic is the requests of one class.
 type Traffic struct {
 	Share float64 // of all requests
-	Work  float64 // of its requests, in those of mean work
+	Work  float64 // mean of its requests, in requests of mean work
 }
 
 // validateTraffic reports traffic that does not fit the settings' classes.
@@ -45,12 +45,13 @@
 	return nil
 }
 
-// Mix has four classes of different aims, worths and effects and two tenants asked in place of
-// one of each, by clients that come again twice.
+// Mix sets four classes of different latency objectives, priority weights and effects and two tenants
+// in place of one of each, with clients that retry twice.
 func (cfg *Config) Mix() {
 	class := func(name string, objective, weight float64, effect policy.Effect) policy.Class {
-		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs, PriorityWeight: weight,
-			Effect: effect, Group: policy.GroupCell, IdempotencyWindowMs: 2 * objective * cfg.WorkMs}
+		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs,
+			PriorityWeight: weight, Effect: effect,
+			Group: policy.GroupCell, IdempotencyWindowMs: 2 * objective * cfg.WorkMs}
 	}
 	settings := &cfg.Settings
 	settings.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
@@ -62,7 +63,7 @@
 	cfg.Retries = 2
 }
 
-// draw is a client's new request.
+// newRequest draws a client's new request.
 func (m *Model) newRequest() *request {
 	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), arrivedAt: m.now, workFactor: 1}
 	if spread := m.cfg.WorkSpread; spread > 0 {
@@ -84,7 +85,7 @@
 	return m.drawPart(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
 }
 
-// drawPart draws one of n by their parts of the whole.
+// drawPart draws an index below n by the parts of the whole, which add up to 1.
 func (m *Model) drawPart(n int, part func(i int) float64) int {
 	if n < 2 {
 		return 0
@@ -98,13 +99,13 @@
 	return n - 1
 }
 
-// tryShare is the part of the time after which it gives up that a client waits for a try.
+// attemptTimeShare is the part of a class's deadline that a client waits for one of its own attempts.
 const attemptTimeShare = 0.6
 
-// mostRetries is how often a client comes again with a request that is not served.
+// maxRetries is how often a client retries a request that is not served.
 func (m *Model) maxRetries() int { return max(m.cfg.Retries, 1) }
 
-// patience is how long a client waits for a try.
+// clientTimeoutMs is how long a client waits for one of its own attempts.
 func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return deadlineMs
@@ -112,10 +113,10 @@
 	return attemptTimeShare * m.cfg.Settings.Classes[class].DeadlineMs
 }
 
-// workOf is the mean work of a request, and where work is heavy-tailed its very work.
+// workOf is the mean work of a request in ms, and where work is heavy-tailed its actual work.
 func (m *Model) workOf(r *request) float64 { return m.cfg.WorkMs * m.classWorkFactor(r) * r.workFactor }
 
-// classWork is the mean work of the request's class, in requests of mean work.
+// classWorkFactor is the mean work of the request's class, in requests of mean work.
 func (m *Model) classWorkFactor(r *request) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return 1
@@ -123,7 +124,7 @@
 	return m.cfg.Traffic[r.class].Work
 }
 
-// serviceTime is how long one core at full speed works on a request.
+// serviceTime is how long, in ms, one core at full speed works on a request.
 func (m *Model) serviceTime(r *request) float64 {
 	if m.cfg.WorkSpread > 0 {
 		return m.workOf(r)
@@ -131,16 +132,17 @@
 	return m.rng.ExpFloat64() * m.workOf(r)
 }
 
-// share counts requests and those of them that were served within their aim.
+// share counts requests and those of them that were served within their latency objective.
 type share struct{ asked, served int }
 
+// fraction is the part served, from 0 to 1.
 func (s share) fraction() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
 
-// shares are the parts served of each class, tenant and effect, by the time at which a
-// request first came.
+// shares are the parts served of each class, tenant and effect, of the requests that first came from
+// a time on.
 type shares struct {
 	classes []policy.Class
-	from    float64 // requests that came before don't count
+	from    float64 // in ms
 	class   []share
 	tenant  []share
 	effect  map[policy.Effect]*share
@@ -155,7 +157,7 @@
 	return s
 }
 
-// begin forgets what was counted, and what came before the time from.
+// begin starts to count anew, with requests that come from the time from on.
 func (s *shares) begin(cfg *Config, from float64) {
 	*s = *newShares(cfg)
 	s.from = from
@@ -181,7 +183,7 @@
 	}
 }
 
-// servedOf begins the names of the figures of classes, effects and tenants.
+// servedOf is the prefix of the names of the figures of classes, effects and tenants.
 const servedOf = "served of "
 
 // addShares adds what was served of each class, tenant and effect, where there are several.
