--- /dev/null
+++ b/internal/fleet/model/faults.go
@@ -0,0 +1,171 @@
+package model
+
+import (
+	"ploverreel/policy"
+)
+
+// The sizes and times of the days' faults.
+const (
+	// SettleS is how many seconds a day plays before its fault and before it is counted.
+	SettleS = 2.0
+	// detectionMs is after what time discovery reports a machine that went silent.
+	detectionMs = 2000.0
+	// zoneLossMs is how long a zone is lost, partitionMs how long a region is partitioned off.
+	zoneLossMs, partitionMs = 4000.0, 6000.0
+	// halfLossMs is for how long half of the servers are lost.
+	halfLossMs = 5000.0
+	// racks is how many racks a zone's machines stand in, lostRack the index of the one that is lost.
+	racks, lostRack = 14, 3
+	// replacedShare is the part of the servers replaced on an ordinary day, here all within replaceMs.
+	replacedShare, replaceMs = 0.08, 3000.0
+	// burstFactor multiplies the rate for burstMs while a zone warms up; restartedShare is the part
+	// of the agents that start anew then.
+	burstFactor, burstMs, restartedShare = 1.5, 3000.0, 0.1
+	// drainS is how many seconds a day plays after its last request.
+	drainS = 1.5
+)
+
+// inZone are the servers of a zone that are up.
+func (m *Model) inZone(zone int) []*server {
+	var all []*server
+	for _, server := range m.servers {
+		if server.zone == zone && !server.down && !server.silent {
+			all = append(all, server)
+		}
+	}
+	return all
+}
+
+// loseMachines has machines vanish, and discovery report it after detectionMs.
+func (m *Model) loseMachines(servers []*server) {
+	for _, server := range servers {
+		server.vanish()
+	}
+	m.after(detectionMs, func() {
+		for _, server := range servers {
+			server.listed = policy.HealthGone
+		}
+		m.announce(servers)
+	})
+}
+
+// loseRack takes each racks-th server of the first zone: a rack holds servers of many services.
+func (m *Model) loseRack() {
+	var rack []*server
+	for i, s := range m.inZone(0) {
+		if i%racks == lostRack {
+			rack = append(rack, s)
+		}
+	}
+	m.loseMachines(rack)
+}
+
+// lostZonePeak is the factor of the other zones' rate while one is lost.
+func lostZonePeak(cfg *Config) float64 { return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1) }
+
+// loseZone takes the first zone's servers and agents; the traffic of its clients goes to the others.
+func (m *Model) loseZone() {
+	lost := m.inZone(0)
+	m.loseMachines(lost)
+	for _, client := range m.clients {
+		if client.zone == 0 {
+			client.agent.ended, client.lost = true, true
+		}
+	}
+	m.rateFactor = lostZonePeak(&m.cfg)
+	m.after(zoneLossMs, func() {
+		m.rateFactor = 1
+		m.restart(lost)
+		for _, client := range m.clients {
+			if client.zone == 0 {
+				client.lost = false
+				client.restart()
+			}
+		}
+	})
+}
+
+// restart starts servers anew and has discovery publish it.
+func (m *Model) restart(servers []*server) {
+	for _, server := range servers {
+		server.start()
+		server.listed = policy.HealthReady
+	}
+	m.announce(servers)
+}
+
+// loseHalf takes every second server of each service; services of one server keep it.
+func (m *Model) loseHalf() {
+	var half []*server
+	for _, service := range m.services {
+		for i := 1; i < len(service.servers); i += 2 {
+			half = append(half, service.servers[i])
+		}
+	}
+	m.loseMachines(half)
+	m.after(halfLossMs, func() { m.restart(half) })
+}
+
+// cutRegion partitions the first region from all others.
+func (m *Model) cutRegion() {
+	m.isolated[0] = true
+	m.after(partitionMs, func() { m.isolated[0] = false })
+}
+
+// replace starts new servers for a part of the old ones, which drain and end.
+func (m *Model) replace(part float64) {
+	n := max(int(part*float64(len(m.servers))), 1)
+	for _, i := range m.rng.Perm(len(m.servers))[:n] {
+		old := m.servers[i]
+		m.after(m.rng.Float64()*replaceMs, func() {
+			s := m.addServer(old.service, old.zone)
+			s.start()
+			old.listed = policy.HealthDraining
+			m.announce([]*server{s, old})
+			m.after(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
+				old.stop()
+				old.down = true
+				m.announce([]*server{old})
+			})
+		})
+	}
+}
+
+// coldZone restarts the first zone's servers and a part of all agents under a burst.
+func (m *Model) coldZone() {
+	zone := m.inZone(0)
+	for _, server := range zone {
+		server.stop()
+	}
+	m.restart(zone)
+	m.rateFactor = burstFactor
+	m.after(burstMs, func() { m.rateFactor = 1 })
+	for _, client := range m.clients {
+		if m.rng.Float64() < restartedShare {
+			client.restart()
+		}
+	}
+}
+
+// startAll restarts everything: no agent has ever met a warm server. Agents may start once more while
+// the servers warm up, and use an old endpoint list until they are notified.
+func (m *Model) startAll() {
+	if m.cfg.StaleStart {
+		for _, service := range m.services {
+			service.before = service.list()
+		}
+		for _, client := range m.clients {
+			client.notifiedAt = m.now + client.listMs
+		}
+	}
+	for _, server := range m.servers {
+		server.stop()
+	}
+	m.restart(m.servers)
+	for _, client := range m.clients {
+		client.restart()
+		if m.cfg.RestartS > 0 {
+			m.after(1000*m.cfg.RestartS*m.rng.Float64(), client.restart)
+		}
+	}
+}
