--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -4,7 +4,7 @@
 // A batch is a header of 8 bytes (the number of records and the bytes that follow), the clock, records
 // of EventSize bytes and a tail that records point into. A reply is a header of the same form, records
 // of ActionSize bytes and a tail. All numbers are big-endian; times are milliseconds as IEEE 754 doubles.
-// The words of the codes are those of the wire's own page.
+// The codes have the words of the wire's own page; the comments say what they stand for.
 package simwire
 
 import (
@@ -28,32 +28,32 @@
 
 // Event codes.
 const (
-	codeDropped  = 16
-	codeAsk      = 17
-	codeVerdict  = 18
-	codePool     = 19
-	codeFlowing  = 20
-	codeKilled   = 21
-	codeTargets  = 22
-	codePeerData = 23
-	codeHealth   = 24
-	codeBoot     = 25
-	codeFired    = 26
+	codeDropped  = 16 // a client has left
+	codeAsk      = 17 // a request of a client
+	codeVerdict  = 18 // the outcome of an attempt
+	codePool     = 19 // a list table, to which codeTargets points
+	codeFlowing  = 20 // the first byte of an answer
+	codeKilled   = 21 // an instance has ended
+	codeTargets  = 22 // an endpoint list
+	codePeerData = 23 // a message of another agent
+	codeHealth   = 24 // the outcome of a health check
+	codeBoot     = 25 // an instance starts
+	codeFired    = 26 // a timer
 )
 
 // Action codes.
 const (
-	codeHangUp      = 80
-	codeNotNow      = 81
-	codeTouch       = 82
-	codeFollow      = 83
-	codeCallOut     = 84
-	codeReadList    = 85
-	codeCrash       = 87
-	codeNotifyMe    = 88
-	codeRetract     = 89
-	codeFinishError = 90
-	codeTrace       = 91
+	codeHangUp      = 80 // close the idle connections to a server
+	codeNotNow      = 81 // reject a request
+	codeTouch       = 82 // check a server's health
+	codeFollow      = 83 // watch the endpoint list
+	codeCallOut     = 84 // send an attempt
+	codeReadList    = 85 // fetch the endpoint list
+	codeCrash       = 87 // the instance's decision code failed
+	codeNotifyMe    = 88 // set a timer
+	codeRetract     = 89 // cancel an attempt
+	codeFinishError = 90 // fail a request
+	codeTrace       = 91 // a line for the log
 )
 
 // Kind tells what a record of a batch is about.
@@ -76,23 +76,23 @@
 	Event    policy.Event // of an Event
 }
 
-// Decoder reads batches from a stream. It keeps the numbered lists, which
-// belong to the process and are shared, read-only, by all instances.
+// Decoder reads batches from a stream. It keeps the numbered list tables,
+// which belong to the process and are shared, read-only, by all instances.
 type Decoder struct {
-	r     io.Reader
-	buf   []byte
-	pools [16][]policy.Entry
+	input io.Reader
+	buf   []byte // the batch behind its header, used again for the next
+	lists [16][]policy.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{input: r} }
 
 // Next reads one batch and calls fn for each of its records in order; now is the batch's clock in ms.
 // It returns io.EOF if the input ends before a batch, the error of fn if that returns one, and else an
 // error that names the field that is truncated, out of range or unknown; nothing more can be read then.
-func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
+func (d *Decoder) Next(fn func(now float64, record *Record) error) error {
 	var head [8]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+	if _, err := io.ReadFull(d.input, head[:]); err != nil {
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return io.EOF
 		}
@@ -108,23 +108,23 @@
 	if err := d.fill(int(size)); err != nil {
 		return err
 	}
-	now := getF64(d.buf)
+	now := getFloat64(d.buf)
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return fmt.Errorf("batch header: clock: not a number")
 	}
 	records := d.buf[8 : 8+int(count)*EventSize]
 	tail := d.buf[8+len(records):]
-	var rec Record
-	for i := 0; i < int(count); i++ {
+	var record Record
+	for i := range int(count) {
 		raw := records[i*EventSize : (i+1)*EventSize]
-		rec = Record{}
-		if err := d.decode(raw, tail, &rec); err != nil {
+		record = Record{}
+		if err := d.decode(raw, tail, &record); err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
 		}
-		if rec.Kind == 0 {
-			continue // a pool: kept, nothing to hand on
+		if record.Kind == 0 {
+			continue // a list table
 		}
-		if err := fn(now, &rec); err != nil {
+		if err := fn(now, &record); err != nil {
 			return err
 		}
 	}
@@ -143,87 +143,128 @@
 			d.buf = append(d.buf, make([]byte, n)...)
 		}
 		d.buf = d.buf[:at+n]
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
+		if _, err := io.ReadFull(d.input, d.buf[at:]); err != nil {
 			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", at, size, err)
 		}
 	}
 	return nil
 }
 
-// span resolves an (offset, length) field, the length in units of the given size.
+// span resolves a field of an offset into the tail, in bytes, and a length in units of so many bytes.
+// It returns a part of the tail, or an error that names the field.
 func span(field string, raw, tail []byte, unit int) ([]byte, error) {
-	off, n := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
-	if off+n*uint64(unit) > uint64(len(tail)) {
-		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, off, n, len(tail))
+	offset, length := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
+	end := offset + length*uint64(unit)
+	if end > uint64(len(tail)) {
+		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, offset, length, len(tail))
 	}
-	return tail[off : off+n*uint64(unit)], nil
+	return tail[offset:end], nil
 }
 
-func (d *Decoder) decode(raw, tail []byte, rec *Record) (err error) {
-	be := binary.BigEndian
-	rec.Kind = Event
-	rec.Instance = be.Uint32(raw[1:])
-	ev := &rec.Event
+// decode decodes a record. A list table is kept for the records behind it, and leaves the kind 0.
+func (d *Decoder) decode(raw, tail []byte, record *Record) (err error) {
+	record.Kind = Event
+	record.Instance = binary.BigEndian.Uint32(raw[1:])
+	event := &record.Event
 	switch raw[0] {
 	case codeBoot:
-		rec.Kind, rec.Seed = Boot, be.Uint64(raw[5:])
-		rec.Settings, err = span("boot: settings", raw[13:], tail, 1)
-		return err
+		record.Kind, record.Seed = Boot, binary.BigEndian.Uint64(raw[5:])
+		record.Settings, err = span("boot: settings", raw[13:], tail, 1)
 	case codeKilled:
-		rec.Kind = Killed
+		record.Kind = Killed
 	case codePool:
-		rec.Kind = 0
-		return d.pool(raw, tail)
+		record.Kind = 0
+		err = d.keepList(raw, tail)
 	case codeTargets:
-		ev.Kind, ev.List = policy.EventEndpointList, policy.ListKind(raw[5])
-		if raw[5] > uint8(policy.ListFailed) {
-			return fmt.Errorf("targets: mode: unknown value %d", raw[5])
-		}
-		if ev.List != policy.ListFailed {
-			table := be.Uint32(raw[10:])
-			if int64(table) >= int64(len(d.pools)) {
-				return fmt.Errorf("targets: table: %d is out of range", table)
-			}
-			ev.Entries = d.pools[table]
-		}
+		err = d.decodeTargets(raw, event)
 	case codeAsk:
-		ev.Kind, ev.Request = policy.EventRequest, policy.RequestID(be.Uint32(raw[5:]))
-		ev.Class, ev.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
-		ev.Key, ev.TimeLeftMs, ev.HintMs = be.Uint64(raw[15:]), getF64(raw[23:]), getF64(raw[31:])
-		ev.HasHint, ev.Retry = raw[39]&1 != 0, raw[39]&2 != 0
+		decodeAsk(raw, event)
 	case codeVerdict:
-		ev.Kind, ev.Request = policy.EventOutcome, policy.RequestID(be.Uint32(raw[5:]))
-		ev.Attempt, ev.Server = int(be.Uint16(raw[9:])), policy.Addr(raw[11:17])
-		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[17:])), getF64(raw[19:])
-		ev.Final = raw[27] != 0
-		ev.Report, err = report("verdict: report", raw[28:])
-		if err == nil && (ev.Status != policy.StatusOK && (ev.Status < policy.StatusServerError || ev.Status > policy.StatusNotSent)) {
-			err = fmt.Errorf("verdict: ending: unknown value %d", ev.Status)
-		}
+		err = decodeVerdict(raw, event)
 	case codeFlowing:
-		ev.Kind, ev.Request = policy.EventResponseStarted, policy.RequestID(be.Uint32(raw[5:]))
-		ev.Server, ev.LatencyMs, ev.Attempt = policy.Addr(raw[9:15]), getF64(raw[15:]), int(be.Uint16(raw[23:]))
+		decodeFlowing(raw, event)
 	case codeDropped:
-		ev.Kind, ev.Request = policy.EventClientGone, policy.RequestID(be.Uint32(raw[5:]))
+		event.Kind, event.Request = policy.EventClientGone, getRequest(raw)
 	case codeHealth:
-		ev.Kind, ev.Server = policy.EventHealthChecked, policy.Addr(raw[5:11])
-		ev.Status, ev.LatencyMs = policy.Status(be.Uint16(raw[11:])), getF64(raw[13:])
-		ev.Report, err = report("health: report", raw[21:])
+		err = decodeHealth(raw, event)
 	case codeFired:
-		ev.Kind, ev.Token = policy.EventTimer, be.Uint32(raw[5:])
+		event.Kind, event.Token = policy.EventTimer, binary.BigEndian.Uint32(raw[5:])
 	case codePeerData:
-		ev.Kind = policy.EventPeerMessage
+		event.Kind = policy.EventPeerMessage
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
-		return fmt.Errorf("code: unknown event %d", raw[0])
+		err = fmt.Errorf("code: unknown event %d", raw[0])
+	}
+	return err
+}
+
+// getRequest is the request that a record is about.
+func getRequest(raw []byte) policy.RequestID {
+	return policy.RequestID(binary.BigEndian.Uint32(raw[5:]))
+}
+
+// decodeTargets decodes an endpoint list, whose entries are in a table that came before.
+func (d *Decoder) decodeTargets(raw []byte, event *policy.Event) error {
+	event.Kind, event.List = policy.EventEndpointList, policy.ListKind(raw[5])
+	if raw[5] > uint8(policy.ListFailed) {
+		return fmt.Errorf("targets: mode: unknown value %d", raw[5])
+	}
+	if event.List == policy.ListFailed {
+		return nil
+	}
+	table := binary.BigEndian.Uint32(raw[10:])
+	if int64(table) >= int64(len(d.lists)) {
+		return fmt.Errorf("targets: table: %d is out of range", table)
+	}
+	event.Entries = d.lists[table]
+	return nil
+}
+
+// decodeAsk decodes a request of a client.
+func decodeAsk(raw []byte, event *policy.Event) {
+	be := binary.BigEndian
+	event.Kind, event.Request = policy.EventRequest, getRequest(raw)
+	event.Class, event.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
+	event.Key, event.TimeLeftMs, event.HintMs = be.Uint64(raw[15:]), getFloat64(raw[23:]), getFloat64(raw[31:])
+	event.HasHint, event.Retry = raw[39]&1 != 0, raw[39]&2 != 0
+}
+
+// decodeVerdict decodes the outcome of an attempt.
+func decodeVerdict(raw []byte, event *policy.Event) (err error) {
+	be := binary.BigEndian
+	event.Kind, event.Request = policy.EventOutcome, getRequest(raw)
+	event.Attempt, event.Server = int(be.Uint16(raw[9:])), policy.Addr(raw[11:17])
+	event.Status, event.LatencyMs = policy.Status(be.Uint16(raw[17:])), getFloat64(raw[19:])
+	event.Final = raw[27] != 0
+	if event.Report, err = report("verdict: report", raw[28:]); err != nil {
+		return err
+	}
+	if event.Status != policy.StatusOK && (event.Status < policy.StatusServerError || event.Status > policy.StatusNotSent) {
+		return fmt.Errorf("verdict: ending: unknown value %d", event.Status)
 	}
+	return nil
+}
+
+// decodeFlowing decodes the first byte of an attempt's answer.
+func decodeFlowing(raw []byte, event *policy.Event) {
+	event.Kind, event.Request = policy.EventResponseStarted, getRequest(raw)
+	event.Server, event.LatencyMs = policy.Addr(raw[9:15]), getFloat64(raw[15:])
+	event.Attempt = int(binary.BigEndian.Uint16(raw[23:]))
+}
+
+// decodeHealth decodes the outcome of a health check.
+func decodeHealth(raw []byte, event *policy.Event) (err error) {
+	event.Kind, event.Server = policy.EventHealthChecked, policy.Addr(raw[5:11])
+	event.Status, event.LatencyMs = policy.Status(binary.BigEndian.Uint16(raw[11:])), getFloat64(raw[13:])
+	event.Report, err = report("health: report", raw[21:])
 	return err
 }
 
-func (d *Decoder) pool(raw, tail []byte) error {
+// keepList decodes a list table and keeps it under its number.
+func (d *Decoder) keepList(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
-	if int64(table) >= int64(len(d.pools)) {
+	if int64(table) >= int64(len(d.lists)) {
 		return fmt.Errorf("pool: table: %d is out of range", table)
 	}
 	lines, err := span("pool: hosts", raw[5:], tail, entrySize)
@@ -237,7 +278,7 @@
 		}
 		entries = append(entries, policy.Entry{
 			Zone:        int(be.Uint16(lines)),
-			StartedMs:   getF64(lines[2:]),
+			StartedMs:   getFloat64(lines[2:]),
 			Health:      policy.Health(lines[10]),
 			Server:      policy.Addr(lines[11:17]),
 			Weight:      float64(math.Float32frombits(be.Uint32(lines[17:]))),
@@ -245,10 +286,11 @@
 			MachineKind: int(lines[23]),
 		})
 	}
-	d.pools[table] = entries // a fresh slice: events of the old list keep theirs
+	d.lists[table] = entries // a fresh slice: events of the old list keep theirs
 	return nil
 }
 
+// report reads the values of a load report: their number, at most 4, and 32-bit floats. None is nil.
 func report(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
@@ -266,15 +308,15 @@
 // ParseSettings reads the settings' JSON, as a Boot record or an agent's configuration has it. Unknown
 // keys are skipped. The error of a value of the wrong type names its key; values are checked by policy.New.
 func ParseSettings(text []byte) (policy.Settings, error) {
-	var s policy.Settings
-	if err := json.Unmarshal(text, &s); err != nil {
-		var bad *json.UnmarshalTypeError
-		if errors.As(err, &bad) {
-			return s, fmt.Errorf("settings: %s: cannot be a %s", bad.Field, bad.Value)
+	var settings policy.Settings
+	if err := json.Unmarshal(text, &settings); err != nil {
+		var wrongType *json.UnmarshalTypeError
+		if errors.As(err, &wrongType) {
+			return settings, fmt.Errorf("settings: %s: cannot be a %s", wrongType.Field, wrongType.Value)
 		}
-		return s, fmt.Errorf("settings: no JSON: %w", err)
+		return settings, fmt.Errorf("settings: no JSON: %w", err)
 	}
-	return s, nil
+	return settings, nil
 }
 
 // Encoder builds one reply frame at a time. Its zero value is an empty frame.
@@ -287,6 +329,7 @@
 // Reset empties the frame; its memory is used again.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
+// record appends an empty record of an instance and returns it.
 func (e *Encoder) record(code byte, instance uint32) []byte {
 	at := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
@@ -297,6 +340,7 @@
 	return raw
 }
 
+// text appends a record whose text is in the tail.
 func (e *Encoder) text(code byte, instance uint32, text string) {
 	raw := e.record(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
@@ -308,38 +352,38 @@
 func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
 
 // Add appends one action of an instance. Kinds of actions that the wire has no record for are skipped.
-func (e *Encoder) Add(instance uint32, a *policy.Action) {
+func (e *Encoder) Add(instance uint32, action *policy.Action) {
 	be := binary.BigEndian
-	switch a.Kind {
+	switch action.Kind {
 	case policy.ActionSend:
 		raw := e.record(codeCallOut, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		copy(raw[9:15], a.Server[:])
-		putF64(raw[15:], a.DelayMs)
+		be.PutUint32(raw[5:], uint32(action.Request))
+		copy(raw[9:15], action.Server[:])
+		putFloat64(raw[15:], action.DelayMs)
 	case policy.ActionCancel:
 		raw := e.record(codeRetract, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		be.PutUint16(raw[9:], uint16(a.Attempt))
+		be.PutUint32(raw[5:], uint32(action.Request))
+		be.PutUint16(raw[9:], uint16(action.Attempt))
 	case policy.ActionReject:
 		raw := e.record(codeNotNow, instance)
-		be.PutUint32(raw[5:], uint32(a.Request))
-		putF64(raw[9:], a.DelayMs)
+		be.PutUint32(raw[5:], uint32(action.Request))
+		putFloat64(raw[9:], action.DelayMs)
 	case policy.ActionFail:
-		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(a.Request))
+		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(action.Request))
 	case policy.ActionHealthCheck:
-		copy(e.record(codeTouch, instance)[5:11], a.Server[:])
+		copy(e.record(codeTouch, instance)[5:11], action.Server[:])
 	case policy.ActionTimer:
 		raw := e.record(codeNotifyMe, instance)
-		putF64(raw[5:], a.DelayMs)
-		be.PutUint32(raw[13:], a.Token)
+		putFloat64(raw[5:], action.DelayMs)
+		be.PutUint32(raw[13:], action.Token)
 	case policy.ActionWatch:
 		e.record(codeFollow, instance)[5] = 1
 	case policy.ActionFetch:
 		e.record(codeReadList, instance)
 	case policy.ActionCloseIdle:
-		copy(e.record(codeHangUp, instance)[5:11], a.Server[:])
+		copy(e.record(codeHangUp, instance)[5:11], action.Server[:])
 	case policy.ActionLog:
-		e.text(codeTrace, instance, a.Text)
+		e.text(codeTrace, instance, action.Text)
 	}
 }
 
@@ -360,6 +404,6 @@
 	return total, nil
 }
 
-func getF64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
+func getFloat64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
 
-func putF64(raw []byte, v float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(v)) }
+func putFloat64(raw []byte, value float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(value)) }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -172,10 +172,12 @@
 		"bad settings":   {"00000001 00000038 40c06e2000000000 19 00000003 0000000000000007 00000001 00000001" + zeros(27), "boot: settings"},
 		"bad ending":     {"00000001 00000038 40c06e2000000000 12 00000003 5d3a91c4 0000 0a124a07 138b 0063" + zeros(29), "verdict: ending"},
 	} {
-		_, _, err := decodeAll(frame(t, c.text))
-		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: error %v does not name %q", name, err, c.field)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, _, err := decodeAll(frame(t, c.text))
+			if err == nil || !strings.Contains(err.Error(), c.field) {
+				t.Errorf("error %v does not name %q", err, c.field)
+			}
+		})
 	}
 }
 
