--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -67,12 +67,12 @@
 func testPool() *pool { return newPool((&net.Dialer{}).DialContext, never, never, 100) }
 
 // newAttempt makes an attempt as the loop does.
-func newAttempt(g *backendConns, method string, timeout time.Duration) *attempt {
+func newAttempt(backend *backendConns, method string, timeout time.Duration) *attempt {
 	r := &request{method: method, target: "/order/u1", host: "backend.local", wireID: "id1"}
 	if method == http.MethodPost {
 		r.body = []byte("body")
 	}
-	a := &attempt{request: r, conns: g, started: time.Now()}
+	a := &attempt{request: r, conns: backend, started: time.Now()}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var stop context.CancelFunc
 	a.ctx, stop = context.WithTimeout(ctx, timeout)
@@ -99,10 +99,10 @@
 					io.WriteString(conn, okAnswer)
 				}
 			})
-			g := testPool().newBackendConns(addr)
-			defer g.closeIdle()
+			backend := testPool().newBackendConns(addr)
+			defer backend.closeIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
-				a := newAttempt(g, c.method, never)
+				a := newAttempt(backend, c.method, never)
 				a.request.idempotency = c.key
 				if got := a.run().status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
@@ -161,9 +161,9 @@
 		{"500 that says it was not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := testPool().newBackendConns(rawBackend(t, c.serve))
-			defer g.closeIdle()
-			res := newAttempt(g, http.MethodPost, never).run()
+			backend := testPool().newBackendConns(rawBackend(t, c.serve))
+			defer backend.closeIdle()
+			res := newAttempt(backend, http.MethodPost, never).run()
 			if res.status != c.want {
 				t.Fatalf("ended %d, want %d", res.status, c.want)
 			}
@@ -181,11 +181,11 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	p := testPool()
-	if got := newAttempt(p.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	pool := testPool()
+	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
-	if n := p.open; n != 0 {
+	if n := pool.open; n != 0 {
 		t.Fatalf("%d sockets counted as open", n)
 	}
 }
@@ -198,13 +198,13 @@
 // What breaks before the last byte was written never ran.
 func TestCutWrite(t *testing.T) {
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
-	p := testPool()
-	plain := p.connect
-	p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	pool := testPool()
+	plain := pool.connect
+	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		return brokenConn{c}, err
 	}
-	if got := newAttempt(p.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 }
@@ -222,8 +222,8 @@
 		_, err := r.ReadByte()
 		closed <- err
 	})
-	p := testPool()
-	a := newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	pool := testPool()
+	a := newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-got
@@ -231,7 +231,7 @@
 	if res := <-done; res.status != policy.StatusTimeout {
 		t.Fatalf("ended %d, want timed out", res.status)
 	}
-	if n := p.open; n != 0 {
+	if n := pool.open; n != 0 {
 		t.Fatalf("%d connections open at the outcome", n)
 	}
 	if err := <-closed; err == nil {
@@ -252,14 +252,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dialling, ended := make(chan struct{}), make(chan struct{})
-			p := testPool()
-			p.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			pool := testPool()
+			pool.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				close(dialling)
 				<-ctx.Done()
 				close(ended)
 				return nil, ctx.Err()
 			}
-			a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
 			done := make(chan result)
 			go func() { done <- a.run() }()
 			<-dialling
@@ -275,17 +275,17 @@
 // An attempt withdrawn while its connection comes up sends nothing on it.
 func TestWithdrawnSendsNothing(t *testing.T) {
 	addr, read := byteCounter(t)
-	p := testPool()
+	pool := testPool()
 	var a *attempt
-	plain := p.connect
-	p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := pool.connect
+	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		if !a.withdraw() {
 			t.Error("could not be withdrawn before its first byte")
 		}
 		return c, err
 	}
-	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
 	if got := a.run().status; !got.NeverRan() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
@@ -298,15 +298,15 @@
 // up: no byte goes out, and it never ran.
 func TestTooLateToBegin(t *testing.T) {
 	addr, read := byteCounter(t)
-	p := testPool()
+	pool := testPool()
 	var a *attempt
-	plain := p.connect
-	p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := pool.connect
+	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		a.beginBy = time.Now().Add(-time.Nanosecond) // it took that long
 		return c, err
 	}
-	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
 	a.beginBy = time.Now().Add(never)
 	if got := a.run().status; got != policy.StatusNotSent {
 		t.Fatalf("ended %d, want never begun", got)
@@ -314,8 +314,8 @@
 	if n := <-read; n != 0 {
 		t.Fatalf("the backend got %d bytes", n)
 	}
-	p.connect = plain
-	a = newAttempt(p.newBackendConns(addr), http.MethodPost, never)
+	pool.connect = plain
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
 	a.beginBy = time.Now().Add(never)
 	go a.run()
 	eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
@@ -325,9 +325,9 @@
 
 // Without a socket left the attempt never ran, and its backend is not to blame.
 func TestNoSocketLeft(t *testing.T) {
-	p := testPool()
-	p.maxConns = 0
-	if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
+	pool := testPool()
+	pool.maxConns = 0
+	if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
 		t.Fatalf("ended %d, want turned away", got)
 	}
 }
@@ -404,8 +404,8 @@
 						sent <- struct{}{}
 					}
 				})
-				g := testPool().newBackendConns(addr)
-				defer g.closeIdle()
+				backend := testPool().newBackendConns(addr)
+				defer backend.closeIdle()
 				var wg sync.WaitGroup
 				side := 8 // attempts that wait for each other's connections
 				if apart {
@@ -416,7 +416,7 @@
 					go func() {
 						defer wg.Done()
 						for range 50 {
-							res := newAttempt(g, http.MethodPost, never).run()
+							res := newAttempt(backend, http.MethodPost, never).run()
 							if res.status != policy.StatusOK || string(res.body) != "done" {
 								t.Errorf("ended %d %q", res.status, res.body)
 							}
@@ -442,9 +442,9 @@
 			closed <- struct{}{}
 		}
 	})
-	g := testPool().newBackendConns(addr)
+	backend := testPool().newBackendConns(addr)
 	for i := range 20 {
-		if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
+		if res := newAttempt(backend, http.MethodPost, never).run(); res.status != policy.StatusOK {
 			t.Fatalf("attempt %d ended %d", i, res.status)
 		}
 		<-closed
@@ -453,41 +453,41 @@
 
 // The connections share one bound: at the limit the longest idle is closed for a new one.
 func TestLongestIdleMakesRoom(t *testing.T) {
-	p := testPool()
-	p.maxConns = 2
+	pool := testPool()
+	pool.maxConns = 2
 	var groups []*backendConns
 	for range 3 {
 		addr, _ := counted(t, 200, false)
-		groups = append(groups, p.newBackendConns(addr))
+		groups = append(groups, pool.newBackendConns(addr))
 	}
-	for _, g := range groups {
-		if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
+	for _, backend := range groups {
+		if res := newAttempt(backend, http.MethodPost, never).run(); res.status != policy.StatusOK {
 			t.Fatalf("ended %d", res.status)
 		}
 	}
-	if p.open != 2 || len(groups[0].idle) != 0 || len(groups[1].idle) != 1 || len(groups[2].idle) != 1 {
-		t.Fatalf("%d open, idle %d %d %d", p.open, len(groups[0].idle), len(groups[1].idle), len(groups[2].idle))
+	if pool.open != 2 || len(groups[0].idle) != 0 || len(groups[1].idle) != 1 || len(groups[2].idle) != 1 {
+		t.Fatalf("%d open, idle %d %d %d", pool.open, len(groups[0].idle), len(groups[1].idle), len(groups[2].idle))
 	}
 	groups[1].close()
-	if p.open != 1 || p.idle.Len() != 1 {
-		t.Fatalf("%d open after a backend has gone", p.open)
+	if pool.open != 1 || pool.idle.Len() != 1 {
+		t.Fatalf("%d open after a backend has gone", pool.open)
 	}
-	p.idleTimeout = 0
-	p.sweep()
-	if p.open != 0 || p.idle.Len() != 0 || p.sweeping {
-		t.Fatalf("%d open after all were idle too long", p.open)
+	pool.idleTimeout = 0
+	pool.sweep()
+	if pool.open != 0 || pool.idle.Len() != 0 || pool.sweeping {
+		t.Fatalf("%d open after all were idle too long", pool.open)
 	}
 }
 
 // A panic in an attempt is an outcome: it may have run.
 func TestAttemptPanic(t *testing.T) {
-	p := testPool()
-	p.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+	pool := testPool()
+	pool.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
+	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
 	if res := a.run(); res.status != policy.StatusReset || res.broken == nil {
 		t.Fatalf("ended %d, %v", res.status, res.broken)
 	}
-	if p.open != 0 {
-		t.Errorf("%d connections counted as open", p.open)
+	if pool.open != 0 {
+		t.Errorf("%d connections counted as open", pool.open)
 	}
 }
--- a/internal/agent/broken_conn_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -62,9 +62,9 @@
 
 // runOn runs an attempt on the connection.
 func runOn(c *scriptedConn, method string) result {
-	p := testPool()
-	p.connect = func(context.Context, string, string) (net.Conn, error) { return c, nil }
-	return newAttempt(p.newBackendConns("127.0.0.1:1"), method, never).run() // an hour: its told time keeps its length
+	pool := testPool()
+	pool.connect = func(context.Context, string, string) (net.Conn, error) { return c, nil }
+	return newAttempt(pool.newBackendConns("127.0.0.1:1"), method, never).run() // an hour: its told time keeps its length
 }
 
 // A request of which the last byte was not written never ran; one that was written whole may have
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -27,10 +27,10 @@
 	for _, at := range []string{"connect", "write"} {
 		t.Run(at, func(t *testing.T) {
 			c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
-			p := testPool()
-			a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+			pool := testPool()
+			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
 			b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
-			p.connect = func(context.Context, string, string) (net.Conn, error) {
+			pool.connect = func(context.Context, string, string) (net.Conn, error) {
 				if at == "connect" {
 					b.withdraw()
 				}
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -67,9 +67,9 @@
 // though its connection is up.
 func TestNothingBeginsPastTheDeadline(t *testing.T) {
 	c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
-	p := testPool()
-	a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, time.Nanosecond)
-	p.connect = func(context.Context, string, string) (net.Conn, error) {
+	pool := testPool()
+	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, time.Nanosecond)
+	pool.connect = func(context.Context, string, string) (net.Conn, error) {
 		<-a.ctx.Done()
 		return c, nil
 	}
--- a/internal/agent/idle_lifetime_test.go
+++ b/internal/agent/idle_lifetime_test.go
@@ -46,22 +46,22 @@
 		io.WriteString(conn, okAnswer)
 		readRequest(r) // and ends it when the next one comes
 	})
-	p := testPool()
-	g := p.newBackendConns(addr)
+	pool := testPool()
+	backend := pool.newBackendConns(addr)
 	for range 40 {
-		p.idleLifetime.observe(time.Millisecond, false, time.Now())
+		pool.idleLifetime.observe(time.Millisecond, false, time.Now())
 	}
 	broken := 0
 	for range 20 {
-		res := newAttempt(g, http.MethodPost, never).run()
+		res := newAttempt(backend, http.MethodPost, never).run()
 		if res.status != policy.StatusOK {
 			broken++
 		}
-		p.mu.Lock()
-		for _, c := range g.idle {
+		pool.mu.Lock()
+		for _, c := range backend.idle {
 			c.since = c.since.Add(-time.Second) // as if it had stood idle
 		}
-		p.mu.Unlock()
+		pool.mu.Unlock()
 	}
 	if broken != minBreaks {
 		t.Fatalf("%d requests ended as a reset, want %d", broken, minBreaks)
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -38,28 +38,28 @@
 					leave(client)
 					eventually(t, "the leaving at the agent's socket", func() bool { return peerClosed(a.request.client) })
 				}
-				var g *backendConns
+				var backend *backendConns
 				var rested chan time.Time
 				var got chan int64
 				switch waits {
 				case "connect":
 					var addr string
 					addr, got = byteCounter(t)
-					g = testPool().newBackendConns(addr)
-					plain := g.pool.connect
-					g.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					backend = testPool().newBackendConns(addr)
+					plain := backend.pool.connect
+					backend.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						gone()
 						return plain(ctx, network, addr)
 					}
 				default:
 					var conns *connections
-					g, conns, rested = restingPool(t)
-					g.served(t)
-					g.rests()
-					g.pool.allowExtra = waits == "extra connection"
+					backend, conns, rested = restingPool(t)
+					backend.served(t)
+					backend.rests()
+					backend.pool.allowExtra = waits == "extra connection"
 					conns.held = make(chan struct{})
 					go func() {
-						if g.pool.allowExtra {
+						if backend.pool.allowExtra {
 							eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
 							gone()
 							close(conns.held)
@@ -69,7 +69,7 @@
 						rested <- time.Now()
 					}()
 				}
-				a.conns = g
+				a.conns = backend
 				if res := a.run(); res.status != policy.StatusNotSent || !a.withdraw() {
 					t.Fatalf("ended %d, want never begun", res.status)
 				}
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -88,13 +88,13 @@
 		syscall.ECONNREFUSED: policy.StatusConnectFailed, syscall.ETIMEDOUT: policy.StatusConnectFailed,
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			p := testPool()
-			p.connect = (&failingConnects{errno: errno, fail: 1}).connect
-			if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+			pool := testPool()
+			pool.connect = (&failingConnects{errno: errno, fail: 1}).connect
+			if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
 				t.Errorf("%v: ended %d, want %d", errno, got, want)
 			}
-			if p.open != 0 {
-				t.Errorf("%v: %d connections counted as open", errno, p.open)
+			if pool.open != 0 {
+				t.Errorf("%v: %d connections counted as open", errno, pool.open)
 			}
 		})
 	}
@@ -102,16 +102,16 @@
 
 // An extra connection that this machine could not open says nothing of its backend.
 func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
-	p := testPool()
-	p.idleTimeout = never
-	p.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
-	g := p.newBackendConns("127.0.0.1:1")
-	g.openExtra(context.Background(), nil, nil)
-	if wait := time.Until(g.noExtra); wait > time.Second {
+	pool := testPool()
+	pool.idleTimeout = never
+	pool.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
+	backend := pool.newBackendConns("127.0.0.1:1")
+	backend.openExtra(context.Background(), nil, nil)
+	if wait := time.Until(backend.noExtra); wait > time.Second {
 		t.Errorf("none is opened for %v", wait)
 	}
-	p.connect = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	if g.openExtra(context.Background(), nil, nil); time.Until(g.noExtra) < time.Minute {
+	pool.connect = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+	if backend.openExtra(context.Background(), nil, nil); time.Until(backend.noExtra) < time.Minute {
 		t.Error("one that the backend refused is tried again at once")
 	}
 }
--- a/internal/agent/no_length_test.go
+++ b/internal/agent/no_length_test.go
@@ -45,15 +45,15 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			g := testPool().newBackendConns(addr)
-			defer g.closeIdle()
-			plain := g.pool.connect
-			g.pool.connect = wholeReads(plain, len(test.answer), read)
-			res := newAttempt(g, http.MethodPost, noAnswer).run()
+			backend := testPool().newBackendConns(addr)
+			defer backend.closeIdle()
+			plain := backend.pool.connect
+			backend.pool.connect = wholeReads(plain, len(test.answer), read)
+			res := newAttempt(backend, http.MethodPost, noAnswer).run()
 			if res.status != test.want || string(res.body) != test.body {
 				t.Fatalf("ended %d with %d bytes, want %d with %d", res.status, len(res.body), test.want, len(test.body))
 			}
-			if g.pool.open != 0 {
+			if backend.pool.open != 0 {
 				t.Error("the connection is kept")
 			}
 		})
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -17,7 +17,7 @@
 
 // restingPool is a pool that may open extra connections to its one backend and whose rests
 // do not end by themselves: rested ends them.
-func restingPool(t *testing.T) (g *backendConns, conns *connections, rested chan time.Time) {
+func restingPool(t *testing.T) (backend *backendConns, conns *connections, rested chan time.Time) {
 	t.Helper()
 	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -28,13 +28,13 @@
 		}
 	})
 	conns = &connections{}
-	p := testPool()
-	p.allowExtra, p.connect = true, conns.connect
+	pool := testPool()
+	pool.allowExtra, pool.connect = true, conns.connect
 	rested = make(chan time.Time)
-	p.after = func(time.Duration) <-chan time.Time { return rested }
-	g = p.newBackendConns(addr)
-	t.Cleanup(g.closeIdle)
-	return g, conns, rested
+	pool.after = func(time.Duration) <-chan time.Time { return rested }
+	backend = pool.newBackendConns(addr)
+	t.Cleanup(backend.closeIdle)
+	return backend, conns, rested
 }
 
 // connections opens connections and counts them.
@@ -78,29 +78,29 @@
 // An attempt does not wait out the rest of the only connection: an extra one is opened, the
 // resting one stays as it is, and there is never a third for attempts one after the other.
 func TestRestIsNotWaitedOut(t *testing.T) {
-	g, conns, rested := restingPool(t)
-	g.served(t)
-	g.rests()
-	first := g.idle[0]
+	backend, conns, rested := restingPool(t)
+	backend.served(t)
+	backend.rests()
+	first := backend.idle[0]
 	since := first.since
-	g.served(t)
-	if idle, open := g.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
+	backend.served(t)
+	if idle, open := backend.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
 		t.Fatalf("%d idle of %d, %d opened", idle, open, conns.begun.Load())
 	}
 	if !first.since.Equal(since) || first.idleFor != 0 {
 		t.Error("the connection at rest was used, or its rest begun again")
 	}
-	g.rests()
+	backend.rests()
 	close(rested) // both rest now: the third attempt waits
-	g.served(t)
-	if idle, open := g.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
+	backend.served(t)
+	if idle, open := backend.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
 		t.Errorf("after a third: %d idle of %d, %d opened", idle, open, conns.begun.Load())
 	}
 }
 
 // Attempts side by side have one extra connection between them at the most.
 func TestOneExtraConnection(t *testing.T) {
-	g, _, rested := restingPool(t)
+	backend, _, rested := restingPool(t)
 	close(rested)
 	const side = 8
 	for range 30 {
@@ -109,19 +109,19 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				if res := newAttempt(g, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
+				if res := newAttempt(backend, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
 					t.Errorf("ended %d", res.status)
 				}
 			}()
 		}
 		wg.Wait()
-		g.rests()
+		backend.rests()
 	}
 	eventually(t, "nothing on its way", func() bool {
-		idle, open := g.idleAndOpen()
+		idle, open := backend.idleAndOpen()
 		return idle == open
 	})
-	if _, open := g.idleAndOpen(); open > side+1 {
+	if _, open := backend.idleAndOpen(); open > side+1 {
 		t.Errorf("%d connections for %d attempts", open, side)
 	}
 }
@@ -133,12 +133,12 @@
 		"no descriptor": func(p *pool) { p.maxConns = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, conns, rested := restingPool(t)
-			set(g.pool)
-			g.served(t)
-			g.rests()
+			backend, conns, rested := restingPool(t)
+			set(backend.pool)
+			backend.served(t)
+			backend.rests()
 			close(rested)
-			g.served(t)
+			backend.served(t)
 			if n := conns.begun.Load(); n != 1 {
 				t.Errorf("%d connections", n)
 			}
@@ -160,15 +160,15 @@
 
 // An extra connection that does not come up fails nobody, and is not tried again soon.
 func TestExtraConnectionThatFails(t *testing.T) {
-	g, conns, rested := restingPool(t)
+	backend, conns, rested := restingPool(t)
 	conns.fail.Store(true)
-	g.served(t)
+	backend.served(t)
 	for range 2 {
-		g.rests()
+		backend.rests()
 		done := make(chan result, 1)
-		go func() { done <- newAttempt(g, http.MethodPost, noAnswer).run() }()
+		go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
 		eventually(t, "the end of the connect", func() bool {
-			_, open := g.idleAndOpen()
+			_, open := backend.idleAndOpen()
 			return conns.begun.Load() == 2 && open == 1
 		})
 		rested <- time.Now()
@@ -183,12 +183,12 @@
 
 // An extra connection that comes up after the rest joins the idle ones.
 func TestLateExtraConnectionIsKept(t *testing.T) {
-	g, conns, rested := restingPool(t)
+	backend, conns, rested := restingPool(t)
 	conns.held = make(chan struct{})
-	g.served(t)
-	g.rests()
+	backend.served(t)
+	backend.rests()
 	done := make(chan result, 1)
-	go func() { done <- newAttempt(g, http.MethodPost, noAnswer).run() }()
+	go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
 	eventually(t, "a connect", func() bool { return conns.begun.Load() == 2 })
 	rested <- time.Now()
 	if res := <-done; res.status != policy.StatusOK {
@@ -196,7 +196,7 @@
 	}
 	close(conns.held)
 	eventually(t, "both idle", func() bool {
-		idle, open := g.idleAndOpen()
+		idle, open := backend.idleAndOpen()
 		return idle == 2 && open == 2
 	})
 }
@@ -204,30 +204,30 @@
 // A panic in the opening of an extra connection fails nobody: the attempt goes out after the rest,
 // its result reports the panic once, and the pool counts no connection for it.
 func TestExtraConnectionThatPanics(t *testing.T) {
-	g, conns, rested := restingPool(t)
-	g.served(t)
-	g.rests()
-	g.pool.connect = func(context.Context, string, string) (net.Conn, error) {
+	backend, conns, rested := restingPool(t)
+	backend.served(t)
+	backend.rests()
+	backend.pool.connect = func(context.Context, string, string) (net.Conn, error) {
 		conns.begun.Add(1)
 		panic("boom")
 	}
 	done := make(chan result, 1)
-	go func() { done <- newAttempt(g, http.MethodPost, noAnswer).run() }()
+	go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
 	eventually(t, "the panic", func() bool {
-		g.pool.mu.Lock()
-		defer g.pool.mu.Unlock()
-		return g.panicked != nil
+		backend.pool.mu.Lock()
+		defer backend.pool.mu.Unlock()
+		return backend.panicked != nil
 	})
 	rested <- time.Now()
 	if res := <-done; res.status != policy.StatusOK || res.broken == nil {
 		t.Fatalf("ended %d, broken by %v", res.status, res.broken)
 	}
-	if idle, open := g.idleAndOpen(); idle != 1 || open != 1 || g.opening {
-		t.Errorf("%d idle of %d, opening %v", idle, open, g.opening)
+	if idle, open := backend.idleAndOpen(); idle != 1 || open != 1 || backend.opening {
+		t.Errorf("%d idle of %d, opening %v", idle, open, backend.opening)
 	}
-	g.rests()
+	backend.rests()
 	close(rested)
-	if res := newAttempt(g, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK || res.broken != nil {
+	if res := newAttempt(backend, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK || res.broken != nil {
 		t.Errorf("the next ended %d, broken by %v", res.status, res.broken)
 	}
 	if n := conns.begun.Load(); n != 2 {
