--- a/internal/fleet/model/coldstart_test.go
+++ b/internal/fleet/model/coldstart_test.go
@@ -6,8 +6,8 @@
 	"ploverreel/policy"
 )
 
-// startDay is a service whose servers and agents all start at once, asked so much of what its
-// servers can do warm.
+// startDay is a service whose servers and agents all start at once, under a load that is a part of
+// the capacity of its servers when they are warm.
 func startDay(seed uint64, agents int, load float64) Config {
 	cfg := small(seed, agents, 20, load*30/100)
 	cfg.WorkMs, cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.KeepArrivals = 100, 3, 0.8, 2000, false
@@ -15,8 +15,8 @@
 	return cfg
 }
 
-// Where all servers and all agents of a service start at once, agents that were told bring none
-// down, at the worst corners of the sweep: many agents, much asked, agents that start once more,
+// Where all servers and all agents of a service start at once, agents that were notified make none
+// fail, at the worst corners of the sweep: many agents, a high load, agents that start once more,
 // heavy-tailed work and a colder start. Every agent made its first attempt at once.
 func TestStartDayKeepsTheSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Agents that start by an old list are told of the start later, and what they send until then is
-// not of agents that knew. From then on they keep the budget like the others.
+// Agents that start with an old list are notified of the start later, and what they send until then
+// does not count as that of notified agents. From then on they keep the budget like the others.
 func TestStartDayWithOldLists(t *testing.T) {
 	cfg := startDay(1, 300, 1.2)
 	cfg.StaleStart = true
--- a/internal/fleet/model/days_test.go
+++ b/internal/fleet/model/days_test.go
@@ -38,7 +38,7 @@
 	return v
 }
 
-// tiny is a fleet of three services whose agents are told of the service that they call.
+// tiny is a fleet of three services whose agents have the quota of the service that they call.
 func tiny(t *testing.T, seed uint64) Config {
 	t.Helper()
 	size := fleet.Size{Agents: 27, Servers: 36, Services: 3, Regions: 3, Zones: 9, Rate: 720, Depth: 10, Seed: seed}
@@ -69,7 +69,7 @@
 	}
 }
 
-// Each day's trouble is there, and only its own.
+// Each day has its own fault, and no other's.
 func TestDaysDoWhatTheySay(t *testing.T) {
 	days := map[string]*fleet.Case{}
 	for _, d := range Days() {
@@ -100,14 +100,21 @@
 	}
 }
 
-// A cold server falls by one more request in a window than its budget, and not by as many
-// spread over two; its fall is the agents' that knew if over two thirds came from them.
-func TestColdServersFallOverTheirBudget(t *testing.T) {
+// A server that warms up fails by one more request in a window than its budget, and not by as many
+// spread over two; it failed by the notified agents if over two thirds came from them.
+func TestWarmingServersFailOverTheirBudget(t *testing.T) {
 	for _, c := range []struct {
-		over, known int // one in so many came from an agent that had been told
-		gapMs       float64
-		fell, ours  bool
-	}{{0, 1, 0, false, false}, {1, 1, 0, true, true}, {1, 2, 0, true, false}, {40, 1, 60, false, false}} {
+		name               string
+		over               int // requests over the budget
+		notifiedOf         int // one in so many came from an agent that was notified
+		gapMs              float64
+		failed, byNotified bool
+	}{
+		{"at the budget", 0, 1, 0, false, false},
+		{"one over it", 1, 1, 0, true, true},
+		{"half from notified agents", 1, 2, 0, true, false},
+		{"over two windows", 40, 1, 60, false, false},
+	} {
 		m := newModel(t, small(1, 2, 2, 0.5))
 		s := m.servers[0]
 		s.start()
@@ -116,25 +123,25 @@
 			t.Fatalf("budget %d", most)
 		}
 		for i := range most + c.over {
-			s.countWarmup(&request{workFactor: 1}, i%c.known == 0)
+			s.countWarmup(&request{workFactor: 1}, i%c.notifiedOf == 0)
 			m.now += c.gapMs
 		}
-		if s.warmup.failed != c.fell || s.warmup.failedByNotified != c.ours || s.down != c.fell {
-			t.Errorf("%+v: fell %v, by who knew %v, down %v", c, s.warmup.failed, s.warmup.failedByNotified, s.down)
+		if s.warmup.failed != c.failed || s.warmup.failedByNotified != c.byNotified || s.down != c.failed {
+			t.Errorf("%s: failed %v, by notified agents %v, down %v", c.name, s.warmup.failed, s.warmup.failedByNotified, s.down)
 		}
 	}
 }
 
-// All servers of a zone are cold at once under a burst, and a tenth of the agents has just
-// restarted; or a zone returns, or servers are replaced. However many agents there are and
-// however unevenly they are asked, together they bring no cold server down, and stay far under
-// its budget where they know of its start.
+// All servers of a zone warm up at once under a burst, and a tenth of the agents has just restarted;
+// or a zone returns, or servers are replaced. However many agents there are and however uneven their
+// rates, together they make no warming server fail, and stay far under its budget where they are
+// notified of its start.
 func TestSlowStartHoldsForTheFleet(t *testing.T) {
 	for _, f := range []struct {
 		agents, servers int
 		seeds           uint64
 	}{{5, 9, 2}, {30, 20, 2}, {300, 20, 1}} {
-		for _, listMs := range []float64{0, 2000} { // told at once, or within two seconds
+		for _, listMs := range []float64{0, 2000} { // notified at once, or within two seconds
 			for seed := range f.seeds {
 				cfg := small(1+seed, f.agents, f.servers, 0.75)
 				cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.KeepArrivals = 3, 0.8, listMs, false
@@ -152,9 +159,9 @@
 	}
 }
 
-// A service that starts whole, servers and agents alike, is served from its first second on:
-// agents that had met no warm server sent nothing until all were warm. And yet the servers
-// stay up, also where they can't do what is asked and a request takes a third of its aim.
+// A service whose servers and agents all start at once is served from its first second on, though no
+// agent has met a warm server. And yet the servers stay up, also where they can't carry the load and
+// a request takes a third of its latency objective.
 func TestServiceStartsWhole(t *testing.T) {
 	for _, f := range []struct{ agents, servers int }{{5, 9}, {30, 20}, {300, 20}} {
 		for _, c := range []struct{ load, workMs, least float64 }{{0.4, 30, 0.25}, {1.2, 100, 0}} {
@@ -171,7 +178,7 @@
 	}
 }
 
-// Events come in the order of their times, and of one time in that of their making.
+// Events come in the order of their times, and of one time in that in which they were added.
 func TestQueueKeepsOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var q queue
@@ -244,7 +251,7 @@
 	}
 }
 
-// A fleet of which nobody asks anything for seconds is played and counted all the same.
+// A fleet without requests for seconds is played and counted all the same.
 func TestSilentFleetIsCounted(t *testing.T) {
 	cfg := tiny(t, 1)
 	cfg.Rate = 0.001
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -41,9 +41,9 @@
 	return n
 }
 
-// Half the servers vanish, and the rest can't carry what is asked. However many agents
-// there are, they go on serving what can be served: a throttle in each that shut on
-// failures and opened in step left the servers idle one second and drowned the next.
+// Half the servers vanish, and the rest can't carry the load. However many agents there are, they
+// go on serving what can be served: limits that close and open in step would leave the servers idle
+// one second and overload them the next.
 func TestManyAgentsKeepFewServersBusy(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		m := newModel(t, small(seed, 60, 20, 0.75))
@@ -64,7 +64,7 @@
 		for i, s := range m.seconds[8:] {
 			won += s.WithinObjective
 			if s.MaxPending > 10*8 {
-				t.Errorf("seed %d, second %d: %d out at once on 10 servers", seed, i+8, s.MaxPending)
+				t.Errorf("seed %d, second %d: %d in flight at once on 10 servers", seed, i+8, s.MaxPending)
 			}
 		}
 		if mean := float64(won) / float64(len(m.seconds[8:])); mean < 0.25*can {
@@ -100,9 +100,9 @@
 }
 
 // Eighty agents start at once, and discovery serves fifteen calls a second in turn. Their first
-// calls come within the drains' grace, in which no more than 52 can be served before they have
-// waited too long. All the same discovery never stands idle: all agents are told before the list
-// counts as told, each by one call that is served and no more than one that fails.
+// calls come within the drain grace, in which no more than 52 can be served before they have waited
+// too long. All the same discovery is never idle: all agents get the list before it is stale, each by
+// one call that is served and no more than one that fails.
 func TestAgentsTakeTurnsAtDiscovery(t *testing.T) {
 	const agents, callMs, mostIdleMs = 80, 1000.0 / 15, 100.0
 	for seed := range uint64(10) {
@@ -114,10 +114,10 @@
 		m.boot()
 		play(t, m, 6)
 		if m.notified != agents {
-			t.Errorf("seed %d: %d of %d agents were told the list within 6 s", seed, m.notified, agents)
+			t.Errorf("seed %d: %d of %d agents got the list within 6 s", seed, m.notified, agents)
 		}
 		if idle := m.discoveryFreeAt - Start - agents*callMs; idle > mostIdleMs {
-			t.Errorf("seed %d: discovery stood idle for %.0f ms while agents had yet to be told", seed, idle)
+			t.Errorf("seed %d: discovery was idle for %.0f ms while agents had no list", seed, idle)
 		}
 		play(t, m, 6)
 		if m.notified != agents {
@@ -134,10 +134,10 @@
 	}
 }
 
-// Six of twenty servers are replaced at once while the rest is busy. All agents together
-// send each new one far less than would push it over in any second, and yet a fair part of
-// what it can do: what is left out would crowd the others.
-func TestColdServersAreUsedAndNotPushedOver(t *testing.T) {
+// Six of twenty servers are replaced at once while the rest is busy. All agents together send each
+// new one far less than would overload it in any second, and yet a fair part of its capacity: the
+// rest would overload the others.
+func TestWarmingServersAreUsedAndNotOverloaded(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		m := newModel(t, small(seed, 60, 20, 0.7))
 		m.boot()
@@ -162,7 +162,7 @@
 		}
 		// 0.6 of its capacity on the mean of its first six seconds.
 		if part := float64(used) / 6 / (0.6 * 6000 / m.cfg.WorkMs); part < 0.28 {
-			t.Errorf("seed %d: cold servers were sent %.2f of what they could do", seed, part)
+			t.Errorf("seed %d: warming servers were sent %.2f of their capacity", seed, part)
 		}
 	}
 }
--- a/internal/fleet/model/service_test.go
+++ b/internal/fleet/model/service_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-// Four services in one fleet, whose settings tell each agent the replicas and the quota of
-// the whole. While nothing is wrong next to nobody is refused. When half of all servers vanish
-// and the rest can't carry what is asked, each service's agents together bound what they have
-// out as those of a lone service do: they know only what their own calls take.
-func TestServicesOfAFleetToldOfTheWhole(t *testing.T) {
+// Four services in one fleet, whose settings give each agent the replicas and the quota of the
+// whole. Without a fault next to nothing is rejected. When half of all servers vanish and the rest
+// can't carry the load, each service's agents together bound their attempts in flight as those of a
+// lone service do, though they know only their own.
+func TestServicesWithTheReplicasAndQuotaOfTheFleet(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		cfg := small(seed, 120, 40, 0.6)
 		cfg.Services = 4
 		m := newModel(t, cfg)
 		m.boot()
 		play(t, m, 8)
-		asked, refused := 0, 0
+		requests, rejected := 0, 0
 		for _, s := range m.seconds[3:] {
-			asked += s.Requests
-			refused += s.Rejected
+			requests += s.Requests
+			rejected += s.Rejected
 		}
-		if refused > asked/200 {
-			t.Errorf("seed %d: %d of %d refused on a calm day", seed, refused, asked)
+		if rejected > requests/200 {
+			t.Errorf("seed %d: %d of %d rejected on a calm day", seed, rejected, requests)
 		}
 		var gone []*server
 		for _, v := range m.services {
@@ -39,7 +39,7 @@
 		for i, s := range m.seconds[12:] {
 			won += s.WithinObjective
 			if s.MaxPending > left*8 {
-				t.Errorf("seed %d, second %d: %d out at once on %d servers", seed, i+12, s.MaxPending, left)
+				t.Errorf("seed %d, second %d: %d in flight at once on %d servers", seed, i+12, s.MaxPending, left)
 			}
 		}
 		if mean := float64(won) / float64(len(m.seconds[12:])); mean < 0.25*can {
--- a/internal/fleet/model/traffic_test.go
+++ b/internal/fleet/model/traffic_test.go
@@ -8,8 +8,8 @@
 	"ploverreel/policy"
 )
 
-// drawn is a fleet whose classes, tenants and permissions come from the seed: aims of three to
-// ten times the work, one class that is worth more, effects of all kinds.
+// drawn is a fleet whose classes, tenants and permissions come from the seed: latency objectives of
+// four to twelve times the work, one class of a higher priority weight, effects of all kinds.
 func drawn(seed uint64, agents, servers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	cfg := small(seed, agents, servers, 0.5+0.2*rng.Float64())
@@ -37,10 +37,11 @@
 	for i := range cfg.Traffic {
 		t := &cfg.Traffic[i]
 		t.Work /= work
-		aim := cfg.WorkMs * t.Work * (4 + 8*rng.Float64())
-		c := policy.Class{Name: fmt.Sprint("class", i), LatencyObjectiveMs: aim, DeadlineMs: aim * (2 + 2*rng.Float64()), PriorityWeight: 1,
-			Effect: []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent}[rng.IntN(3)],
-			Group:  policy.GroupAll, IdempotencyWindowMs: 2000}
+		objective := cfg.WorkMs * t.Work * (4 + 8*rng.Float64())
+		c := policy.Class{Name: fmt.Sprint("class", i), LatencyObjectiveMs: objective, DeadlineMs: objective * (2 + 2*rng.Float64()),
+			PriorityWeight: 1,
+			Effect:         []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent}[rng.IntN(3)],
+			Group:          policy.GroupAll, IdempotencyWindowMs: 2000}
 		if i == n-1 {
 			c.PriorityWeight = 1 + 6*rng.Float64()
 		}
@@ -73,7 +74,7 @@
 	return m
 }
 
-// servedIn is the part of what was asked in some seconds that was served within its aim.
+// servedIn is the part of the requests of some seconds that was served within the objective.
 func (m *Model) servedIn(from, to int) float64 {
 	all := share{}
 	for _, s := range m.seconds[from:to] {
@@ -83,10 +84,10 @@
 	return all.fraction()
 }
 
-// Whatever the classes' aims, worths, effects and parts are: through a trouble each class,
-// tenant and effect gets at least half of what it would get of a policy that sees the servers
-// late, unless that serves it hardly, and the fleet is back soon after.
-func TestEveryClassIsServedThroughATrouble(t *testing.T) {
+// Whatever the classes' objectives, priority weights, effects and shares are: through a fault each
+// class, tenant and effect is served at least half as much as by the delayed-view baseline, unless
+// that serves less than 0.3 of it, and the fleet recovers soon after.
+func TestEveryClassIsServedThroughAFault(t *testing.T) {
 	for _, f := range []struct {
 		agents, servers int
 		seeds           uint64
@@ -95,22 +96,22 @@
 			t.Run(fmt.Sprintf("%d agents, seed %d", f.agents, seed), func(t *testing.T) {
 				t.Parallel()
 				cfg := drawn(seed, f.agents, f.servers)
-				mine := surge(t, cfg)
+				module := surge(t, cfg)
 				cfg.DelayedView = true
-				late := surge(t, cfg)
+				baseline := surge(t, cfg)
 				check := func(what string, is, want share) {
 					if want.fraction() >= 0.3 && is.fraction() < want.fraction()/2 {
-						t.Errorf("%s: %.2f served, %.2f by what sees the servers late", what, is.fraction(), want.fraction())
+						t.Errorf("%s: %.2f served, %.2f by the delayed-view baseline", what, is.fraction(), want.fraction())
 					}
 				}
 				for i, c := range cfg.Settings.Classes {
-					check(c.Name, mine.shares.class[i], late.shares.class[i])
-					check(string(c.Effect), *mine.shares.effect[c.Effect], *late.shares.effect[c.Effect])
+					check(c.Name, module.shares.class[i], baseline.shares.class[i])
+					check(string(c.Effect), *module.shares.effect[c.Effect], *baseline.shares.effect[c.Effect])
 				}
 				for i, tenant := range cfg.Settings.Tenants {
-					check(tenant.Name, mine.shares.tenant[i], late.shares.tenant[i])
+					check(tenant.Name, module.shares.tenant[i], baseline.shares.tenant[i])
 				}
-				before, after := mine.servedIn(1, surgeAt), mine.servedIn(surgeEnds+6, surgeEnds+surgeLeft-1)
+				before, after := module.servedIn(1, surgeAt), module.servedIn(surgeEnds+6, surgeEnds+surgeLeft-1)
 				if after < 0.75*before {
 					t.Errorf("%.2f served before, %.2f seven seconds after", before, after)
 				}
@@ -119,7 +120,7 @@
 	}
 }
 
-// The traffic comes in the shares that it is given, and traffic that makes no sense is refused.
+// The traffic comes in the shares that it is given, and traffic that makes no sense is an error.
 func TestTrafficIsAsConfigured(t *testing.T) {
 	cfg := drawn(1, 20, 10)
 	m := newModel(t, cfg)
@@ -134,27 +135,31 @@
 			t.Errorf("class %d is %.2f of the requests, want %.2f", i, got, want.Share)
 		}
 	}
-	for _, traffic := range [][]Traffic{{{1, 1}}, {{0.5, 1}, {0.6, 1}, {0.1, 1}}, {{0.5, 2}, {0.3, 1}, {0.2, 1}},
-		{{1.5, 1}, {-0.5, 1}, {0, 1}}} {
+	for name, traffic := range map[string][]Traffic{
+		"too few classes":         {{1, 1}},
+		"shares add up to over 1": {{0.5, 1}, {0.6, 1}, {0.1, 1}},
+		"mean work is not 1":      {{0.5, 2}, {0.3, 1}, {0.2, 1}},
+		"a negative share":        {{1.5, 1}, {-0.5, 1}, {0, 1}},
+	} {
 		cfg.Traffic = traffic
 		if _, err := New(cfg); err == nil {
-			t.Errorf("taken: %+v", traffic)
+			t.Errorf("%s: no error for %+v", name, traffic)
 		}
 	}
 }
 
-// Servers that run on with what nobody waits for hold it; others let go of it.
-func TestServersRunOn(t *testing.T) {
-	for _, runsOn := range []bool{false, true} {
+// Servers that serve abandoned attempts keep them pending; others drop them.
+func TestServersMayServeAbandonedAttempts(t *testing.T) {
+	for _, servesAbandoned := range []bool{false, true} {
 		cfg := small(1, 1, 1, 0.5)
-		cfg.ServesAbandoned = runsOn
+		cfg.ServesAbandoned = servesAbandoned
 		m := newModel(t, cfg)
 		s := m.servers[0]
 		left := &attempt{server: s, queued: true}
 		s.queue, s.pending = []*attempt{left}, 1
 		s.abandon(left)
-		if want := map[bool]int{false: 0, true: 1}[runsOn]; s.pending != want {
-			t.Errorf("runs on %v: holds %d, want %d", runsOn, s.pending, want)
+		if want := map[bool]int{false: 0, true: 1}[servesAbandoned]; s.pending != want {
+			t.Errorf("serves abandoned %v: %d pending, want %d", servesAbandoned, s.pending, want)
 		}
 	}
 }
