--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -80,14 +80,14 @@
 func (a *agent) callDiscovery() {
 	m := a.m
 	m.second().DiscoveryCalls++
-	done := max(m.discoveryFreeAt, m.now) + m.cfg.CallMs
+	done := max(m.discovery.freeAt, m.now) + m.cfg.CallMs
 	if done-m.now > maxCallMs {
 		m.after(maxCallMs, func() { a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed}) })
 		return
 	}
-	m.discoveryFreeAt = done
+	m.discovery.freeAt = done
 	m.schedule(done, call(func() {
-		m.notified++
+		m.discovery.answered++
 		a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFull, Entries: a.client.list()})
 	}))
 }
--- a/internal/fleet/model/config.go
+++ b/internal/fleet/model/config.go
@@ -7,6 +7,7 @@
 
 // Config is the size of a fleet, its load and its settings.
 type Config struct {
+	Variant
 	Agents     int // at least as many as services
 	Servers    int // at least as many as services
 	Services   int
@@ -25,6 +26,12 @@
 	// Traffic is that of each of the settings' classes; none: all requests are of the first.
 	Traffic []Traffic
 	Retries int // of a client for a request that is not served; at least one
+	// Settings are those of each agent but for its index, its zone, the replicas and the quota.
+	Settings policy.Settings
+}
+
+// Variant is how a fleet differs from the plain one. Its zero value is the plain one.
+type Variant struct {
 	// WorkSpread is the standard deviation of the logarithm of the requests' work (lognormal). 0: a
 	// server's time for each request is exponential, and all count alike in its budget.
 	WorkSpread float64
@@ -41,8 +48,6 @@
 	// DelayedView has agents decide by the servers' true state, seen with a delay, in place of the
 	// decision module: the baseline that the module is compared with.
 	DelayedView bool
-	// Settings are those of each agent but for its index, its zone, the replicas and the quota.
-	Settings policy.Settings
 	// QuotaOfService has the settings' replicas and quota be those of the agent's service, not of the
 	// whole fleet.
 	QuotaOfService bool
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -28,29 +28,34 @@
 	before  []policy.Entry // its endpoint list of before the start day's start, if agents may still have that
 }
 
+// discovery is the service that has the endpoint lists. It takes calls in turn.
+type discovery struct {
+	freeAt   float64 // when it has answered all calls, in ms
+	answered int     // calls that it has answered
+}
+
 // Model is one fleet. It is used by one goroutine.
 type Model struct {
-	cfg             Config
-	rng             *rand.Rand
-	now             float64
-	services        []*service
-	clients         []*client
-	servers         []*server
-	queue           queue
-	seconds         []Count
-	waits           *waitHistogram
-	shares          *shares
-	viewsAt         float64 // when the delayed view was last refreshed
-	lastRequest     policy.RequestID
-	rateFactor      float64           // by which the clients' rate is multiplied now
-	stopped         bool              // the clients send no more
-	isolated        []bool            // regions that are partitioned from all others
-	pending         int               // on all servers
-	maxQueued       int               // the most requests that an agent had queued at once
-	discoveryFreeAt float64           // when discovery has answered all calls
-	notified        int               // calls of agents that discovery answered
-	spareActions    [][]policy.Action // for agent.handle
-	err             error             // ends the play
+	cfg          Config
+	rng          *rand.Rand
+	now          float64
+	services     []*service
+	clients      []*client
+	servers      []*server
+	queue        queue
+	seconds      []Count
+	waits        *waitHistogram
+	shares       *shares
+	viewsAt      float64 // when the delayed view was last refreshed
+	lastRequest  policy.RequestID
+	rateFactor   float64 // by which the clients' rate is multiplied now
+	stopped      bool    // the clients send no more
+	isolated     []bool  // regions that are partitioned from all others
+	pending      int     // on all servers
+	maxQueued    int     // the most requests that an agent had queued at once
+	discovery    discovery
+	spareActions [][]policy.Action // for agent.handle
+	err          error             // ends the play
 }
 
 // New makes a fleet, which is idle until it is booted and played. Its error is that of Validate or of
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -11,7 +11,7 @@
 func small(seed uint64, agents, servers int, load float64) Config {
 	return Config{Agents: agents, Servers: servers, Services: 1, Zones: 2, Regions: 1, Cores: 1, WorkMs: 30,
 		Rate: load * float64(servers) * 1000 / 30, ZoneMs: 1.5, CrossZoneMs: 1.5, Seed: seed,
-		Settings: Settings(), KeepArrivals: true}
+		Settings: Settings(), Variant: Variant{KeepArrivals: true}}
 }
 
 func newModel(t *testing.T, cfg Config) *Model {
@@ -113,22 +113,22 @@
 		m.servers[0].down = true // so that there are failures to refetch for
 		m.boot()
 		play(t, m, 6)
-		if m.notified != agents {
-			t.Errorf("seed %d: %d of %d agents got the list within 6 s", seed, m.notified, agents)
+		if m.discovery.answered != agents {
+			t.Errorf("seed %d: %d of %d agents got the list within 6 s", seed, m.discovery.answered, agents)
 		}
-		if idle := m.discoveryFreeAt - Start - agents*callMs; idle > mostIdleMs {
+		if idle := m.discovery.freeAt - Start - agents*callMs; idle > mostIdleMs {
 			t.Errorf("seed %d: discovery was idle for %.0f ms while agents had no list", seed, idle)
 		}
 		play(t, m, 6)
-		if m.notified != agents {
-			t.Errorf("seed %d: discovery served %d calls of %d agents", seed, m.notified, agents)
+		if m.discovery.answered != agents {
+			t.Errorf("seed %d: discovery served %d calls of %d agents", seed, m.discovery.answered, agents)
 		}
 		calls := 0
 		for _, s := range m.seconds {
 			calls += s.DiscoveryCalls
 		}
 		inTime := int((cfg.Settings.Contract.DrainGraceMs + maxCallMs) / callMs)
-		if failed, most := calls-m.notified, agents-inTime; failed > most {
+		if failed, most := calls-m.discovery.answered, agents-inTime; failed > most {
 			t.Errorf("seed %d: %d calls failed, %d of the first had to", seed, failed, most)
 		}
 	}
