--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"testing"
 
 	"ploverreel/policy"
@@ -166,3 +167,20 @@
 		}
 	}
 }
+
+// Services get all of the servers, two at the least, and are of uneven size.
+func TestServicesAreUneven(t *testing.T) {
+	for _, n := range [][2]int{{2000, 160}, {320, 160}, {160, 160}, {2001, 7}, {5, 1}} {
+		parts := divide(n[0], n[1])
+		sum := 0
+		for _, p := range parts {
+			sum += p
+		}
+		if sum != n[0] || len(parts) != n[1] || slices.Min(parts) < min(2, n[0]/n[1]) {
+			t.Errorf("%v: %d in all, from %d", n, sum, slices.Min(parts))
+		}
+		if n[0] == 2000 && slices.Max(parts) < 10*slices.Min(parts) {
+			t.Errorf("%v: from %d to %d", n, slices.Min(parts), slices.Max(parts))
+		}
+	}
+}
