--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -26,28 +26,28 @@
 
 // handle gives the decider an event and performs its actions. These may end attempts, and so call
 // handle again: each depth has its own slice of actions.
-func (a *agent) handle(ev policy.Event) {
+func (a *agent) handle(event policy.Event) {
 	if a.ended {
 		return
 	}
-	m := a.m
-	for i := range ev.Entries {
-		if server := m.serverAt(ev.Entries[i].Server); server.startedAt > 0 && ev.Entries[i].StartedMs == server.startedAt {
+	model := a.m
+	for i := range event.Entries {
+		if server := model.serverAt(event.Entries[i].Server); server.startedAt > 0 && event.Entries[i].StartedMs == server.startedAt {
 			a.knownStarts[server] = true
 		}
 	}
 	var actions []policy.Action
-	if n := len(m.spareActions); n > 0 {
-		actions, m.spareActions = m.spareActions[n-1], m.spareActions[:n-1]
+	if n := len(model.spareActions); n > 0 {
+		actions, model.spareActions = model.spareActions[n-1], model.spareActions[:n-1]
 	}
-	actions = a.decider.Handle(m.now, &ev, actions[:0])
+	actions = a.decider.Handle(model.now, &event, actions[:0])
 	a.perform(actions)
-	m.spareActions = append(m.spareActions, actions)
+	model.spareActions = append(model.spareActions, actions)
 }
 
 // perform does what the decider asks for. Actions without a part in the model are skipped.
 func (a *agent) perform(actions []policy.Action) {
-	m := a.m
+	model := a.m
 	for i := range actions {
 		act := &actions[i]
 		request := a.requests[act.Request]
@@ -63,7 +63,7 @@
 				request.reject(act.Kind == policy.ActionReject)
 			}
 		case policy.ActionTimer:
-			m.schedule(m.now+act.DelayMs, a.timer(act.Token))
+			model.schedule(model.now+act.DelayMs, a.timer(act.Token))
 		case policy.ActionHealthCheck:
 			a.healthCheck(act.Server)
 		case policy.ActionWatch, policy.ActionFetch:
@@ -78,30 +78,30 @@
 // callDiscovery fetches the endpoint list. A call that would wait too long at discovery fails, and
 // takes none of its time.
 func (a *agent) callDiscovery() {
-	m := a.m
-	m.second().DiscoveryCalls++
-	done := max(m.discovery.freeAt, m.now) + m.cfg.CallMs
-	if done-m.now > maxCallMs {
-		m.after(maxCallMs, func() { a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed}) })
+	model := a.m
+	model.second().DiscoveryCalls++
+	done := max(model.discovery.freeAt, model.now) + model.cfg.CallMs
+	if done-model.now > maxCallMs {
+		model.after(maxCallMs, func() { a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed}) })
 		return
 	}
-	m.discovery.freeAt = done
-	m.schedule(done, call(func() {
-		m.discovery.answered++
+	model.discovery.freeAt = done
+	model.schedule(done, call(func() {
+		model.discovery.answered++
 		a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFull, Entries: a.client.list()})
 	}))
 }
 
 // timer is the agent's timer of that token; it is made once, so that setting it again allocates nothing.
 func (a *agent) timer(token uint32) *timer {
-	for _, t := range a.timers {
-		if t.token == token {
-			return t
+	for _, known := range a.timers {
+		if known.token == token {
+			return known
 		}
 	}
-	t := &timer{a, token}
-	a.timers = append(a.timers, t)
-	return t
+	known := &timer{a, token}
+	a.timers = append(a.timers, known)
+	return known
 }
 
 func (t *timer) fire(*Model) { t.agent.handle(policy.Event{Kind: policy.EventTimer, Token: t.token}) }
@@ -109,23 +109,23 @@
 // healthCheck connects to a server and reports the outcome after a round trip, or after the connect
 // timeout.
 func (a *agent) healthCheck(addr policy.Addr) {
-	m, server := a.m, a.m.serverAt(addr)
+	model, server := a.m, a.m.serverAt(addr)
 	if server == nil {
 		return
 	}
-	m.second().HealthChecks++
-	roundTripMs := 2 * m.hop(a.client.zone, server.zone)
-	m.after(roundTripMs, func() {
-		ev := policy.Event{Kind: policy.EventHealthChecked, Server: addr, Status: policy.StatusOK, LatencyMs: roundTripMs}
+	model.second().HealthChecks++
+	roundTripMs := 2 * model.hop(a.client.zone, server.zone)
+	model.after(roundTripMs, func() {
+		event := policy.Event{Kind: policy.EventHealthChecked, Server: addr, Status: policy.StatusOK, LatencyMs: roundTripMs}
 		switch {
-		case server.silent || !m.linked(a.client.zone, server.zone):
-			untilTimeoutMs := max(m.cfg.Settings.Limits.ConnectTimeoutMs-roundTripMs, 0)
-			ev.Status, ev.LatencyMs = policy.StatusConnectFailed, roundTripMs+untilTimeoutMs
-			m.after(untilTimeoutMs, func() { a.handle(ev) })
+		case server.silent || !model.linked(a.client.zone, server.zone):
+			untilTimeoutMs := max(model.cfg.Settings.Limits.ConnectTimeoutMs-roundTripMs, 0)
+			event.Status, event.LatencyMs = policy.StatusConnectFailed, roundTripMs+untilTimeoutMs
+			model.after(untilTimeoutMs, func() { a.handle(event) })
 			return
 		case server.down:
-			ev.Status = policy.StatusConnectFailed
+			event.Status = policy.StatusConnectFailed
 		}
-		a.handle(ev)
+		a.handle(event)
 	})
 }
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -33,32 +33,32 @@
 
 // send sends an attempt of a request.
 func (a *agent) send(request *request, act *policy.Action) {
-	m, server := a.m, a.m.serverAt(act.Server)
+	model, server := a.m, a.m.serverAt(act.Server)
 	if server == nil {
 		return
 	}
-	count := m.second()
+	count := model.second()
 	count.Attempts++
 	if request.attempts > 0 {
 		count.Retries++
 	} else if request.retries == 0 {
-		m.waits.add(m.now - request.arrivedAt)
+		model.waits.add(model.now - request.arrivedAt)
 	}
 	if server.zone != a.client.zone {
 		count.CrossZone++
 	}
-	if m.region(server.zone) != m.region(a.client.zone) {
+	if model.region(server.zone) != model.region(a.client.zone) {
 		count.CrossRegion++
 	}
 	if !a.takeIdle(server) {
 		count.Connects++
 	}
-	sent := &attempt{request: request, index: request.attempts, server: server, sentAt: m.now}
+	sent := &attempt{request: request, index: request.attempts, server: server, sentAt: model.now}
 	request.attempts++
 	request.inFlight = sent
 	a.inFlight++
-	m.schedule(m.now+m.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
-	m.queue.pushLate(m.now+act.DelayMs, (*attemptTimedOut)(sent))
+	model.schedule(model.now+model.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
+	model.queue.pushLate(model.now+act.DelayMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
@@ -75,25 +75,25 @@
 	t.server.abandon(t)
 	request := t.request
 	agent := request.agent
-	m := agent.m
+	model := agent.m
 	request.inFlight = nil
 	agent.inFlight--
 	if status == policy.StatusOK {
 		agent.conns[t.server] = t.serverProcess
-		agent.idle[t.server] = append(agent.idle[t.server], m.now)
+		agent.idle[t.server] = append(agent.idle[t.server], model.now)
 	} else {
 		delete(agent.conns, t.server)
 		delete(agent.idle, t.server)
 	}
 	if status == policy.StatusOK && !request.final && !agent.ended {
 		request.final = true
-		if m.now-request.arrivedAt <= m.cfg.Settings.Classes[request.class].LatencyObjectiveMs {
-			m.second().WithinObjective++
-			m.shares.addServed(request)
-			m.secondOf(request.arrivedAt).Served++
+		if model.now-request.arrivedAt <= model.cfg.Settings.Classes[request.class].LatencyObjectiveMs {
+			model.second().WithinObjective++
+			model.shares.addServed(request)
+			model.secondOf(request.arrivedAt).Served++
 		}
 	}
 	agent.handle(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: t.index, Server: t.server.addr,
-		Status: status, LatencyMs: m.now - t.sentAt, Final: request.final})
+		Status: status, LatencyMs: model.now - t.sentAt, Final: request.final})
 	request.forget()
 }
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -42,11 +42,11 @@
 // start gives the client a new process of the agent, which has learnt nothing yet. Its error is that
 // of policy.New.
 func (c *client) start() error {
-	m := c.m
-	settings := m.cfg.Settings
-	settings.Zone, settings.Index, settings.Replicas = c.zone, c.number, m.cfg.Agents
-	quota := m.cfg.Rate
-	if m.cfg.QuotaOfService {
+	model := c.m
+	settings := model.cfg.Settings
+	settings.Zone, settings.Index, settings.Replicas = c.zone, c.number, model.cfg.Agents
+	quota := model.cfg.Rate
+	if model.cfg.QuotaOfService {
 		settings.Index, settings.Replicas, quota = c.inService, c.replicas, 1000*c.quota
 	}
 	settings.Tenants = slices.Clone(settings.Tenants)
@@ -57,12 +57,12 @@
 		}
 		tenant.QuotaPerS = quota * tenant.QuotaShare
 	}
-	decider, err := c.newDecider(settings, m.cfg.Seed<<16+uint64(c.number)+c.starts<<40)
+	decider, err := c.newDecider(settings, model.cfg.Seed<<16+uint64(c.number)+c.starts<<40)
 	if err != nil {
 		return err
 	}
 	c.starts++
-	c.agent = &agent{m: m, client: c, decider: decider, requests: map[policy.RequestID]*request{},
+	c.agent = &agent{m: model, client: c, decider: decider, requests: map[policy.RequestID]*request{},
 		conns: map[*server]int{}, idle: map[*server]idleSince{}, knownStarts: map[*server]bool{}}
 	return nil
 }
@@ -83,32 +83,32 @@
 func (c *client) nextDelay() float64 { return c.m.rng.ExpFloat64() / (c.rate * max(c.m.cfg.Peak, 1)) }
 
 // fire sends the client's next request and schedules the one after it.
-func (c *client) fire(m *Model) {
-	if m.stopped {
+func (c *client) fire(model *Model) {
+	if model.stopped {
 		return
 	}
-	if peak := m.cfg.Peak; !c.lost && (peak <= 1 || m.rng.Float64()*peak < m.rateFactor) {
-		c.sendRequest(m.newRequest())
+	if peak := model.cfg.Peak; !c.lost && (peak <= 1 || model.rng.Float64()*peak < model.rateFactor) {
+		c.sendRequest(model.newRequest())
 	}
-	m.schedule(m.now+c.nextDelay(), c)
+	model.schedule(model.now+c.nextDelay(), c)
 }
 
 // sendRequest gives the client's agent a request.
 func (c *client) sendRequest(request *request) {
-	m, agent := c.m, c.agent
-	m.lastRequest++
-	request.id, request.agent = m.lastRequest, agent
+	model, agent := c.m, c.agent
+	model.lastRequest++
+	request.id, request.agent = model.lastRequest, agent
 	agent.requests[request.id] = request
 	if request.retries == 0 {
-		m.second().Requests++
-		m.shares.addRequest(request)
+		model.second().Requests++
+		model.shares.addRequest(request)
 	}
-	timeLeftMs := m.clientTimeoutMs(request.class)
+	timeLeftMs := model.clientTimeoutMs(request.class)
 	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
 		Key: request.key, HintMs: request.hintMs, HasHint: request.hintMs > 0, TimeLeftMs: timeLeftMs,
-		Retry: request.retries > 0 && m.cfg.Settings.Clients.MarksRetry})
-	m.maxQueued = max(m.maxQueued, len(agent.requests)-agent.inFlight)
-	m.queue.pushLate(m.now+timeLeftMs, (*requestDeadline)(request))
+		Retry: request.retries > 0 && model.cfg.Settings.Clients.MarksRetry})
+	model.maxQueued = max(model.maxQueued, len(agent.requests)-agent.inFlight)
+	model.queue.pushLate(model.now+timeLeftMs, (*requestDeadline)(request))
 }
 
 // list is the endpoint list that discovery gives the client's agent now.
@@ -121,14 +121,14 @@
 
 // retry is a client's retry of an unserved request, after 30 to 230 ms and within the class's deadline.
 func (c *client) retry(unserved *request) {
-	m := c.m
-	waitMs := 30 + 200*m.rng.Float64()
-	if unserved.retries >= m.maxRetries() || m.now+waitMs >= unserved.arrivedAt+m.cfg.Settings.Classes[unserved.class].DeadlineMs {
+	model := c.m
+	waitMs := 30 + 200*model.rng.Float64()
+	if unserved.retries >= model.maxRetries() || model.now+waitMs >= unserved.arrivedAt+model.cfg.Settings.Classes[unserved.class].DeadlineMs {
 		return
 	}
 	again := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key,
 		workFactor: unserved.workFactor, hintMs: unserved.hintMs, arrivedAt: unserved.arrivedAt, retries: unserved.retries + 1}
-	m.after(waitMs, func() { c.sendRequest(again) })
+	model.after(waitMs, func() { c.sendRequest(again) })
 }
 
 // fire has the client give up its request.
@@ -155,13 +155,13 @@
 // reject is the decider's answer to a request that it does not serve; mayRetry says that it was
 // rejected, which a client retries, and not failed.
 func (r *request) reject(mayRetry bool) {
-	m := r.agent.m
+	model := r.agent.m
 	r.final = true
 	switch {
-	case mayRetry && r.retries >= m.maxRetries():
-		m.secondOf(r.arrivedAt).Rejected++
+	case mayRetry && r.retries >= model.maxRetries():
+		model.secondOf(r.arrivedAt).Rejected++
 	case mayRetry && r.retries == 0:
-		m.secondOf(r.arrivedAt).RejectedFirst++
+		model.secondOf(r.arrivedAt).RejectedFirst++
 	}
 	if mayRetry {
 		r.agent.client.retry(r)
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -31,7 +31,7 @@
 
 // addNeeds adds what an agent needs in the mean: connections opened, servers that it met since its
 // start, connections that it keeps at the end and the steps of its decision module.
-func (m *Model) addNeeds(c *fleet.Case, sum *Count) {
+func (m *Model) addNeeds(result *fleet.Case, sum *Count) {
 	met, kept, work := 0, 0, uint64(0)
 	for _, client := range m.clients {
 		agent := client.agent
@@ -44,8 +44,8 @@
 		}
 	}
 	agents := float64(len(m.clients))
-	c.Add("connections made by an agent", "count", float64(sum.Connects)/agents)
-	c.Add("connections kept by an agent", "count", float64(kept)/agents)
-	c.Add("servers met by an agent", "count", float64(met)/agents)
-	c.Add("module's work of an agent since its start", "count", float64(work)/agents)
+	result.Add("connections made by an agent", "count", float64(sum.Connects)/agents)
+	result.Add("connections kept by an agent", "count", float64(kept)/agents)
+	result.Add("servers met by an agent", "count", float64(met)/agents)
+	result.Add("module's work of an agent since its start", "count", float64(work)/agents)
 }
--- a/internal/fleet/model/days.go
+++ b/internal/fleet/model/days.go
@@ -69,8 +69,9 @@
 		if err := m.play(ctx, min(1, seconds-played)); err != nil {
 			return nil, err
 		}
-		s := m.secondOf(m.now - 1)
-		log.Info("played", "day", d.Name, "s", m.sinceStart(), "asked", s.Requests, "won", s.WithinObjective, "attempts", s.Attempts)
+		second := m.secondOf(m.now - 1)
+		log.Info("played", "day", d.Name, "s", m.sinceStart(), "asked", second.Requests,
+			"won", second.WithinObjective, "attempts", second.Attempts)
 	}
 	m.stopped = true
 	if err := m.play(ctx, drainS); err != nil {
@@ -81,14 +82,14 @@
 
 // Compare plays the day under another configuration and adds to c what that serves of each
 // class, tenant and effect.
-func (d Day) Compare(ctx context.Context, cfg Config, seconds float64, log *slog.Logger, c *fleet.Case) error {
+func (d Day) Compare(ctx context.Context, cfg Config, seconds float64, log *slog.Logger, result *fleet.Case) error {
 	other, err := d.Play(ctx, cfg, seconds, log)
 	if err != nil {
 		return err
 	}
-	for _, f := range other.Figures {
-		if f.Name == "worth served" || strings.HasPrefix(f.Name, servedOf) {
-			c.Add(f.Name+", seen late", f.Unit, f.Value)
+	for _, figure := range other.Figures {
+		if figure.Name == "worth served" || strings.HasPrefix(figure.Name, servedOf) {
+			result.Add(figure.Name+", seen late", figure.Unit, figure.Value)
 		}
 	}
 	return nil
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -77,35 +77,35 @@
 func (l *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
 
 // Handle sends what comes, and retries what did not run or may be repeated.
-func (l *delayedView) Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
-	switch ev.Kind {
+func (l *delayedView) Handle(now float64, event *policy.Event, out []policy.Action) []policy.Action {
+	switch event.Kind {
 	case policy.EventRequest:
-		l.open[ev.Request] = &openRequest{class: ev.Class, deadline: now + ev.TimeLeftMs}
-		return l.send(now, ev.Request, out)
+		l.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
+		return l.send(now, event.Request, out)
 	case policy.EventClientGone:
-		delete(l.open, ev.Request)
+		delete(l.open, event.Request)
 	case policy.EventOutcome:
-		return l.ended(now, ev, out)
+		return l.ended(now, event, out)
 	}
 	return out
 }
 
 // ended retries a request after an attempt that did not answer it, or fails it.
-func (l *delayedView) ended(now float64, ev *policy.Event, out []policy.Action) []policy.Action {
-	request := l.open[ev.Request]
+func (l *delayedView) ended(now float64, event *policy.Event, out []policy.Action) []policy.Action {
+	request := l.open[event.Request]
 	if request == nil {
 		return out
 	}
-	if ev.Final {
-		delete(l.open, ev.Request)
+	if event.Final {
+		delete(l.open, event.Request)
 		return out
 	}
-	request.mayHaveRun = request.mayHaveRun || !ev.Status.NeverRan()
+	request.mayHaveRun = request.mayHaveRun || !event.Status.NeverRan()
 	if request.mayHaveRun && l.settings.Classes[request.class].Effect != policy.EffectIdempotent {
-		delete(l.open, ev.Request)
-		return append(out, policy.Action{Kind: policy.ActionFail, Request: ev.Request})
+		delete(l.open, event.Request)
+		return append(out, policy.Action{Kind: policy.ActionFail, Request: event.Request})
 	}
-	return l.send(now, ev.Request, out)
+	return l.send(now, event.Request, out)
 }
 
 // send sends a request to the server of pick, or rejects it.
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -52,9 +52,9 @@
 // loseRack takes each racks-th server of the first zone: a rack holds servers of many services.
 func (m *Model) loseRack() {
 	var rack []*server
-	for i, s := range m.inZone(0) {
+	for i, server := range m.inZone(0) {
 		if i%racks == lostRack {
-			rack = append(rack, s)
+			rack = append(rack, server)
 		}
 	}
 	m.loseMachines(rack)
@@ -114,14 +114,14 @@
 
 // replace starts new servers for a part of the old ones, which drain and end.
 func (m *Model) replace(part float64) {
-	n := max(int(part*float64(len(m.servers))), 1)
-	for _, i := range m.rng.Perm(len(m.servers))[:n] {
+	count := max(int(part*float64(len(m.servers))), 1)
+	for _, i := range m.rng.Perm(len(m.servers))[:count] {
 		old := m.servers[i]
 		m.after(m.rng.Float64()*replaceMs, func() {
-			s := m.addServer(old.service, old.zone)
-			s.start()
+			fresh := m.addServer(old.service, old.zone)
+			fresh.start()
 			old.listed = policy.HealthDraining
-			m.announce([]*server{s, old})
+			m.announce([]*server{fresh, old})
 			m.after(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
 				old.stop()
 				old.down = true
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -21,20 +21,20 @@
 	Connects        int // attempts whose agent had no idle connection to the server
 }
 
-func (c *Count) add(o *Count) {
-	c.Requests += o.Requests
-	c.Served += o.Served
-	c.WithinObjective += o.WithinObjective
-	c.RejectedFirst += o.RejectedFirst
-	c.Rejected += o.Rejected
-	c.Attempts += o.Attempts
-	c.Retries += o.Retries
-	c.CrossZone += o.CrossZone
-	c.CrossRegion += o.CrossRegion
-	c.MaxPending = max(c.MaxPending, o.MaxPending)
-	c.DiscoveryCalls += o.DiscoveryCalls
-	c.HealthChecks += o.HealthChecks
-	c.Connects += o.Connects
+func (c *Count) add(other *Count) {
+	c.Requests += other.Requests
+	c.Served += other.Served
+	c.WithinObjective += other.WithinObjective
+	c.RejectedFirst += other.RejectedFirst
+	c.Rejected += other.Rejected
+	c.Attempts += other.Attempts
+	c.Retries += other.Retries
+	c.CrossZone += other.CrossZone
+	c.CrossRegion += other.CrossRegion
+	c.MaxPending = max(c.MaxPending, other.MaxPending)
+	c.DiscoveryCalls += other.DiscoveryCalls
+	c.HealthChecks += other.HealthChecks
+	c.Connects += other.Connects
 }
 
 // second is the count of the present second.
@@ -49,51 +49,74 @@
 	return &m.seconds[i]
 }
 
-// figures are those of all seconds after SettleS.
-func (m *Model) figures(name string) *fleet.Case {
-	m.second() // so that there are all to the last
-	var sum Count
-	worst := 1.0
-	for _, server := range m.seconds[int(SettleS):] {
-		sum.add(&server)
-		if float64(server.Requests) > m.cfg.Rate/2 { // a whole second
-			worst = min(worst, float64(server.Served)/float64(server.Requests))
+// total is the count of all seconds after SettleS, and the least share served of a whole one of them.
+func (m *Model) total() (sum Count, worst float64) {
+	worst = 1
+	for _, second := range m.seconds[int(SettleS):] {
+		sum.add(&second)
+		if float64(second.Requests) > m.cfg.Rate/2 { // a whole second
+			worst = min(worst, float64(second.Served)/float64(second.Requests))
 		}
 	}
-	cold, veryCold, fell, ours, queue := 0.0, 0.0, 0, 0, 0
+	return sum, worst
+}
+
+// warmupSummary is the loads of all servers while they warmed up, and their queues.
+type warmupSummary struct {
+	maxShare         float64 // the most of warmupLoad.maxShare
+	maxActualShare   float64 // the same of maxActualShare
+	failed           int     // servers
+	failedByNotified int     // servers
+	maxPending       int     // the most that a server had pending, warm or not
+}
+
+// warmupTotal sums up the servers.
+func (m *Model) warmupTotal() warmupSummary {
+	var sum warmupSummary
 	for _, server := range m.servers {
-		cold, veryCold, queue = max(cold, server.warmup.maxShare), max(veryCold, server.warmup.maxActualShare), max(queue, server.maxPending)
-		if server.warmup.failed {
-			fell++
+		load := &server.warmup
+		sum.maxShare = max(sum.maxShare, load.maxShare)
+		sum.maxActualShare = max(sum.maxActualShare, load.maxActualShare)
+		sum.maxPending = max(sum.maxPending, server.maxPending)
+		if load.failed {
+			sum.failed++
 		}
-		if server.warmup.failedByNotified {
-			ours++
+		if load.failedByNotified {
+			sum.failedByNotified++
 		}
 	}
+	return sum
+}
+
+// figures are those of all seconds after SettleS.
+func (m *Model) figures(name string) *fleet.Case {
+	m.second() // so that there are all to the last
+	sum, worst := m.total()
+	load := m.warmupTotal()
 	asked, sends := float64(max(sum.Requests, 1)), float64(max(sum.Attempts, 1))
-	c := &fleet.Case{Name: name, Params: map[string]float64{"agents": float64(m.cfg.Agents),
+	result := &fleet.Case{Name: name, Params: map[string]float64{"agents": float64(m.cfg.Agents),
 		"servers": float64(m.cfg.Servers), "services": float64(m.cfg.Services), "rate": m.cfg.Rate}}
-	c.Add("requests", "count", float64(sum.Requests))
-	c.Add("worth served", "share", float64(sum.Served)/asked)
-	m.addShares(c)
-	c.Add("worth served in the worst second", "share", worst)
-	c.Add("turned away at first", "share", float64(sum.RejectedFirst)/asked)
-	c.Add("refused for good", "share", float64(sum.Rejected)/asked)
-	c.Add("attempts a request", "count", sends/asked)
-	c.Add("attempts across zones", "share", float64(sum.CrossZone)/sends)
-	c.Add("attempts across regions", "share", float64(sum.CrossRegion)/sends)
-	c.Add("wait before the first attempt, p50", "ms", m.waits.ms(50))
-	c.Add("wait before the first attempt, p99", "ms", m.waits.ms(99))
-	c.Add("cold server's load to its budget, most", "share", cold)
+	result.Add("requests", "count", float64(sum.Requests))
+	result.Add("worth served", "share", float64(sum.Served)/asked)
+	m.addShares(result)
+	result.Add("worth served in the worst second", "share", worst)
+	result.Add("turned away at first", "share", float64(sum.RejectedFirst)/asked)
+	result.Add("refused for good", "share", float64(sum.Rejected)/asked)
+	result.Add("attempts a request", "count", sends/asked)
+	result.Add("attempts across zones", "share", float64(sum.CrossZone)/sends)
+	result.Add("attempts across regions", "share", float64(sum.CrossRegion)/sends)
+	result.Add("wait before the first attempt, p50", "ms", m.waits.ms(50))
+	result.Add("wait before the first attempt, p99", "ms", m.waits.ms(99))
+	result.Add("cold server's load to its budget, most", "share", load.maxShare)
 	if m.cfg.WorkSpread > 0 {
-		c.Add("the same by the requests' very work", "share", veryCold)
+		result.Add("the same by the requests' very work", "share", load.maxActualShare)
 	}
-	c.Add("cold servers fallen", "count", float64(fell))
-	c.Add("cold servers fallen by agents that knew", "count", float64(ours))
-	c.Add("server's queue, most", "count", float64(queue))
-	c.Add("held by an agent, most", "count", float64(m.maxQueued))
-	c.Add("probes a request", "count", float64(sum.HealthChecks)/asked)
-	c.Add("calls to discovery", "count", float64(sum.DiscoveryCalls))
-	m.addNeeds(c, &sum)
-	return c
+	result.Add("cold servers fallen", "count", float64(load.failed))
+	result.Add("cold servers fallen by agents that knew", "count", float64(load.failedByNotified))
+	result.Add("server's queue, most", "count", float64(load.maxPending))
+	result.Add("held by an agent, most", "count", float64(m.maxQueued))
+	result.Add("probes a request", "count", float64(sum.HealthChecks)/asked)
+	result.Add("calls to discovery", "count", float64(sum.DiscoveryCalls))
+	m.addNeeds(result, &sum)
+	return result
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -156,8 +156,8 @@
 
 // serverAt is the server at an address. Where there is none it is nil, and the play ends with an error.
 func (m *Model) serverAt(at policy.Addr) *server {
-	if i := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); i < len(m.servers) {
-		return m.servers[i]
+	if number := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); number < len(m.servers) {
+		return m.servers[number]
 	}
 	m.err = fmt.Errorf("model: the module named server %v, which is on no list", at)
 	return nil
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -17,8 +17,8 @@
 
 func (c call) fire(*Model) { c() }
 
-func (e *event) before(o *event) bool {
-	return e.at < o.at || e.at == o.at && e.order < o.order
+func (e *event) before(other *event) bool {
+	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
 // queue has the events to come: a heap of four children a node, and a lane in the order of time for
@@ -35,18 +35,18 @@
 // push adds an event.
 func (q *queue) push(at float64, what scheduled) {
 	q.order++
-	e := event{at, q.order, what}
-	i := len(q.heap)
-	q.heap = append(q.heap, e)
-	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&q.heap[up]) {
+	added := event{at, q.order, what}
+	place := len(q.heap)
+	q.heap = append(q.heap, added)
+	for place > 0 {
+		up := (place - 1) / 4
+		if !added.before(&q.heap[up]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[place] = q.heap[up]
+		place = up
 	}
-	q.heap[i] = e
+	q.heap[place] = added
 }
 
 // pushLate adds an event that is likely to be later than those which it added before.
@@ -69,26 +69,26 @@
 
 // pop takes the first event out; the queue must not be empty.
 func (q *queue) pop() event {
-	e := *q.next()
-	if q.first < len(q.lane) && q.lane[q.first].order == e.order {
+	first := *q.next()
+	if q.first < len(q.lane) && q.lane[q.first].order == first.order {
 		q.lane[q.first].action = nil
 		if q.first++; 2*q.first > len(q.lane) {
 			q.lane = q.lane[:copy(q.lane, q.lane[q.first:])]
 			q.first = 0
 		}
-		return e
+		return first
 	}
-	n := len(q.heap) - 1
-	last := q.heap[n]
-	q.heap[n].action = nil
-	q.heap = q.heap[:n]
-	for i := 0; n > 0; {
+	count := len(q.heap) - 1
+	last := q.heap[count]
+	q.heap[count].action = nil
+	q.heap = q.heap[:count]
+	for i := 0; count > 0; {
 		least := 4*i + 1
-		if least >= n {
+		if least >= count {
 			q.heap[i] = last
 			break
 		}
-		for j := least + 1; j < min(4*i+5, n); j++ {
+		for j := least + 1; j < min(4*i+5, count); j++ {
 			if q.heap[j].before(&q.heap[least]) {
 				least = j
 			}
@@ -100,5 +100,5 @@
 		q.heap[i] = q.heap[least]
 		i = least
 	}
-	return e
+	return first
 }
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -111,18 +111,18 @@
 }
 
 // fire queues the attempt at its server, or ends it where the server or the way to it is gone.
-func (r *attemptArrived) fire(m *Model) {
+func (r *attemptArrived) fire(model *Model) {
 	attempt := (*attempt)(r)
 	server, agent := attempt.server, attempt.request.agent
 	process, connected := agent.conns[server]
-	if server.silent || !m.linked(agent.client.zone, server.zone) {
+	if server.silent || !model.linked(agent.client.zone, server.zone) {
 		if !connected {
-			m.schedule(attempt.sentAt+m.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
+			model.schedule(attempt.sentAt+model.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
 		}
 		return // on a connection nothing tells it from a slow answer
 	}
-	if m.cfg.KeepArrivals {
-		server.arrivalTimes = append(server.arrivalTimes, m.now)
+	if model.cfg.KeepArrivals {
+		server.arrivalTimes = append(server.arrivalTimes, model.now)
 	}
 	if server.down {
 		attempt.end(policy.StatusConnectFailed)
@@ -133,7 +133,7 @@
 		server.countWarmup(attempt.request, agent.knownStarts[server])
 	}
 	if stale || server.down {
-		m.schedule(m.now+m.hop(agent.client.zone, server.zone), (*attemptReset)(attempt))
+		model.schedule(model.now+model.hop(agent.client.zone, server.zone), (*attemptReset)(attempt))
 		return
 	}
 	if !attempt.ended {
@@ -142,8 +142,8 @@
 		server.addPending(1)
 		server.maxPending = max(server.maxPending, server.pending)
 	}
-	count := m.second()
-	count.MaxPending = max(count.MaxPending, m.pending)
+	count := model.second()
+	count.MaxPending = max(count.MaxPending, model.pending)
 	server.serve()
 }
 
@@ -162,16 +162,16 @@
 // countWarmup counts an attempt that reached a server which warms up; one over its budget makes it
 // fail for good. The capacity at the beginning of the window counts, as it is the least.
 func (s *server) countWarmup(request *request, notified bool) {
-	m, load := s.m, &s.warmup
-	if s.startedAt == 0 || s.ramp(m.now) == 1 {
+	model, load := s.m, &s.warmup
+	if s.startedAt == 0 || s.ramp(model.now) == 1 {
 		return
 	}
-	window := m.cfg.Settings.Contract.OverloadWindowMs
-	load.add(arrival{m.now, m.classWorkFactor(request), m.classWorkFactor(request) * request.workFactor, notified})
-	for load.arrivals[load.first].at <= m.now-window {
+	window := model.cfg.Settings.Contract.OverloadWindowMs
+	load.add(arrival{model.now, model.classWorkFactor(request), model.classWorkFactor(request) * request.workFactor, notified})
+	for load.arrivals[load.first].at <= model.now-window {
 		load.dropFirst()
 	}
-	budget := s.budget(max(m.now-window, s.startedAt))
+	budget := s.budget(max(model.now-window, s.startedAt))
 	load.maxActualShare = max(load.maxActualShare, load.actual/budget)
 	fraction := load.work / budget
 	load.maxShare = max(load.maxShare, fraction)
@@ -235,16 +235,16 @@
 
 // serve gives free cores the next attempts in the queue.
 func (s *server) serve() {
-	m := s.m
-	if s.pending < maxPendingPerCore*m.cfg.Cores {
+	model := s.m
+	if s.pending < maxPendingPerCore*model.cfg.Cores {
 		s.overloadedSince = 0
 	} else if s.overloadedSince == 0 {
-		s.overloadedSince = m.now
+		s.overloadedSince = model.now
 	}
-	if s.overloadedSince > 0 && m.now-s.overloadedSince > overloadMs {
+	if s.overloadedSince > 0 && model.now-s.overloadedSince > overloadMs {
 		s.slowed = true
 	}
-	for s.busy < m.cfg.Cores && !s.down {
+	for s.busy < model.cfg.Cores && !s.down {
 		for len(s.queue) > 0 && !s.queue[0].queued {
 			s.queue = s.queue[1:]
 		}
@@ -258,12 +258,12 @@
 		s.queue = s.queue[1:]
 		attempt.queued, attempt.serverProcess = false, s.process
 		s.busy++
-		m.schedule(m.now+m.serviceTime(attempt.request)/s.capacity(m.now), (*attemptServed)(attempt))
+		model.schedule(model.now+model.serviceTime(attempt.request)/s.capacity(model.now), (*attemptServed)(attempt))
 	}
 }
 
 // fire frees the core and sends the answer, or a reset where the process has ended meanwhile.
-func (f *attemptServed) fire(m *Model) {
+func (f *attemptServed) fire(model *Model) {
 	attempt := (*attempt)(f)
 	server, zone := attempt.server, attempt.request.agent.client.zone
 	if attempt.serverProcess != server.process { // that process has ended
@@ -274,8 +274,8 @@
 	}
 	server.busy--
 	server.addPending(-1)
-	if m.linked(server.zone, zone) {
-		m.schedule(m.now+m.hop(server.zone, zone), (*attemptAnswered)(attempt))
+	if model.linked(server.zone, zone) {
+		model.schedule(model.now+model.hop(server.zone, zone), (*attemptAnswered)(attempt))
 	}
 	server.serve()
 }
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -32,12 +32,12 @@
 		return fleet.Usage("traffic", "must be of %d classes, is of %d", len(cfg.Settings.Classes), len(cfg.Traffic))
 	}
 	shares, work := 0.0, 0.0
-	for _, t := range cfg.Traffic {
-		if !(t.Share >= 0) || !(t.Work > 0) {
-			return fleet.Usage("traffic", "shares must be 0 or above and work above 0, are %v and %v", t.Share, t.Work)
+	for _, traffic := range cfg.Traffic {
+		if !(traffic.Share >= 0) || !(traffic.Work > 0) {
+			return fleet.Usage("traffic", "shares must be 0 or above and work above 0, are %v and %v", traffic.Share, traffic.Work)
 		}
-		shares += t.Share
-		work += t.Share * t.Work
+		shares += traffic.Share
+		work += traffic.Share * traffic.Work
 	}
 	if math.Abs(shares-1) > 1e-6 || math.Abs(work-1) > 1e-6 {
 		return fleet.Usage("traffic", "shares must add up to 1 and mean work be 1, are %v and %v", shares, work)
@@ -187,21 +187,21 @@
 const servedOf = "served of "
 
 // addShares adds what was served of each class, tenant and effect, where there are several.
-func (m *Model) addShares(c *fleet.Case) {
+func (m *Model) addShares(result *fleet.Case) {
 	settings := &m.cfg.Settings
 	if len(settings.Classes) > 1 {
 		for i, class := range settings.Classes {
-			c.Add(servedOf+"class "+class.Name, "share", m.shares.class[i].fraction())
+			result.Add(servedOf+"class "+class.Name, "share", m.shares.class[i].fraction())
 		}
 		for _, effect := range []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent} {
-			if s := m.shares.effect[effect]; s != nil {
-				c.Add(servedOf+"effect "+string(effect), "share", s.fraction())
+			if counted := m.shares.effect[effect]; counted != nil {
+				result.Add(servedOf+"effect "+string(effect), "share", counted.fraction())
 			}
 		}
 	}
 	if len(settings.Tenants) > 1 {
 		for i, tenant := range settings.Tenants {
-			c.Add(servedOf+"tenant "+tenant.Name, "share", m.shares.tenant[i].fraction())
+			result.Add(servedOf+"tenant "+tenant.Name, "share", m.shares.tenant[i].fraction())
 		}
 	}
 }
