--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -51,7 +51,7 @@
 	return req, err
 }
 
-// byteCounter is a backend that answers nothing and tells how many bytes its first connection brought.
+// byteCounter is a backend that answers nothing and reports how many bytes its first connection brought.
 func byteCounter(t *testing.T) (addr string, read chan int64) {
 	t.Helper()
 	read = make(chan int64, 1)
@@ -80,8 +80,8 @@
 	return a
 }
 
-// A library must not send a request again by itself when a kept connection breaks:
-// that would be a second attempt that nobody decided.
+// No request is sent again by itself when an idle connection breaks under it:
+// that would be a second attempt without a decision.
 func TestNoHiddenResend(t *testing.T) {
 	for _, c := range []struct{ name, method, key string }{
 		{"safe", http.MethodGet, ""}, {"keyed", http.MethodPost, "k1"}, {"unsafe", http.MethodPost, ""},
@@ -94,7 +94,7 @@
 						return
 					}
 					if came.Add(1) > 1 {
-						return // breaks the kept connection under the second request
+						return // breaks the connection under the second request
 					}
 					io.WriteString(conn, okAnswer)
 				}
@@ -156,8 +156,8 @@
 		{"error", answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 		{"another success", answer("HTTP/1.1 204 No\r\n\r\n"), policy.StatusServerError},
 		{"503 that may have run", answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
-		{"503 turned away", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected},
-		{"504 turned away", answer("HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected},
+		{"503 rejected", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected},
+		{"504 rejected", answer("HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusRejected},
 		{"500 that says it was not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -328,7 +328,7 @@
 	pool := testPool()
 	pool.maxConns = 0
 	if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
-		t.Fatalf("ended %d, want turned away", got)
+		t.Fatalf("ended %d, want rejected", got)
 	}
 }
 
@@ -430,7 +430,7 @@
 	}
 }
 
-// A connection that has ended or brings what nobody asked for is not used again.
+// A connection that has ended or brings unrequested bytes is not used again.
 func TestStaleConnections(t *testing.T) {
 	var came atomic.Int32
 	closed := make(chan struct{}, 10)
--- a/internal/agent/backend_conn_test.go
+++ b/internal/agent/backend_conn_test.go
@@ -11,7 +11,7 @@
 // connector opens connections, as a pool does.
 type connector func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// readCounter tells when so many bytes were read from a connection.
+// readCounter signals when so many bytes were read from a connection.
 type readCounter struct {
 	net.Conn
 	left int
--- a/internal/agent/backend_conns.go
+++ b/internal/agent/backend_conns.go
@@ -57,7 +57,7 @@
 		if conn.idleFor = time.Since(conn.since); conn.idleFor <= limit && peekConn(conn.Conn) == 0 {
 			return conn, nil
 		}
-		conn.Close() // it has ended or may have, or brings what nobody asked for
+		conn.Close() // it has ended or may have, or brings unrequested bytes
 		p.mu.Lock()
 	}
 	err := p.reserve()
--- a/internal/agent/broken_conn_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -64,7 +64,7 @@
 func runOn(c *scriptedConn, method string) result {
 	pool := testPool()
 	pool.connect = func(context.Context, string, string) (net.Conn, error) { return c, nil }
-	return newAttempt(pool.newBackendConns("127.0.0.1:1"), method, never).run() // an hour: its told time keeps its length
+	return newAttempt(pool.newBackendConns("127.0.0.1:1"), method, never).run() // an hour: Request-Timeout keeps its length
 }
 
 // A request of which the last byte was not written never ran; one that was written whole may have
@@ -104,7 +104,7 @@
 	}
 }
 
-// A write that takes less than the request and tells of no error has not sent it whole.
+// A write that takes less than the request and returns no error has not sent it whole.
 func TestShortWriteWithoutError(t *testing.T) {
 	c := &scriptedConn{answer: []byte(okAnswer), writeEnd: 10, readEnd: -1}
 	if res := runOn(c, http.MethodPost); res.status != policy.StatusConnectFailed || !c.closed {
--- a/internal/agent/idle_lifetime_test.go
+++ b/internal/agent/idle_lifetime_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// A backend that drops what stands idle without a word is met with new connections
+// A backend that drops idle connections silently is met with new connections
 // after a few requests that ended so.
 func TestConnectionsDroppedSilentlyAreReplaced(t *testing.T) {
 	addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -10,7 +10,7 @@
 	"ploverreel/policy"
 )
 
-// clientOf gives a request a client of its own, whose leaving nobody tells.
+// clientOf gives a request a client of its own, whose leaving is not reported to the loop.
 func clientOf(t *testing.T, r *request) net.Conn {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 }
 
 // Whatever an attempt waited for, it looks for its client last of all before the first byte:
-// nothing goes out for one that has left meanwhile, though nobody has told of that.
+// nothing goes out for one that has left meanwhile, though that was not reported.
 func TestAttemptLooksForItsClientLast(t *testing.T) {
 	for _, waits := range []string{"connect", "rest", "extra connection"} {
 		for how, leave := range leavings {
--- a/internal/agent/no_length_test.go
+++ b/internal/agent/no_length_test.go
@@ -30,8 +30,8 @@
 		{name: "reset before the body", answer: head, reset: true, want: policy.StatusReset},
 		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
 		{name: "error", answer: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.StatusServerError},
-		{name: "turned away", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
-		{name: "turned away and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
+		{name: "rejected", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
+		{name: "rejected and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			read := make(chan struct{})
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// An extra connection that does not come up fails nobody, and is not tried again soon.
+// An extra connection that does not come up fails no attempt, and is not tried again soon.
 func TestExtraConnectionThatFails(t *testing.T) {
 	backend, conns, rested := restingPool(t)
 	conns.fail.Store(true)
@@ -201,7 +201,7 @@
 	})
 }
 
-// A panic in the opening of an extra connection fails nobody: the attempt goes out after the rest,
+// A panic in the opening of an extra connection fails no attempt: the attempt goes out after the rest,
 // its result reports the panic once, and the pool counts no connection for it.
 func TestExtraConnectionThatPanics(t *testing.T) {
 	backend, conns, rested := restingPool(t)
--- a/internal/agent/round_trip.go
+++ b/internal/agent/round_trip.go
@@ -28,14 +28,12 @@
 	holdUpShare = 8
 )
 
-// attemptStage says whether a byte of an attempt may have been written.
-type attemptStage = int32
-
-// The stages of an attempt. It leaves attemptWaiting once, for one of the two others.
+// The stages of an attempt, by whether a byte of it may have been written. It leaves attemptWaiting
+// once, for one of the two others.
 const (
-	attemptWaiting   attemptStage = iota // no byte was written
-	attemptSending                       // a byte may have been written
-	attemptWithdrawn                     // withdrawn before a byte was written: none will be
+	attemptWaiting   int32 = iota // no byte was written
+	attemptSending                // a byte may have been written
+	attemptWithdrawn              // withdrawn before a byte was written: none will be
 )
 
 // attempt is one send of a request to a backend. The loop makes it; a goroutine of its own runs
