--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -1,9 +1,7 @@
 package agent
 
 import (
-	"bufio"
 	"context"
-	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -12,7 +10,7 @@
 	"ploverreel/policy"
 )
 
-// clientOf gives a request a client of its own, whose leaving nobody tells.
+// clientOf gives a request a client of its own, whose leaving is not reported to the loop.
 func clientOf(t *testing.T, r *request) net.Conn {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +27,7 @@
 }
 
 // Whatever an attempt waited for, it looks for its client last of all before the first byte:
-// nothing goes out for one that has left meanwhile, though nobody has told of that.
+// nothing goes out for one that has left meanwhile, though that was not reported.
 func TestAttemptLooksForItsClientLast(t *testing.T) {
 	for _, waits := range []string{"connect", "rest", "extra connection"} {
 		for how, leave := range leavings {
@@ -40,29 +38,28 @@
 					leave(client)
 					eventually(t, "the leaving at the agent's socket", func() bool { return peerClosed(a.request.client) })
 				}
-				var g *backendConns
+				var backend *backendConns
 				var rested chan time.Time
-				got := make(chan int64, 1)
+				var got chan int64
 				switch waits {
 				case "connect":
-					g = testPool().newBackendConns(rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-						n, _ := io.Copy(io.Discard, r)
-						got <- n
-					}))
-					plain := g.pool.connect
-					g.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					var addr string
+					addr, got = byteCounter(t)
+					backend = testPool().newBackendConns(addr)
+					plain := backend.pool.connect
+					backend.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						gone()
 						return plain(ctx, network, addr)
 					}
 				default:
 					var conns *connections
-					g, conns, rested = restingPool(t)
-					g.served(t)
-					g.rests()
-					g.pool.allowExtra = waits == "extra connection"
+					backend, conns, rested = restingPool(t)
+					backend.served(t)
+					backend.rests()
+					backend.pool.allowExtra = waits == "extra connection"
 					conns.held = make(chan struct{})
 					go func() {
-						if g.pool.allowExtra {
+						if backend.pool.allowExtra {
 							eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
 							gone()
 							close(conns.held)
@@ -72,7 +69,7 @@
 						rested <- time.Now()
 					}()
 				}
-				a.conns = g
+				a.conns = backend
 				if res := a.run(); res.status != policy.StatusNotSent || !a.withdraw() {
 					t.Fatalf("ended %d, want never begun", res.status)
 				}
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -79,37 +79,39 @@
 	}
 }
 
-// What ends an attempt before the last byte of its request is told by its kind.
-func TestEndingsOfThisMachine(t *testing.T) {
+// A connect that fails has its status by the kind of the error.
+func TestOutcomesOfFailedConnects(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
 		syscall.ENFILE: policy.StatusLocalFailure, syscall.EADDRNOTAVAIL: policy.StatusLocalFailure,
 		syscall.EAGAIN: policy.StatusLocalFailure, syscall.EINTR: policy.StatusLocalFailure,
 		syscall.ENETUNREACH: policy.StatusUnreachable, syscall.EHOSTUNREACH: policy.StatusUnreachable,
 		syscall.ECONNREFUSED: policy.StatusConnectFailed, syscall.ETIMEDOUT: policy.StatusConnectFailed,
 	} {
-		p := testPool()
-		p.connect = (&failingConnects{errno: errno, fail: 1}).connect
-		if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
-			t.Errorf("%v: ended %d, want %d", errno, got, want)
-		}
-		if p.open != 0 {
-			t.Errorf("%v: %d connections counted as open", errno, p.open)
-		}
+		t.Run(errno.Error(), func(t *testing.T) {
+			pool := testPool()
+			pool.connect = (&failingConnects{errno: errno, fail: 1}).connect
+			if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+				t.Errorf("%v: ended %d, want %d", errno, got, want)
+			}
+			if pool.open != 0 {
+				t.Errorf("%v: %d connections counted as open", errno, pool.open)
+			}
+		})
 	}
 }
 
 // An extra connection that this machine could not open says nothing of its backend.
 func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
-	p := testPool()
-	p.idleTimeout = never
-	p.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
-	g := p.newBackendConns("127.0.0.1:1")
-	g.openExtra(context.Background(), nil, nil)
-	if wait := time.Until(g.noExtra); wait > time.Second {
+	pool := testPool()
+	pool.idleTimeout = never
+	pool.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
+	backend := pool.newBackendConns("127.0.0.1:1")
+	backend.openExtra(context.Background(), nil, nil)
+	if wait := time.Until(backend.noExtra); wait > time.Second {
 		t.Errorf("none is opened for %v", wait)
 	}
-	p.connect = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	if g.openExtra(context.Background(), nil, nil); time.Until(g.noExtra) < time.Minute {
+	pool.connect = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+	if backend.openExtra(context.Background(), nil, nil); time.Until(backend.noExtra) < time.Minute {
 		t.Error("one that the backend refused is tried again at once")
 	}
 }
--- a/internal/agent/no_length_test.go
+++ b/internal/agent/no_length_test.go
@@ -30,8 +30,8 @@
 		{name: "reset before the body", answer: head, reset: true, want: policy.StatusReset},
 		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
 		{name: "error", answer: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.StatusServerError},
-		{name: "turned away", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
-		{name: "turned away and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
+		{name: "rejected", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
+		{name: "rejected and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			read := make(chan struct{})
@@ -45,15 +45,15 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			g := testPool().newBackendConns(addr)
-			defer g.closeIdle()
-			plain := g.pool.connect
-			g.pool.connect = wholeReads(plain, len(test.answer), read)
-			res := newAttempt(g, http.MethodPost, noAnswer).run()
+			backend := testPool().newBackendConns(addr)
+			defer backend.closeIdle()
+			plain := backend.pool.connect
+			backend.pool.connect = wholeReads(plain, len(test.answer), read)
+			res := newAttempt(backend, http.MethodPost, noAnswer).run()
 			if res.status != test.want || string(res.body) != test.body {
 				t.Fatalf("ended %d with %d bytes, want %d with %d", res.status, len(res.body), test.want, len(test.body))
 			}
-			if g.pool.open != 0 {
+			if backend.pool.open != 0 {
 				t.Error("the connection is kept")
 			}
 		})
--- /dev/null
+++ b/internal/fleet/model/figures.go
@@ -0,0 +1,122 @@
+package model
+
+import (
+	"ploverreel/internal/fleet"
+)
+
+// Count is what happened in one second, all agents together.
+type Count struct {
+	Requests        int // without retries by the clients
+	Served          int // of these, answered within their latency objective, be it in a later second
+	RejectedFirst   int // of these, rejected when they first came
+	Rejected        int // of these, rejected with no retry left
+	WithinObjective int // answers within their latency objective
+	Attempts        int // attempts
+	Retries         int // attempts after a request's first
+	CrossZone       int // attempts to another zone, and of these to another region
+	CrossRegion     int
+	MaxPending      int // the most that all servers had pending at once
+	DiscoveryCalls  int // to discovery
+	HealthChecks    int
+	Connects        int // attempts whose agent had no idle connection to the server
+}
+
+func (c *Count) add(other *Count) {
+	c.Requests += other.Requests
+	c.Served += other.Served
+	c.WithinObjective += other.WithinObjective
+	c.RejectedFirst += other.RejectedFirst
+	c.Rejected += other.Rejected
+	c.Attempts += other.Attempts
+	c.Retries += other.Retries
+	c.CrossZone += other.CrossZone
+	c.CrossRegion += other.CrossRegion
+	c.MaxPending = max(c.MaxPending, other.MaxPending)
+	c.DiscoveryCalls += other.DiscoveryCalls
+	c.HealthChecks += other.HealthChecks
+	c.Connects += other.Connects
+}
+
+// second is the count of the present second.
+func (m *Model) second() *Count { return m.secondOf(m.now) }
+
+// secondOf is the count of the second of that time.
+func (m *Model) secondOf(at float64) *Count {
+	i := int((at - Start) / 1000)
+	for len(m.seconds) <= i {
+		m.seconds = append(m.seconds, Count{})
+	}
+	return &m.seconds[i]
+}
+
+// total is the count of all seconds after SettleS, and the least share served of a whole one of them.
+func (m *Model) total() (sum Count, worst float64) {
+	worst = 1
+	for _, second := range m.seconds[int(SettleS):] {
+		sum.add(&second)
+		if float64(second.Requests) > m.cfg.Rate/2 { // a whole second
+			worst = min(worst, float64(second.Served)/float64(second.Requests))
+		}
+	}
+	return sum, worst
+}
+
+// warmupSummary is the loads of all servers while they warmed up, and their queues.
+type warmupSummary struct {
+	maxShare         float64 // the most of warmupLoad.maxShare
+	maxActualShare   float64 // the same of maxActualShare
+	failed           int     // servers
+	failedByNotified int     // servers
+	maxPending       int     // the most that a server had pending, warm or not
+}
+
+// warmupTotal sums up the servers.
+func (m *Model) warmupTotal() warmupSummary {
+	var sum warmupSummary
+	for _, server := range m.servers {
+		load := &server.warmup
+		sum.maxShare = max(sum.maxShare, load.maxShare)
+		sum.maxActualShare = max(sum.maxActualShare, load.maxActualShare)
+		sum.maxPending = max(sum.maxPending, server.maxPending)
+		if load.failed {
+			sum.failed++
+		}
+		if load.failedByNotified {
+			sum.failedByNotified++
+		}
+	}
+	return sum
+}
+
+// figures are those of all seconds after SettleS.
+func (m *Model) figures(name string) *fleet.Case {
+	m.second() // so that there are all to the last
+	sum, worst := m.total()
+	load := m.warmupTotal()
+	asked, sends := float64(max(sum.Requests, 1)), float64(max(sum.Attempts, 1))
+	result := &fleet.Case{Name: name, Params: map[string]float64{"agents": float64(m.cfg.Agents),
+		"servers": float64(m.cfg.Servers), "services": float64(m.cfg.Services), "rate": m.cfg.Rate}}
+	result.Add("requests", "count", float64(sum.Requests))
+	result.Add("worth served", "share", float64(sum.Served)/asked)
+	m.addShares(result)
+	result.Add("worth served in the worst second", "share", worst)
+	result.Add("turned away at first", "share", float64(sum.RejectedFirst)/asked)
+	result.Add("refused for good", "share", float64(sum.Rejected)/asked)
+	result.Add("attempts a request", "count", sends/asked)
+	result.Add("attempts across zones", "share", float64(sum.CrossZone)/sends)
+	result.Add("attempts across regions", "share", float64(sum.CrossRegion)/sends)
+	result.Add("wait before the first attempt, p50", "ms", m.waits.ms(50))
+	result.Add("wait before the first attempt, p99", "ms", m.waits.ms(99))
+	result.Add("cold server's load to its budget, most", "share", load.maxShare)
+	if m.cfg.WorkSpread > 0 {
+		result.Add("the same by the requests' very work", "share", load.maxActualShare)
+	}
+	result.Add("cold servers fallen", "count", float64(load.failed))
+	result.Add("cold servers fallen by agents that knew", "count", float64(load.failedByNotified))
+	result.Add("server's queue, most", "count", float64(load.maxPending))
+	result.Add("held by an agent, most", "count", float64(m.maxQueued))
+	result.Add("probes a request", "count", float64(sum.HealthChecks)/asked)
+	result.Add("calls to discovery", "count", float64(sum.DiscoveryCalls))
+	m.addNeeds(result, &sum)
+	return result
+}
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -7,267 +7,275 @@
 )
 
 const (
-	// crowd is how many requests a server may hold for each core; one that holds as many for
-	// crowdMs works crowdSlow times slower until it has been empty.
-	crowd, crowdMs, crowdSlow = 7, 2000.0, 3.0
-	// knownShare is the part of a fallen server's load from agents that were told of its
-	// start, from which on its fall is theirs.
-	knownShare = 2.0 / 3
-	// fewCalls is under how many requests a cold server's budget leaves more to chance.
-	fewCalls = 30.0
+	// A server with maxPendingPerCore requests for each core, served and waiting, for overloadMs
+	// works overloadSlowdown times slower until it has been empty.
+	maxPendingPerCore, overloadMs, overloadSlowdown = 7, 2000.0, 3.0
+	// notifiedShare is the part of a failed server's load from agents that were notified of its
+	// start above which its failure is put down to them.
+	notifiedShare = 2.0 / 3
+	// smallBudget is the number of requests under which the budget of a server that is warming up
+	// has the larger allowance for chance.
+	smallBudget = 30.0
 )
 
-// server serves as many at once as it has cores, in turn.
+// server serves as many requests at once as it has cores, first come, first served.
 type server struct {
-	m       *Model
-	service *service
-	addr    policy.Addr
-	zone    int
-	speed   float64
-	bornAt  float64       // cold from here on, as the contract says; 0: warm
-	down    bool          // refuses connections
-	dark    bool          // is silent: what is sent to it is lost
-	listed  policy.Health // what discovery says of it, if it is not down
-	process int           // counts its processes
-	queue   []*try        // waiting; those that are over are passed over
-	held    int           // served and waiting
-	most    int           // that it ever held
-	busy    int           // cores
-	crowded float64       // since when it holds too much; 0: it does not
-	choked  bool
-	got     []float64 // times at which attempts came, if they are kept
-	cold    coldLoad
-	seen    view // what agents see that see it late
+	m               *Model
+	service         *service
+	addr            policy.Addr
+	zone            int
+	speed           float64       // of a core, 1 is full speed
+	startedAt       float64       // in ms; it warms up from here on, as the contract says; 0: it is warm
+	down            bool          // refuses connections
+	silent          bool          // its machine has vanished: what is sent to it is lost
+	listed          policy.Health // its health in the endpoint list, if it is not down
+	process         int           // number of its present process
+	queue           []*attempt    // waiting; those that are no longer queued are skipped
+	pending         int           // served and waiting
+	maxPending      int           // the most that it ever had pending
+	busy            int           // cores in use
+	overloadedSince float64       // in ms; 0: it is not overloaded
+	slowed          bool
+	arrivalTimes    []float64 // in ms, if the configuration keeps them
+	warmup          warmupLoad
+	view            serverView // what agents with the delayed view see
 }
 
-// coldLoad is what came to a cold server in the last window of the contract.
-type coldLoad struct {
-	came  []arrival
-	first int
-	work  float64 // of all of them, in requests of mean work
-	very  float64 // the same by their very work
-	known float64 // of it, from agents that were told of the start
-	most  float64 // the most of its budget that it ever got
-	worst float64 // the same by very work, which nobody knows beforehand: it brings none down
-	fell  bool
-	ours  bool // it fell by agents that were told
+// warmupLoad is the load of a server that warms up, in the last overload window of the contract.
+type warmupLoad struct {
+	arrivals         []arrival
+	first            int     // index of the first arrival in the window
+	work             float64 // of all arrivals, in requests of mean work
+	actual           float64 // the same by their actual work
+	notified         float64 // the part of work from agents that were notified of the start
+	maxShare         float64 // the most that work ever was, as a share of the budget
+	maxActualShare   float64 // the same of actual, which no agent can know beforehand: no server fails by it
+	failed           bool
+	failedByNotified bool // see notifiedShare
 }
 
+// arrival is an attempt that reached a server that warms up.
 type arrival struct {
-	at    float64
-	work  float64 // mean work of its class, in requests of mean work
-	very  float64 // its very work, in the same
-	known bool
+	at       float64 // in ms
+	work     float64 // mean work of its class, in requests of mean work
+	actual   float64 // its actual work, in the same unit
+	notified bool    // its agent was notified of the start
 }
 
-func (l *coldLoad) add(a arrival) {
-	l.came = append(l.came, a)
-	l.work += a.work
-	l.very += a.very
-	if a.known {
-		l.known += a.work
+func (l *warmupLoad) add(came arrival) {
+	l.arrivals = append(l.arrivals, came)
+	l.work += came.work
+	l.actual += came.actual
+	if came.notified {
+		l.notified += came.work
 	}
 }
 
-func (l *coldLoad) dropFirst() {
-	a := l.came[l.first]
+// dropFirst drops the arrival that left the window.
+func (l *warmupLoad) dropFirst() {
+	first := l.arrivals[l.first]
 	l.first++
-	l.work -= a.work
-	l.very -= a.very
-	if a.known {
-		l.known -= a.work
+	l.work -= first.work
+	l.actual -= first.actual
+	if first.notified {
+		l.notified -= first.work
 	}
 }
 
-// entry is what discovery says of the server.
+// entry is the server's line in the endpoint list.
 func (s *server) entry() policy.Entry {
-	e := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.bornAt}
+	entry := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
 	if s.down {
-		e.Health = policy.HealthGone
+		entry.Health = policy.HealthGone
 	}
-	return e
+	return entry
 }
 
-// ramp is the part of its full speed that a server has warmed up to.
+// ramp is the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
+// within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
-	c := &s.m.cfg.Settings.Contract
-	if age := now - s.bornAt; s.bornAt > 0 && age < c.SlowStartMs {
-		return c.SlowStartFrom + (1-c.SlowStartFrom)*max(age, 0)/c.SlowStartMs
+	contract := &s.m.cfg.Settings.Contract
+	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
+		return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
 	}
 	return 1
 }
 
 // capacity is the part of its full speed at which a server works now.
 func (s *server) capacity(now float64) float64 {
-	c := s.speed * s.ramp(now)
-	if s.choked {
-		c /= crowdSlow
+	speed := s.speed * s.ramp(now)
+	if s.slowed {
+		speed /= overloadSlowdown
 	}
-	return c
+	return speed
 }
 
-func (r *reached) happen(m *Model) {
-	t := (*try)(r)
-	s, a := t.server, t.req.agent
-	process, connected := a.conns[s]
-	if s.dark || !m.linked(a.client.zone, s.zone) {
+// fire queues the attempt at its server, or ends it where the server or the way to it is gone.
+func (r *attemptArrived) fire(model *Model) {
+	attempt := (*attempt)(r)
+	server, agent := attempt.server, attempt.request.agent
+	process, connected := agent.conns[server]
+	if server.silent || !model.linked(agent.client.zone, server.zone) {
 		if !connected {
-			m.at(t.sentAt+m.cfg.Settings.Limits.ConnectTimeoutMs, (*unconnected)(t))
+			model.schedule(attempt.sentAt+model.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
 		}
 		return // on a connection nothing tells it from a slow answer
 	}
-	if m.cfg.KeepArrivals {
-		s.got = append(s.got, m.now)
+	if model.cfg.KeepArrivals {
+		server.arrivalTimes = append(server.arrivalTimes, model.now)
 	}
-	if s.down {
-		t.end(policy.StatusConnectFailed)
+	if server.down {
+		attempt.end(policy.StatusConnectFailed)
 		return
 	}
-	stale := connected && process != s.process // the machine knows the connection no more
+	stale := connected && process != server.process // the machine knows the connection no more
 	if !stale {
-		s.weigh(t.req, a.knows[s])
+		server.countWarmup(attempt.request, agent.knownStarts[server])
 	}
-	if stale || s.down {
-		m.at(m.now+m.hop(a.client.zone, s.zone), (*wasReset)(t))
+	if stale || server.down {
+		model.schedule(model.now+model.hop(agent.client.zone, server.zone), (*attemptReset)(attempt))
 		return
 	}
-	if !t.over {
-		t.waiting = true
-		s.queue = append(s.queue, t)
-		s.hold(1)
-		s.most = max(s.most, s.held)
+	if !attempt.ended {
+		attempt.queued = true
+		server.queue = append(server.queue, attempt)
+		server.addPending(1)
+		server.maxPending = max(server.maxPending, server.pending)
 	}
-	sec := m.second()
-	sec.Held = max(sec.Held, m.held)
-	s.serve()
+	count := model.second()
+	count.MaxPending = max(count.MaxPending, model.pending)
+	server.serve()
 }
 
-// budget is how many requests of mean work a cold server bears in a window that began at a
-// time, with what is put down to chance.
+// budget is how many requests of mean work a server that warms up bears in a window that began at
+// began: the contract's multiple of what it can serve then, with two standard deviations of a Poisson
+// count for chance, three where the budget is small.
 func (s *server) budget(began float64) float64 {
-	c := &s.m.cfg.Settings.Contract
-	n := c.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * c.OverloadWindowMs / s.m.cfg.WorkMs
-	if n < fewCalls-1e-9 { // 30 as a product of fractions may come out below it
-		return n + 3*math.Sqrt(n) + 3
+	contract := &s.m.cfg.Settings.Contract
+	mean := contract.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
+	if mean < smallBudget-1e-9 { // 30 as a product of fractions may come out below it
+		return mean + 3*math.Sqrt(mean) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// weigh counts an attempt that came to a cold server; one over its budget brings it down for
-// good. The window's first capacity counts, as it is the least.
-func (s *server) weigh(r *request, known bool) {
-	m, l := s.m, &s.cold
-	if s.bornAt == 0 || s.ramp(m.now) == 1 {
+// countWarmup counts an attempt that reached a server which warms up; one over its budget makes it
+// fail for good. The capacity at the beginning of the window counts, as it is the least.
+func (s *server) countWarmup(request *request, notified bool) {
+	model, load := s.m, &s.warmup
+	if s.startedAt == 0 || s.ramp(model.now) == 1 {
 		return
 	}
-	window := m.cfg.Settings.Contract.OverloadWindowMs
-	l.add(arrival{m.now, m.classWork(r), m.classWork(r) * r.work, known})
-	for l.came[l.first].at <= m.now-window {
-		l.dropFirst()
+	window := model.cfg.Settings.Contract.OverloadWindowMs
+	load.add(arrival{model.now, model.classWorkFactor(request), model.classWorkFactor(request) * request.workFactor, notified})
+	for load.arrivals[load.first].at <= model.now-window {
+		load.dropFirst()
 	}
-	budget := s.budget(max(m.now-window, s.bornAt))
-	l.worst = max(l.worst, l.very/budget)
-	part := l.work / budget
-	l.most = max(l.most, part)
-	if part > 1 {
-		l.fell, l.ours = true, l.known > knownShare*l.work
-		s.end()
+	budget := s.budget(max(model.now-window, s.startedAt))
+	load.maxActualShare = max(load.maxActualShare, load.actual/budget)
+	fraction := load.work / budget
+	load.maxShare = max(load.maxShare, fraction)
+	if fraction > 1 {
+		load.failed, load.failedByNotified = true, load.notified > notifiedShare*load.work
+		s.stop()
 		s.down = true
 	}
 }
 
-// end ends the server's process with all that it holds. Agents see its connections close,
-// but for those of a machine that went silent.
-func (s *server) end() {
+// stop ends the server's process with all that is pending. Agents see its connections close, but
+// for those of a machine that went silent.
+func (s *server) stop() {
 	s.process++
-	for _, t := range s.queue {
-		if t.waiting {
-			t.waiting = false
-			if !s.dark {
-				s.m.at(s.m.now+s.m.hop(s.zone, t.req.agent.client.zone), (*wasReset)(t))
+	for _, attempt := range s.queue {
+		if attempt.queued {
+			attempt.queued = false
+			if !s.silent {
+				s.m.schedule(s.m.now+s.m.hop(s.zone, attempt.request.agent.client.zone), (*attemptReset)(attempt))
 			}
 		}
 	}
-	if !s.dark {
-		for _, c := range s.service.clients {
-			delete(c.agent.conns, s)
+	if !s.silent {
+		for _, client := range s.service.clients {
+			delete(client.agent.conns, s)
 		}
 	}
-	s.hold(-s.held)
-	s.queue, s.busy, s.crowded, s.choked = nil, 0, 0, false
+	s.addPending(-s.pending)
+	s.queue, s.busy, s.overloadedSince, s.slowed = nil, 0, 0, false
 }
 
 // vanish is the end of a server's machine: nothing more comes from it.
 func (s *server) vanish() {
-	s.dark = true
-	s.end()
+	s.silent = true
+	s.stop()
 }
 
-// begin starts a new process, which is cold.
-func (s *server) begin() {
-	s.dark, s.down, s.bornAt = false, false, s.m.now
-	s.cold = coldLoad{most: s.cold.most, worst: s.cold.worst}
-	for _, c := range s.service.clients {
-		delete(c.agent.knows, s)
+// start starts a new process, which warms up.
+func (s *server) start() {
+	s.silent, s.down, s.startedAt = false, false, s.m.now
+	s.warmup = warmupLoad{maxShare: s.warmup.maxShare, maxActualShare: s.warmup.maxActualShare}
+	for _, client := range s.service.clients {
+		delete(client.agent.knownStarts, s)
 	}
 }
 
-func (s *server) hold(n int) {
-	s.held += n
-	s.m.held += n
+// addPending changes the number of pending requests, here and in the fleet's sum.
+func (s *server) addPending(n int) {
+	s.pending += n
+	s.m.pending += n
 }
 
-// leave takes an attempt that is no longer waited for out of the queue. One that is being
+// abandon takes an attempt that its agent no longer waits for out of the queue. One that is being
 // served is served to its end.
-func (s *server) leave(t *try) {
-	if t.waiting && !s.m.cfg.RunsOn {
-		t.waiting = false
-		s.hold(-1)
+func (s *server) abandon(attempt *attempt) {
+	if attempt.queued && !s.m.cfg.ServesAbandoned {
+		attempt.queued = false
+		s.addPending(-1)
 	}
 }
 
-// serve takes the next in turn.
+// serve gives free cores the next attempts in the queue.
 func (s *server) serve() {
-	m := s.m
-	if s.held < crowd*m.cfg.Cores {
-		s.crowded = 0
-	} else if s.crowded == 0 {
-		s.crowded = m.now
+	model := s.m
+	if s.pending < maxPendingPerCore*model.cfg.Cores {
+		s.overloadedSince = 0
+	} else if s.overloadedSince == 0 {
+		s.overloadedSince = model.now
 	}
-	if s.crowded > 0 && m.now-s.crowded > crowdMs {
-		s.choked = true
+	if s.overloadedSince > 0 && model.now-s.overloadedSince > overloadMs {
+		s.slowed = true
 	}
-	for s.busy < m.cfg.Cores && !s.down {
-		for len(s.queue) > 0 && !s.queue[0].waiting {
+	for s.busy < model.cfg.Cores && !s.down {
+		for len(s.queue) > 0 && !s.queue[0].queued {
 			s.queue = s.queue[1:]
 		}
 		if len(s.queue) == 0 {
 			if s.busy == 0 {
-				s.choked = false
+				s.slowed = false
 			}
 			return
 		}
-		t := s.queue[0]
+		attempt := s.queue[0]
 		s.queue = s.queue[1:]
-		t.waiting, t.process = false, s.process
+		attempt.queued, attempt.serverProcess = false, s.process
 		s.busy++
-		m.at(m.now+m.serviceTime(t.req)/s.capacity(m.now), (*finished)(t))
+		model.schedule(model.now+model.serviceTime(attempt.request)/s.capacity(model.now), (*attemptServed)(attempt))
 	}
 }
 
-func (f *finished) happen(m *Model) {
-	t := (*try)(f)
-	s, zone := t.server, t.req.agent.client.zone
-	if t.process != s.process { // its process has ended
-		if !s.dark {
-			t.end(policy.StatusReset)
+// fire frees the core and sends the answer, or a reset where the process has ended meanwhile.
+func (f *attemptServed) fire(model *Model) {
+	attempt := (*attempt)(f)
+	server, zone := attempt.server, attempt.request.agent.client.zone
+	if attempt.serverProcess != server.process { // that process has ended
+		if !server.silent {
+			attempt.end(policy.StatusReset)
 		}
 		return
 	}
-	s.busy--
-	s.hold(-1)
-	if m.linked(s.zone, zone) {
-		m.at(m.now+m.hop(s.zone, zone), (*answered)(t))
+	server.busy--
+	server.addPending(-1)
+	if model.linked(server.zone, zone) {
+		model.schedule(model.now+model.hop(server.zone, zone), (*attemptAnswered)(attempt))
 	}
-	s.serve()
+	server.serve()
 }
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// mostSpread is the largest spread of the requests' work.
-	mostSpread = 3.0
-	// hintSpread is that of what clients estimate it as: of the logarithm of the ratio.
+	// maxWorkSpread is the largest Config.WorkSpread.
+	maxWorkSpread = 3.0
+	// hintSpread is the standard deviation of the logarithm of a client's estimate over the work.
 	hintSpread = 0.3
 )
 
-// deadlineMs is what a client gives a request where the configuration tells of no traffic.
+// deadlineMs is the time that a client gives a request where the configuration has no traffic.
 const deadlineMs = 1000
 
-// Traffic is what is asked of one class.
+// Traffic is the requests of one class.
 type Traffic struct {
 	Share float64 // of all requests
-	Work  float64 // of its requests, in those of mean work
+	Work  float64 // mean of its requests, in requests of mean work
 }
 
 // validateTraffic reports traffic that does not fit the settings' classes.
@@ -32,12 +32,12 @@
 		return fleet.Usage("traffic", "must be of %d classes, is of %d", len(cfg.Settings.Classes), len(cfg.Traffic))
 	}
 	shares, work := 0.0, 0.0
-	for _, t := range cfg.Traffic {
-		if !(t.Share >= 0) || !(t.Work > 0) {
-			return fleet.Usage("traffic", "shares must be 0 or above and work above 0, are %v and %v", t.Share, t.Work)
+	for _, traffic := range cfg.Traffic {
+		if !(traffic.Share >= 0) || !(traffic.Work > 0) {
+			return fleet.Usage("traffic", "shares must be 0 or above and work above 0, are %v and %v", traffic.Share, traffic.Work)
 		}
-		shares += t.Share
-		work += t.Share * t.Work
+		shares += traffic.Share
+		work += traffic.Share * traffic.Work
 	}
 	if math.Abs(shares-1) > 1e-6 || math.Abs(work-1) > 1e-6 {
 		return fleet.Usage("traffic", "shares must add up to 1 and mean work be 1, are %v and %v", shares, work)
@@ -45,33 +45,34 @@
 	return nil
 }
 
-// Mix has four classes of different aims, worths and effects and two tenants asked in place of
-// one of each, by clients that come again twice.
+// Mix sets four classes of different latency objectives, priority weights and effects and two tenants
+// in place of one of each, with clients that retry twice.
 func (cfg *Config) Mix() {
-	class := func(name string, aim, worth float64, effect policy.Effect) policy.Class {
-		return policy.Class{Name: name, LatencyObjectiveMs: aim * cfg.WorkMs, DeadlineMs: 4 * aim * cfg.WorkMs, PriorityWeight: worth,
-			Effect: effect, Group: policy.GroupCell, IdempotencyWindowMs: 2 * aim * cfg.WorkMs}
+	class := func(name string, objective, weight float64, effect policy.Effect) policy.Class {
+		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs,
+			PriorityWeight: weight, Effect: effect,
+			Group: policy.GroupCell, IdempotencyWindowMs: 2 * objective * cfg.WorkMs}
 	}
-	set := &cfg.Settings
-	set.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
+	settings := &cfg.Settings
+	settings.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
 		class("keyed", 12, 3, policy.EffectIdempotentWithKey), class("once", 12, 8, policy.EffectNonIdempotent)}
-	set.Objective = policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1}
-	set.OverQuotaWeight = 0.2
-	set.Tenants = []policy.Tenant{{Name: "large", QuotaShare: 0.7}, {Name: "small", QuotaShare: 0.3}}
+	settings.Objective = policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1}
+	settings.OverQuotaWeight = 0.2
+	settings.Tenants = []policy.Tenant{{Name: "large", QuotaShare: 0.7}, {Name: "small", QuotaShare: 0.3}}
 	cfg.Traffic = []Traffic{{0.4, 0.7}, {0.3, 1}, {0.2, 1.4}, {0.1, 1.4}}
 	cfg.Retries = 2
 }
 
-// draw is a client's new request.
-func (m *Model) draw() *request {
-	r := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), cameAt: m.now, work: 1}
-	if spread := m.cfg.Heavy; spread > 0 {
-		r.work = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
+// newRequest draws a client's new request.
+func (m *Model) newRequest() *request {
+	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), arrivedAt: m.now, workFactor: 1}
+	if spread := m.cfg.WorkSpread; spread > 0 {
+		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
 		if m.cfg.Hinted {
-			r.hintMs = m.workOf(r) * math.Exp(hintSpread*m.rng.NormFloat64())
+			request.hintMs = m.workOf(request) * math.Exp(hintSpread*m.rng.NormFloat64())
 		}
 	}
-	return r
+	return request
 }
 
 func (m *Model) drawClass() int {
@@ -84,7 +85,7 @@
 	return m.drawPart(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
 }
 
-// drawPart draws one of n by their parts of the whole.
+// drawPart draws an index below n by the parts of the whole, which add up to 1.
 func (m *Model) drawPart(n int, part func(i int) float64) int {
 	if n < 2 {
 		return 0
@@ -98,49 +99,50 @@
 	return n - 1
 }
 
-// tryShare is the part of the time after which it gives up that a client waits for a try.
-const tryShare = 0.6
+// attemptTimeShare is the part of a class's deadline that a client waits for one of its own attempts.
+const attemptTimeShare = 0.6
 
-// mostRetries is how often a client comes again with a request that is not served.
-func (m *Model) mostRetries() int { return max(m.cfg.Retries, 1) }
+// maxRetries is how often a client retries a request that is not served.
+func (m *Model) maxRetries() int { return max(m.cfg.Retries, 1) }
 
-// patience is how long a client waits for a try.
-func (m *Model) patience(class int) float64 {
+// clientTimeoutMs is how long a client waits for one of its own attempts.
+func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return deadlineMs
 	}
-	return tryShare * m.cfg.Settings.Classes[class].DeadlineMs
+	return attemptTimeShare * m.cfg.Settings.Classes[class].DeadlineMs
 }
 
-// workOf is the mean work of a request, and where work is heavy-tailed its very work.
-func (m *Model) workOf(r *request) float64 { return m.cfg.WorkMs * m.classWork(r) * r.work }
+// workOf is the mean work of a request in ms, and where work is heavy-tailed its actual work.
+func (m *Model) workOf(r *request) float64 { return m.cfg.WorkMs * m.classWorkFactor(r) * r.workFactor }
 
-// classWork is the mean work of the request's class, in requests of mean work.
-func (m *Model) classWork(r *request) float64 {
+// classWorkFactor is the mean work of the request's class, in requests of mean work.
+func (m *Model) classWorkFactor(r *request) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return 1
 	}
 	return m.cfg.Traffic[r.class].Work
 }
 
-// serviceTime is how long one core at full speed works on a request.
+// serviceTime is how long, in ms, one core at full speed works on a request.
 func (m *Model) serviceTime(r *request) float64 {
-	if m.cfg.Heavy > 0 {
+	if m.cfg.WorkSpread > 0 {
 		return m.workOf(r)
 	}
 	return m.rng.ExpFloat64() * m.workOf(r)
 }
 
-// share counts requests and those of them that were served within their aim.
+// share counts requests and those of them that were served within their latency objective.
 type share struct{ asked, served int }
 
-func (s share) part() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
+// fraction is the part served, from 0 to 1.
+func (s share) fraction() float64 { return float64(s.served) / float64(max(s.asked, 1)) }
 
-// shares are the parts served of each class, tenant and effect, by the time at which a
-// request first came.
+// shares are the parts served of each class, tenant and effect, of the requests that first came from
+// a time on.
 type shares struct {
 	classes []policy.Class
-	from    float64 // requests that came before don't count
+	from    float64 // in ms
 	class   []share
 	tenant  []share
 	effect  map[policy.Effect]*share
@@ -155,7 +157,7 @@
 	return s
 }
 
-// begin forgets what was counted, and what came before the time from.
+// begin starts to count anew, with requests that come from the time from on.
 func (s *shares) begin(cfg *Config, from float64) {
 	*s = *newShares(cfg)
 	s.from = from
@@ -163,43 +165,43 @@
 
 // counts are those that a request counts in.
 func (s *shares) counts(r *request) []*share {
-	if r.cameAt < s.from {
+	if r.arrivedAt < s.from {
 		return nil
 	}
 	return []*share{&s.class[r.class], &s.tenant[r.tenant], s.effect[s.classes[r.class].Effect]}
 }
 
-func (s *shares) asked(r *request) {
+func (s *shares) addRequest(r *request) {
 	for _, c := range s.counts(r) {
 		c.asked++
 	}
 }
 
-func (s *shares) served(r *request) {
+func (s *shares) addServed(r *request) {
 	for _, c := range s.counts(r) {
 		c.served++
 	}
 }
 
-// servedOf begins the names of the figures of classes, effects and tenants.
+// servedOf is the prefix of the names of the figures of classes, effects and tenants.
 const servedOf = "served of "
 
 // addShares adds what was served of each class, tenant and effect, where there are several.
-func (m *Model) addShares(c *fleet.Case) {
-	set := &m.cfg.Settings
-	if len(set.Classes) > 1 {
-		for i, class := range set.Classes {
-			c.Add(servedOf+"class "+class.Name, "share", m.shares.class[i].part())
+func (m *Model) addShares(result *fleet.Case) {
+	settings := &m.cfg.Settings
+	if len(settings.Classes) > 1 {
+		for i, class := range settings.Classes {
+			result.Add(servedOf+"class "+class.Name, "share", m.shares.class[i].fraction())
 		}
 		for _, effect := range []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent} {
-			if s := m.shares.effect[effect]; s != nil {
-				c.Add(servedOf+"effect "+string(effect), "share", s.part())
+			if counted := m.shares.effect[effect]; counted != nil {
+				result.Add(servedOf+"effect "+string(effect), "share", counted.fraction())
 			}
 		}
 	}
-	if len(set.Tenants) > 1 {
-		for i, tenant := range set.Tenants {
-			c.Add(servedOf+"tenant "+tenant.Name, "share", m.shares.tenant[i].part())
+	if len(settings.Tenants) > 1 {
+		for i, tenant := range settings.Tenants {
+			result.Add(servedOf+"tenant "+tenant.Name, "share", m.shares.tenant[i].fraction())
 		}
 	}
 }
