--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -309,8 +309,8 @@
 	if rec.Code != http.StatusGatewayTimeout {
 		t.Fatalf("answered %d", rec.Code)
 	}
-	if first, second := <-a.loop.inputs, <-a.loop.inputs; first.kind != inputRequest || second.kind != inputClientGone {
-		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
+	if first, second := <-a.loop.inputs, <-a.loop.inputs; !is[requestArrived](first) || !is[clientDisconnected](second) {
+		t.Fatalf("the loop was told %T, %T", first, second)
 	}
 }
 
@@ -324,7 +324,7 @@
 		r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
 			wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
 		before := time.Until(r.deadline)
-		l.handle(input{kind: inputRequest, request: r})
+		l.handle(requestArrived{request: r})
 		sent := false
 		for _, act := range l.actions {
 			if act.Kind == policy.ActionSend && act.Request == r.id {
@@ -378,7 +378,7 @@
 func TestLoopPanic(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	a, base, _, _ := start(t, config(nowhere, addr))
-	a.loop.post(input{kind: inputRequest, request: nil})
+	a.loop.post(requestArrived{request: nil})
 	if status, _, _ := do(t, call(base, "order")); status != 200 {
 		t.Fatalf("answered %d after a panic", status)
 	}
@@ -525,7 +525,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.post(input{kind: inputWatchEvent, list: change})
+	a.loop.post(watchEvent{list: change})
 	if status := <-answered; status != 200 {
 		t.Fatalf("answered %d", status)
 	}
@@ -553,25 +553,25 @@
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
 	usable := func(name string) bool { b := l.backends[addrOf(name)]; return b != nil && b.usable }
-	l.handle(input{kind: inputWatchEvent, list: listOf(5, false, h)})
+	l.handle(watchEvent{list: listOf(5, false, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
 	}
 	h.Health = "ready"
-	l.handle(input{kind: inputWatchEvent, list: listOf(4, false, h)})
-	l.handle(input{kind: inputFetched, list: listOf(3, true, h)})
+	l.handle(watchEvent{list: listOf(4, false, h)})
+	l.handle(endpointsFetched{list: listOf(3, true, h)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("an older version was applied")
 	}
-	l.handle(input{kind: inputFetched, list: listOf(6, true, h)})
-	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
+	l.handle(endpointsFetched{list: listOf(6, true, h)})
+	if !usable("s-0") || usable("s-1") || l.watch.listVersion != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
 	if len(l.backends) != 1 {
 		t.Fatalf("%d backends kept, one is listed", len(l.backends))
 	}
-	l.handle(input{kind: inputWatchEvent, list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
-	if len(l.backends) != 0 || l.hasEndpoint.Load() {
+	l.handle(watchEvent{list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
+	if len(l.backends) != 0 || l.ready.hasEndpoint.Load() {
 		t.Fatal("the backend that is gone was kept")
 	}
 }
@@ -582,7 +582,7 @@
 	b := l.backends[addrOf("s-0")]
 	before := b.conns
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
-	l.handle(input{kind: inputWatchEvent, list: listOf(2, false, h)})
+	l.handle(watchEvent{list: listOf(2, false, h)})
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
@@ -590,7 +590,7 @@
 	b.attempts[waits] = struct{}{}
 	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.BornMs = 7 }} {
 		change()
-		l.handle(input{kind: inputWatchEvent, list: listOf(int64(3+i), false, h)})
+		l.handle(watchEvent{list: listOf(int64(3+i), false, h)})
 		if l.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != h.Dial {
 			t.Fatal("the old connections were kept")
 		}
@@ -623,7 +623,7 @@
 	late := newAttempt(b.conns, http.MethodPost, never)
 	late.backend = b
 	late.request.answers = make(chan response, 1)
-	l.handle(input{kind: inputOutcome, attempt: late, result: result{status: policy.StatusTimeout}})
+	l.handle(attemptEnded{attempt: late, result: result{status: policy.StatusTimeout}})
 	<-closed
 }
 
@@ -701,10 +701,10 @@
 	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	d.silence = never
 	d.watch(1, false)
-	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
+	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
 	}
-	if in := <-told; in.kind != inputWatchEnded || in.err == nil {
+	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -714,7 +714,7 @@
 	d, told := scripted(t, true)
 	d.silence = time.Millisecond
 	d.watch(1, false)
-	if in := <-told; in.kind != inputWatchEnded || in.err == nil {
+	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -722,12 +722,12 @@
 func TestFetch(t *testing.T) {
 	d, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
 	d.fetch(false)
-	if in := <-told; in.kind != inputFetched || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
+	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
 		t.Fatalf("told %+v", in)
 	}
 	d, told = scripted(t, false, "no list")
 	d.fetch(false)
-	if in := <-told; in.kind != inputFetched || in.err == nil {
+	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -30,7 +30,7 @@
 	defer func() { // after a panic too: the module waits for the end of each attempt
 		if !begun {
 			a.cancel(nil)
-			l.followUps = append(l.followUps, input{kind: inputOutcome, attempt: a, result: result{status: policy.StatusNotSent}})
+			l.followUps = append(l.followUps, attemptEnded{attempt: a, result: result{status: policy.StatusNotSent}})
 		}
 	}()
 	if !b.usable || r.answered || r.clientGone.Load() {
@@ -40,7 +40,7 @@
 	}
 	b.attempts[a] = struct{}{}
 	begun = true
-	go func() { l.post(input{kind: inputOutcome, attempt: a, result: a.run()}) }()
+	go func() { l.post(attemptEnded{attempt: a, result: a.run()}) }()
 }
 
 func (l *loop) onOutcome(a *attempt, res *result) {
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -29,7 +29,7 @@
 
 // told hands the agent a whole list of the backends at these addresses.
 func (a *Agent) told(seq int64, hosts ...Host) {
-	a.loop.post(input{kind: inputWatchEvent, list: listOf(seq, true, hosts...)})
+	a.loop.post(watchEvent{list: listOf(seq, true, hosts...)})
 	a.handled()
 }
 
@@ -132,7 +132,7 @@
 func (a *Agent) look(see func(l *loop)) {
 	done := make(chan struct{})
 	a.log.Handler().(looker).see <- func() { see(a.loop); close(done) }
-	a.loop.post(input{kind: inputFetched, err: io.EOF})
+	a.loop.post(endpointsFetched{err: io.EOF})
 	<-done
 }
 
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -37,21 +37,22 @@
 // so far. It returns when that is posted.
 func (a *Agent) busy(see func(l *loop)) {
 	a.log.Handler().(looker).see <- func() { see(a.loop) }
-	a.loop.post(input{kind: inputFetched, err: io.EOF})
+	a.loop.post(endpointsFetched{err: io.EOF})
 }
 
-// next takes the first input of the kind out of the queue of a loop that is busy, and hands
+// next takes the first input of a type out of the queue of a loop that is busy, and hands
 // back what came before it.
-func (a *Agent) next(t *testing.T, kind inputKind) (found input) {
+func next[T input](t *testing.T, a *Agent) (found T) {
 	t.Helper()
 	var others []input
 	eventually(t, "in the queue", func() bool {
 		select {
-		case found = <-a.loop.inputs:
-			if found.kind == kind {
+		case in := <-a.loop.inputs:
+			var ok bool
+			if found, ok = in.(T); ok {
 				return true
 			}
-			others = append(others, found)
+			others = append(others, in)
 		default:
 		}
 		return false
@@ -91,7 +92,7 @@
 					a.told(2, readyHost(9, good))
 					occupy()
 					io.WriteString(c, raw("order", "left"))
-					in := a.next(t, inputRequest)
+					in := next[requestArrived](t, a)
 					r = in.request
 					a.loop.post(in)
 				case "further":
@@ -101,7 +102,7 @@
 					a.told(3, readyHost(1, turns), readyHost(9, good))
 					occupy()
 					close(turn)
-					in := a.next(t, inputOutcome)
+					in := next[attemptEnded](t, a)
 					r = in.attempt.request
 					a.loop.post(in)
 				case "room":
@@ -112,7 +113,7 @@
 						}
 					})
 					occupy()
-					a.loop.post(input{kind: inputWatchEvent, list: listOf(3, true, readyHost(9, good))})
+					a.loop.post(watchEvent{list: listOf(3, true, readyHost(9, good))})
 				}
 				out := make(chan int, 1)
 				a.busy(func(l *loop) {
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -322,7 +322,7 @@
 	t.Helper()
 	next, done := *l.config, make(chan error, 1)
 	next.Discovery = discovery
-	l.handle(input{kind: inputReload, config: &next, done: done})
+	l.handle(reloadRequested{config: &next, done: done})
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -338,27 +338,27 @@
 	}))
 	t.Cleanup(s.Close)
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	l.listVersion = 41
+	l.watch.listVersion = 41
 	before := l.backends[addrOf("s-0")].conns
-	l.fetching, l.watching = true, true
+	l.watch.fetching, l.watch.watching = true, true
 	reloadTo(t, l, s.Listener.Addr().String())
-	t.Cleanup(l.discovery.close)
+	t.Cleanup(l.watch.discovery.close)
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
 	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	l.handle(input{kind: inputWatchEvent, list: listOf(42, false, h)})
-	l.handle(input{kind: inputWatchEnded, err: io.EOF})
-	l.handle(input{kind: inputFetched, list: listOf(42, true, h)})
-	if !l.watching || !l.fetching || !l.backends[addrOf("s-0")].usable || l.backends[addrOf("s-0")].conns != before {
+	l.handle(watchEvent{list: listOf(42, false, h)})
+	l.handle(watchEnded{err: io.EOF})
+	l.handle(endpointsFetched{list: listOf(42, true, h)})
+	if !l.watch.watching || !l.watch.fetching || !l.backends[addrOf("s-0")].usable || l.backends[addrOf("s-0")].conns != before {
 		t.Fatal("a late word of the old discovery counted")
 	}
-	l.handle(input{kind: inputWatchEvent, list: listOf(3, false, h), discoveryGen: 1})
-	if b := l.backends[addrOf("s-0")]; b != nil && b.usable || l.listVersion != 3 {
+	l.handle(watchEvent{list: listOf(3, false, h), generation: 1})
+	if b := l.backends[addrOf("s-0")]; b != nil && b.usable || l.watch.listVersion != 3 {
 		t.Fatal("the new discovery was not heard")
 	}
-	disc := l.discovery
-	if reloadTo(t, l, disc.addr); l.discovery != disc {
+	disc := l.watch.discovery
+	if reloadTo(t, l, disc.addr); l.watch.discovery != disc {
 		t.Fatal("the same discovery was taken for a new one")
 	}
 }
@@ -378,10 +378,10 @@
 	told := make(chan input, 10)
 	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 1, func(in input) { told <- in })
 	d.watch(0, true)
-	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.discoveryGen != 1 {
+	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.generation != 1 {
 		t.Fatalf("told %+v", in)
 	}
-	if in := <-told; in.kind != inputWatchEnded {
+	if in := contentsOf(<-told); !is[watchEnded](in.input) {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -145,7 +145,7 @@
 
 func newDiscovery(ctx context.Context, addr string, gen int, post func(input)) *discovery {
 	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", generation: gen, firstWordTimeout: watchSilence, silence: watchSilence,
-		dial: (&net.Dialer{}).DialContext}
+		dial: (&net.Dialer{}).DialContext, post: post}
 	d.client = &http.Client{
 		// A connection a call: a kept one could break under the next call, which the
 		// transport would then send twice, and each call is work for discovery.
@@ -160,10 +160,6 @@
 	}
 	d.ctx, d.close = context.WithCancel(ctx)
 	d.pause = d.sleep
-	d.post = func(in input) {
-		in.discoveryGen = gen
-		post(in)
-	}
 	return d
 }
 
@@ -231,7 +227,7 @@
 		}
 		return err
 	})
-	d.post(input{kind: inputFetched, list: l, err: err})
+	d.post(endpointsFetched{generation: d.generation, list: l, err: err})
 }
 
 // watch follows the changes after version since until the connection ends, falls
@@ -245,7 +241,7 @@
 		}
 		return w.err
 	})
-	d.post(input{kind: inputWatchEnded, err: w.err, endedAfterNotice: w.endedAfterNotice(d.silence)})
+	d.post(watchEnded{generation: d.generation, err: w.err, endedAfterNotice: w.endedAfterNotice(d.silence)})
 }
 
 // watched is how a watch went.
@@ -297,7 +293,7 @@
 			return w
 		}
 		w.notified = true
-		d.post(input{kind: inputWatchEvent, list: l})
+		d.post(watchEvent{generation: d.generation, list: l})
 		f.next(lists.Buffered())
 	}
 }
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -20,10 +20,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.handle(input{kind: inputWatchEvent, list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
+	l.handle(watchEvent{list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
 	var left []*discovery
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
-		left = append(left, l.discovery)
+		left = append(left, l.watch.discovery)
 		if err := l.reload(parse(t, config(addr, "127.0.0.1:9"))); err != nil {
 			t.Fatal(err)
 		}
@@ -33,22 +33,26 @@
 		if d.ctx.Err() == nil {
 			t.Fatalf("the calls of %s go on", d.addr)
 		}
-		for _, kind := range []inputKind{inputWatchEvent, inputFetched, inputWatchEnded} {
-			l.handle(input{kind: kind, discoveryGen: d.generation, list: listOf(100, true, draining)})
+		for _, in := range []input{
+			watchEvent{generation: d.generation, list: listOf(100, true, draining)},
+			endpointsFetched{generation: d.generation, list: listOf(100, true, draining)},
+			watchEnded{generation: d.generation},
+		} {
+			l.handle(in)
 		}
-		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.listVersion != 0 || !l.watching || !l.fetching {
+		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
 			t.Fatalf("what %s tells counts, though discovery has moved", d.addr)
 		}
 	}
-	if l.discovery.addr != "127.0.0.1:1" || l.discovery.firstWordTimeout != localFirstWordTimeout {
-		t.Fatalf("asks %s within %v", l.discovery.addr, l.discovery.firstWordTimeout)
+	if l.watch.discovery.addr != "127.0.0.1:1" || l.watch.discovery.firstWordTimeout != localFirstWordTimeout {
+		t.Fatalf("asks %s within %v", l.watch.discovery.addr, l.watch.discovery.firstWordTimeout)
 	}
 	// A lower version than the first time, as it may have begun anew.
-	l.handle(input{kind: inputWatchEvent, discoveryGen: l.discovery.generation, list: listOf(3, true, draining)})
-	if b := l.backends[addrOf("s-0")]; l.listVersion != 3 || b != nil && b.usable {
+	l.handle(watchEvent{generation: l.watch.discovery.generation, list: listOf(3, true, draining)})
+	if b := l.backends[addrOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
 		t.Fatal("what the discovery now asked tells does not count")
 	}
-	l.discovery.close()
+	l.watch.discovery.close()
 }
 
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
@@ -64,7 +68,7 @@
 			b := l.backends[addrOf("s-0")]
 			waits := newAttempt(b.conns, http.MethodPost, never)
 			b.attempts[waits] = struct{}{}
-			l.handle(input{kind: inputWatchEvent, list: list})
+			l.handle(watchEvent{list: list})
 			if waits.begin() {
 				t.Fatal("an attempt begins after the list")
 			}
@@ -83,7 +87,7 @@
 func TestWatchesAskForChangesAlone(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	asked := make(chan string, 10)
-	l.discovery.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+	l.watch.discovery.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		ours, theirs := net.Pipe()
 		go func() {
 			defer theirs.Close()
@@ -95,11 +99,11 @@
 	}
 	for i, lost := range []bool{true, false, true, false} {
 		seq := int64(5 + i)
-		l.handle(input{kind: inputWatchEvent, list: listOf(seq, false)})
-		l.handle(input{kind: inputWatchEnded, err: errWatchSilent, endedAfterNotice: lost})
+		l.handle(watchEvent{list: listOf(seq, false)})
+		l.handle(watchEnded{err: errWatchSilent, endedAfterNotice: lost})
 		l.actions = append(l.actions[:0], policy.Action{Kind: policy.ActionWatch})
 		l.perform()
-		if l.fetching || !l.watching {
+		if l.watch.fetching || !l.watch.watching {
 			t.Fatal("fetches the whole list, or watches no more")
 		}
 		select {
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -89,7 +89,7 @@
 			d.dial = dialer.connect
 			d.pause = func(time.Duration) bool { t.Error("paused"); return false }
 			d.watch(1, false)
-			if in := await(t, told); in.kind != inputWatchEnded || in.err == nil || in.endedAfterNotice || dialer.connects != 1 {
+			if in := await(t, told); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice || dialer.connects != 1 {
 				t.Fatalf("%d connects, and told %+v", dialer.connects, in)
 			}
 		})
@@ -110,7 +110,7 @@
 	go d.watch(1, false)
 	<-failing
 	d.close()
-	if in := await(t, told); in.kind != inputWatchEnded {
+	if in := await(t, told); !is[watchEnded](in.input) {
 		t.Fatalf("told %+v", in)
 	}
 }
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -4,61 +4,67 @@
 	"ploverreel/policy"
 )
 
-func (l *loop) onDiscovery(in *input) {
-	switch in.kind {
-	case inputFetched:
-		l.fetching = false
-		switch {
-		case in.err != nil:
-			l.log.Warn("discovery: fetch failed", "err", in.err)
-			l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
-		case in.list.Seq >= l.listVersion: // the watch may have told more meanwhile
-			l.applyEndpointList(policy.ListFull, &in.list)
-			l.startTimes.fetched(l.nowMs())
-		}
-	case inputWatchEvent:
-		switch {
-		case in.list.Whole:
-			l.applyEndpointList(policy.ListFull, &in.list)
-		case in.list.Seq > l.listVersion:
-			l.applyEndpointList(policy.ListDelta, &in.list)
-		default: // nothing new, and yet a sign that discovery is there
-			l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
-		}
-		l.startTimes.watched()
-	case inputWatchEnded:
-		l.watching = false
-		l.startTimes.unwatched(l.nowMs(), float64(l.discovery.silence.Milliseconds()))
-		l.log.Warn("discovery: watch ended", "err", in.err)
-		how := policy.ListFailed
-		if in.endedAfterNotice {
-			how = policy.ListWatchEnded
-		}
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
+// onEndpointsFetched applies a whole list that was fetched, or notifies the module that the fetch
+// failed.
+func (l *loop) onEndpointsFetched(in *endpointsFetched) {
+	l.watch.fetching = false
+	switch {
+	case in.err != nil:
+		l.log.Warn("discovery: fetch failed", "err", in.err)
+		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
+	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
+		l.applyEndpointList(policy.ListFull, &in.list)
+		l.watch.startTimes.fetched(l.nowMs())
+	}
+}
+
+// onWatchEvent applies a list that a watch delivered.
+func (l *loop) onWatchEvent(list *List) {
+	switch {
+	case list.Whole:
+		l.applyEndpointList(policy.ListFull, list)
+	case list.Seq > l.watch.listVersion:
+		l.applyEndpointList(policy.ListDelta, list)
+	default: // nothing new, and yet a sign that discovery is there
+		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
+	}
+	l.watch.startTimes.watched()
+}
+
+// onWatchEnded notifies the module of the end of a watch; the module says when the next one is
+// opened.
+func (l *loop) onWatchEnded(in *watchEnded) {
+	l.watch.watching = false
+	l.watch.startTimes.unwatched(l.nowMs(), float64(l.watch.discovery.silence.Milliseconds()))
+	l.log.Warn("discovery: watch ended", "err", in.err)
+	how := policy.ListFailed
+	if in.endedAfterNotice {
+		how = policy.ListWatchEnded
 	}
+	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
 // turn turns to another discovery: the old one's calls end and their results no
 // longer count, the new one is asked for all that it knows, at once. Until it tells, the
 // list at hand and all connections stay. Its versions have nothing to do with the old.
 func (l *loop) switchDiscovery(addr string) {
-	if addr == l.discovery.addr {
+	if addr == l.watch.discovery.addr {
 		return
 	}
-	l.log.Info("discovery: changed", "from", l.discovery.addr, "to", addr)
-	l.discovery.close()
-	first := l.discovery.firstWordTimeout
-	l.discovery = newDiscovery(l.ctx, addr, l.discovery.generation+1, l.post)
-	l.discovery.firstWordTimeout = first
-	l.listVersion, l.fetching, l.watching = 0, true, true
-	l.startTimes.unwatched(l.nowMs(), 0)
-	go l.discovery.fetch(true)
-	go l.discovery.watch(0, true)
+	l.log.Info("discovery: changed", "from", l.watch.discovery.addr, "to", addr)
+	l.watch.discovery.close()
+	first := l.watch.discovery.firstWordTimeout
+	l.watch.discovery = newDiscovery(l.ctx, addr, l.watch.discovery.generation+1, l.post)
+	l.watch.discovery.firstWordTimeout = first
+	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
+	l.watch.startTimes.unwatched(l.nowMs(), 0)
+	go l.watch.discovery.fetch(true)
+	go l.watch.discovery.watch(0, true)
 }
 
 // learn applies a list: to the connections first, then the module is told.
 func (l *loop) applyEndpointList(kind policy.ListKind, list *List) {
-	l.listVersion = list.Seq
+	l.watch.listVersion = list.Seq
 	entries := make([]policy.Entry, len(list.Hosts))
 	named := map[policy.Addr]bool{}
 	for i := range list.Hosts {
@@ -85,8 +91,8 @@
 		}
 		b.usable = entries[i].Health == policy.HealthReady
 	}
-	l.startTimes.translate(entries, l.nowMs())
-	l.startTimes.forget(l.backends)
+	l.watch.startTimes.translate(entries, l.nowMs())
+	l.watch.startTimes.forget(l.backends)
 	for addr, b := range l.backends {
 		if kind != policy.ListDelta && !named[addr] {
 			b.usable = false
@@ -101,9 +107,9 @@
 	for _, b := range l.backends {
 		usable = usable || b.usable
 	}
-	l.hasEndpoint.Store(usable || l.readyWaitOver)
-	if l.onEndpointList != nil {
-		l.onEndpointList(l.listVersion, kind == policy.ListFull)
+	l.ready.hasEndpoint.Store(usable || l.ready.waitOver)
+	if l.watch.onApplied != nil {
+		l.watch.onApplied(l.watch.listVersion, kind == policy.ListFull)
 	}
 }
 
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -30,7 +30,7 @@
 func (a *Agent) fill() {
 	for {
 		select {
-		case a.loop.inputs <- input{kind: inputTimer}:
+		case a.loop.inputs <- timerFired{}:
 		default:
 			return
 		}
@@ -43,7 +43,7 @@
 		for {
 			select {
 			case in := <-a.loop.inputs:
-				if in.kind == inputRequest {
+				if is[requestArrived](in) {
 					then()
 					return
 				}
@@ -165,8 +165,8 @@
 	for {
 		select {
 		case in := <-a.loop.inputs:
-			if in.kind == inputClientGone || in.kind == inputRequest {
-				t.Fatalf("the loop was told %d of a request that it does not know", in.kind)
+			if is[clientDisconnected](in) || is[requestArrived](in) {
+				t.Fatalf("the loop was told %T of a request that it does not know", in)
 			}
 			continue
 		default:
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -94,7 +94,7 @@
 	queue := a.loop.inputs // nil when the request is in it
 	for {
 		select {
-		case queue <- input{kind: inputRequest, request: r}:
+		case queue <- requestArrived{request: r}:
 			queue = nil
 			continue
 		case ans := <-r.answers:
@@ -128,7 +128,7 @@
 // such word, so no more wait to tell it than the loop and its queue hold requests.
 func (a *Agent) drop(r *request) {
 	r.clientGone.Store(true) // seen at once, however long the loop's queue
-	in := input{kind: inputClientGone, request: r}
+	in := clientDisconnected{request: r}
 	select {
 	case a.loop.inputs <- in:
 	default:
@@ -149,7 +149,7 @@
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter) {
-	if a.shutdownAt.Load() != nil || !a.loop.hasEndpoint.Load() {
+	if a.shutdownAt.Load() != nil || !a.loop.ready.hasEndpoint.Load() {
 		http.Error(w, "no backend to send to", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,24 +12,6 @@
 	"ploverreel/policy"
 )
 
-// inKind tells what happened.
-type inputKind uint8
-
-// What may come in to the loop.
-const (
-	inputRequest       inputKind = iota // req
-	inputClientGone                     // req: its handler answers or waits no longer
-	inputOutcome                        // att, res
-	inputTimer                          // token
-	inputFetched                        // list or err, gen
-	inputWatchEvent                     // list, gen
-	inputWatchEnded                     // err, lost, gen
-	inputReload                         // conf, done
-	inputReadyWaitOver                  // the agent is ready, whether or not it knows a backend
-	inputTraceStart                     // every, done: log the module's state from now on
-	inputTraceDue                       // the next line of that
-)
-
 // readyWithin is how long after its start an agent that knows no backend waits for discovery
 // before it is ready all the same. One that never is has its application send nothing at all
 // for as long as discovery is down; one that is ready holds the requests for the list as long
@@ -37,51 +19,61 @@
 // to be ready within 6 s where little time is left, and 10 s in general.
 const readyWithin = 5 * time.Second
 
-// input is one thing that happened, on its way to the loop.
-type input struct {
-	kind             inputKind
-	request          *request
-	attempt          *attempt
-	result           result
-	token            uint32
-	list             List
-	err              error
-	endedAfterNotice bool // the watch had lived before it ended
-	discoveryGen     int  // of the discovery that was asked
-	config           *Config
-	done             chan error // room for the one that is sent
-	every            time.Duration
+// loop owns the Balancer: one goroutine, that of run, hands it what happens, in order, and
+// carries out what it decides. Nothing in it blocks, and its fields belong to that goroutine but
+// for inputs, ctx and ready.hasEndpoint, which any may use.
+//
+// The loop starts a goroutine for each attempt and each call to discovery. All of them, and run,
+// end with ctx, which belongs to whoever made the loop: Agent.stop ends that of an agent.
+type loop struct {
+	// The module, and what it is given and gives.
+	balancer  *policy.Balancer
+	config    *Config // in force
+	clock     moduleClock
+	decidedAt time.Time       // before the module's clock was read for the event at hand: its spans count from then
+	actions   []policy.Action // decided for the event at hand; reused
+
+	// What comes in.
+	ctx       context.Context
+	inputs    chan input
+	followUps []input                                 // what the loop itself gave rise to, to be handled next
+	after     func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
+
+	// Open requests and the backends that they go to.
+	requests map[policy.RequestID]*request
+	nextID   policy.RequestID
+	seenIDs  *seenIDs
+	backends map[policy.Addr]*backend
+	pool     *pool
+
+	watch watchState
+	ready readyState
+
+	log    *slog.Logger
+	tracer *tracer // nil: off
 }
 
-// loop owns the Balancer: one goroutine hands it what happens, in order, and
-// carries out what it decides. Nothing in it blocks.
-type loop struct {
-	balancer       *policy.Balancer
-	config         *Config // in force
-	log            *slog.Logger
-	inputs         chan input
-	followUps      []input // what the loop itself gave rise to, to be handled next
-	clock          moduleClock
-	startTimes     *startTimes
-	pool           *pool
-	discovery      *discovery
-	decidedAt      time.Time // before the module's clock was read for the event at hand: its spans count from then
-	requests       map[policy.RequestID]*request
-	backends       map[policy.Addr]*backend
-	nextID         policy.RequestID
-	seenIDs        *seenIDs
-	listVersion    int64 // version of the list at hand; 0 after a change of discovery
-	watching       bool
-	fetching       bool
-	actions        []policy.Action
-	hasEndpoint    atomic.Bool                             // a backend can be sent to, or none was known for long enough
-	readyWaitOver  bool                                    // readyWithin is over
-	after          func(time.Duration, func()) *time.Timer // time.AfterFunc, but for tests
-	ctx            context.Context
-	onEndpointList func(seq int64, whole bool) // told of each list in force; may be nil
-	tracer         *tracer                     // nil: off
+// watchState is what the loop knows of discovery and of the endpoint list in force.
+type watchState struct {
+	discovery   *discovery // the one that is called now
+	watching    bool       // a watch is open or being opened
+	fetching    bool       // a fetch is under way
+	listVersion int64      // version of the list in force; 0 after a change of discovery
+	startTimes  *startTimes
+	onApplied   func(seq int64, whole bool) // is notified of each list in force; may be nil
 }
 
+// isCurrent reports whether the discovery of this generation is the one that is called now.
+func (w *watchState) isCurrent(generation int) bool { return generation == w.discovery.generation }
+
+// readyState is what /ready answers by.
+type readyState struct {
+	hasEndpoint atomic.Bool // a backend can be sent to, or none was known for readyWithin
+	waitOver    bool        // readyWithin is over
+}
+
+// newLoop makes a loop, whose module knows the list of the configuration. Its error is that of a
+// configuration that the module doesn't take.
 func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
 	set := c.module()
 	first := firstWordTimeout
@@ -95,12 +87,12 @@
 	l := &loop{balancer: bal, config: c, log: log, ctx: ctx,
 		// Room for all that can be under way at once: a handler must not wait here
 		// while its guard is not yet set.
-		inputs: make(chan input, 4*c.Limits.Sockets), clock: newModuleClock(c.clock), startTimes: newStartTimes(),
+		inputs: make(chan input, 4*c.Limits.Sockets), clock: newModuleClock(c.clock), watch: watchState{startTimes: newStartTimes()},
 		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{}, after: time.AfterFunc,
 		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), seenIDs: newSeenIDs(0)}
 	l.applyLimits()
-	l.discovery = newDiscovery(ctx, c.Discovery, 0, l.post)
-	l.discovery.firstWordTimeout = first
+	l.watch.discovery = newDiscovery(ctx, c.Discovery, 0, l.post)
+	l.watch.discovery.firstWordTimeout = first
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
 	l.applyEndpointList(policy.ListCached, &c.Known)
@@ -120,7 +112,7 @@
 	l.pool.configure(connect, millis(limits.KeepaliveMs/2), backendSockets(l.config.Limits.Sockets),
 		prices.Handshake == 0 && prices.Connection == 0)
 	l.seenIDs.keep = max(l.seenIDs.keep, l.config.maxDeadline()+time.Second) // longer than any request is open
-	l.startTimes.tolerance = l.config.Settings.Contract.StartToleranceMs()
+	l.watch.startTimes.tolerance = l.config.Settings.Contract.StartToleranceMs()
 }
 
 func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
@@ -136,7 +128,7 @@
 
 // run handles what comes in until the context ends.
 func (l *loop) run() {
-	l.after(readyWithin, func() { l.post(input{kind: inputReadyWaitOver}) })
+	l.after(readyWithin, func() { l.post(readyWaitOver{}) })
 	for {
 		select {
 		case in := <-l.inputs:
@@ -151,38 +143,47 @@
 	}
 }
 
-// handle takes one input. A panic costs the request at hand its decision, and its
-// guard answers it: one bad event must not take down all that the agent holds.
+// handle takes one input. A panic costs the request at hand its decision, and the timer in
+// Agent.serve answers it: one bad event must not end all other requests.
 func (l *loop) handle(in input) {
-	defer l.recovered("input", int(in.kind))
-	switch in.kind {
-	case inputRequest:
+	defer l.recovered("input", in)
+	switch in := in.(type) {
+	case requestArrived:
 		l.onRequest(in.request)
-	case inputClientGone:
-		if r := in.request; r.id != 0 && !r.answered {
-			l.close(r)
-			l.notify(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
-			l.forget(r)
-		}
-	case inputOutcome:
+	case clientDisconnected:
+		l.onClientDisconnected(in.request)
+	case attemptEnded:
 		l.onOutcome(in.attempt, &in.result)
-	case inputTimer:
+	case timerFired:
 		l.notify(&policy.Event{Kind: policy.EventTimer, Token: in.token})
-	case inputReload:
+	case endpointsFetched:
+		if l.watch.isCurrent(in.generation) {
+			l.onEndpointsFetched(&in)
+		}
+	case watchEvent:
+		if l.watch.isCurrent(in.generation) {
+			l.onWatchEvent(&in.list)
+		}
+	case watchEnded:
+		if l.watch.isCurrent(in.generation) {
+			l.onWatchEnded(&in)
+		}
+	case reloadRequested:
 		in.done <- l.reload(in.config)
-	case inputTraceStart:
+	case traceRequested:
 		in.done <- l.startTrace(in.every)
-	case inputTraceDue:
+	case traceDue:
 		l.trace()
-	case inputReadyWaitOver:
-		l.readyWaitOver = true
-		if !l.hasEndpoint.Swap(true) {
-			l.log.Warn("ready though no backend is known", "after", readyWithin)
-		}
-	case inputFetched, inputWatchEvent, inputWatchEnded:
-		if in.discoveryGen == l.discovery.generation { // else of a discovery that is asked no more
-			l.onDiscovery(&in)
-		}
+	case readyWaitOver:
+		l.onReadyWaitOver()
+	}
+}
+
+// onReadyWaitOver makes an agent that knows no backend ready all the same.
+func (l *loop) onReadyWaitOver() {
+	l.ready.waitOver = true
+	if !l.ready.hasEndpoint.Swap(true) {
+		l.log.Warn("ready though no backend is known", "after", readyWithin)
 	}
 }
 
@@ -206,84 +207,15 @@
 	return nil
 }
 
-// tell hands the module one event and carries out what it decides.
-func (l *loop) notify(ev *policy.Event) {
-	l.decidedAt = time.Now()
-	l.actions = l.decide(l.nowMs(), ev)
-	l.perform()
-}
-
-// decide hands the module one event. What it had decided before a panic counts: it waits for
-// the ends of those attempts.
-func (l *loop) decide(now float64, ev *policy.Event) (actions []policy.Action) {
-	defer func() {
-		if p := recover(); p != nil {
-			l.log.Error("panic in the module", "event", ev.Kind, "panic", p, "stack", string(debug.Stack()))
-			actions = l.balancer.Decided()
-		}
-	}()
-	return l.balancer.Handle(now, ev, l.actions[:0])
-}
-
-// act carries out the module's actions in their order.
-func (l *loop) perform() {
-	for i := range l.actions {
-		l.carryOut(&l.actions[i])
+// recovered logs a panic, if there is one, and lets the loop go on. It is to be deferred. Of an
+// input its type is logged.
+func (l *loop) recovered(key string, subject any) {
+	p := recover()
+	if p == nil {
+		return
 	}
-}
-
-// carryOut carries out one action. A panic costs that action alone: those behind it belong to
-// other requests, and the module counts on them.
-func (l *loop) carryOut(act *policy.Action) {
-	defer l.recovered("action", int(act.Kind))
-	r := l.requests[act.Request]
-	switch act.Kind {
-	case policy.ActionSend:
-		if r != nil {
-			l.send(r, act)
-		}
-	case policy.ActionCancel:
-		if r != nil && act.Attempt >= 0 && act.Attempt < len(r.attempts) {
-			if a := r.attempts[act.Attempt]; a != nil {
-				a.withdraw() // else its first byte could still cross this
-				a.cancel(errCancelled)
-			}
-		}
-	case policy.ActionReject:
-		if r != nil {
-			l.answer(r, response{status: policy.StatusRejected, retryAfter: millis(act.DelayMs)})
-			l.forget(r)
-		}
-	case policy.ActionFail:
-		if r != nil {
-			l.answer(r, response{status: policy.StatusServerError})
-			l.forget(r)
-		}
-	case policy.ActionTimer:
-		token := act.Token
-		time.AfterFunc(millis(act.DelayMs), func() { l.post(input{kind: inputTimer, token: token}) })
-	case policy.ActionWatch:
-		if !l.watching {
-			l.watching = true
-			go l.discovery.watch(l.listVersion, false)
-		}
-	case policy.ActionFetch:
-		if !l.fetching {
-			l.fetching = true
-			go l.discovery.fetch(false)
-		}
-	case policy.ActionCloseIdle:
-		if b := l.backends[act.Server]; b != nil {
-			b.conns.closeIdle()
-		}
-	case policy.ActionLog:
-		l.log.Info(act.Text)
-	}
-}
-
-// recovered logs a panic, if there is one, and lets the loop go on. It is to be deferred.
-func (l *loop) recovered(what string, kind int) {
-	if p := recover(); p != nil {
-		l.log.Error("panic in the loop", what, kind, "panic", p, "stack", string(debug.Stack()))
+	if in, ok := subject.(input); ok {
+		subject = fmt.Sprintf("%T", in)
 	}
+	l.log.Error("panic in the loop", key, subject, "panic", p, "stack", string(debug.Stack()))
 }
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -22,7 +22,7 @@
 		b.attempts = nil // a write to it panics
 	}
 	for _, r := range requests {
-		l.handle(input{kind: inputRequest, request: r})
+		l.handle(requestArrived{request: r})
 		for len(l.followUps) > 0 {
 			var in input
 			in, l.followUps = l.followUps[0], l.followUps[1:]
@@ -67,7 +67,7 @@
 func TestReloadThatPanics(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
-	l.handle(input{kind: inputReload, done: done}) // no configuration at all
+	l.handle(reloadRequested{done: done}) // no configuration at all
 	select {
 	case err := <-done:
 		if err == nil {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -115,7 +115,7 @@
 			t.Errorf("%s: the class at hand is answered %d", key, status)
 		}
 		a.look(func(l *loop) {
-			if l.discovery.addr != nowhere {
+			if l.watch.discovery.addr != nowhere {
 				t.Errorf("%s: another discovery is asked", key)
 			}
 		})
@@ -143,12 +143,12 @@
 		l := quietLoop(t, "127.0.0.1:1")
 		old := l.config
 		done := make(chan error, 1)
-		l.handle(input{kind: inputReload, config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
+		l.handle(reloadRequested{config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
 		r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(never), answers: make(chan response, 1)}
-		l.handle(input{kind: inputRequest, request: r})
+		l.handle(requestArrived{request: r})
 		if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
 			t.Errorf("%s: class %d, %d attempts", c.name, r.class, len(r.attempts))
 		}
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -103,6 +103,16 @@
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
+// onClientDisconnected closes a request whose handler waits no longer, unless it has its answer.
+func (l *loop) onClientDisconnected(request *request) {
+	if request.id == 0 || request.answered {
+		return
+	}
+	l.close(request)
+	l.notify(&policy.Event{Kind: policy.EventClientGone, Request: request.id})
+	l.forget(request)
+}
+
 // answer gives a request its final answer, unless it has one.
 func (l *loop) answer(r *request, a response) {
 	if !r.answered {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -125,7 +125,7 @@
 		return fmt.Errorf("config: listen: can't change without a restart, is %q and would be %q", old.Listen, c.Listen)
 	}
 	done := make(chan error, 1)
-	a.loop.post(input{kind: inputReload, config: c, done: done})
+	a.loop.post(reloadRequested{config: c, done: done})
 	select {
 	case err := <-done:
 		if err != nil {
--- a/internal/agent/simulated.go
+++ b/internal/agent/simulated.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return err
 	}
-	l.onEndpointList = learned
+	l.watch.onApplied = learned
 	l.run()
 	return nil
 }
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -75,7 +75,7 @@
 // hear tells the agent a list.
 func (f *watchedFleet) hear(whole bool, hosts ...Host) {
 	f.seq++
-	f.loop.handle(input{kind: inputWatchEvent, list: listOf(f.seq, whole, hosts...)})
+	f.loop.handle(watchEvent{list: listOf(f.seq, whole, hosts...)})
 	f.noticed = f.machine.real
 }
 
@@ -99,7 +99,7 @@
 			continue
 		}
 		cold++
-		if known, ok := f.loop.startTimes.known[addrOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
+		if known, ok := f.loop.watch.startTimes.known[addrOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
 			f.t.Fatalf("%s is %v old and counts as %v old", name, age, millis(f.loop.nowMs()-known.sinceMs))
 		}
 	}
@@ -199,7 +199,7 @@
 		f.boot()
 		f.hear(true, f.hosts...)
 		f.machine.pass(time.Minute)
-		f.loop.handle(input{kind: inputWatchEnded, err: errWatchSilent, endedAfterNotice: true})
+		f.loop.handle(watchEnded{err: errWatchSilent, endedAfterNotice: true})
 		f.born("s-0", 0)
 		f.machine.pass(4 * time.Second)
 		f.born("s-1", 0)
@@ -208,7 +208,7 @@
 		stepped.BornMs -= 3600e3
 		f.hear(false, f.hosts[1], f.hosts[2], stepped)
 		for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
-			if age := millis(f.loop.nowMs() - f.loop.startTimes.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
+			if age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
 				t.Errorf("clock off by %v: %s counts as %v old, want %v", step, name, age, want)
 			}
 		}
@@ -253,7 +253,7 @@
 		f.hosts = f.hosts[:1]
 		f.hear(true, f.hosts[0], h)
 	}
-	if n := len(f.loop.startTimes.known); n > 1100 {
+	if n := len(f.loop.watch.startTimes.known); n > 1100 {
 		t.Errorf("%d starts are remembered, two servers are listed", n)
 	}
 }
@@ -270,7 +270,7 @@
 	}
 	f.hold(20 * time.Second)
 	entries := []policy.Entry{{Server: addrOf("s-1"), StartedMs: 1e300}}
-	if f.loop.startTimes.translate(entries, f.loop.nowMs()); entries[0].StartedMs > f.loop.nowMs() {
+	if f.loop.watch.startTimes.translate(entries, f.loop.nowMs()); entries[0].StartedMs > f.loop.nowMs() {
 		t.Errorf("a start in the future: %v", entries[0].StartedMs)
 	}
 }
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -40,7 +40,7 @@
 // Trace has the agent log the module's state again and again, so many ms apart.
 func (a *Agent) Trace(every time.Duration) error {
 	done := make(chan error, 1)
-	a.loop.post(input{kind: inputTraceStart, every: every, done: done})
+	a.loop.post(traceRequested{every: every, done: done})
 	select {
 	case err := <-done:
 		return err
@@ -75,7 +75,7 @@
 		l.log.Warn("trace: ends", "lines", t.lines)
 		return
 	}
-	l.after(t.every, func() { l.post(input{kind: inputTraceDue}) })
+	l.after(t.every, func() { l.post(traceDue{}) })
 }
 
 // attributes are a line's: counts are those since the line before.
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -32,7 +32,7 @@
 	}
 	l.balancer.Handle(l.nowMs(), &policy.Event{Kind: policy.EventRequest, Request: 1, TimeLeftMs: 1000}, nil)
 	for range 2 {
-		l.handle(input{kind: inputTraceDue})
+		l.handle(traceDue{})
 	}
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 3 || due != 3 {
@@ -45,7 +45,7 @@
 		}
 	}
 	l.tracer.lines = mostTraceLines - 1
-	l.handle(input{kind: inputTraceDue})
+	l.handle(traceDue{})
 	if due != 3 || !strings.Contains(text.String(), "trace: ends") {
 		t.Error("the trace goes on past its bound")
 	}
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -43,11 +43,11 @@
 }
 
 // await takes the next word of a watch.
-func await(t *testing.T, told chan input) input {
+func await(t *testing.T, told chan input) inputContents {
 	t.Helper()
 	select {
 	case in := <-told:
-		return in
+		return contentsOf(in)
 	case <-time.After(noAnswer):
 		t.Fatal("told nothing")
 		panic("unreachable")
@@ -64,18 +64,18 @@
 	for _, r := range "\n\n" + indented {
 		pieces <- string(r)
 	}
-	if in := await(t, told); in.kind != inputWatchEvent || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
+	if in := await(t, told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
 	}
 	two := strings.Replace(change, `"seq":2`, `"seq":3`, 1) + strings.Replace(indented, `"seq": 2`, `"seq": 4`, 1)
 	pieces <- two + "\n\r\n \t\n"
 	for _, seq := range []int64{3, 4} {
-		if in := await(t, told); in.kind != inputWatchEvent || in.list.Seq != seq {
+		if in := await(t, told); !is[watchEvent](in.input) || in.list.Seq != seq {
 			t.Fatalf("told %+v, want list %d", in, seq)
 		}
 	}
 	close(pieces)
-	if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, io.EOF) {
+	if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, io.EOF) {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -116,7 +116,7 @@
 				}
 			}
 		}()
-		if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, errListTooLong) {
+		if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, errListTooLong) {
 			t.Fatalf("told %+v", in)
 		}
 	})
@@ -130,12 +130,12 @@
 		d.firstWordTimeout, d.silence = never, never
 		go d.watch(1, false)
 		go func() { pieces <- text + "\n"; close(pieces) }()
-		if in := await(t, told); in.kind != inputWatchEnded || in.err == nil || in.endedAfterNotice {
+		if in := await(t, told); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice {
 			t.Fatalf("%s: a watch told %+v", text, in)
 		}
 		d, told = scripted(t, false, text)
 		d.fetch(false)
-		if in := await(t, told); in.kind != inputFetched || in.err == nil {
+		if in := await(t, told); !is[endpointsFetched](in.input) || in.err == nil {
 			t.Fatalf("%s: a fetch told %+v", text, in)
 		}
 	}
@@ -189,12 +189,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		failed := input{kind: inputWatchEnded, err: errWatchSilent}
+		failed := watchEnded{err: errWatchSilent}
 		for range 6 {
 			l.handle(failed)
 		}
 		if told {
-			l.handle(input{kind: inputWatchEvent, list: List{Seq: l.listVersion, Hosts: []Host{}}})
+			l.handle(watchEvent{list: List{Seq: l.watch.listVersion, Hosts: []Host{}}})
 		}
 		l.handle(failed)
 		for _, a := range l.actions {
@@ -218,12 +218,12 @@
 		conf["settings"].(map[string]any)["membershipMode"] = mode
 		a, _, _, _ := start(t, conf)
 		a.look(func(l *loop) {
-			if l.discovery.firstWordTimeout != want {
-				t.Errorf("%s: waits %v for the first word", mode, l.discovery.firstWordTimeout)
+			if l.watch.discovery.firstWordTimeout != want {
+				t.Errorf("%s: waits %v for the first word", mode, l.watch.discovery.firstWordTimeout)
 			}
 			l.switchDiscovery("127.0.0.1:2")
-			if l.discovery.firstWordTimeout != want {
-				t.Errorf("%s: waits %v after a reload", mode, l.discovery.firstWordTimeout)
+			if l.watch.discovery.firstWordTimeout != want {
+				t.Errorf("%s: waits %v after a reload", mode, l.watch.discovery.firstWordTimeout)
 			}
 		})
 	}
@@ -236,7 +236,7 @@
 	d := newDiscovery(t.Context(), ln.Addr().String(), 0, func(in input) { told <- in })
 	d.firstWordTimeout = time.Millisecond
 	go d.watch(1, false)
-	if in := await(t, told); in.kind != inputWatchEnded || !errors.Is(in.err, errWatchSilent) || in.endedAfterNotice {
+	if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, errWatchSilent) || in.endedAfterNotice {
 		t.Fatalf("told %+v", in)
 	}
 }
@@ -254,7 +254,7 @@
 	told := make(chan input, 10)
 	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 0, func(in input) { told <- in })
 	d.watch(1, false)
-	if in := await(t, told); in.kind != inputWatchEnded || len(other) > 0 {
+	if in := await(t, told); !is[watchEnded](in.input) || len(other) > 0 {
 		t.Fatalf("told %+v", in)
 	}
 }
