--- a/internal/agent/config_errors_test.go
+++ b/internal/agent/config_errors_test.go
@@ -2,6 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
 	"log/slog"
 	"path/filepath"
 	"testing"
@@ -72,9 +75,14 @@
 			}
 			setAt(conf, c.value, c.path...)
 			text, _ = json.Marshal(conf)
-			if _, err := ParseConfig(text); err == nil || err.Error() != c.want {
+			_, err := ParseConfig(text)
+			if err == nil || err.Error() != c.want {
 				t.Errorf("said\n%v, want\n%s", err, c.want)
 			}
+			var field *FieldError
+			if !errors.As(err, &field) || "config: "+field.Field+": "+field.Reason != c.want {
+				t.Errorf("field and reason are %+v, want those of %s", field, c.want)
+			}
 		})
 	}
 }
@@ -129,3 +137,28 @@
 		t.Errorf("after the end: %v", err)
 	}
 }
+
+// The field of an error is the path, also below a part that is checked by itself.
+func TestFieldsOfConfigErrors(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want string
+	}{
+		{inField("listen", checkAddress("here")), "listen"},
+		{inField("known", (&List{}).check()), "known: hosts"},
+		{inField("known", fmt.Errorf("json: %w", io.EOF)), "known"},
+		{ofSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
+		{ofSettings(errors.New("settings: no colon behind")), "settings"},
+		{inField("a", fmt.Errorf("b: %w", fieldErrorf("c", "d"))), "a"},
+	} {
+		t.Run(c.want, func(t *testing.T) {
+			var field *FieldError
+			if !errors.As(c.err, &field) || field.Field != c.want {
+				t.Errorf("%v is of the field %q", c.err, field.Field)
+			}
+		})
+	}
+	if err := inField("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) || inField("x", nil) != nil || ofSettings(nil) != nil {
+		t.Error("the cause is lost, or none is an error")
+	}
+}
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -83,17 +83,17 @@
 // check reports the first part of a list that makes no sense.
 func (l *List) check() error {
 	if l.Hosts == nil {
-		return errors.New("hosts: missing") // of other JSON no list may be made that names nobody
+		return fieldErrorf("hosts", "missing") // of other JSON no list may be made that names nobody
 	}
 	for i, h := range l.Hosts {
 		health, known := healths[h.Health]
 		switch {
 		case h.Host == "":
-			return fmt.Errorf("hosts[%d].host: missing", i)
+			return fieldErrorf(fmt.Sprintf("hosts[%d].host", i), "missing")
 		case !known:
-			return fmt.Errorf("hosts[%d].health: unknown word %q", i, h.Health)
+			return fieldErrorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", h.Health)
 		case health != policy.HealthGone && checkAddress(h.Dial) != nil:
-			return fmt.Errorf("hosts[%d].dial: no address with a port: %q", i, h.Dial)
+			return fieldErrorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", h.Dial)
 		}
 	}
 	return nil
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -199,7 +199,7 @@
 		return err
 	}
 	if err := l.balancer.Reconfigure(c.module()); err != nil {
-		return err
+		return ofSettings(err)
 	}
 	l.config = c
 	l.applyLimits()
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -27,9 +27,9 @@
 	every, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		return 0, fmt.Errorf("EDGE_TRACE: no duration: %q", text)
+		return 0, fieldErrorf("EDGE_TRACE", "no duration: %q", text)
 	case every < shortestTrace:
-		return 0, fmt.Errorf("EDGE_TRACE: must be at least %v, is %v", shortestTrace, every)
+		return 0, fieldErrorf("EDGE_TRACE", "must be at least %v, is %v", shortestTrace, every)
 	}
 	return every, nil
 }
