--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -1,21 +1,13 @@
 package agent
 
 import (
-	"bytes"
-	"cmp"
 	"context"
-	"encoding/json"
 	"errors"
-	"fmt"
-	"hash/fnv"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
-
-	"ploverreel/policy"
 )
 
 const (
@@ -43,87 +35,11 @@
 	localCallBackoff, longestCallBackoff = 25 * time.Millisecond, 100 * time.Millisecond
 )
 
-// List is a list of backends, or a change of it, in discovery's form.
-type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
-}
-
-// Host is one backend of a list.
-type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
-}
-
-var healths = map[string]policy.Health{
-	"ready": policy.HealthReady, "draining": policy.HealthDraining, "gone": policy.HealthGone,
-}
-
 var (
 	errWatchSilent = errors.New("watch fell silent")
 	errListTooLong = errors.New("list: longer than any may be")
 )
 
-// parseList reads one list and reports the first entry that makes no sense.
-func parseList(text []byte) (List, error) {
-	var l List
-	if err := json.Unmarshal(text, &l); err != nil {
-		return l, err
-	}
-	return l, l.check()
-}
-
-// check reports the first part of a list that makes no sense.
-func (l *List) check() error {
-	if l.Hosts == nil {
-		return fieldErrorf("hosts", "missing") // of other JSON no list may be made that names nobody
-	}
-	for i, h := range l.Hosts {
-		health, known := healths[h.Health]
-		switch {
-		case h.Host == "":
-			return fieldErrorf(fmt.Sprintf("hosts[%d].host", i), "missing")
-		case !known:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", h.Health)
-		case health != policy.HealthGone && checkAddress(h.Dial) != nil:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", h.Dial)
-		}
-	}
-	return nil
-}
-
-// entry translates a host for the module. A site or class that the settings don't
-// name is nobody's own: it gets a number that no settings give.
-func (n *nameIndex) entry(h *Host) policy.Entry {
-	at := func(m map[string]int, word string) int {
-		if i, ok := m[word]; ok {
-			return i
-		}
-		return -1
-	}
-	return policy.Entry{Server: addrOf(h.Host), Zone: at(n.sites, h.Site), Cell: h.Block,
-		MachineKind: at(n.kinds, h.Class), StartedMs: h.BornMs, Health: healths[h.Health], Weight: h.Share}
-}
-
-// addrOf gives a backend its address in the module: from its name alone, so that
-// it is the same at every agent and stays when the address to dial changes.
-func addrOf(host string) policy.Addr {
-	h := fnv.New64a()
-	io.WriteString(h, host)
-	sum := h.Sum(nil)
-	for i := range 2 {
-		sum[i+2] ^= sum[i] // fold all 64 bits into 48
-	}
-	return policy.Addr(sum[2:])
-}
-
 // discovery asks the service that lists the backends. Its methods block; the loop
 // runs each in a goroutine of its own, and hears of the result by post.
 type discovery struct {
@@ -230,110 +146,6 @@
 	d.post(endpointsFetched{generation: d.generation, list: l, err: err})
 }
 
-// watch follows the changes after version since until the connection ends, falls
-// silent or holds a line that makes no sense.
-func (d *discovery) watch(since int64, eager bool) {
-	var w watchResult
-	_ = d.retryWhileNew(eager, func() error {
-		w = d.watchOnce(since, eager)
-		if w.notified {
-			return nil
-		}
-		return w.err
-	})
-	d.post(watchEnded{generation: d.generation, err: w.err, endedAfterNotice: w.endedAfterNotice(d.silence)})
-}
-
-// watched is how a watch went.
-type watchResult struct {
-	notified bool // a list came
-	alive    bool // anything came
-	lasted   time.Duration
-	err      error // why it ended
-}
-
-// lost tells whether a watch that had lived has ended, and no call that failed. One that had
-// told has lived, however short: held for a failed call it was opened again seconds later,
-// as if discovery were down, when what it should have told already counted.
-func (w watchResult) endedAfterNotice(silence time.Duration) bool {
-	return w.notified || w.alive && w.lasted >= silence
-}
-
-// follow is one watch.
-func (d *discovery) watchOnce(since int64, eager bool) (w watchResult) {
-	began := time.Now()
-	defer func() { w.lasted = time.Since(began) }()
-	ctx, cancel := context.WithCancelCause(d.ctx)
-	defer cancel(nil)
-	first := d.firstWordTimeout
-	if eager {
-		first = min(first, newDiscoveryCallTimeout)
-	}
-	dead := time.AfterFunc(first, func() { cancel(errWatchSilent) })
-	defer dead.Stop()
-	body, err := d.get(ctx, d.base+"?follow=1&since="+strconv.FormatInt(since, 10))
-	if err != nil {
-		w.err = cmp.Or(context.Cause(ctx), err)
-		return w
-	}
-	defer body.Close()
-	f := &listReader{from: body, heard: func() {
-		w.alive = true
-		dead.Reset(d.silence)
-	}}
-	lists := json.NewDecoder(f)
-	for {
-		var l List
-		if err := lists.Decode(&l); err != nil {
-			w.err = cmp.Or(context.Cause(ctx), err)
-			return w
-		}
-		if err := l.check(); err != nil {
-			w.err = fmt.Errorf("list: %w", err)
-			return w
-		}
-		w.notified = true
-		d.post(watchEvent{generation: d.generation, list: l})
-		f.next(lists.Buffered())
-	}
-}
-
-// feed is the text of a watch: lists, each of them over one line or many, and white space
-// between them as a sign of life. A list that has begun must come whole within the time and
-// the length that a list may take.
-type listReader struct {
-	from  io.Reader
-	heard func() // something came that proves that the watch lives
-	begun int    // bytes of the list that is coming; 0: between two
-}
-
-func (f *listReader) Read(p []byte) (int, error) {
-	n, err := f.from.Read(p)
-	between := f.begun == 0
-	f.count(p[:n])
-	if n > 0 && between {
-		f.heard()
-	}
-	if f.begun > maxList {
-		return 0, errListTooLong
-	}
-	return n, err
-}
-
-func (f *listReader) count(text []byte) {
-	if f.begun > 0 || len(bytes.TrimSpace(text)) > 0 {
-		f.begun += len(text)
-	}
-}
-
-// next is called after a list; rest is what was read behind it.
-func (f *listReader) next(rest io.Reader) {
-	f.heard()
-	f.begun = 0
-	text, _ := io.ReadAll(rest) // of memory: it can't fail
-	f.count(text)
-}
-
 func (d *discovery) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(context.WithValue(ctx, callKey{}, ctx), http.MethodGet, url, nil)
 	if err != nil {
