--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -11,74 +11,75 @@
 
 // List is a list of backends, or a change of it, in discovery's form.
 type List struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Seq   int64  `json:"seq"`   // version; grows with each change
+	Whole bool   `json:"whole"` // whether Hosts are all backends, or only those that changed
 	Hosts []Host `json:"hosts"`
 }
 
 // Host is one backend of a list.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	Host   string  `json:"host"`    // its name, which it keeps
+	Dial   string  `json:"dial"`    // address with a port
+	Site   string  `json:"site"`    // zone, by name
+	Class  string  `json:"class"`   // machine kind, by name
+	Block  int     `json:"block"`   // cell
+	Health string  `json:"health"`  // "ready", "draining" or "gone"
+	Share  float64 `json:"share"`   // weight among the backends
+	BornMs float64 `json:"born_ms"` // start of its process by its wall clock, Unix time; 0: long ago
 }
 
-var healths = map[string]policy.Health{
+var healthByName = map[string]policy.Health{
 	"ready": policy.HealthReady, "draining": policy.HealthDraining, "gone": policy.HealthGone,
 }
 
-// parseList reads one list and reports the first entry that makes no sense.
+// parseList reads one list. Its error is that of the JSON or of check.
 func parseList(text []byte) (List, error) {
-	var l List
-	if err := json.Unmarshal(text, &l); err != nil {
-		return l, err
+	var list List
+	if err := json.Unmarshal(text, &list); err != nil {
+		return list, err
 	}
-	return l, l.check()
+	return list, list.check()
 }
 
-// check reports the first part of a list that makes no sense.
+// check reports, as a FieldError, the first part of a list that makes no sense.
 func (l *List) check() error {
 	if l.Hosts == nil {
-		return fieldErrorf("hosts", "missing") // of other JSON no list may be made that names nobody
+		return fieldErrorf("hosts", "missing") // other JSON must not pass as a list without backends
 	}
-	for i, h := range l.Hosts {
-		health, known := healths[h.Health]
+	for i, host := range l.Hosts {
+		health, known := healthByName[host.Health]
 		switch {
-		case h.Host == "":
+		case host.Host == "":
 			return fieldErrorf(fmt.Sprintf("hosts[%d].host", i), "missing")
 		case !known:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", h.Health)
-		case health != policy.HealthGone && checkAddress(h.Dial) != nil:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", h.Dial)
+			return fieldErrorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", host.Health)
+		case health != policy.HealthGone && checkAddress(host.Dial) != nil:
+			return fieldErrorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", host.Dial)
 		}
 	}
 	return nil
 }
 
-// entry translates a host for the module. A site or class that the settings don't
-// name is nobody's own: it gets a number that no settings give.
-func (n *nameIndex) entry(h *Host) policy.Entry {
-	at := func(m map[string]int, word string) int {
-		if i, ok := m[word]; ok {
+// entry translates a host for the module; its start is still born_ms. A zone or machine kind that
+// the settings don't name is nobody's own: it gets a number that no settings give.
+func (n *nameIndex) entry(host *Host) policy.Entry {
+	place := func(places map[string]int, name string) int {
+		if i, ok := places[name]; ok {
 			return i
 		}
 		return -1
 	}
-	return policy.Entry{Server: addrOf(h.Host), Zone: at(n.sites, h.Site), Cell: h.Block,
-		MachineKind: at(n.kinds, h.Class), StartedMs: h.BornMs, Health: healths[h.Health], Weight: h.Share}
+	return policy.Entry{Server: addrOf(host.Host), Zone: place(n.sites, host.Site), Cell: host.Block,
+		MachineKind: place(n.kinds, host.Class), StartedMs: host.BornMs, Health: healthByName[host.Health],
+		Weight: host.Share}
 }
 
-// addrOf gives a backend its address in the module: from its name alone, so that
-// it is the same at every agent and stays when the address to dial changes.
+// addrOf gives a backend its address in the module: from its name alone, so that it is the same at
+// every agent and stays when the address to dial changes.
 func addrOf(host string) policy.Addr {
-	h := fnv.New64a()
-	io.WriteString(h, host)
-	sum := h.Sum(nil)
+	hash := fnv.New64a()
+	io.WriteString(hash, host)
+	sum := hash.Sum(nil)
 	for i := range 2 {
 		sum[i+2] ^= sum[i] // fold all 64 bits into 48
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -5,112 +5,125 @@
 	"cmp"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
 	"time"
 )
 
-// watch follows the changes after version since until the connection ends, falls
-// silent or holds a line that makes no sense.
-func (d *discovery) watch(since int64, eager bool) {
-	var w watchResult
-	_ = d.retryWhileNew(eager, func() error {
-		w = d.watchOnce(since, eager)
-		if w.notified {
+// maxList bounds one list, in bytes.
+const maxList = 4 << 20
+
+var (
+	errWatchSilent = errors.New("watch fell silent")
+	errListTooLong = errors.New("list: longer than any may be")
+)
+
+// watch follows the changes after the version since until the connection ends, falls silent or
+// delivers a line that is no list. Each list is posted as it comes, then the end. Of a new discovery
+// the watch is tried again for a while as long as it delivers no list.
+func (d *discovery) watch(since int64, isNew bool) {
+	var result watchResult
+	_ = d.retryWhileNew(isNew, func() error {
+		result = d.watchOnce(since, isNew)
+		if result.notified {
 			return nil
 		}
-		return w.err
+		return result.err
 	})
-	d.post(watchEnded{generation: d.generation, err: w.err, endedAfterNotice: w.endedAfterNotice(d.silence)})
+	d.post(watchEnded{generation: d.generation, err: result.err, endedAfterNotice: result.endedAfterNotice(d.silence)})
 }
 
-// watched is how a watch went.
+// watchResult is how one watch went.
 type watchResult struct {
-	notified bool // a list came
-	alive    bool // anything came
+	notified bool // it delivered a list
+	alive    bool // it delivered anything
 	lasted   time.Duration
 	err      error // why it ended
 }
 
-// lost tells whether a watch that had lived has ended, and no call that failed. One that had
-// told has lived, however short: held for a failed call it was opened again seconds later,
-// as if discovery were down, when what it should have told already counted.
-func (w watchResult) endedAfterNotice(silence time.Duration) bool {
-	return w.notified || w.alive && w.lasted >= silence
+// endedAfterNotice reports whether a watch has ended that had worked, which is no failed call. One
+// that delivered a list has worked, however short it was: the next one is opened without the wait
+// that follows a failed call, as what it has to say soon counts as known.
+func (r watchResult) endedAfterNotice(silence time.Duration) bool {
+	return r.notified || r.alive && r.lasted >= silence
 }
 
-// follow is one watch.
-func (d *discovery) watchOnce(since int64, eager bool) (w watchResult) {
+// watchOnce is one watch: it posts the lists that come, in order, until it ends.
+func (d *discovery) watchOnce(since int64, isNew bool) (result watchResult) {
 	began := time.Now()
-	defer func() { w.lasted = time.Since(began) }()
+	defer func() { result.lasted = time.Since(began) }()
 	ctx, cancel := context.WithCancelCause(d.ctx)
 	defer cancel(nil)
 	first := d.firstWordTimeout
-	if eager {
+	if isNew {
 		first = min(first, newDiscoveryCallTimeout)
 	}
-	dead := time.AfterFunc(first, func() { cancel(errWatchSilent) })
-	defer dead.Stop()
+	silence := time.AfterFunc(first, func() { cancel(errWatchSilent) })
+	defer silence.Stop()
 	body, err := d.get(ctx, d.base+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
-		w.err = cmp.Or(context.Cause(ctx), err)
-		return w
+		result.err = cmp.Or(context.Cause(ctx), err)
+		return result
 	}
 	defer body.Close()
-	f := &listReader{from: body, heard: func() {
-		w.alive = true
-		dead.Reset(d.silence)
+	reader := &listReader{from: body, heard: func() {
+		result.alive = true
+		silence.Reset(d.silence)
 	}}
-	lists := json.NewDecoder(f)
+	lists := json.NewDecoder(reader)
 	for {
-		var l List
-		if err := lists.Decode(&l); err != nil {
-			w.err = cmp.Or(context.Cause(ctx), err)
-			return w
+		var list List
+		if err := lists.Decode(&list); err != nil {
+			result.err = cmp.Or(context.Cause(ctx), err)
+			return result
 		}
-		if err := l.check(); err != nil {
-			w.err = fmt.Errorf("list: %w", err)
-			return w
+		if err := list.check(); err != nil {
+			result.err = fmt.Errorf("list: %w", err)
+			return result
 		}
-		w.notified = true
-		d.post(watchEvent{generation: d.generation, list: l})
-		f.next(lists.Buffered())
+		result.notified = true
+		d.post(watchEvent{generation: d.generation, list: list})
+		reader.next(lists.Buffered())
 	}
 }
 
-// feed is the text of a watch: lists, each of them over one line or many, and white space
-// between them as a sign of life. A list that has begun must come whole within the time and
-// the length that a list may take.
+// listReader reads the text of a watch: lists, each of them over one line or many, and white space
+// between them as a sign of life. A list that has begun must be complete within the time that a
+// watch may be silent, and within maxList bytes.
 type listReader struct {
 	from  io.Reader
-	heard func() // something came that proves that the watch lives
+	heard func() // is called when something came that proves the watch alive
 	begun int    // bytes of the list that is coming; 0: between two
 }
 
-func (f *listReader) Read(p []byte) (int, error) {
-	n, err := f.from.Read(p)
-	between := f.begun == 0
-	f.count(p[:n])
+// Read reads from the watch. Its error is errListTooLong in the midst of a list of over maxList
+// bytes, else that of the connection.
+func (r *listReader) Read(p []byte) (int, error) {
+	n, err := r.from.Read(p)
+	between := r.begun == 0
+	r.count(p[:n])
 	if n > 0 && between {
-		f.heard()
+		r.heard()
 	}
-	if f.begun > maxList {
+	if r.begun > maxList {
 		return 0, errListTooLong
 	}
 	return n, err
 }
 
-func (f *listReader) count(text []byte) {
-	if f.begun > 0 || len(bytes.TrimSpace(text)) > 0 {
-		f.begun += len(text)
+// count adds text to the list that is coming, if it has begun or begins with it.
+func (r *listReader) count(text []byte) {
+	if r.begun > 0 || len(bytes.TrimSpace(text)) > 0 {
+		r.begun += len(text)
 	}
 }
 
 // next is called after a list; rest is what was read behind it.
-func (f *listReader) next(rest io.Reader) {
-	f.heard()
-	f.begun = 0
+func (r *listReader) next(rest io.Reader) {
+	r.heard()
+	r.begun = 0
 	text, _ := io.ReadAll(rest) // of memory: it can't fail
-	f.count(text)
+	r.count(text)
 }
