--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -7,62 +7,71 @@
 	"ploverreel/policy"
 )
 
-// send starts an attempt.
-func (l *loop) send(r *request, act *policy.Action) {
-	b := l.backends[act.Server]
-	if b == nil {
-		b = &backend{addr: act.Server, conns: l.pool.newBackendConns("")}
+// send starts an attempt in a goroutine of its own, which ends with the attempt's context: at its
+// timeout, when the attempt is cancelled, or with the loop's. Its end is posted once, also if it
+// could not begin: the module waits for the end of each attempt.
+func (l *loop) send(request *request, action *policy.Action) {
+	target := l.backends[action.Server]
+	if target == nil {
+		target = &backend{addr: action.Server, conns: l.pool.newBackendConns("")}
 	}
-	a := &attempt{request: r, index: len(r.attempts), backend: b, conns: b.conns, started: time.Now()}
-	if act.WithinMs > 0 {
-		a.beginBy = l.decidedAt.Add(millis(act.WithinMs))
-	}
-	ctx, cancel := context.WithCancelCause(l.ctx)
-	var stop context.CancelFunc
-	a.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(act.DelayMs)))
-	a.cancel = func(cause error) {
-		cancel(cause)
-		stop()
-	}
-	r.attempts = append(r.attempts, a)
-	r.open++
+	current := l.newAttempt(request, target, action)
+	request.attempts = append(request.attempts, current)
+	request.open++
 	begun := false
-	defer func() { // after a panic too: the module waits for the end of each attempt
+	defer func() { // after a panic too
 		if !begun {
-			a.cancel(nil)
-			l.followUps = append(l.followUps, attemptEnded{attempt: a, result: result{status: policy.StatusNotSent}})
+			current.cancel(nil)
+			l.followUps = append(l.followUps, attemptEnded{attempt: current, result: result{status: policy.StatusNotSent}})
 		}
 	}()
-	if !b.usable || r.answered || r.clientGone.Load() {
-		// The module sends to what is listed as ready only; should it not, nothing goes out.
-		// Nor does it for a client whose leaving is still in the queue.
+	if !target.usable || request.answered || request.clientGone.Load() {
+		// The module sends only to what is listed as ready; should it not, nothing goes out. Nor
+		// does it for a client whose end is still in the queue.
 		return
 	}
-	b.attempts[a] = struct{}{}
+	target.attempts[current] = struct{}{}
 	begun = true
-	go func() { l.post(attemptEnded{attempt: a, result: a.run()}) }()
+	go func() { l.post(attemptEnded{attempt: current, result: current.run()}) }()
 }
 
-func (l *loop) onOutcome(a *attempt, res *result) {
-	r, b := a.request, a.backend
-	delete(b.attempts, a)
-	l.removeBackend(b)
-	r.open--
-	if res.broken != nil {
-		l.log.Error("attempt ended", "err", res.broken)
+// newAttempt is an attempt with its times, which count from the decision.
+func (l *loop) newAttempt(request *request, target *backend, action *policy.Action) *attempt {
+	created := &attempt{request: request, index: len(request.attempts), backend: target, conns: target.conns, started: time.Now()}
+	if action.WithinMs > 0 {
+		created.beginBy = l.decidedAt.Add(millis(action.WithinMs))
 	}
-	if res.status == policy.StatusLocalFailure || res.status == policy.StatusUnreachable {
-		r.attempts[a.index] = nil
+	ctx, cancel := context.WithCancelCause(l.ctx)
+	var stop context.CancelFunc
+	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(action.DelayMs)))
+	created.cancel = func(cause error) {
+		cancel(cause)
+		stop()
 	}
-	if res.status == policy.StatusOK {
-		l.answer(r, response{status: policy.StatusOK, body: res.body, contentType: res.contentType})
+	return created
+}
+
+// onOutcome takes the end of an attempt: an OK answers the request, and the module is notified of
+// each.
+func (l *loop) onOutcome(ended *attempt, outcome *result) {
+	request, target := ended.request, ended.backend
+	delete(target.attempts, ended)
+	l.removeBackend(target)
+	request.open--
+	if outcome.broken != nil {
+		l.log.Error("attempt ended", "err", outcome.broken)
 	}
-	if res.status == policy.StatusTimeout {
+	switch outcome.status {
+	case policy.StatusLocalFailure, policy.StatusUnreachable:
+		request.attempts[ended.index] = nil
+	case policy.StatusOK:
+		l.answer(request, response{status: policy.StatusOK, body: outcome.body, contentType: outcome.contentType})
+	case policy.StatusTimeout:
 		// The machine may have vanished; its other connections would be as silent.
-		b.conns.closeIdle()
+		target.conns.closeIdle()
 	}
-	l.notify(&policy.Event{Kind: policy.EventOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
-		Status: res.status, LatencyMs: float64(res.elapsed) / float64(time.Millisecond),
-		Final: r.answered, Report: report(res.load, l.config.Settings.Report.Names)})
-	l.forget(r)
+	l.notify(&policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: ended.index, Server: target.addr,
+		Status: outcome.status, LatencyMs: float64(outcome.elapsed) / float64(time.Millisecond),
+		Final: request.answered, Report: report(outcome.load, l.config.Settings.Report.Names)})
+	l.forget(request)
 }
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -44,68 +44,68 @@
 	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
-// turn turns to another discovery: the old one's calls end and their results no
-// longer count, the new one is asked for all that it knows, at once. Until it tells, the
-// list at hand and all connections stay. Its versions have nothing to do with the old.
+// openWatch opens a watch for what changed after the list in force, unless one is open.
+func (l *loop) openWatch() {
+	if !l.watch.watching {
+		l.watch.watching = true
+		go l.watch.discovery.watch(l.watch.listVersion, false)
+	}
+}
+
+// startFetch fetches the whole list, unless a fetch is under way.
+func (l *loop) startFetch() {
+	if !l.watch.fetching {
+		l.watch.fetching = true
+		go l.watch.discovery.fetch(false)
+	}
+}
+
+// switchDiscovery turns to the discovery at another address: the calls of the one before end and
+// their results no longer count, and the whole list and a watch are asked of the new one at once.
+// Until it answers, the list in force and all connections stay. Its versions have nothing to do with
+// those of the one before.
 func (l *loop) switchDiscovery(addr string) {
-	if addr == l.watch.discovery.addr {
+	former := l.watch.discovery
+	if addr == former.addr {
 		return
 	}
-	l.log.Info("discovery: changed", "from", l.watch.discovery.addr, "to", addr)
-	l.watch.discovery.close()
-	first := l.watch.discovery.firstWordTimeout
-	l.watch.discovery = newDiscovery(l.ctx, addr, l.watch.discovery.generation+1, l.post)
-	l.watch.discovery.firstWordTimeout = first
+	l.log.Info("discovery: changed", "from", former.addr, "to", addr)
+	former.close()
+	current := newDiscovery(l.ctx, addr, former.generation+1, l.post)
+	current.firstWordTimeout = former.firstWordTimeout
+	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.watch.startTimes.unwatched(l.nowMs(), 0)
-	go l.watch.discovery.fetch(true)
-	go l.watch.discovery.watch(0, true)
+	go current.fetch(true)
+	go current.watch(0, true)
 }
 
-// learn applies a list: to the connections first, then the module is told.
+// applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
+// what is no longer ready, then for the module.
 func (l *loop) applyEndpointList(kind policy.ListKind, list *List) {
 	l.watch.listVersion = list.Seq
 	entries := make([]policy.Entry, len(list.Hosts))
-	named := map[policy.Addr]bool{}
+	listed := map[policy.Addr]bool{}
 	for i := range list.Hosts {
-		h := &list.Hosts[i]
-		entries[i] = l.config.Names.entry(h)
-		addr := entries[i].Server
-		named[addr] = true
-		b := l.backends[addr]
-		if b == nil {
-			if entries[i].Health == policy.HealthGone {
-				continue
-			}
-			b = &backend{addr: addr, attempts: map[*attempt]struct{}{}}
-			l.backends[addr] = b
-		}
-		if entries[i].Health != policy.HealthGone && (b.conns == nil || b.conns.dial != h.Dial || b.bornMs != h.BornMs) {
-			// Connections to another address or to the process before are of no use, and
-			// what has not begun there must not.
-			if b.conns != nil {
-				b.withdraw()
-				b.conns.close()
-			}
-			b.bornMs, b.conns = h.BornMs, l.pool.newBackendConns(h.Dial)
-		}
-		b.usable = entries[i].Health == policy.HealthReady
+		entries[i] = l.config.Names.entry(&list.Hosts[i])
+		listed[entries[i].Server] = true
+		l.updateBackend(&entries[i], &list.Hosts[i])
 	}
 	l.watch.startTimes.translate(entries, l.nowMs())
 	l.watch.startTimes.forget(l.backends)
-	for addr, b := range l.backends {
-		if kind != policy.ListDelta && !named[addr] {
-			b.usable = false
+	for addr, backend := range l.backends {
+		if kind != policy.ListDelta && !listed[addr] {
+			backend.usable = false
 		}
-		if !b.usable {
-			b.withdraw()
+		if !backend.usable {
+			backend.withdraw()
 		}
-		l.removeBackend(b)
+		l.removeBackend(backend)
 	}
 	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
 	usable := false
-	for _, b := range l.backends {
-		usable = usable || b.usable
+	for _, backend := range l.backends {
+		usable = usable || backend.usable
 	}
 	l.ready.hasEndpoint.Store(usable || l.ready.waitOver)
 	if l.watch.onApplied != nil {
@@ -113,22 +113,45 @@
 	}
 }
 
-// drop forgets a backend that is not to be sent to and has no attempt out.
-func (l *loop) removeBackend(b *backend) {
-	if !b.usable && len(b.attempts) == 0 {
-		b.conns.close()
-		if l.backends[b.addr] == b {
-			delete(l.backends, b.addr)
+// updateBackend brings the backend of one entry up to date, and adds it if it is new.
+func (l *loop) updateBackend(entry *policy.Entry, host *Host) {
+	gone := entry.Health == policy.HealthGone
+	current := l.backends[entry.Server]
+	if current == nil {
+		if gone {
+			return
+		}
+		current = &backend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
+		l.backends[entry.Server] = current
+	}
+	if !gone && (current.conns == nil || current.conns.dial != host.Dial || current.bornMs != host.BornMs) {
+		// Connections to another address or to the process before are of no use, and what has not
+		// begun there must not.
+		if current.conns != nil {
+			current.withdraw()
+			current.conns.close()
+		}
+		current.bornMs, current.conns = host.BornMs, l.pool.newBackendConns(host.Dial)
+	}
+	current.usable = entry.Health == policy.HealthReady
+}
+
+// removeBackend forgets a backend that is not to be sent to and has no attempt in flight.
+func (l *loop) removeBackend(backend *backend) {
+	if !backend.usable && len(backend.attempts) == 0 {
+		backend.conns.close()
+		if l.backends[backend.addr] == backend {
+			delete(l.backends, backend.addr)
 		}
 	}
 }
 
-// withdraw stops the attempts of which no byte has gone out, and closes the connections
-// that stand idle: a backend that drains, is gone or is another now gets nothing more.
+// withdraw stops the attempts of which no byte has gone out, and closes the connections that are
+// idle: a backend that drains, is gone or is another process now gets nothing more.
 func (b *backend) withdraw() {
-	for a := range b.attempts {
-		if a.withdraw() {
-			a.cancel(errEndpointDraining)
+	for attempt := range b.attempts {
+		if attempt.withdraw() {
+			attempt.cancel(errEndpointDraining)
 		}
 	}
 	b.conns.closeIdle()
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -13,10 +13,10 @@
 )
 
 // readyWithin is how long after its start an agent that knows no backend waits for discovery
-// before it is ready all the same. One that never is has its application send nothing at all
-// for as long as discovery is down; one that is ready holds the requests for the list as long
-// as they may wait, and tells those that it refuses when to come back. Restarted agents have
-// to be ready within 6 s where little time is left, and 10 s in general.
+// before it is ready all the same. To one that isn't, its application sends nothing at all for as
+// long as discovery is down; one that is queues the requests for as long as they may wait for a
+// list, and rejects the others with a Retry-After. Restarted agents have to be ready within 6 s
+// where little time is left, and 10 s in general.
 const readyWithin = 5 * time.Second
 
 // loop owns the Balancer: one goroutine, that of run, hands it what happens, in order, and
@@ -74,51 +74,61 @@
 
 // newLoop makes a loop, whose module knows the list of the configuration. Its error is that of a
 // configuration that the module doesn't take.
-func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
-	set := c.module()
-	first := firstWordTimeout
-	if set.Membership == policy.MembershipWatched {
-		first = localFirstWordTimeout
-	}
-	bal, err := policy.New(set, c.Seed)
+func newLoop(ctx context.Context, config *Config, log *slog.Logger) (*loop, error) {
+	settings := config.module()
+	balancer, err := policy.New(settings, config.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{balancer: bal, config: c, log: log, ctx: ctx,
-		// Room for all that can be under way at once: a handler must not wait here
-		// while its guard is not yet set.
-		inputs: make(chan input, 4*c.Limits.Sockets), clock: newModuleClock(c.clock), watch: watchState{startTimes: newStartTimes()},
-		requests: map[policy.RequestID]*request{}, backends: map[policy.Addr]*backend{}, after: time.AfterFunc,
-		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), seenIDs: newSeenIDs(0)}
+	l := &loop{
+		balancer: balancer,
+		config:   config,
+		clock:    newModuleClock(config.clock),
+		ctx:      ctx,
+		// Room for all that can be under way at once: a handler must not wait here before the
+		// timer that answers for the loop is set.
+		inputs:   make(chan input, 4*config.Limits.Sockets),
+		after:    time.AfterFunc,
+		requests: map[policy.RequestID]*request{},
+		seenIDs:  newSeenIDs(0),
+		backends: map[policy.Addr]*backend{},
+		pool:     newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0),
+		watch:    watchState{startTimes: newStartTimes()},
+		log:      log,
+	}
 	l.applyLimits()
-	l.watch.discovery = newDiscovery(ctx, c.Discovery, 0, l.post)
-	l.watch.discovery.firstWordTimeout = first
+	l.watch.discovery = newDiscovery(ctx, config.Discovery, 0, l.post)
+	l.watch.discovery.firstWordTimeout = firstWordTimeout
+	if settings.Membership == policy.MembershipWatched {
+		l.watch.discovery.firstWordTimeout = localFirstWordTimeout
+	}
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
-	l.applyEndpointList(policy.ListCached, &c.Known)
+	l.applyEndpointList(policy.ListCached, &config.Known)
 	return l, nil
 }
 
-// bound takes the bounds of connections and memory from the configuration in force.
+// applyLimits takes the bounds of connections and memory from the configuration in force.
 func (l *loop) applyLimits() {
-	limits := &l.config.Settings.Limits
-	connect := millis(limits.ConnectTimeoutMs)
-	if connect <= 0 {
-		connect = time.Second
+	settings := &l.config.Settings
+	connectTimeout := millis(settings.Limits.ConnectTimeoutMs)
+	if connectTimeout <= 0 {
+		connectTimeout = time.Second
 	}
-	// An answer within its aim is worth no less for a rest of some milliseconds: where the
-	// settings price connections, it costs less to wait.
-	prices := &l.config.Settings.Prices
-	l.pool.configure(connect, millis(limits.KeepaliveMs/2), backendSockets(l.config.Limits.Sockets),
-		prices.Handshake == 0 && prices.Connection == 0)
+	// Where the settings price connections, waiting some milliseconds for one that comes to rest
+	// costs less than a new one: an answer within its latency objective is worth no less for it.
+	newConnsAreFree := settings.Prices.Handshake == 0 && settings.Prices.Connection == 0
+	l.pool.configure(connectTimeout, millis(settings.Limits.KeepaliveMs/2), backendSockets(l.config.Limits.Sockets),
+		newConnsAreFree)
 	l.seenIDs.keep = max(l.seenIDs.keep, l.config.maxDeadline()+time.Second) // longer than any request is open
-	l.watch.startTimes.tolerance = l.config.Settings.Contract.StartToleranceMs()
+	l.watch.startTimes.tolerance = settings.Contract.StartToleranceMs()
 }
 
-func millis(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+// millis is a number of ms as a time.Duration.
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// post hands the loop something that happened. It waits while the queue is full and
-// returns at once when the loop has ended.
+// post queues an input. It waits while the queue is full and returns at once when the loop has
+// ended. The loop's own goroutine must not call it: it has followUps.
 func (l *loop) post(in input) {
 	select {
 	case l.inputs <- in:
@@ -126,7 +136,7 @@
 	}
 }
 
-// run handles what comes in until the context ends.
+// run handles the inputs, each with its follow-ups, until ctx ends.
 func (l *loop) run() {
 	l.after(readyWithin, func() { l.post(readyWaitOver{}) })
 	for {
@@ -143,8 +153,8 @@
 	}
 }
 
-// handle takes one input. A panic costs the request at hand its decision, and the timer in
-// Agent.serve answers it: one bad event must not end all other requests.
+// handle takes one input. A panic costs the request at hand its decision, and its
+// handler's timer answers it: one bad event must not end all other requests.
 func (l *loop) handle(in input) {
 	defer l.recovered("input", in)
 	switch in := in.(type) {
@@ -187,23 +197,23 @@
 	}
 }
 
-// reload puts another configuration in force, all or nothing. Who asked for it waits for the
-// result, so a panic is one.
-func (l *loop) reload(c *Config) (err error) {
+// reload puts another configuration in force, all or nothing. Its error is a FieldError where a
+// field is not taken. Somebody waits for the result, so a panic is one.
+func (l *loop) reload(config *Config) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	if err := l.config.Names.keeps(&c.Names); err != nil {
+	if err := l.config.Names.keeps(&config.Names); err != nil {
 		return err
 	}
-	if err := l.balancer.Reconfigure(c.module()); err != nil {
+	if err := l.balancer.Reconfigure(config.module()); err != nil {
 		return ofSettings(err)
 	}
-	l.config = c
+	l.config = config
 	l.applyLimits()
-	l.switchDiscovery(c.Discovery)
+	l.switchDiscovery(config.Discovery)
 	return nil
 }
 
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -8,15 +8,15 @@
 	"ploverreel/policy"
 )
 
-// duplicate is the answer to a request whose id came before.
+// statusDuplicateID is the status of the answer to a request whose id came before.
 const statusDuplicateID policy.Status = 1
 
-// request is what a client asked. The handler fills it in; what stands below
-// answers belongs to the loop.
+// request is what a client asked for. The handler fills in the first part; the last one belongs to
+// the loop.
 type request struct {
 	config      *Config // in force when it was read; class and tenant are its numbers
 	class       int
-	tenant      int
+	tenant      int // -1: none that the settings name
 	key         uint64
 	hintMs      float64
 	hasHint     bool
@@ -31,16 +31,16 @@
 	body        []byte
 	answers     chan response // room for the one that is sent
 	client      net.Conn      // its connection; nil: nobody's
-	clientGone  atomic.Bool   // the client has left, or was answered without the loop
+	clientGone  atomic.Bool   // the client has left, or was answered without the loop; any goroutine may set it
 
-	id       policy.RequestID
+	id       policy.RequestID // 0: not yet the module's
 	answered bool
 	attempts []*attempt // nil: this machine could not make it; of those there may be many
-	open     int
+	open     int        // attempts that have not ended
 }
 
-// left tells whether nobody waits for the request any more. It asks the client's connection
-// itself: its end may be there before anybody has had the time to read it, as what waits
+// hasClientLeft reports whether nobody waits for the request any more. It looks at the client's
+// connection itself: its end may be there before anybody has had the time to read it, as what waits
 // for the processor or in the loop's queue is done in the order in which it came.
 func (r *request) hasClientLeft() bool {
 	if !r.clientGone.Load() && r.client != nil && peerClosed(r.client) {
@@ -49,58 +49,61 @@
 	return r.clientGone.Load()
 }
 
-// answer is the final answer to a request.
+// response is the one answer to a request.
 type response struct {
-	status      policy.Status // OK: served; Full: refused; Error: failed; duplicate
+	status      policy.Status // StatusOK: served; StatusRejected: never ran; statusDuplicateID; else failed
 	body        []byte
 	contentType string
-	retryAfter  time.Duration
+	retryAfter  time.Duration // of one that was rejected; 0: not known
 }
 
-// renumber gives a request that was read under another configuration the numbers that its
-// class and its tenant have now, and reports whether the class is still asked in the same way.
-func (l *loop) renumber(r *request) bool {
-	if r.config == l.config {
+// renumber gives a request that was read under another configuration the numbers that its class and
+// its tenant have now. It reports whether the class still exists with the same effect.
+func (l *loop) renumber(request *request) bool {
+	if request.config == l.config {
 		return true
 	}
-	was := &r.config.Settings
-	class, known := l.config.Names.classes[was.Classes[r.class].Name]
-	if !known || l.config.Settings.Classes[class].Effect != was.Classes[r.class].Effect {
+	was, now, names := &request.config.Settings, &l.config.Settings, &l.config.Names
+	class, known := names.classes[was.Classes[request.class].Name]
+	if !known || now.Classes[class].Effect != was.Classes[request.class].Effect {
 		return false
 	}
-	r.class = class
-	if len(l.config.Names.tenants) > 0 {
-		tenant := -1
-		if r.tenant >= 0 && r.tenant < len(was.Tenants) {
-			if i, ok := l.config.Names.tenants[was.Tenants[r.tenant].Name]; ok {
-				tenant = i
-			}
+	request.class = class
+	if len(names.tenants) == 0 {
+		return true
+	}
+	tenant := -1
+	if request.tenant >= 0 && request.tenant < len(was.Tenants) {
+		if i, ok := names.tenants[was.Tenants[request.tenant].Name]; ok {
+			tenant = i
 		}
-		r.tenant = tenant
 	}
+	request.tenant = tenant
 	return true
 }
 
-func (l *loop) onRequest(r *request) {
-	if !l.renumber(r) { // it never ran
-		l.answer(r, response{status: policy.StatusRejected, retryAfter: millis(l.config.Settings.Limits.MaxRetryAfterMs)})
+// onRequest notifies the module of a request that arrived, with the time that is left for attempts.
+// It answers at once one whose class is no more, as it never ran, or whose id came before.
+func (l *loop) onRequest(request *request) {
+	if !l.renumber(request) {
+		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(l.config.Settings.Limits.MaxRetryAfterMs)})
 		return
 	}
-	if !l.seenIDs.add(r.wireID, time.Now()) {
-		l.answer(r, response{status: statusDuplicateID})
+	if !l.seenIDs.add(request.wireID, time.Now()) {
+		l.answer(request, response{status: statusDuplicateID})
 		return
 	}
 	l.nextID++
-	if l.nextID == 0 {
+	if l.nextID == 0 { // means "not yet the module's"
 		l.nextID++
 	}
-	r.id = l.nextID
-	l.requests[r.id] = r
-	left := time.Until(r.deadline)
+	request.id = l.nextID
+	l.requests[request.id] = request
+	left := time.Until(request.deadline)
 	left -= min(guardMargin+wordMargin, left/4)
-	l.notify(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: r.class, Tenant: r.tenant,
-		Key: r.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
-		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
+	l.notify(&policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
+		Key: request.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
+		HintMs: request.hintMs, HasHint: request.hasHint, Retry: request.retry})
 }
 
 // onClientDisconnected closes a request whose handler waits no longer, unless it has its answer.
@@ -113,29 +116,29 @@
 	l.forget(request)
 }
 
-// answer gives a request its final answer, unless it has one.
-func (l *loop) answer(r *request, a response) {
-	if !r.answered {
-		l.close(r)
-		r.answers <- a
+// answer gives a request its one answer, unless it has it.
+func (l *loop) answer(request *request, answer response) {
+	if !request.answered {
+		l.close(request)
+		request.answers <- answer
 	}
 }
 
-// close marks a request that has its answer or whose client has left. What of it has not
-// begun must not any more, wherever it waits: that is no cancelling, which the settings may
-// forbid, as nothing has been sent that could be called off.
-func (l *loop) close(r *request) {
-	r.answered = true
-	for _, a := range r.attempts {
-		if a != nil && a.withdraw() {
-			a.cancel(errCancelled)
+// close marks a request that has its answer or whose client has left. Its attempts that have not
+// begun must not any more, wherever they wait. That is no cancelling, which the settings may forbid,
+// as nothing of them has been sent.
+func (l *loop) close(request *request) {
+	request.answered = true
+	for _, attempt := range request.attempts {
+		if attempt != nil && attempt.withdraw() {
+			attempt.cancel(errCancelled)
 		}
 	}
 }
 
-// forget drops a request that is answered and has no attempt out.
-func (l *loop) forget(r *request) {
-	if r.answered && r.open == 0 {
-		delete(l.requests, r.id)
+// forget drops a request that is answered and has no attempt in flight.
+func (l *loop) forget(request *request) {
+	if request.answered && request.open == 0 {
+		delete(l.requests, request.id)
 	}
 }
