--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -1,5 +1,7 @@
-// Command ploverreel is one load-balancing agent on real sockets. Its file of
-// settings is named by EDGE_CONFIG.
+// Command ploverreel is one load-balancing agent on sockets. EDGE_CONFIG names its configuration;
+// EDGE_TRACE, a duration such as "1s", has it log the module's state so far apart. SIGHUP reloads the
+// configuration, SIGTERM ends the agent in order. An error at the start is one line on standard error,
+// with exit code 1.
 package main
 
 import (
@@ -23,66 +25,72 @@
 	}
 }
 
+// run is the program: it reads the configuration, listens, and serves until SIGTERM or an interrupt.
+// SIGHUP reloads the configuration. Its error is one line.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	path := os.Getenv("EDGE_CONFIG")
-	conf, err := agent.LoadConfig(path)
+	config, err := agent.LoadConfig(path)
 	if err != nil {
 		return err
 	}
-	trace, err := agent.ParseTrace(os.Getenv("EDGE_TRACE"))
+	tracePeriod, err := agent.ParseTrace(os.Getenv("EDGE_TRACE"))
 	if err != nil {
 		return err
 	}
 	// The live heap is a few MB, so it may grow well past the usual twice, which saves
 	// collections.
 	debug.SetGCPercent(400)
-	limit(conf.Limits)
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("agent", conf.Name)
-	a, err := agent.New(conf, log)
+	limit(config.Limits)
+	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("agent", config.Name)
+	balancer, err := agent.New(config, log)
 	if err != nil {
 		return err
 	}
-	ln, err := agent.Listen(ctx, conf.Listen)
+	listener, err := agent.Listen(ctx, config.Listen)
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
-	go func() {
-		for range reload {
-			next, err := agent.LoadConfig(path)
-			if err == nil {
-				err = a.Reload(next)
-			}
-			if err != nil {
-				log.Error("reload: the configuration at hand is kept", "err", err)
-				continue
-			}
-			limit(next.Limits)
-			log.Info("reload: the configuration is in force", "discovery", next.Discovery)
-		}
-	}()
-	log.Info("started", "listen", conf.Listen, "backends", len(conf.Known.Hosts))
-	if trace > 0 {
+	go reloadOn(reload, path, balancer, log)
+	log.Info("started", "listen", config.Listen, "backends", len(config.Known.Hosts))
+	if tracePeriod > 0 {
 		go func() {
-			if err := a.Trace(trace); err != nil {
+			if err := balancer.Trace(tracePeriod); err != nil {
 				log.Error("trace: not on", "err", err)
 			}
 		}()
 	}
-	if err := a.Serve(ctx, ln); err != nil {
+	if err := balancer.Serve(ctx, listener); err != nil {
 		return err
 	}
 	log.Info("ended")
 	return nil
 }
 
+// reloadOn puts the configuration at path in force at each signal, and keeps the one in force when
+// the new one has an error. It never returns: its goroutine lives as long as the process.
+func reloadOn(signals <-chan os.Signal, path string, balancer *agent.Agent, log *slog.Logger) {
+	for range signals {
+		config, err := agent.LoadConfig(path)
+		if err == nil {
+			err = balancer.Reload(config)
+		}
+		if err != nil {
+			log.Error("reload: the configuration at hand is kept", "err", err)
+			continue
+		}
+		limit(config.Limits)
+		log.Info("reload: the configuration is in force", "discovery", config.Discovery)
+	}
+}
+
 // limit keeps the process to the limits. The machine may have more cores than the agent may
-// use; more threads than cores would only wait for each other. The heap must not come near
-// the limit of memory.
-func limit(l agent.Limits) {
-	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
-	debug.SetMemoryLimit(int64(l.MemoryMB * 0.6 * (1 << 20)))
+// use; more threads than cores would only wait for each other. The heap must stay well below the
+// limit of memory, which counts stacks and the program too.
+func limit(limits agent.Limits) {
+	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores)), 1))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.6 * (1 << 20)))
 }
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -1,8 +1,6 @@
 package agent
 
-import (
-	"time"
-)
+import "time"
 
 // machineClock is the two clocks of a machine. The wall clock may be stepped, in either direction;
 // the monotonic clock runs on. Tests set their own.
@@ -26,8 +24,8 @@
 // what the wall clock was off at the start stays in it as a constant.
 type moduleClock struct {
 	machine machineClock
-	began   time.Duration
-	startMs float64
+	began   time.Duration // monotonic time at the start
+	startMs float64       // the module's time then
 }
 
 // newModuleClock starts a module's clock by a machine's clock; nil: that of this machine.
@@ -39,8 +37,10 @@
 	return moduleClock{machine: machine, began: machine.monotonic(), startMs: max(startMs, leastStartMs)}
 }
 
+// now is the module's time, in ms.
 func (c *moduleClock) now() float64 {
 	return c.startMs + float64(c.machine.monotonic()-c.began)/float64(time.Millisecond)
 }
 
+// nowMs is the module's time, in ms.
 func (l *loop) nowMs() float64 { return l.clock.now() }
--- a/internal/agent/local_errors.go
+++ b/internal/agent/local_errors.go
@@ -23,6 +23,7 @@
 // isUnreachable reports whether an error says that there is no way to the peer.
 func isUnreachable(err error) bool { return isAnyErrno(err, unreachableErrnos) }
 
+// isAnyErrno reports whether an error is or wraps one of these.
 func isAnyErrno(err error, errnos []syscall.Errno) bool {
 	for _, errno := range errnos {
 		if errors.Is(err, errno) {
--- a/internal/agent/simulated.go
+++ b/internal/agent/simulated.go
@@ -5,17 +5,19 @@
 	"log/slog"
 )
 
-// RunSimulated runs an agent without its clients' side until the context ends: the loop, the
-// module and the watch of the list are those of an agent, so that a bench can run thousands
-// of them in a process. After each list that is in force, connections and module included,
-// learned is told its version, from the loop: it must not block. The list of the
-// configuration is not told.
-func RunSimulated(ctx context.Context, c *Config, log *slog.Logger, learned func(seq int64, whole bool)) error {
-	l, err := newLoop(ctx, c, log)
+// RunSimulated runs an agent without its clients' side until ctx ends: the loop, the module and the
+// watch of the list are those of an agent, so that a bench can run thousands of them in a process. All
+// goroutines of the agent end with ctx.
+//
+// After each list that is in force, for connections and module, onEndpointList is called with its
+// version, from the loop: it must not block. It is not called for the list of the configuration. The
+// error is that of a configuration that the module doesn't take.
+func RunSimulated(ctx context.Context, config *Config, log *slog.Logger, onEndpointList func(seq int64, whole bool)) error {
+	l, err := newLoop(ctx, config, log)
 	if err != nil {
 		return err
 	}
-	l.watch.onApplied = learned
+	l.watch.onApplied = onEndpointList
 	l.run()
 	return nil
 }
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -17,8 +17,8 @@
 //
 //   - A backend has started before the agent hears of it, so each notice bounds the distance from
 //     above: by the module's time of the notice less born_ms. The smallest of these bounds is the
-//     estimate. With it a backend counts as colder than it is, by the delay of the quickest notice,
-//     and never as warmer.
+//     estimate. With it a backend counts as younger than it is, by the delay of the quickest notice,
+//     and never as older.
 //   - While a watch is open the notice comes soon after the start. A born_ms that lies further
 //     before its notice than the quickest one by more than the tolerance was read from a clock
 //     that disagrees: that start counts from its notice, and the estimate begins anew with it.
@@ -27,7 +27,7 @@
 //   - After a time without a watch the first list may name starts of all that time, so they may
 //     lie that much further before their notice.
 //   - The first lists of a process (that of the configuration, and discovery's first) name all
-//     backends, most of which have run for long. Nothing in them tells a wall clock that is a minute
+//     backends, most of which have run for long. Nothing in them distinguishes a wall clock that is a minute
 //     ahead from a newest start that is a minute past: discovery is on the agent's own machine, so
 //     the Date of its answer would come from the same wall clock, and rounded to a second. So the
 //     newest start counts from the notice and the others as much before it as they are apart. A
@@ -36,20 +36,24 @@
 //   - Of an age by the own clock as much is true as is over maxClockDistance.
 //
 // The cost is that an agent that starts less than two hours after the newest start of a backend
-// counts it, and those that started shortly before it, as cold for at most the cold time.
+// counts it, and those that started shortly before it, as warming up for at most the time of a slow
+// start.
 //
-// What it cannot tell: in a first list, a backend on a machine whose wall clock was stepped back
+// Its limit: in a first list, a backend on a machine whose wall clock was stepped back
 // looks older than it is by the step, and on a watch by the step if that is within the tolerance.
 //
 // What was translated stays: a backend that is listed again with the born_ms of before has not
 // started since.
+//
+// All times are in ms, and by the module's clock unless they are a born_ms. A startTimes belongs to
+// the loop.
 type startTimes struct {
-	known     map[policy.Addr]startTime
-	tolerance float64 // ms by which a notice may come later than the quickest one
-	first     bool    // no list of discovery was translated yet
-	current   float64 // until when the list was known to be complete; 0: a watch keeps it so
-	distance  float64 // estimate of the module's clock less that of born_ms, in ms
-	estimated bool    // a start was noticed
+	known      map[policy.Addr]startTime
+	tolerance  float64 // by how much a notice may come later than the quickest one
+	first      bool    // no list of discovery was translated yet
+	completeAt float64 // until when the list was known to be complete; 0: a watch keeps it so
+	distance   float64 // estimate of the module's clock less that of born_ms
+	estimated  bool    // a start was noticed
 }
 
 // startTime is one start of a backend.
@@ -62,22 +66,22 @@
 	return &startTimes{known: map[policy.Addr]startTime{}, first: true}
 }
 
-// unwatched notes that from now on no watch tells of starts, and that the last one may have told
-// nothing for the time silence.
+// unwatched notes that from now on no watch brings notices of starts, and that the last one may have
+// brought none for the time silence.
 func (t *startTimes) unwatched(now, silence float64) {
-	if t.current == 0 {
-		t.current = now - silence
+	if t.completeAt == 0 {
+		t.completeAt = now - silence
 	}
 }
 
-// watched notes that a watch has told all that there is, and tells what follows.
-func (t *startTimes) watched() { t.first, t.current = false, 0 }
+// watched notes that a watch has delivered all that there is, and delivers what follows.
+func (t *startTimes) watched() { t.first, t.completeAt = false, 0 }
 
-// fetched notes that all that there is was told just now.
+// fetched notes that all that there is was delivered just now.
 func (t *startTimes) fetched(now float64) {
 	t.first = false
-	if t.current != 0 {
-		t.current = now
+	if t.completeAt != 0 {
+		t.completeAt = now
 	}
 }
 
@@ -95,23 +99,23 @@
 		t.estimate(newest, now)
 	}
 	for i := range entries {
-		e := &entries[i]
-		if !(e.StartedMs > 0) { // long ago; a start that is known stays so
-			e.StartedMs = 0
+		entry := &entries[i]
+		if !(entry.StartedMs > 0) { // long ago; a start that is known stays so
+			entry.StartedMs = 0
 			continue
 		}
-		old, again := t.known[e.Server]
-		if !again || old.bornMs != e.StartedMs {
-			since := t.noticed(e.StartedMs, now)
+		start, again := t.known[entry.Server]
+		if !again || start.bornMs != entry.StartedMs {
+			since := t.noticed(entry.StartedMs, now)
 			if again { // the module takes only a later start for another process
-				since = max(since, math.Nextafter(old.sinceMs, math.Inf(1)))
+				since = max(since, math.Nextafter(start.sinceMs, math.Inf(1)))
 			} else {
-				since = min(since, e.StartedMs+maxClockDistance)
+				since = min(since, entry.StartedMs+maxClockDistance)
 			}
-			old = startTime{bornMs: e.StartedMs, sinceMs: since}
-			t.known[e.Server] = old
+			start = startTime{bornMs: entry.StartedMs, sinceMs: since}
+			t.known[entry.Server] = start
 		}
-		e.StartedMs = old.sinceMs
+		entry.StartedMs = start.sinceMs
 	}
 }
 
@@ -129,8 +133,8 @@
 	switch {
 	case t.first:
 		return math.Inf(1)
-	case t.current != 0:
-		return t.tolerance + now - t.current
+	case t.completeAt != 0:
+		return t.tolerance + now - t.completeAt
 	}
 	return t.tolerance
 }
@@ -145,8 +149,8 @@
 	return since
 }
 
-// forget drops what is not listed once it is more than what is, so that names that never come
-// again don't add up.
+// forget drops the starts of backends that are not listed once they are more than the others, so that
+// names that never come again don't add up. spare keeps small fleets from doing so often.
 func (t *startTimes) forget(listed map[policy.Addr]*backend) {
 	const spare = 1024
 	if len(t.known) <= 2*len(listed)+spare {
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// shortestTrace is the least time between two lines of the trace: it is written by the
-	// goroutine that owns the module.
-	shortestTrace = 10 * time.Millisecond
-	// mostTraceLines bounds a trace that somebody forgot to switch off.
-	mostTraceLines = 100_000
-	// mostTraceClasses bounds a line.
-	mostTraceClasses = 16
+	// minTracePeriod is the least time between two lines of the trace: the loop writes them.
+	minTracePeriod = 10 * time.Millisecond
+	// maxTraceLines bounds a trace that somebody forgot to switch off.
+	maxTraceLines = 100_000
+	// maxTraceClasses bounds a line.
+	maxTraceClasses = 16
 )
 
-// ParseTrace reads how often the module's state is to be logged; nothing means never.
+// ParseTrace reads how far apart the module's state is to be logged, such as "1s"; "" means never.
+// Its error is a FieldError of EDGE_TRACE.
 func ParseTrace(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -28,16 +28,18 @@
 	switch {
 	case err != nil:
 		return 0, fieldErrorf("EDGE_TRACE", "no duration: %q", text)
-	case every < shortestTrace:
-		return 0, fieldErrorf("EDGE_TRACE", "must be at least %v, is %v", shortestTrace, every)
+	case every < minTracePeriod:
+		return 0, fieldErrorf("EDGE_TRACE", "must be at least %v, is %v", minTracePeriod, every)
 	}
 	return every, nil
 }
 
-// errTraceTwice tells that a trace is under way already.
-var errTraceTwice = errors.New("trace: already on")
+// errTraceIsOn is the error of a second trace.
+var errTraceIsOn = errors.New("trace: already on")
 
-// Trace has the agent log the module's state again and again, so many ms apart.
+// Trace has the agent log the module's state from now on, so far apart, until the agent ends or
+// maxTraceLines are written. It waits for the first line. Its error is that of a second trace, or the
+// context's of an agent that has ended.
 func (a *Agent) Trace(every time.Duration) error {
 	done := make(chan error, 1)
 	a.loop.post(traceRequested{every: every, done: done})
@@ -49,18 +51,18 @@
 	}
 }
 
-// tracer logs the module's state.
+// tracer is a trace that is on. It belongs to the loop.
 type tracer struct {
 	every time.Duration
-	lines int
-	last  []policy.ClassCounts // as of the line before
-	ended policy.OutcomeCounts
+	lines int                  // written so far
+	last  []policy.ClassCounts // of each class, as of the line before
+	ended policy.OutcomeCounts // as of the line before
 }
 
-// startTrace begins the trace.
+// startTrace begins the trace, or fails with errTraceIsOn.
 func (l *loop) startTrace(every time.Duration) error {
 	if l.tracer != nil {
-		return errTraceTwice
+		return errTraceIsOn
 	}
 	l.tracer = &tracer{every: every}
 	l.trace()
@@ -69,32 +71,31 @@
 
 // trace logs one line and sets the time of the next.
 func (l *loop) trace() {
-	t := l.tracer
-	l.log.Info("trace", t.attributes(l.balancer.Snapshot(l.nowMs()))...)
-	if t.lines++; t.lines >= mostTraceLines {
-		l.log.Warn("trace: ends", "lines", t.lines)
+	l.log.Info("trace", l.tracer.attributes(l.balancer.Snapshot(l.nowMs()))...)
+	if l.tracer.lines++; l.tracer.lines >= maxTraceLines {
+		l.log.Warn("trace: ends", "lines", l.tracer.lines)
 		return
 	}
-	l.after(t.every, func() { l.post(traceDue{}) })
+	l.after(l.tracer.every, func() { l.post(traceDue{}) })
 }
 
-// attributes are a line's: counts are those since the line before.
-func (t *tracer) attributes(s policy.Snapshot) []any {
-	all := []any{"limit", rounded(s.Limit), "floor", rounded(s.Floor), "out", s.Inflight, "stuck", s.Stalled,
-		"held", s.Queued, "retryBudget", rounded(s.RetryBudget), "calm", rounded(s.UncontendedLatency),
-		"latency", rounded(s.Latency), t.outcomes(s.Outcomes)}
-	for rank, tier := range s.Tiers {
+// attributes are those of one line: counts are those since the line before.
+func (t *tracer) attributes(state policy.Snapshot) []any {
+	all := []any{"limit", rounded(state.Limit), "floor", rounded(state.Floor), "out", state.Inflight, "stuck", state.Stalled,
+		"held", state.Queued, "retryBudget", rounded(state.RetryBudget), "calm", rounded(state.UncontendedLatency),
+		"latency", rounded(state.Latency), t.outcomes(state.Outcomes)}
+	for rank, tier := range state.Tiers {
 		all = append(all, slog.Group(fmt.Sprint("tier", rank), "servers", tier.Endpoints, "cold", tier.WarmingUp, "room", tier.WithCapacity))
 	}
-	classes := s.Classes[:min(len(s.Classes), mostTraceClasses)]
+	classes := state.Classes[:min(len(state.Classes), maxTraceClasses)]
 	if len(t.last) != len(classes) { // the first line, or one after a change of the classes
 		t.last = make([]policy.ClassCounts, len(classes))
 	}
-	for i, c := range classes {
-		now, was := c.Counts, t.last[i]
-		all = append(all, slog.Group(c.Name, "asked", now.Requests-was.Requests, "sent", now.Attempts-was.Attempts,
+	for i, class := range classes {
+		now, was := class.Counts, t.last[i]
+		all = append(all, slog.Group(class.Name, "asked", now.Requests-was.Requests, "sent", now.Attempts-was.Attempts,
 			"served", now.Served-was.Served, "inTime", now.WithinObjective-was.WithinObjective, "refused", now.Rejected-was.Rejected,
-			"failed", now.Failed-was.Failed, "held", c.Queued, "expectedMs", rounded(c.ExpectedMs)))
+			"failed", now.Failed-was.Failed, "held", class.Queued, "expectedMs", rounded(class.ExpectedMs)))
 		t.last[i] = now
 	}
 	return all
@@ -110,5 +111,5 @@
 		"local", now.LocalFailure-was.LocalFailure, "unreachable", now.Unreachable-was.Unreachable)
 }
 
-// rounded keeps lines short.
+// rounded is a figure to three places, which keeps lines short.
 func rounded(x float64) float64 { return float64(int64(x*1000)) / 1000 }
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -44,7 +44,7 @@
 			t.Errorf("line %d lacks %s or the servers: %s", i, want, lines[i])
 		}
 	}
-	l.tracer.lines = mostTraceLines - 1
+	l.tracer.lines = maxTraceLines - 1
 	l.handle(traceDue{})
 	if due != 3 || !strings.Contains(text.String(), "trace: ends") {
 		t.Error("the trace goes on past its bound")
