--- a/internal/agent/clock_distance_test.go
+++ b/internal/agent/clock_distance_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The quickest notice of a start tells how far the servers' clock is from the agent's, whatever the
-// agent's reads; later notices then say how late they are, up to the tolerance.
+// The quickest notice of a start gives the distance of the servers' clock from the agent's, whatever
+// the agent's reads; by it later notices are known to be late, up to the tolerance.
 func TestQuickestNoticeMeasuresTheClocks(t *testing.T) {
 	for _, step := range wallSteps {
 		f := newWatchedFleet(t)
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -14,22 +14,22 @@
 )
 
 // New configurations in quick succession, each of which moves discovery, the last one back to the
-// first address: the calls of each end with it, and only what the last one tells counts.
+// first address: the calls of each end with it, and only what the last one delivers counts.
 func TestDiscoveryMovesInQuickSuccession(t *testing.T) {
 	l, err := newLoop(t.Context(), parse(t, config("127.0.0.1:1", "127.0.0.1:9")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.handle(watchEvent{list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
-	var left []*discovery
+	var former []*discovery
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
-		left = append(left, l.watch.discovery)
+		former = append(former, l.watch.discovery)
 		if err := l.reload(parse(t, config(addr, "127.0.0.1:9"))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	draining := Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
-	for _, d := range left {
+	for _, d := range former {
 		if d.ctx.Err() == nil {
 			t.Fatalf("the calls of %s go on", d.addr)
 		}
@@ -41,7 +41,7 @@
 			l.handle(in)
 		}
 		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
-			t.Fatalf("what %s tells counts, though discovery has moved", d.addr)
+			t.Fatalf("what %s delivers counts, though discovery has moved", d.addr)
 		}
 	}
 	if l.watch.discovery.addr != "127.0.0.1:1" || l.watch.discovery.firstWordTimeout != localFirstWordTimeout {
@@ -50,13 +50,13 @@
 	// A lower version than the first time, as it may have begun anew.
 	l.handle(watchEvent{generation: l.watch.discovery.generation, list: listOf(3, true, draining)})
 	if b := l.backends[addrOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
-		t.Fatal("what the discovery now asked tells does not count")
+		t.Fatal("what the discovery now called delivers does not count")
 	}
 	l.watch.discovery.close()
 }
 
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
-// was held up before: what has not begun never does, and all that begins later goes elsewhere.
+// was suspended before: what has not begun never does, and all that begins later goes elsewhere.
 func TestHeldUpListWithdraws(t *testing.T) {
 	for name, list := range map[string]List{
 		"draining":     listOf(2, false, Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -33,7 +33,7 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
-// A moment in which this machine has no descriptor, port or route fails no call of discovery: the
+// A moment in which this machine has no descriptor, port or route is no failed call of discovery: the
 // call is made as soon as the moment has passed, and until then seldom enough.
 func TestCallsThatThisMachineCannotMake(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -45,7 +45,7 @@
 			"eager fetch": func(d *discovery) { d.fetch(true) },
 		} {
 			t.Run(errno.Error()+" "+call, func(t *testing.T) {
-				d, told := scripted(t, false, `{"seq":2,"whole":true,"hosts":[]}`)
+				d, posted := scripted(t, false, `{"seq":2,"whole":true,"hosts":[]}`)
 				dialer := &failingDialer{failures: 20, err: failedConnect(errno), dial: d.dial}
 				d.dial = dialer.connect
 				d.firstWordTimeout, d.silence = never, never
@@ -55,8 +55,8 @@
 					return true
 				}
 				do(d)
-				if in := await(t, told); in.err != nil || in.list.Seq != 2 {
-					t.Fatalf("told %+v first", in)
+				if in := await(t, posted); in.err != nil || in.list.Seq != 2 {
+					t.Fatalf("posted %+v first", in)
 				}
 				if len(pauses) != dialer.failures || dialer.connects != dialer.failures+1 || dialer.most != 1 {
 					t.Fatalf("%d connects, %d at once, with %d pauses", dialer.connects, dialer.most, len(pauses))
@@ -84,13 +84,13 @@
 		"read":      &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.EHOSTUNREACH)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, told := scripted(t, false)
+			d, posted := scripted(t, false)
 			dialer := &failingDialer{failures: 1, err: err}
 			d.dial = dialer.connect
 			d.pause = func(time.Duration) bool { t.Error("paused"); return false }
 			d.watch(1, false)
-			if in := await(t, told); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice || dialer.connects != 1 {
-				t.Fatalf("%d connects, and told %+v", dialer.connects, in)
+			if in := await(t, posted); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice || dialer.connects != 1 {
+				t.Fatalf("%d connects, and posted %+v", dialer.connects, in)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 
 // A call that waits to be made again ends with the agent, and when discovery moves.
 func TestCallsThatWaitEnd(t *testing.T) {
-	d, told := scripted(t, false)
+	d, posted := scripted(t, false)
 	failing := make(chan struct{}, 1)
 	d.dial = func(context.Context, string, string) (net.Conn, error) {
 		select {
@@ -110,7 +110,7 @@
 	go d.watch(1, false)
 	<-failing
 	d.close()
-	if in := await(t, told); !is[watchEnded](in.input) {
-		t.Fatalf("told %+v", in)
+	if in := await(t, posted); !is[watchEnded](in.input) {
+		t.Fatalf("posted %+v", in)
 	}
 }
--- a/internal/agent/local_errors_test.go
+++ b/internal/agent/local_errors_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestErrorsOfThisMachine tells apart what this machine, the way to the peer and the peer cause,
-// as the errors come wrapped from the net package.
+// Errors that this machine, the way to the peer and the peer cause are distinguished as they come,
+// wrapped by the net package.
 func TestErrorsOfThisMachine(t *testing.T) {
 	for _, test := range []struct {
 		errno              syscall.Errno
@@ -39,6 +39,6 @@
 		})
 	}
 	if isLocalError(nil) || isLocalError(errors.New("another")) {
-		t.Error("no error, or one of no system call, is held to be this machine's")
+		t.Error("no error, or one of no system call, is taken for this machine's")
 	}
 }
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -39,11 +39,11 @@
 			t.Errorf("request %d was not answered", i)
 		}
 		if len(r.answers) > 0 || r.open != 0 {
-			t.Errorf("request %d: %d more answers, %d attempts out", i, len(r.answers), r.open)
+			t.Errorf("request %d: %d more answers, %d attempts in flight", i, len(r.answers), r.open)
 		}
 	}
 	if s := l.balancer.Snapshot(l.nowMs()); s.Inflight != 0 || s.Queued != 0 || len(l.requests) != 0 {
-		t.Errorf("%d in flight, %d held, %d requests", s.Inflight, s.Queued, len(l.requests))
+		t.Errorf("%d in flight, %d queued, %d requests", s.Inflight, s.Queued, len(l.requests))
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// A panic in a change of the configuration is told to who waits for it.
+// A panic in a change of the configuration is the error that its caller gets.
 func TestReloadThatPanics(t *testing.T) {
 	l := quietLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
@@ -74,6 +74,6 @@
 			t.Error("taken for a success")
 		}
 	default:
-		t.Error("nothing was told")
+		t.Error("no error was sent")
 	}
 }
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -56,8 +56,8 @@
 }
 
 // Where discovery is down, silent or refusing, an agent that knows no backend is ready a while
-// after its start all the same. It holds what comes then, sends it on as soon as it is told of
-// a backend, and stays ready.
+// after its start all the same. It queues what comes then, sends it on as soon as it knows a backend,
+// and stays ready.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	if readyWithin > 5*time.Second {
 		t.Fatal("restarted agents have to be ready within 6 s, and their start takes a part of it")
@@ -76,7 +76,7 @@
 			}
 			c := dial(t, base)
 			io.WriteString(c, raw("order", "early"))
-			eventually(t, "its request held", func() bool { return a.holds("early") })
+			eventually(t, "its request queued", func() bool { return a.holds("early") })
 			a.told(2, readyHost(0, good))
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v with a backend known", resp, err)
@@ -89,8 +89,8 @@
 	}
 }
 
-// An agent that was given servers long gone is ready at once, refuses what reaches none of
-// them, and serves when it is told of others.
+// An agent that was given servers long gone is ready at once, rejects what reaches none of
+// them, and serves when it knows of others.
 func TestReadyWithServersLongGone(t *testing.T) {
 	good, _ := counted(t, 200, false)
 	a, base, _ := restarted(t, config(nowhere, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), listen(t))
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -13,7 +13,7 @@
 	"ploverreel/policy"
 )
 
-// class is a class of the settings.
+// classOf is a class of the settings.
 func classOf(name, effect string, giveUpMs int) map[string]any {
 	return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": giveUpMs, "credit": 1,
 		"effect": effect, "group": "all", "keyTtlMs": 20000}
@@ -127,33 +127,35 @@
 	}
 }
 
-// A request that was read just before other settings came is asked under its class's new
-// number, and refused, as it never ran, where its class is asked no more or in another way.
+// A request that was read just before other settings came is decided under its class's new number,
+// and rejected, as it never ran, where its class is no more or has another effect.
 func TestRequestReadUnderTheSettingsBefore(t *testing.T) {
 	conf := config(nowhere, "127.0.0.1:1")
 	for _, c := range []struct {
 		name    string
 		classes []any
-		class   int // -1: refused
+		class   int // -1: rejected
 	}{
 		{"another place", []any{classOf("look", "free", 30000), classOf("order", "single_shot", 30000)}, 1},
 		{"no more", []any{classOf("look", "free", 30000)}, -1},
-		{"another way", []any{classOf("order", "guarded", 30000)}, -1},
+		{"another effect", []any{classOf("order", "guarded", 30000)}, -1},
 	} {
-		l := quietLoop(t, "127.0.0.1:1")
-		old := l.config
-		done := make(chan error, 1)
-		l.handle(reloadRequested{config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
-		if err := <-done; err != nil {
-			t.Fatal(err)
-		}
-		r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(never), answers: make(chan response, 1)}
-		l.handle(requestArrived{request: r})
-		if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
-			t.Errorf("%s: class %d, %d attempts", c.name, r.class, len(r.attempts))
-		}
-		if c.class < 0 && (len(r.answers) != 1 || (<-r.answers).status != policy.StatusRejected || len(r.attempts) > 0) {
-			t.Errorf("%s: not refused", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			l := quietLoop(t, "127.0.0.1:1")
+			old := l.config
+			done := make(chan error, 1)
+			l.handle(reloadRequested{config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
+			if err := <-done; err != nil {
+				t.Fatal(err)
+			}
+			r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(never), answers: make(chan response, 1)}
+			l.handle(requestArrived{request: r})
+			if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
+				t.Errorf("class %d, %d attempts", r.class, len(r.attempts))
+			}
+			if c.class < 0 && (len(r.answers) != 1 || (<-r.answers).status != policy.StatusRejected || len(r.attempts) > 0) {
+				t.Error("not rejected")
+			}
+		})
 	}
 }
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// A hollow agent watches as any does, tells each list that is in force, and ends with its
-// context. The list of its configuration is not told.
-func TestHollowAgentTellsWhatIsInForce(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A simulated agent watches as any does, reports each list that is in force, and ends with its
+// context. The list of its configuration is not reported.
+func TestSimulatedAgentReportsListsInForce(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"seq":7,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"ready"}]}`, "\n",
 			`{"seq":8,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`, "\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	defer s.Close()
-	type told struct {
+	defer server.Close()
+	type report struct {
 		seq   int64
 		whole bool
 	}
-	lists, ended := make(chan told, 100), make(chan error, 1)
+	lists, ended := make(chan report, 100), make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	conf := parse(t, config(s.Listener.Addr().String(), nowhere))
+	conf := parse(t, config(server.Listener.Addr().String(), nowhere))
 	go func() {
-		ended <- RunSimulated(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- told{seq, whole} })
+		ended <- RunSimulated(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- report{seq, whole} })
 	}()
-	for _, want := range []told{{7, true}, {8, false}} {
+	for _, want := range []report{{7, true}, {8, false}} {
 		select {
 		case got := <-lists:
 			if got != want {
-				t.Fatalf("told %+v, want %+v", got, want)
+				t.Fatalf("reported %+v, want %+v", got, want)
 			}
 		case <-time.After(noAnswer):
-			t.Fatal("told nothing")
+			t.Fatal("reported nothing")
 		}
 	}
 	stop()
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -45,7 +45,7 @@
 	return f
 }
 
-// born starts a server, or starts it anew, as long ago as is told.
+// born starts a server, or starts it anew, so long ago.
 func (f *watchedFleet) born(name string, ago time.Duration) Host {
 	at := f.machine.real.Add(-ago)
 	f.began[name] = at
@@ -72,7 +72,7 @@
 	f.loop, f.noticed = l, f.machine.real
 }
 
-// hear tells the agent a list.
+// hear hands the agent a list that a watch delivered.
 func (f *watchedFleet) hear(whole bool, hosts ...Host) {
 	f.seq++
 	f.loop.handle(watchEvent{list: listOf(f.seq, whole, hosts...)})
@@ -190,7 +190,7 @@
 	}
 }
 
-// After a time without a watch, the first list tells of starts of all that time: they are as far
+// After a time without a watch, the first list names the starts of all that time: they are as far
 // apart as their born_ms, as long as that fits.
 func TestStartsOfATimeWithoutAWatch(t *testing.T) {
 	for _, step := range wallSteps {
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -16,8 +16,8 @@
 	"ploverreel/policy"
 )
 
-// spoken is a discovery whose watch writes what it is given, piece by piece, until the
-// channel is closed; then the watch ends.
+// spoken is a discovery whose watch writes what it is given, piece by piece, until the channel of
+// pieces is closed; then the watch ends. What the calls post comes by the other channel.
 func spoken(t *testing.T) (*discovery, chan input, chan string) {
 	t.Helper()
 	pieces := make(chan string)
@@ -36,27 +36,27 @@
 			}
 		}
 	}))
-	told := make(chan input, 100)
+	posted := make(chan input, 100)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); s.Close() })
-	return newDiscovery(ctx, s.Listener.Addr().String(), 0, func(in input) { told <- in }), told, pieces
+	return newDiscovery(ctx, s.Listener.Addr().String(), 0, func(in input) { posted <- in }), posted, pieces
 }
 
-// await takes the next word of a watch.
-func await(t *testing.T, told chan input) inputContents {
+// await takes the next input that a call posts.
+func await(t *testing.T, posted chan input) inputContents {
 	t.Helper()
 	select {
-	case in := <-told:
+	case in := <-posted:
 		return contentsOf(in)
 	case <-time.After(noAnswer):
-		t.Fatal("told nothing")
+		t.Fatal("posted nothing")
 		panic("unreachable")
 	}
 }
 
 // Lists may come indented, over many lines, in any pieces, and several at once.
 func TestListsOverManyLines(t *testing.T) {
-	d, told, pieces := spoken(t)
+	d, posted, pieces := spoken(t)
 	d.firstWordTimeout, d.silence = never, never
 	go d.watch(1, false)
 	indented := "{\n  \"seq\": 2,\n\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n" +
@@ -64,23 +64,23 @@
 	for _, r := range "\n\n" + indented {
 		pieces <- string(r)
 	}
-	if in := await(t, told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
-		t.Fatalf("told %+v", in)
+	if in := await(t, posted); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
+		t.Fatalf("posted %+v", in)
 	}
 	two := strings.Replace(change, `"seq":2`, `"seq":3`, 1) + strings.Replace(indented, `"seq": 2`, `"seq": 4`, 1)
 	pieces <- two + "\n\r\n \t\n"
 	for _, seq := range []int64{3, 4} {
-		if in := await(t, told); !is[watchEvent](in.input) || in.list.Seq != seq {
-			t.Fatalf("told %+v, want list %d", in, seq)
+		if in := await(t, posted); !is[watchEvent](in.input) || in.list.Seq != seq {
+			t.Fatalf("posted %+v, want list %d", in, seq)
 		}
 	}
 	close(pieces)
-	if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, io.EOF) {
-		t.Fatalf("told %+v", in)
+	if in := await(t, posted); !is[watchEnded](in.input) || !errors.Is(in.err, io.EOF) {
+		t.Fatalf("posted %+v", in)
 	}
 }
 
-// A list that has begun and does not come to its end is as good as silence, however much
+// A list that has begun and does not come to its end counts as silence, however much
 // white space comes, and no list may be longer than any may be.
 func TestListWithoutEnd(t *testing.T) {
 	t.Run("drip", func(t *testing.T) {
@@ -103,7 +103,7 @@
 		}
 	})
 	t.Run("length", func(t *testing.T) {
-		d, told, pieces := spoken(t)
+		d, posted, pieces := spoken(t)
 		d.firstWordTimeout, d.silence = never, never
 		go d.watch(1, false)
 		go func() {
@@ -116,8 +116,8 @@
 				}
 			}
 		}()
-		if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, errListTooLong) {
-			t.Fatalf("told %+v", in)
+		if in := await(t, posted); !is[watchEnded](in.input) || !errors.Is(in.err, errListTooLong) {
+			t.Fatalf("posted %+v", in)
 		}
 	})
 }
@@ -126,38 +126,39 @@
 // whole one.
 func TestOtherJSONIsNoList(t *testing.T) {
 	for _, text := range []string{`{}`, `null`, `{"error":"later"}`, `{"seq":9,"whole":true}`, `[]`, `7`} {
-		d, told, pieces := spoken(t)
+		d, posted, pieces := spoken(t)
 		d.firstWordTimeout, d.silence = never, never
 		go d.watch(1, false)
 		go func() { pieces <- text + "\n"; close(pieces) }()
-		if in := await(t, told); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice {
-			t.Fatalf("%s: a watch told %+v", text, in)
+		if in := await(t, posted); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice {
+			t.Fatalf("%s: a watch posted %+v", text, in)
 		}
-		d, told = scripted(t, false, text)
+		d, posted = scripted(t, false, text)
 		d.fetch(false)
-		if in := await(t, told); !is[endpointsFetched](in.input) || in.err == nil {
-			t.Fatalf("%s: a fetch told %+v", text, in)
+		if in := await(t, posted); !is[endpointsFetched](in.input) || in.err == nil {
+			t.Fatalf("%s: a fetch posted %+v", text, in)
 		}
 	}
-	d, told := scripted(t, false, change)
+	d, posted := scripted(t, false, change)
 	d.fetch(false)
-	if in := await(t, told); in.err == nil {
+	if in := await(t, posted); in.err == nil {
 		t.Fatal("a change was taken for the whole list")
 	}
 }
 
-// Only a watch that had lived is told as lost: its module asks again without a back-off. One
-// that told has lived, however soon it ended: what it should have told next counts soon.
+// Only a watch that had worked ends after a notice: the module opens the next one without a backoff.
+// One that delivered a list has worked, however soon it ended: what it should have delivered next
+// soon counts as known.
 func TestLostWatch(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		says    string
 		silence time.Duration
-		lost    bool
+		want    bool
 	}{
 		{"lived", change + "\n", time.Nanosecond, true},
 		{"lived without a list", "\n", time.Nanosecond, true},
-		{"told and ended at once", change + "\n", never, true},
+		{"delivered and ended at once", change + "\n", never, true},
 		{"ended at once without a list", "\n", never, false},
 		{"never spoke", "", time.Nanosecond, false},
 	} {
@@ -170,21 +171,20 @@
 				}
 				close(pieces)
 			}()
-			if w := d.watchOnce(1, false); w.endedAfterNotice(c.silence) != c.lost {
-				t.Fatalf("lost is not %v after %+v", c.lost, w)
+			if w := d.watchOnce(1, false); w.endedAfterNotice(c.silence) != c.want {
+				t.Fatalf("ended after a notice is not %v after %+v", c.want, w)
 			}
 		})
 	}
 }
 
-// A list that brings nothing new is still told to the module as a sign that discovery is
-// there: after a discovery that was down its failures went on counting, and the watch that
-// ended next was opened again 3 s later.
+// A list that brings nothing new still notifies the module that discovery is there: else the failures
+// of a discovery that was down go on counting, and a watch that ends is opened again seconds later.
 func TestNothingNewEndsTheFailures(t *testing.T) {
 	conf := config(nowhere)
 	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
 	c := parse(t, conf)
-	wait := func(told bool) time.Duration {
+	wait := func(posted bool) time.Duration {
 		l, err := newLoop(t.Context(), c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -193,7 +193,7 @@
 		for range 6 {
 			l.handle(failed)
 		}
-		if told {
+		if posted {
 			l.handle(watchEvent{list: List{Seq: l.watch.listVersion, Hosts: []Host{}}})
 		}
 		l.handle(failed)
@@ -210,8 +210,8 @@
 	}
 }
 
-// A discovery on the agent's own machine answers at once: a call without a word is given up
-// soon. Where it is one service for all, calls wait in turn.
+// A discovery on the agent's own machine answers at once: a call to which nothing comes is given up
+// soon. Where it is one service for all agents, calls wait in turn.
 func TestFirstWordOfAWatch(t *testing.T) {
 	for mode, want := range map[string]time.Duration{policy.MembershipPushed: localFirstWordTimeout, policy.MembershipOnRequest: firstWordTimeout} {
 		conf := config(nowhere)
@@ -232,12 +232,12 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	told := make(chan input, 1)
-	d := newDiscovery(t.Context(), ln.Addr().String(), 0, func(in input) { told <- in })
+	posted := make(chan input, 1)
+	d := newDiscovery(t.Context(), ln.Addr().String(), 0, func(in input) { posted <- in })
 	d.firstWordTimeout = time.Millisecond
 	go d.watch(1, false)
-	if in := await(t, told); !is[watchEnded](in.input) || !errors.Is(in.err, errWatchSilent) || in.endedAfterNotice {
-		t.Fatalf("told %+v", in)
+	if in := await(t, posted); !is[watchEnded](in.input) || !errors.Is(in.err, errWatchSilent) || in.endedAfterNotice {
+		t.Fatalf("posted %+v", in)
 	}
 }
 
@@ -251,10 +251,10 @@
 	defer away.Close()
 	s := httptest.NewServer(http.RedirectHandler(away.URL, http.StatusFound))
 	defer s.Close()
-	told := make(chan input, 10)
-	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 0, func(in input) { told <- in })
+	posted := make(chan input, 10)
+	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 0, func(in input) { posted <- in })
 	d.watch(1, false)
-	if in := await(t, told); !is[watchEnded](in.input) || len(other) > 0 {
-		t.Fatalf("told %+v", in)
+	if in := await(t, posted); !is[watchEnded](in.input) || len(other) > 0 {
+		t.Fatalf("posted %+v", in)
 	}
 }
