--- a/internal/agent/config_file.go
+++ b/internal/agent/config_file.go
@@ -39,11 +39,11 @@
 // ParseConfig reads and validates the text of a configuration. Its error is one line, "config: field:
 // reason", and wraps a FieldError unless the text is no JSON.
 func ParseConfig(text []byte) (*Config, error) {
-	c, err := parseConfig(text)
+	config, err := parseConfig(text)
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	return c, nil
+	return config, nil
 }
 
 func parseConfig(text []byte) (*Config, error) {
@@ -51,19 +51,19 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
-	if c.Seed, err = file.check(); err != nil {
+	config := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
+	if config.Seed, err = file.check(); err != nil {
 		return nil, err
 	}
-	if err := c.parseSettings(file.Settings); err != nil {
+	if err := config.parseSettings(file.Settings); err != nil {
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if c.Known, err = parseList(file.Known); err != nil {
+		if config.Known, err = parseList(file.Known); err != nil {
 			return nil, inField("known", err)
 		}
 	}
-	return c, nil
+	return config, nil
 }
 
 func decodeConfigFile(text []byte) (*configFile, error) {
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -52,7 +52,7 @@
 	l := quietLoop(t, "127.0.0.1:1")
 	r := &request{id: 7, answers: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, r
-	l.requests[2] = &request{id: 2, attempts: []*attempt{{}}} // cancelling it panics
+	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // cancelling it panics
 	l.actions = []policy.Action{{Kind: policy.ActionCancel, Request: 2}, {Kind: policy.ActionReject, Request: 7}}
 	func() {
 		defer func() { _ = recover() }()
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -11,8 +11,7 @@
 // statusDuplicateID is the status of the answer to a request whose id came before.
 const statusDuplicateID policy.Status = 1
 
-// request is what a client asked for. The handler fills in the first part; the last one belongs to
-// the loop.
+// request is what a client asked for. The handler fills it in and hands it to the loop.
 type request struct {
 	config      *Config // in force when it was read; class and tenant are its numbers
 	class       int
@@ -33,8 +32,13 @@
 	client      net.Conn      // its connection; nil: nobody's
 	clientGone  atomic.Bool   // the client has left, or was answered without the loop; any goroutine may set it
 
-	id       policy.RequestID // 0: not yet the module's
-	answered bool
+	id policy.RequestID // the module's; 0: not yet. Belongs to the loop
+	progress
+}
+
+// progress is what has become of a request. It belongs to the loop.
+type progress struct {
+	answered bool       // or its client has left
 	attempts []*attempt // nil: this machine could not make it; of those there may be many
 	open     int        // attempts that have not ended
 }
