--- a/internal/agent/client_conn.go
+++ b/internal/agent/client_conn.go
@@ -9,90 +9,154 @@
 	"time"
 )
 
-// maxAhead bounds what is kept of what a client sends while its request is open.
+// maxReadAhead is how many bytes are kept of what a client sends while its request is in
+// progress.
 const maxReadAhead = 4 << 10
 
-// clientConn is a client's connection. What stands below places, but for what the server's
-// reads keep, belongs to its places and their lock.
+// connStage is where a client connection stands between its accept and its close.
+type connStage uint8
+
+const (
+	stageNew      connStage = iota // no complete request has arrived yet
+	stageIdle                      // between two requests, kept alive
+	stageActive                    // a request is being read or answered
+	stageRejected                  // its request was answered with an error, the connection is about to close
+)
+
+// clientConn is a client connection, entered in the client connection table from acquire to
+// Close. Its life cycle:
+//
+//	accept ──► new ──► active ──► rejected ──► closed
+//	            │       ▲  │
+//	            │       │  ▼
+//	            │      idle
+//	            ▼       ▼
+//	           closing (a flag, not a stage)
+//
+// new and idle become active when the head of a request is complete, active becomes idle when the
+// response is written and the connection is kept. In new and idle the table may end the connection
+// to free its slot, to reap it or at shutdown: it is then closing, and its pending read times out.
+// When bytes of a request arrived before that was noticed, the request is still answered, with
+// "Connection: close".
+//
+// The fields of the first group are guarded by table.mu, those of the second belong to the
+// goroutine that reads: the server never has two reads of one connection in progress.
 type clientConn struct {
 	net.Conn
-	table              *clientTable
-	received           atomic.Bool // something was read from it
-	stage              connStage
-	stageSince         time.Time // when the stage began, or its next request to come
-	headStarted        bool      // bytes of its next request were read
-	closing            bool      // a request that still comes is its last
-	lookedAfterTimeout bool      // it was looked for bytes when its time was over
-	responseWritten    bool      // all that the server says was written
-	headRoom           int       // the server's room for a head
-	headDeadline       time.Time // when the head that is coming has to be whole
-	headReceivedAt     time.Time // when the last bytes of a head came
-
-	firstSeenAt         time.Time // when bytes were seen on it before it had a place; zero: none
-	readAhead           []byte    // read while a request was open, not yet handed on
-	readAheadAt         time.Time // when the first of that came
-	readAheadOverflowed bool      // some of what came then was not kept: nothing can follow
+	table    *clientTable
+	received atomic.Bool // at least one byte was read
+
+	// Guarded by table.mu.
+	stage           connStage
+	stageSince      time.Time // when the stage began; for a next request, when its head began
+	closing         bool      // ended by the table; a request that still arrives is the last
+	responseWritten bool      // the server has written all that it will write
+	head            headState
+
+	// Owned by the reading goroutine.
+	firstSeenAt         time.Time // when unread bytes were first seen before a slot was free; zero: never
+	readAhead           []byte    // read while a request was in progress, not yet passed to the server
+	readAheadAt         time.Time // when the first byte of readAhead was read
+	readAheadOverflowed bool      // bytes beyond maxReadAhead were dropped: no further request can be read
+}
+
+// headState is the progress of reading a request's head. It is guarded by the table's mutex.
+type headState struct {
+	started            bool      // bytes of the next head were read, and it is not complete
+	deadline           time.Time // when the head in progress has to be complete
+	receivedAt         time.Time // when the last bytes of the latest head were read
+	bufferSize         int       // the size of the server's read buffer, learned from its reads
+	peekedAfterTimeout bool      // unread bytes were looked for after a read timed out
+}
+
+// start notes at now that the first bytes of a head were read on a connection that has waited for
+// them since a time. The head has headTimeout from since, but at least minHeadTime from now.
+func (h *headState) start(since, now time.Time) {
+	h.started = true
+	h.deadline = since.Add(headTimeout)
+	if least := now.Add(minHeadTime); h.deadline.Before(least) {
+		h.deadline = least
+	}
+}
+
+// awaitNext prepares for the head of the next request on a connection that is idle since a time.
+func (h *headState) awaitNext(since time.Time) {
+	h.peekedAfterTimeout = false
+	h.deadline = since.Add(headTimeout)
 }
 
-func (c *clientConn) Read(p []byte) (n int, err error) {
-	var at time.Time
+// Read is called by the server: for heads and bodies, and with a buffer of one byte next to a
+// running handler, to notice that the client has disconnected.
+func (c *clientConn) Read(buffer []byte) (n int, err error) {
+	background := len(buffer) == 1
+	var receivedAt time.Time
 	switch {
 	case len(c.readAhead) > 0:
-		at = c.readAheadAt
-		n = copy(p, c.readAhead)
-		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
-			c.readAhead = nil
-		}
+		receivedAt = c.readAheadAt
+		n = c.takeReadAhead(buffer)
 	case c.readAheadOverflowed:
 		return 0, io.EOF
 	default:
-		n, err = c.receive(p)
-		// A client's time runs from when it wrote. What a process can't see is how long
-		// the bytes then were in the kernel; from here on no wait of its own counts.
-		at = time.Now()
+		n, err = c.receive(buffer)
+		// A client's deadline counts from when it wrote. The time that the bytes spent in the
+		// kernel can't be known; none of the agent's own delays from here on is charged to it.
+		receivedAt = time.Now()
 		if !c.firstSeenAt.IsZero() {
-			at, c.firstSeenAt = c.firstSeenAt, time.Time{}
+			receivedAt, c.firstSeenAt = c.firstSeenAt, time.Time{}
 		}
 	}
-	if n > 0 {
-		c.received.Store(true)
-		// Beside the handler the server looks for the client's end with a read of one byte.
-		if open := c.table.noteRead(c, len(p) == 1, at); open && err == nil && len(p) == 1 {
-			return n, c.watchForClose()
-		}
+	if n == 0 {
+		return n, err
+	}
+	c.received.Store(true)
+	if active := c.table.noteRead(c, background, receivedAt); active && err == nil && background {
+		return n, c.watchForClose()
 	}
 	return n, err
 }
 
-// receive reads from the connection. What has come when a head's time is over is read as well.
-func (c *clientConn) receive(p []byte) (int, error) {
-	head := c.table.reading(c, len(p))
-	n, err := c.Conn.Read(p)
-	if n == 0 && head && errors.Is(err, os.ErrDeadlineExceeded) && c.table.timedOut(c) {
-		return c.Conn.Read(p)
+// takeReadAhead moves bytes that were read ahead into the buffer, and returns how many.
+func (c *clientConn) takeReadAhead(buffer []byte) int {
+	n := copy(buffer, c.readAhead)
+	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+		c.readAhead = nil
+	}
+	return n
+}
+
+// receive reads from the socket. Bytes of a head that have arrived when its read times out are
+// read nevertheless.
+func (c *clientConn) receive(buffer []byte) (int, error) {
+	isHead := c.table.beginRead(c, len(buffer))
+	n, err := c.Conn.Read(buffer)
+	if n == 0 && isHead && errors.Is(err, os.ErrDeadlineExceeded) && c.table.retryAfterTimeout(c) {
+		return c.Conn.Read(buffer)
 	}
 	return n, err
 }
 
-// SetReadDeadline is the server's; its places may have ended the connection meanwhile.
+// SetReadDeadline is called by the server. The table may have ended the connection meanwhile, and
+// then keeps its own deadline.
 func (c *clientConn) SetReadDeadline(t time.Time) error { return c.table.setReadDeadline(c, t) }
 
-// lookOut reads on until the client leaves or the answer is out. The server stops looking
-// for the client's end when a byte comes: who sends more and then leaves would be held for present, and its request sent on.
+// watchForClose reads on while a request is in progress, until the client disconnects or the
+// response is written. The server itself stops watching at the first byte that arrives: a client
+// that sends more and then disconnects would seem to be present, and its request be forwarded.
 func (c *clientConn) watchForClose() error {
-	more := make([]byte, maxReadAhead)
+	chunk := make([]byte, maxReadAhead)
 	for {
-		n, err := c.Conn.Read(more)
+		n, err := c.Conn.Read(chunk)
 		if room := maxReadAhead - len(c.readAhead); n > room {
-			c.readAheadOverflowed = true // clients send one request at a time: it will not be missed
+			// Clients don't pipeline, so what is dropped is no request that anyone waits for.
+			c.readAheadOverflowed = true
 			n = room
 		}
 		if n > 0 && len(c.readAhead) == 0 {
 			c.readAheadAt = time.Now()
 		}
-		c.readAhead = append(c.readAhead, more[:n]...)
+		c.readAhead = append(c.readAhead, chunk[:n]...)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil // the answer is out, or the time to read is over
+			return nil // the response is written, or the time to read is over
 		}
 		if err != nil {
 			return err
@@ -100,29 +164,44 @@
 	}
 }
 
+// Close closes the socket and then frees its slot in the table: in the reverse order the
+// connection that takes the slot would be open beside this one, and exceed the limit.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
-	c.table.remove(c) // not before: the next would be open beside it
+	c.table.remove(c)
 	return err
 }
 
-// CloseWrite lets the server end its side first, so that a client still sending reads
-// its answer before the connection breaks.
+// CloseWrite lets the server shut down its sending side first, so that a client that is still
+// sending reads its response before the connection is reset.
 func (c *clientConn) CloseWrite() error {
-	defer c.table.written(c)
+	defer c.table.noteResponseWritten(c)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
 	return nil
 }
 
-// resting tells whether the connection is between two requests and nothing of the next has
-// come. The places are locked.
+// isIdle reports whether the connection is between two requests and nothing of the next has
+// arrived. The caller holds table.mu.
 func (c *clientConn) isIdle() bool {
-	return !c.closing && c.stage == stageIdle && !c.headStarted && peekConn(c.Conn) <= 0
+	return !c.closing && c.stage == stageIdle && !c.head.started && peekConn(c.Conn) <= 0
 }
 
-// silent tells whether nothing has come on the connection, not even unread.
+// isSilent reports whether nothing has arrived on the connection, not even unread. The caller
+// holds table.mu.
 func (c *clientConn) isSilent() bool {
 	return !c.closing && !c.received.Load() && peekConn(c.Conn) == 0
 }
+
+// awaitsHead reports whether the connection waits for the head of a request or reads one. The
+// caller holds table.mu.
+func (c *clientConn) awaitsHead() bool {
+	return c.stage == stageNew || c.stage == stageIdle
+}
+
+// closesWithoutRequest reports whether the connection was ended before any of a further request
+// was read, so that the server is about to close it. The caller holds table.mu.
+func (c *clientConn) closesWithoutRequest() bool {
+	return c.closing && !c.head.started && c.awaitsHead()
+}
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -147,10 +147,10 @@
 		err  error
 		want int
 	}{
-		{1, nil, 1}, {0, nil, -1}, {-1, syscall.EAGAIN, 0}, {-1, syscall.EINTR, 0}, {-1, syscall.ENOBUFS, unknown},
-		{-1, syscall.ENOMEM, unknown}, {-1, syscall.ECONNRESET, -1}, {-1, syscall.ETIMEDOUT, -1}, {-1, syscall.EHOSTUNREACH, -1},
+		{1, nil, 1}, {0, nil, -1}, {-1, syscall.EAGAIN, 0}, {-1, syscall.EINTR, 0}, {-1, syscall.ENOBUFS, peekUnknown},
+		{-1, syscall.ENOMEM, peekUnknown}, {-1, syscall.ECONNRESET, -1}, {-1, syscall.ETIMEDOUT, -1}, {-1, syscall.EHOSTUNREACH, -1},
 	} {
-		if got := seen(test.n, test.err); got != test.want {
+		if got := peekResult(test.n, test.err); got != test.want {
 			t.Errorf("a look that gave %d, %v tells %d, want %d", test.n, test.err, got, test.want)
 		}
 	}
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -265,7 +265,7 @@
 				a.clients.mu.Lock()
 				defer a.clients.mu.Unlock()
 				for c := range a.clients.conns {
-					return c.headStarted && peekConn(c.Conn) == 0
+					return c.head.started && peekConn(c.Conn) == 0
 				}
 				return false
 			})
--- a/internal/agent/client_listener.go
+++ b/internal/agent/client_listener.go
@@ -10,27 +10,16 @@
 	"time"
 )
 
-const (
-	// acceptRetryDelay is how long a failed accept is waited after. The shortest deadlines of
-	// clients are some tens of milliseconds, so it doesn't grow; a failure costs one call.
-	acceptRetryDelay = 10 * time.Millisecond
-	// acceptLogInterval is how often failed accepts are logged at most.
-	acceptLogInterval = time.Second
-	// listenFor is how long a start waits for a listener that this machine has no room for: the
-	// agent has to be ready within 6 s of a restart.
-	listenFor = 4 * time.Second
-)
-
-// Listen opens the clients' listener. A table that is full for a moment doesn't end the start.
+// Listen opens the clients' listener. Where that fails for want of a resource of this machine it
+// is retried for listenTimeout; its error is that of the last attempt.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
 }
 
 func listenWith(ctx context.Context, open func() (net.Listener, error), after func(time.Duration) <-chan time.Time) (net.Listener, error) {
-	for tries := listenFor / acceptRetryDelay; ; tries-- {
+	for retries := listenTimeout / acceptRetryDelay; ; retries-- {
 		ln, err := open()
-		// An address that is not this machine's stays so.
-		if err == nil || !isLocalError(err) || errors.Is(err, syscall.EADDRNOTAVAIL) || tries <= 0 {
+		if err == nil || !isTransientListenError(err) || retries <= 0 {
 			return ln, err
 		}
 		select {
@@ -41,27 +30,32 @@
 	}
 }
 
-// listener gives each connection that it accepts a place.
+// isTransientListenError reports whether a listen may succeed when it is retried. An address that
+// doesn't belong to this machine is a permanent fault, unlike where a connect reports the same error.
+func isTransientListenError(err error) bool {
+	return isLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
+}
+
+// clientListener enters each connection that it accepts in the client connection table.
 type clientListener struct {
 	net.Listener
-	table    *clientTable
-	once     sync.Once
-	closed   chan struct{} // closed with the listener; nil: nobody waits
-	log      *slog.Logger
-	failures int       // failed accepts so far
-	logged   time.Time // when one was logged last
-	// after is time.After, but for tests.
-	after func(time.Duration) <-chan time.Time
+	table     *clientTable
+	closeOnce sync.Once
+	closed    chan struct{} // closed with the listener; nil: no Accept is waiting
+	log       *slog.Logger
+	failures  int       // failed accepts so far
+	logged    time.Time // when a failure was last logged
+	after     func(time.Duration) <-chan time.Time
 }
 
-func newClientListener(ln net.Listener, places *clientTable, log *slog.Logger) *clientListener {
-	return &clientListener{Listener: ln, table: places, closed: make(chan struct{}), log: log, after: time.After}
+func newClientListener(ln net.Listener, table *clientTable, log *slog.Logger) *clientListener {
+	return &clientListener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
 }
 
-// Close may be called by who leaves and by the server: the second must not be told that it
-// came too late, or an agent that ended in order would end with an error.
+// Close closes the listener. Both the graceful shutdown and the http server call it; the second
+// call returns no error, or an agent that shut down in order would exit with one.
 func (l *clientListener) Close() (err error) {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
 		if l.closed != nil {
 			close(l.closed)
@@ -70,29 +64,30 @@
 	return err
 }
 
-// Accept always takes the next connection: left in the kernel's queue its request would
-// count as taken with nobody to answer. Without a place for it one is made, or where
-// all are in use the new connection is closed. Only the listener's close ends it.
+// Accept returns the next connection that has a slot in the table. It accepts also while the table
+// is full: a connection left in the kernel's queue would have its request count as received with
+// nobody to answer it. One that gets no slot in acquireWait is closed. Only the listener's close
+// ends Accept with an error.
 func (l *clientListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.acceptNext()
+		conn, err := l.acceptNext()
 		if err != nil {
 			return nil, err
 		}
-		if cc := l.place(c); cc != nil {
-			return cc, nil
+		if client := l.acquireSlot(conn); client != nil {
+			return client, nil
 		}
 	}
 }
 
-// acceptNext accepts a connection, however often that fails before. Linux hands on errors of
-// the network and of the connection as errors of accept; none of them, nor a table that is full
-// for a moment, says anything of the connections to come.
+// acceptNext accepts a connection, however often that fails first. Linux returns errors of the
+// network and of the new connection from accept; neither these nor an exhausted descriptor table
+// say anything of the connections that follow.
 func (l *clientListener) acceptNext() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
-			return c, err
+			return conn, err
 		}
 		l.noteFailure(err)
 		select {
@@ -103,7 +98,7 @@
 	}
 }
 
-// noteFailure counts a failed accept and logs it, unless one was just logged.
+// noteFailure counts a failed accept, and logs it at most once in acceptLogInterval.
 func (l *clientListener) noteFailure(err error) {
 	l.failures++
 	if now := time.Now(); l.logged.IsZero() || now.Sub(l.logged) >= acceptLogInterval {
@@ -112,18 +107,19 @@
 	}
 }
 
-// place finds a place for a new connection, or closes it. The listener's close doesn't end
-// the wait, which is short: the connection was accepted and its request may have come.
-func (l *clientListener) place(c net.Conn) *clientConn {
-	cc := &clientConn{Conn: c, table: l.table, stageSince: time.Now()}
-	l.table.wait(1) // who leaves must not take it for closed
-	defer l.table.wait(-1)
-	for !l.table.acquire(cc, time.Now()) {
-		if cc.firstSeenAt.IsZero() && peekConn(c) > 0 {
-			cc.firstSeenAt = time.Now()
+// acquireSlot waits for a slot for a new connection, and closes the connection if there is none in
+// time. The listener's close doesn't end the wait, which is short: the connection was accepted, and
+// its request may have arrived. It counts as waiting meanwhile, so that a shutdown waits for it.
+func (l *clientListener) acquireSlot(conn net.Conn) *clientConn {
+	client := &clientConn{Conn: conn, table: l.table, stageSince: time.Now()}
+	l.table.addWaiting(1)
+	defer l.table.addWaiting(-1)
+	for !l.table.acquire(client, time.Now()) {
+		if client.firstSeenAt.IsZero() && peekConn(conn) > 0 {
+			client.firstSeenAt = time.Now()
 		}
-		if time.Since(cc.stageSince) > l.table.acquirePatience() {
-			c.Close()
+		if time.Since(client.stageSince) > l.table.acquirePatience() {
+			conn.Close()
 			return nil
 		}
 		select {
@@ -131,5 +127,5 @@
 		case <-time.After(acquirePollInterval):
 		}
 	}
-	return cc
+	return client
 }
--- a/internal/agent/client_table.go
+++ b/internal/agent/client_table.go
@@ -7,138 +7,146 @@
 	"time"
 )
 
-const (
-	// idleFor is how long a client's connection without a request is left alone.
-	clientIdleGrace = 2 * time.Second
-	// unfinishedFor is how long a request may take to come while others want its place.
-	unfinishedHeadGrace = 500 * time.Millisecond
-	// silentFor is how long a new connection may say nothing while others want its place,
-	// roomFor how long a new one waits for a place, looked for every roomEvery.
-	silentConnGrace                  = 30 * time.Millisecond
-	acquireWait, acquirePollInterval = 150 * time.Millisecond, 2 * time.Millisecond
-	// leastHeadFor is what a head has to come whole in at least, from its first byte.
-	minHeadTime = 100 * time.Millisecond
-	// endedAtOnce is how many connections are ended at most for one that comes. Each costs a
-	// look at all; a limit that was lowered is reached as more come.
-	maxEvictionsPerAcquire = 4
-	// tidyEvery is how often idle connections are looked through.
-	reapInterval = 250 * time.Millisecond
-)
-
-// stage is what a client's connection is at.
-type connStage uint8
-
-const (
-	stageNew      connStage = iota // its first request has not come whole
-	stageIdle                      // between requests
-	stageActive                    // a request is being read or answered
-	stageRejected                  // it was told that its request is bad, and closes
-)
-
-// places holds the clients' connections, at most as many as there are places.
+// clientTable is the client connection table: it holds the clients' connections, at most maxConns
+// of them, and decides which are ended to make a slot free, to keep the number of idle ones in
+// bounds, and at shutdown. mu guards the table and the first group of fields of each clientConn.
 type clientTable struct {
-	maxConns    int
-	maxKeptIdle int // connections that ask or have asked, past which they are not kept
 	mu          sync.Mutex
+	maxConns    int // the slots
+	maxKeptIdle int // connections that have carried a request, above which they are not kept alive
 	conns       map[*clientConn]struct{}
-	waiting     int           // accepted connections that wait for a place
-	freed       chan struct{} // has an item when a place became free; room for one
-	// silent and room are silentFor and roomFor, but for tests.
+	waiting     int // accepted connections that wait for a slot
+
+	// freed has an item when a slot has become free. Its buffer holds one: a waiter looks
+	// through the table again, however many became free.
+	freed chan struct{}
+
+	// Durations that tests replace: silentConnGrace and acquireWait.
 	silentGrace, acquireTimeout time.Duration
 }
 
-func newClientTable(most, many int) *clientTable {
-	return &clientTable{maxConns: most, maxKeptIdle: many, conns: map[*clientConn]struct{}{},
+func newClientTable(maxConns, maxKeptIdle int) *clientTable {
+	return &clientTable{maxConns: maxConns, maxKeptIdle: maxKeptIdle, conns: map[*clientConn]struct{}{},
 		freed: make(chan struct{}, 1), silentGrace: silentConnGrace, acquireTimeout: acquireWait}
 }
 
-// resize changes how many places there are; connections over it end as others come.
-func (p *clientTable) resize(most, many int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.maxConns, p.maxKeptIdle = most, many
+// resize changes the limits. Connections above a lowered limit are ended as new ones arrive.
+func (t *clientTable) resize(maxConns, maxKeptIdle int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.maxConns, t.maxKeptIdle = maxConns, maxKeptIdle
 }
 
-// patience is how long a new connection waits for a place.
-func (p *clientTable) acquirePatience() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.acquireTimeout
+// acquirePatience is how long a new connection waits for a slot.
+func (t *clientTable) acquirePatience() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.acquireTimeout
 }
 
-// wait counts an accepted connection that has no place yet, or with -1 no longer waits.
-func (p *clientTable) wait(change int) {
-	p.mu.Lock()
-	p.waiting += change
-	p.mu.Unlock()
+// addWaiting changes the number of accepted connections that wait for a slot.
+func (t *clientTable) addWaiting(change int) {
+	t.mu.Lock()
+	t.waiting += change
+	t.mu.Unlock()
 }
 
-// take gives the connection a place if one is free. Otherwise it ends the connection that needs
-// its own least: its place is free when the server has closed it.
-func (p *clientTable) acquire(c *clientConn, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for n := 0; n < maxEvictionsPerAcquire && len(p.conns)-p.closing() >= p.maxConns; n++ {
-		least := p.evictionCandidate(now)
-		if least == nil {
+// acquire enters the connection in the table and reports whether there was a free slot. Without
+// one it ends the connections that are needed least; their slots are free once the server has
+// closed them, so the caller tries again.
+func (t *clientTable) acquire(c *clientConn, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for n := 0; n < maxEvictionsPerAcquire && len(t.conns)-t.closingCount() >= t.maxConns; n++ {
+		victim := t.evictionCandidate(now)
+		if victim == nil {
 			break
 		}
-		if least.stage == stageRejected {
-			p.closeLocked(least)
+		if victim.stage == stageRejected {
+			t.closeRejected(victim)
 		} else {
-			p.endRead(least)
+			t.endRead(victim)
 		}
 	}
-	if len(p.conns) >= p.maxConns {
+	if len(t.conns) >= t.maxConns {
 		return false
 	}
-	p.conns[c] = struct{}{}
+	t.conns[c] = struct{}{}
 	return true
 }
 
-// closing counts the connections that the server is about to close. The places are locked.
-func (p *clientTable) closing() (n int) {
-	for c := range p.conns {
-		if c.closing && !c.headStarted && (c.stage == stageNew || c.stage == stageIdle) {
+// closingCount counts the connections that the server is about to close. The caller holds t.mu.
+func (t *clientTable) closingCount() (n int) {
+	for c := range t.conns {
+		if c.closesWithoutRequest() {
 			n++
 		}
 	}
 	return n
 }
 
-// least finds the connection to end for a new one: the one idle longest, else the
-// oldest that has said nothing, else one that was turned away, else the oldest whose
-// request does not come to its end, and of the others one between requests. One
-// with a request open is never ended. The places are locked.
-func (p *clientTable) evictionCandidate(now time.Time) *clientConn {
-	const kinds = 5
-	var found [kinds]*clientConn
-	for c := range p.conns {
-		kind, age := kinds, now.Sub(c.stageSince)
-		switch {
-		case c.closing:
-		case c.stage == stageIdle && c.headStarted:
-			if age >= unfinishedHeadGrace { // the server waits far longer for its first bytes
-				kind = 3
-			}
-		case c.stage == stageIdle && age >= clientIdleGrace:
-			kind = 0
-		case c.stage == stageNew && c.received.Load() && age >= unfinishedHeadGrace:
-			kind = 3
-		case c.stage == stageNew && !c.received.Load() && age >= p.silentGrace:
-			kind = 1
-		case c.stage == stageRejected && c.responseWritten:
-			kind = 2
-		case c.stage == stageIdle:
-			kind = 4
+// evictionClass says why a connection may be evicted. Lower classes are evicted first.
+type evictionClass uint8
+
+const (
+	evictLongIdle       evictionClass = iota // idle for clientIdleGrace or longer
+	evictSilent                              // new, and nothing was received for the silent grace
+	evictRejected                            // answered with an error, all of which is written
+	evictUnfinishedHead                      // a head that is incomplete after unfinishedHeadGrace
+	evictIdle                                // idle, even if only just
+	notEvictable                             // with a request in progress, too recent, or ended already
+
+	evictionClasses = int(notEvictable)
+)
+
+// requiresNoUnreadBytes reports whether a connection of the class stays when unread bytes have
+// arrived on it: they are likely a client's request.
+func (class evictionClass) requiresNoUnreadBytes() bool {
+	return class != evictRejected && class != evictUnfinishedHead
+}
+
+// evictionClass tells in which class a connection is. The caller holds t.mu.
+func (t *clientTable) evictionClass(c *clientConn, now time.Time) evictionClass {
+	age := now.Sub(c.stageSince)
+	switch {
+	case c.closing:
+		return notEvictable
+	case c.stage == stageIdle && c.head.started:
+		if age >= unfinishedHeadGrace { // the server itself allows far longer
+			return evictUnfinishedHead
+		}
+	case c.stage == stageIdle && age >= clientIdleGrace:
+		return evictLongIdle
+	case c.stage == stageNew && c.received.Load() && age >= unfinishedHeadGrace:
+		return evictUnfinishedHead
+	case c.stage == stageNew && !c.received.Load() && age >= t.silentGrace:
+		return evictSilent
+	case c.stage == stageRejected && c.responseWritten:
+		return evictRejected
+	case c.stage == stageIdle:
+		return evictIdle
+	}
+	return notEvictable
+}
+
+// evictionCandidate returns the connection to evict for a new one, or nil: of the lowest class that
+// has any, the one that has been at its stage for longest. The caller holds t.mu.
+func (t *clientTable) evictionCandidate(now time.Time) *clientConn {
+	var oldest [evictionClasses]*clientConn
+	for c := range t.conns {
+		class := t.evictionClass(c, now)
+		if class == notEvictable {
+			continue
 		}
-		// What has just come and is not yet read is somebody's request.
-		if kind < kinds && (found[kind] == nil || c.stageSince.Before(found[kind].stageSince)) &&
-			(kind == 2 || kind == 3 || peekConn(c.Conn) <= 0) {
-			found[kind] = c
+		if oldest[class] != nil && !c.stageSince.Before(oldest[class].stageSince) {
+			continue
 		}
+		if class.requiresNoUnreadBytes() && peekConn(c.Conn) > 0 {
+			continue
+		}
+		oldest[class] = c
 	}
-	for _, c := range found {
+	for _, c := range oldest {
 		if c != nil {
 			return c
 		}
@@ -146,216 +154,215 @@
 	return nil
 }
 
-// end ends a connection on which no request is open, without a request being lost: not its
-// descriptor is closed beside the server's read, but that read's time is over. Either the read
-// returns bytes all the same, then their request is answered and the connection ends with the
-// answer, or it returns none and the server closes the connection, of which nothing was read.
-// The places are locked.
-func (p *clientTable) endRead(c *clientConn) {
+// endRead ends a connection without a request in progress, such that no request is lost: its
+// descriptor is not closed while the server reads, but that read times out at once. If the read
+// returns bytes all the same, their request is answered and the connection closed with the
+// response. If it returns none, the server closes the connection, of which nothing was read.
+// The caller holds t.mu.
+func (t *clientTable) endRead(c *clientConn) {
 	now := time.Now()
 	c.closing = true
-	if c.headStarted {
-		c.headDeadline = now
+	if c.head.started {
+		c.head.deadline = now
 	}
 	_ = c.Conn.SetReadDeadline(now)
 }
 
-// reading notes that the server reads into so much room, and reports whether for a request's
-// head. The room of its first read is its whole buffer. With less of it free the server holds
-// bytes of the next request, read behind those of the one before.
-func (p *clientTable) reading(c *clientConn, room int) (head bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.stage != stageNew && c.stage != stageIdle {
+// beginRead notes that the server reads into a buffer of size bytes, and reports whether it reads
+// a request's head. The size of its first read is that of its whole buffer. A later read into less
+// means that the server already holds bytes of the next request, read together with the previous
+// one.
+func (t *clientTable) beginRead(c *clientConn, size int) (isHead bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !c.awaitsHead() {
 		return false
 	}
-	c.headRoom = max(c.headRoom, room)
-	if room < c.headRoom && !c.headStarted {
-		p.startHead(c, time.Now())
+	c.head.bufferSize = max(c.head.bufferSize, size)
+	if size < c.head.bufferSize && !c.head.started {
+		t.startHead(c, time.Now())
 	}
 	return true
 }
 
-// begin notes that the first bytes of a head have been read, which has to come whole in its
-// time, also on a connection that was ended. The places are locked.
-func (p *clientTable) startHead(c *clientConn, now time.Time) {
+// startHead notes that the first bytes of a head have been read. The head has to be complete by
+// its deadline, also on a connection that the table has ended. The caller holds t.mu.
+func (t *clientTable) startHead(c *clientConn, now time.Time) {
 	if c.stage == stageIdle {
 		c.stageSince = now
 	}
-	c.headStarted = true
-	c.headDeadline = c.stageSince.Add(headTimeout)
-	if least := now.Add(minHeadTime); c.headDeadline.Before(least) {
-		c.headDeadline = least
-	}
-	_ = c.Conn.SetReadDeadline(c.headDeadline)
+	c.head.start(c.stageSince, now)
+	_ = c.Conn.SetReadDeadline(c.head.deadline)
 }
 
-// timedOut is told that the time of a read of a head is over. It reports whether bytes have
-// come before this was seen, which then are read: unread they would reset the connection.
-func (p *clientTable) timedOut(c *clientConn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.lookedAfterTimeout || peekConn(c.Conn) <= 0 {
+// retryAfterTimeout reports whether a read of a head that has timed out is to be made once more,
+// as bytes have arrived before the timeout was noticed: unread they would reset the connection.
+func (t *clientTable) retryAfterTimeout(c *clientConn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if c.head.peekedAfterTimeout || peekConn(c.Conn) <= 0 {
 		return false
 	}
-	c.lookedAfterTimeout = true
-	if !c.headStarted {
-		p.startHead(c, time.Now())
+	c.head.peekedAfterTimeout = true
+	if !c.head.started {
+		t.startHead(c, time.Now())
 	} else {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // they are there already
+		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // the bytes are there already
 	}
 	return true
 }
 
-// arrived notes that bytes, which were there at a time, were read from a connection, ahead of
-// its request's answer or as a part of a request. It reports whether a request is open.
-func (p *clientTable) noteRead(c *clientConn, ahead bool, at time.Time) (open bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// noteRead notes bytes that were read from a connection and arrived at a time, either as part of
+// a request or, with background set, next to a running handler. It reports whether a request is in
+// progress.
+func (t *clientTable) noteRead(c *clientConn, background bool, receivedAt time.Time) (active bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
 	case c.stage == stageActive:
-		c.headStarted = c.headStarted || ahead
+		c.head.started = c.head.started || background
 		return true
-	case !c.headStarted:
-		p.startHead(c, time.Now())
-	case c.lookedAfterTimeout:
-		_ = c.Conn.SetReadDeadline(c.headDeadline)
+	case !c.head.started:
+		t.startHead(c, time.Now())
+	case c.head.peekedAfterTimeout:
+		_ = c.Conn.SetReadDeadline(c.head.deadline)
 	}
-	c.headReceivedAt = at
+	c.head.receivedAt = receivedAt
 	return false
 }
 
-// setReadDeadline sets the time that the server gives a read. A connection that was ended keeps
-// its own until bytes have come, and a head has no more time than from its first byte on. No
-// time at all is set only for what is no head: then the head has come whole, and the connection
-// can't be ended any more.
-func (p *clientTable) setReadDeadline(c *clientConn, t time.Time) error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.stage == stageNew || c.stage == stageIdle {
+// setReadDeadline sets the deadline that the server wants for its reads. A connection that was
+// ended keeps its own deadline until bytes arrive, and a head has no longer than headState.deadline.
+// The server sets the zero time only once a head is complete: from then on a request is in
+// progress, and the connection can't be ended any more.
+func (t *clientTable) setReadDeadline(c *clientConn, deadline time.Time) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if c.awaitsHead() {
 		switch {
-		case t.IsZero():
-			c.stage, c.stageSince, c.headStarted = stageActive, time.Now(), false
-		case c.headStarted && c.headDeadline.Before(t):
-			t = c.headDeadline
-		case c.closing && !c.headStarted:
+		case deadline.IsZero():
+			c.stage, c.stageSince, c.head.started = stageActive, time.Now(), false
+		case c.head.started && c.head.deadline.Before(deadline):
+			deadline = c.head.deadline
+		case c.closing && !c.head.started:
 			return nil
 		}
 	}
-	return c.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
-// claim takes a connection's request to be answered. It reports when the last byte of its head
-// came, and whether the connection ends with the answer.
-func (p *clientTable) beginRequest(c *clientConn) (cameAt time.Time, last bool) {
-	p.setStage(c, stageActive)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return c.headReceivedAt, c.closing
+// beginRequest notes that a handler takes the connection's request. It returns when the last byte
+// of the request's head was read, and whether the connection closes with the response.
+func (t *clientTable) beginRequest(c *clientConn) (receivedAt time.Time, last bool) {
+	t.setStage(c, stageActive)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return c.head.receivedAt, c.closing
 }
 
-// shut closes a connection whose client was told that its request is bad, and which the server
-// reads no more. The places are locked.
-func (p *clientTable) closeLocked(c *clientConn) {
+// closeRejected closes a connection whose client was sent an error, and which the server reads no
+// more. The caller holds t.mu.
+func (t *clientTable) closeRejected(c *clientConn) {
 	c.Conn.Close()
-	delete(p.conns, c)
+	delete(t.conns, c)
 }
 
-func (p *clientTable) remove(c *clientConn) {
-	p.mu.Lock()
-	delete(p.conns, c)
-	p.mu.Unlock()
+// remove frees the slot of a connection that is closed.
+func (t *clientTable) remove(c *clientConn) {
+	t.mu.Lock()
+	delete(t.conns, c)
+	t.mu.Unlock()
 	select {
-	case p.freed <- struct{}{}:
+	case t.freed <- struct{}{}:
 	default:
 	}
 }
 
-// written notes that the server has said all that it says on a connection.
-func (p *clientTable) written(c *clientConn) {
-	p.mu.Lock()
+// noteResponseWritten notes that the server has written all that it will write on a connection.
+func (t *clientTable) noteResponseWritten(c *clientConn) {
+	t.mu.Lock()
 	c.responseWritten = true
-	p.mu.Unlock()
+	t.mu.Unlock()
 }
 
-// enter notes a connection's new stage. A rejected one stays so.
-func (p *clientTable) setStage(c *clientConn, to connStage) {
-	p.mu.Lock()
+// setStage moves a connection to another stage. A rejected one stays rejected.
+func (t *clientTable) setStage(c *clientConn, stage connStage) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if c.stage != stageRejected {
-		c.stage, c.stageSince = to, time.Now()
+		c.stage, c.stageSince = stage, time.Now()
 	}
-	switch to {
+	switch stage {
 	case stageActive:
-		c.headStarted = false // it has come
+		c.head.started = false // the head is complete
 	case stageIdle:
-		c.lookedAfterTimeout = false
-		c.headDeadline = c.stageSince.Add(headTimeout) // of what came ahead
+		c.head.awaitNext(c.stageSince)
 	}
-	p.mu.Unlock()
 }
 
-// track is the server's ConnState hook.
-func (p *clientTable) onConnState(c net.Conn, state http.ConnState) {
-	cc, ok := c.(*clientConn)
+// onConnState is the server's ConnState hook.
+func (t *clientTable) onConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*clientConn)
 	if !ok {
 		return
 	}
 	switch state {
 	case http.StateActive:
-		p.setStage(cc, stageActive)
+		t.setStage(c, stageActive)
 	case http.StateIdle:
-		p.setStage(cc, stageIdle)
+		t.setStage(c, stageIdle)
 	}
 }
 
-// crowded tells whether so many connections are kept that clients may soon have none left
-// for their next request: some ask once and keep theirs for good. The places are locked.
-func (p *clientTable) overKeptIdle() bool {
-	n := 0
-	for c := range p.conns {
+// overKeptIdle reports whether more connections are kept than maxKeptIdle, so that clients may
+// soon have no slot for their next request: some send one request and keep their connection
+// without end. The caller holds t.mu.
+func (t *clientTable) overKeptIdle() bool {
+	kept := 0
+	for c := range t.conns {
 		if c.stage == stageIdle || c.stage == stageActive {
-			n++
+			kept++
 		}
 	}
-	return n > p.maxKeptIdle
+	return kept > t.maxKeptIdle
 }
 
-// keep tells whether a connection may stay open after an answer.
-func (p *clientTable) mayKeepAlive() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.overKeptIdle()
+// mayKeepAlive reports whether a connection may stay open after a response.
+func (t *clientTable) mayKeepAlive() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return !t.overKeptIdle()
 }
 
-// tidy ends those that have been idle for a while, as long as there are too many.
-func (p *clientTable) reapIdle(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.overKeptIdle() {
+// reapIdle ends the connections that have been idle for clientIdleGrace, while too many are kept.
+func (t *clientTable) reapIdle(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.overKeptIdle() {
 		return
 	}
-	for c := range p.conns {
+	for c := range t.conns {
 		if c.isIdle() && now.Sub(c.stageSince) >= clientIdleGrace {
-			p.endRead(c)
+			t.endRead(c)
 		}
 	}
 }
 
-// closeWaiting ends the connections on which no request is open or coming in: those
-// between two requests and, where fresh ones are asked for too, those that said nothing yet.
-func (p *clientTable) closeIdle(freshToo bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.conns {
-		if c.isIdle() || freshToo && c.stage == stageNew && c.isSilent() {
-			p.endRead(c)
+// closeIdle ends the connections that are between two requests and, if newToo is set, those on
+// which nothing has arrived since they were accepted.
+func (t *clientTable) closeIdle(newToo bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for c := range t.conns {
+		if c.isIdle() || newToo && c.stage == stageNew && c.isSilent() {
+			t.endRead(c)
 		}
 	}
 }
 
 // count is how many connections are accepted and not closed.
-func (p *clientTable) count() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.conns) + p.waiting
+func (t *clientTable) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.conns) + t.waiting
 }
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -78,7 +78,7 @@
 					a.clients.mu.Lock()
 					defer a.clients.mu.Unlock()
 					for c := range a.clients.conns {
-						if c.stage != stageIdle || c.headStarted != (kind == "coming") {
+						if c.stage != stageIdle || c.head.started != (kind == "coming") {
 							return false
 						}
 					}
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -91,7 +91,7 @@
 		defer a.clients.mu.Unlock()
 		for c := range a.clients.conns {
 			found = c
-			return c.stage == want && !c.headStarted
+			return c.stage == want && !c.head.started
 		}
 		return false
 	})
@@ -149,7 +149,7 @@
 						eventually(t, "the first half read", func() bool {
 							a.clients.mu.Lock()
 							defer a.clients.mu.Unlock()
-							return conn.headStarted || len(a.clients.conns) == 0
+							return conn.head.started || len(a.clients.conns) == 0
 						})
 						io.WriteString(c, rest)
 					}
@@ -206,8 +206,8 @@
 	server, _ := net.Pipe()
 	next := &clientConn{Conn: server, table: p, stageSince: now}
 	for range 3 {
-		if p.acquire(next, now) || p.closing() != 1 || p.count() != 2 {
-			t.Fatalf("%d ended, %d places taken", p.closing(), p.count())
+		if p.acquire(next, now) || p.closingCount() != 1 || p.count() != 2 {
+			t.Fatalf("%d ended, %d places taken", p.closingCount(), p.count())
 		}
 	}
 	for c := range p.conns {
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -292,7 +292,7 @@
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
 	p := newClientTable(1, 1)
-	c := &clientConn{Conn: server, table: p, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), headRoom: 4096}
+	c := &clientConn{Conn: server, table: p, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), head: headState{bufferSize: 4096}}
 	var by time.Time
 	for i := range 3 {
 		_ = c.SetReadDeadline(time.Now().Add(clientKeepAlive)) // as the server does at each stage
@@ -301,10 +301,10 @@
 			t.Fatalf("read %d, %v", n, err)
 		}
 		if i == 0 {
-			by = c.headDeadline
+			by = c.head.deadline
 		}
-		if c.headDeadline != by || by.IsZero() || time.Until(by) > headTimeout {
-			t.Fatalf("the head may come until %v, at its first byte until %v", c.headDeadline, by)
+		if c.head.deadline != by || by.IsZero() || time.Until(by) > headTimeout {
+			t.Fatalf("the head may come until %v, at its first byte until %v", c.head.deadline, by)
 		}
 	}
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -47,7 +47,7 @@
 			}
 		}
 	}()
-	c, _ := hr.Context().Value(connKey{}).(*clientConn)
+	c := clientConnOf(hr)
 	if c != nil {
 		cameAt, last := a.clients.beginRequest(c)
 		if !cameAt.IsZero() {
@@ -159,7 +159,7 @@
 // reject tells a client that its request is not taken, and ends its connection: what
 // follows there can't be trusted to be a request.
 func (a *Agent) reject(w http.ResponseWriter, hr *http.Request, bad *requestError) {
-	if c, ok := hr.Context().Value(connKey{}).(*clientConn); ok {
+	if c := clientConnOf(hr); c != nil {
 		a.clients.setStage(c, stageRejected)
 	}
 	// The server reads what is left of the body before it closes the connection.
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -22,7 +22,7 @@
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
 	const held = 5 * time.Second
-	c := &clientConn{Conn: server, table: a.clients, headReceivedAt: time.Now().Add(-held)}
+	c := &clientConn{Conn: server, table: a.clients, head: headState{receivedAt: time.Now().Add(-held)}}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", "held")
 	req.Header.Set("Request-Timeout", "30000m")
@@ -93,7 +93,7 @@
 	defer accepted.Close()
 	eventually(t, "the bytes there", func() bool { return peekConn(accepted) > 0 })
 	l := &clientListener{Listener: ln, table: p}
-	placed := l.place(accepted)
+	placed := l.acquireSlot(accepted)
 	if placed == nil {
 		t.Fatal("no place")
 	}
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -14,9 +14,12 @@
 	"ploverreel/policy"
 )
 
+// maxTokenLen is how many bytes a Request-Id or a Host may have.
+const maxTokenLen = 256
+
 // plain tells whether an id or a name can be sent on as it is.
 func isPlainToken(id string) bool {
-	if id == "" || len(id) > maxWord {
+	if id == "" || len(id) > maxTokenLen {
 		return false
 	}
 	for _, c := range []byte(id) {
@@ -117,7 +120,7 @@
 	// slowly not the answer past its time.
 	control := http.NewResponseController(w)
 	now := time.Now()
-	within := min(bodyTimeout, max(r.deadline.Sub(now), leastBodyFor))
+	within := min(bodyTimeout, max(r.deadline.Sub(now), minBodyTime))
 	_ = control.SetReadDeadline(now.Add(within))
 	body := make([]byte, hr.ContentLength)
 	if _, err := io.ReadFull(hr.Body, body); err != nil {
--- a/internal/agent/socket.go
+++ b/internal/agent/socket.go
@@ -6,73 +6,80 @@
 	"syscall"
 )
 
-// The states of Linux's TCP in which the peer has ended its sending, or the connection.
+// The states of Linux's TCP in which the peer has shut down its sending side, or the connection
+// is closed.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 )
 
-// unknown is what a look at a connection tells that this machine could not make.
-const unknown = -2
+// What peekConn finds on a connection.
+const (
+	peekUnknown = -2 // the look failed for want of a resource of this machine
+	peekClosed  = -1 // the peer has closed, or the connection failed
+	peekNothing = 0
+	peekUnread  = 1 // at least one unread byte
+)
 
-// pending looks what waits unread on a connection: -1 its end, 0 nothing, 1 bytes, or unknown.
-func peekConn(c net.Conn) int {
-	sc, ok := c.(syscall.Conn)
+// maxPeekAttempts is how often a look that a signal interrupts is made.
+const maxPeekAttempts = 10
+
+// peekConn looks what waits unread on a connection without reading it, and returns one of the
+// peek constants. It doesn't block.
+func peekConn(conn net.Conn) int {
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return 0
+		return peekNothing
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
-		return -1
+		return peekClosed
 	}
-	found := -1
-	// Control, as Read would wait for the one that reads from the connection.
+	found := peekClosed
+	// Control, as RawConn.Read would wait for the goroutine that reads from the connection.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
-		for range interruptedLooks {
+		for range maxPeekAttempts {
 			n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			if found = seen(n, err); err != syscall.EINTR {
+			if found = peekResult(n, err); err != syscall.EINTR {
 				return
 			}
 		}
 	})
 	if err != nil {
-		return -1
+		return peekClosed
 	}
 	return found
 }
 
-// interruptedLooks is how often a look that a signal interrupts is made.
-const interruptedLooks = 10
-
-// seen tells what a look at a connection found, as pending does. What failed on this machine for
-// want of memory says nothing of the connection.
-func seen(n int, err error) int {
+// peekResult translates the result of a recvfrom that peeks to one of the peek constants. An error
+// that is this machine's own says nothing of the connection.
+func peekResult(n int, err error) int {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return 0
+		return peekNothing
 	case err != nil && isLocalError(err):
-		return unknown
+		return peekUnknown
 	case err == nil && n > 0:
-		return 1
+		return peekUnread
 	}
-	return -1
+	return peekClosed
 }
 
-// ended tells whether the peer has ended its sending on a connection, though bytes from
-// before may wait unread: with these, and without a look, only the connection's state tells.
-func peerClosed(c net.Conn) bool {
-	switch peekConn(c) {
-	case -1:
+// peerClosed reports whether the peer has shut down its sending side. Bytes from before may wait
+// unread: with these, and where the look failed, the state of the connection is asked for.
+func peerClosed(conn net.Conn) bool {
+	switch peekConn(conn) {
+	case peekClosed:
 		return true
-	case 0:
+	case peekNothing:
 		return false
 	}
-	raw, err := c.(syscall.Conn).SyscallConn()
+	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
 	}
-	var info [4]byte // the state is the first byte
+	var info [4]byte // the first byte of TCP_INFO is the state
 	err = raw.Control(func(fd uintptr) {
 		if word, err := syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_INFO); err == nil {
 			binary.NativeEndian.PutUint32(info[:], uint32(word))
