--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -266,9 +266,9 @@
 		req.RequestURI, req.URL.Path = path, path
 		req.Body = http.NoBody
 		req.ContentLength = 0
-		r, bad := a.read(a.config.Load(), httptest.NewRecorder(), req, time.Now())
-		if bad != nil || (r.key != 0) != keyed {
-			t.Errorf("%s: %+v, %v", path, r, bad)
+		got, err := a.readRequest(a.config.Load(), httptest.NewRecorder(), req, time.Now())
+		if err != nil || (got.key != 0) != keyed {
+			t.Errorf("%s: %+v, %v", path, got, err)
 		}
 	}
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"errors"
 	"net/http"
 	"runtime/debug"
 	"strconv"
@@ -9,145 +10,156 @@
 	"ploverreel/policy"
 )
 
-// problem is why a request is not taken.
-type requestError struct {
-	status     int
-	text       string
-	retryAfter time.Duration // where it is none of the request itself
-}
-
-// answerWriter notes that an answer was begun.
-type answerWriter struct {
+// responseWriter notes that a response was begun.
+type responseWriter struct {
 	http.ResponseWriter
 	begun bool
 }
 
-func (w *answerWriter) WriteHeader(status int) {
+func (w *responseWriter) WriteHeader(status int) {
 	w.begun = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap lets the server's own writer be found, which sets a connection's deadlines.
-func (w *answerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+// Unwrap lets http.ResponseController find the server's own writer, which sets a connection's
+// deadlines.
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// ServeHTTP takes one request and gives it one answer.
-func (a *Agent) ServeHTTP(rw http.ResponseWriter, hr *http.Request) {
-	came := time.Now()
-	w := &answerWriter{ResponseWriter: rw}
-	var r *request
-	// A panic must not leave the request without an answer, nor the module with it.
+// ServeHTTP reads one request, forwards it to the loop and writes its one response.
+func (a *Agent) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+	w := &responseWriter{ResponseWriter: rw}
+	var req *request
+	// A panic must leave neither the request without a response nor the loop with the request.
 	defer func() {
-		if p := recover(); p != nil {
-			a.log.Error("panic in a handler", "panic", p, "stack", string(debug.Stack()))
-			if r != nil {
-				a.drop(r)
-			}
-			if !w.begun {
-				a.write(w, http.StatusInternalServerError, "", nil)
-			}
+		if reason := recover(); reason != nil {
+			a.onHandlerPanic(w, req, reason)
 		}
 	}()
-	c := clientConnOf(hr)
-	if c != nil {
-		cameAt, last := a.clients.beginRequest(c)
-		if !cameAt.IsZero() {
-			came = cameAt
-		}
-		if last {
-			w.Header().Set("Connection", "close")
-		}
-	}
-	if hr.Method == http.MethodGet && hr.RequestURI == "/ready" {
+	client := clientConnOf(r)
+	receivedAt := a.beginRequest(w, client)
+	if r.Method == http.MethodGet && r.RequestURI == "/ready" {
 		a.serveReady(w)
 		return
 	}
-	conf := a.config.Load()
-	if longest := conf.maxDeadline(); longest > a.startDeadline {
-		_ = http.NewResponseController(w).SetWriteDeadline(came.Add(longest + responseWriteTimeout))
+	config := a.config.Load()
+	if longest := config.maxDeadline(); longest > a.startDeadline {
+		_ = http.NewResponseController(w).SetWriteDeadline(receivedAt.Add(longest + responseWriteTimeout))
 	}
-	r, bad := a.read(conf, w, hr, came)
-	if bad != nil {
-		a.reject(w, hr, bad)
+	req, err := a.readRequest(config, w, r, receivedAt)
+	if err != nil {
+		a.reject(w, r, err)
 		return
 	}
-	defer a.bodyBytes.Add(-int64(len(r.body)))
-	if c != nil {
-		r.client = c.Conn
-	}
-	left := a.shutdownAt.Load()
-	if left != nil {
-		r.deadline = earlier(r.deadline, left.Add(a.lastAnswerAfter()))
+	defer a.bodyBytes.Add(-int64(len(req.body)))
+	if client != nil {
+		req.client = client.Conn
 	}
-	// What nobody could serve in time never ran.
-	if left != nil && time.Since(*left) >= shutdownRejectAfter || time.Until(r.deadline) <= guardMargin {
-		a.refuse(w, conf)
+	if !a.hasTimeFor(req) {
+		a.writeNotRun(w, config)
 		return
 	}
-	a.serve(w, hr, r)
+	a.forward(w, r, req)
+}
+
+// beginRequest takes the request of a client's connection, which is nil in tests that call the
+// handler alone. It returns when the request was received: when its head was read, as far as that
+// is known, so that the wait for a processor isn't taken from the client's time.
+func (a *Agent) beginRequest(w http.ResponseWriter, client *clientConn) time.Time {
+	now := time.Now()
+	if client == nil {
+		return now
+	}
+	receivedAt, last := a.clients.beginRequest(client)
+	if last {
+		w.Header().Set("Connection", "close")
+	}
+	if receivedAt.IsZero() {
+		return now
+	}
+	return receivedAt
+}
+
+// onHandlerPanic logs a panic of the handler, abandons its request, if it had one,
+// and answers with 500 unless a response was begun.
+func (a *Agent) onHandlerPanic(w *responseWriter, req *request, reason any) {
+	a.log.Error("panic in a handler", "panic", reason, "stack", string(debug.Stack()))
+	if req != nil {
+		a.abandon(req)
+	}
+	if !w.begun {
+		a.write(w, http.StatusInternalServerError, "", nil)
+	}
+}
+
+// hasTimeFor limits a request's deadline to the last response of a graceful shutdown, if one is in
+// progress, and reports whether the request can be answered in time. One that can't never ran.
+func (a *Agent) hasTimeFor(req *request) bool {
+	if began := a.shutdownAt.Load(); began != nil {
+		if last := began.Add(a.lastAnswerAfter()); last.Before(req.deadline) {
+			req.deadline = last
+		}
+		if time.Since(*began) >= shutdownRejectAfter {
+			return false
+		}
+	}
+	return time.Until(req.deadline) > guardMargin
 }
 
-// serve hands a request to the loop and waits for its answer, but no longer than the client
-// does: the loop may be busy, its queue full or its decision lost in a panic.
-func (a *Agent) serve(w http.ResponseWriter, hr *http.Request, r *request) {
-	guard := time.NewTimer(time.Until(r.deadline) - guardMargin)
+// forward posts a request to the loop and writes its response. It waits no longer than the client
+// does, as the loop may be busy, its queue full, or its decision lost in a panic.
+func (a *Agent) forward(w http.ResponseWriter, r *http.Request, req *request) {
+	guard := time.NewTimer(time.Until(req.deadline) - guardMargin)
 	defer guard.Stop()
-	queue := a.loop.inputs // nil when the request is in it
+	queue := a.loop.inputs // nil once the request is posted, so that it is posted once
 	for {
 		select {
-		case queue <- input{kind: inputRequest, request: r}:
+		case queue <- input{kind: inputRequest, request: req}:
 			queue = nil
-			continue
-		case ans := <-r.answers:
-			if ans.status == statusDuplicateID {
-				a.reject(w, hr, &requestError{status: http.StatusConflict, text: "Request-Id: came before"})
-				return
-			}
-			a.answer(w, ans)
+		case response := <-req.answers:
+			a.respond(w, r, response)
 			return
-		case <-hr.Context().Done(): // the client has gone
+		case <-r.Context().Done():
 			if queue == nil {
-				a.drop(r)
+				a.abandon(req)
 			}
 			a.writeClientGone(w)
 			return
 		case <-guard.C:
+			a.giveUp(w, req, queue == nil)
+			return
 		case <-a.lastCall:
-		}
-		if queue != nil { // nobody was asked: it never ran
-			a.refuse(w, r.config)
+			a.giveUp(w, req, queue == nil)
 			return
 		}
-		a.drop(r)
-		a.write(w, http.StatusGatewayTimeout, "", nil)
-		return
 	}
 }
 
-// drop tells the loop that nobody waits for a request any more. Where its queue is full the
-// answer, which leaves when the handler ends, doesn't wait for it. What was never posted needs no
-// such word, so no more wait to tell it than the loop and its queue hold requests.
-func (a *Agent) drop(r *request) {
-	r.clientGone.Store(true) // seen at once, however long the loop's queue
-	in := input{kind: inputClientGone, request: r}
-	select {
-	case a.loop.inputs <- in:
-	default:
-		go a.loop.post(in)
+// giveUp answers a request to which the loop has given no response in time. One that was not
+// posted never ran, and the client may send it again.
+func (a *Agent) giveUp(w http.ResponseWriter, req *request, posted bool) {
+	if !posted {
+		a.writeNotRun(w, req.config)
+		return
 	}
+	a.abandon(req)
+	a.write(w, http.StatusGatewayTimeout, "", nil)
 }
 
-// refuse tells a client that its request never ran, and when to come back.
-func (a *Agent) refuse(w http.ResponseWriter, conf *Config) {
-	a.answer(w, response{status: policy.StatusRejected, retryAfter: millis(conf.Settings.Limits.MaxRetryAfterMs)})
-}
-
-func earlier(a, b time.Time) time.Time {
-	if b.Before(a) {
-		return b
+// abandon tells the loop that nobody waits for a request any more. It doesn't block: where the
+// loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are abandoned,
+// so these goroutines are no more than the requests that the loop and its queue hold.
+func (a *Agent) abandon(req *request) {
+	req.clientGone.Store(true) // seen at once, however long the loop's queue is
+	gone := input{kind: inputClientGone, request: req}
+	select {
+	case a.loop.inputs <- gone:
+	default:
+		go a.loop.post(gone)
 	}
-	return a
 }
 
+// serveReady answers whether the agent can serve requests: it knows an endpoint to send to, and
+// isn't shutting down.
 func (a *Agent) serveReady(w http.ResponseWriter) {
 	if a.shutdownAt.Load() != nil || !a.loop.hasEndpoint.Load() {
 		http.Error(w, "no backend to send to", http.StatusServiceUnavailable)
@@ -156,63 +168,84 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// reject tells a client that its request is not taken, and ends its connection: what
-// follows there can't be trusted to be a request.
-func (a *Agent) reject(w http.ResponseWriter, hr *http.Request, bad *requestError) {
-	if c := clientConnOf(hr); c != nil {
-		a.clients.setStage(c, stageRejected)
+// reject answers a request that readRequest has refused, and closes its connection: what follows
+// on it can't be trusted to be a request.
+func (a *Agent) reject(w http.ResponseWriter, r *http.Request, err error) {
+	invalid := &requestError{status: http.StatusBadRequest, reason: err.Error()}
+	errors.As(err, &invalid)
+	if client := clientConnOf(r); client != nil {
+		a.clients.setStage(client, stageRejected)
 	}
-	// The server reads what is left of the body before it closes the connection.
+	// The server reads the rest of the body before it closes the connection.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	w.Header().Set("Connection", "close")
-	setRetryAfter(w, bad.retryAfter)
-	a.write(w, bad.status, "text/plain", []byte(bad.text+"\n"))
+	setRetryAfter(w, invalid.retryAfter)
+	a.write(w, invalid.status, "text/plain", []byte(invalid.reason+"\n"))
+}
+
+// respond writes the loop's response to a request.
+func (a *Agent) respond(w http.ResponseWriter, r *http.Request, response response) {
+	if response.status == statusDuplicateID {
+		a.reject(w, r, &requestError{status: http.StatusConflict, reason: "Request-Id: came before"})
+		return
+	}
+	a.writeResponse(w, response)
 }
 
-// leftBehind answers a request whose client has gone. One that only ended its sending
-// looks the same and still reads: without a word the server would tell it 200 and nothing,
-// which no backend said. That it failed claims nothing.
+// writeClientGone answers a request whose client has disconnected. A client that only shut down
+// its sending side looks the same and still reads: without a response of the agent's the server
+// would send it 200 with no body, which no backend said. 502 claims nothing of the request.
 func (a *Agent) writeClientGone(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	a.write(w, http.StatusBadGateway, "", nil)
 }
 
-// answer words a final answer.
-func (a *Agent) answer(w http.ResponseWriter, ans response) {
+// writeNotRun tells a client that its request never ran, and when to send it again.
+func (a *Agent) writeNotRun(w http.ResponseWriter, config *Config) {
+	a.writeResponse(w, response{status: policy.StatusRejected, retryAfter: maxRetryAfter(config)})
+}
+
+// maxRetryAfter is the longest Retry-After that a client may be sent.
+func maxRetryAfter(config *Config) time.Duration {
+	return millis(config.Settings.Limits.MaxRetryAfterMs)
+}
+
+// writeResponse writes a final response as its HTTP status.
+func (a *Agent) writeResponse(w http.ResponseWriter, response response) {
 	if !a.clients.mayKeepAlive() {
 		w.Header().Set("Connection", "close")
 	}
-	switch ans.status {
+	switch response.status {
 	case policy.StatusOK:
-		a.write(w, http.StatusOK, ans.contentType, ans.body)
+		a.write(w, http.StatusOK, response.contentType, response.body)
 	case policy.StatusRejected:
-		setRetryAfter(w, ans.retryAfter)
+		setRetryAfter(w, response.retryAfter)
 		a.write(w, http.StatusServiceUnavailable, "", nil)
 	default:
 		a.write(w, http.StatusBadGateway, "", nil)
 	}
 }
 
-// setRetryAfter tells a client when to come back, if that is known.
+// setRetryAfter sets Retry-After, in seconds with a fraction, unless it is 0.
 func setRetryAfter(w http.ResponseWriter, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	}
 }
 
-// write sends an answer. While the agent leaves, its connection ends with it.
-func (a *Agent) write(w http.ResponseWriter, status int, kind string, body []byte) {
-	h := w.Header()
-	h["Date"] = nil
+// write writes a response whole. During a graceful shutdown the connection closes with it.
+func (a *Agent) write(w http.ResponseWriter, status int, contentType string, body []byte) {
+	header := w.Header()
+	header["Date"] = nil
 	if a.shutdownAt.Load() != nil {
-		h.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
-	if kind == "" {
-		h["Content-Type"] = nil // not to be guessed
+	if contentType == "" {
+		header["Content-Type"] = nil // keeps the server from guessing one
 	} else {
-		h.Set("Content-Type", kind)
+		header.Set("Content-Type", contentType)
 	}
-	h.Set("Content-Length", strconv.Itoa(len(body)))
+	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error means that the client has gone
+	_, _ = w.Write(body) // an error means that the client has disconnected
 }
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -17,125 +17,186 @@
 // maxTokenLen is how many bytes a Request-Id or a Host may have.
 const maxTokenLen = 256
 
-// plain tells whether an id or a name can be sent on as it is.
-func isPlainToken(id string) bool {
-	if id == "" || len(id) > maxTokenLen {
-		return false
-	}
-	for _, c := range []byte(id) {
-		if c <= ' ' || c > '~' {
-			return false
-		}
-	}
-	return true
+// requestError is why a request is refused before it reaches the loop.
+type requestError struct {
+	status     int           // of the response
+	reason     string        // in one line, for the client; it names the header at fault
+	retryAfter time.Duration // where the fault is not in the request itself; 0: none
 }
 
-// read makes a request of what the client sent, its body included.
-func (a *Agent) read(conf *Config, w http.ResponseWriter, hr *http.Request, came time.Time) (*request, *requestError) {
-	r := &request{config: conf, method: hr.Method, target: hr.RequestURI, host: hr.Host,
-		retry: hr.Header.Get("Client-Retry") == "1", answers: make(chan response, 1)}
-	// The server ignores a length beside a Transfer-Encoding, so a request could hide in
-	// the body for whoever reads it the other way; clients send lengths.
-	if len(hr.TransferEncoding) > 0 || hr.ContentLength < 0 {
-		return nil, &requestError{status: http.StatusLengthRequired, text: "Transfer-Encoding: not taken"}
-	}
-	if hr.ContentLength > maxBody {
-		return nil, &requestError{status: http.StatusRequestEntityTooLarge, text: "body: above 64 KiB"}
-	}
-	if !strings.HasPrefix(hr.RequestURI, "/") {
-		return nil, &requestError{status: http.StatusBadRequest, text: "no path: an agent is no proxy"}
-	}
-	parts := strings.Split(hr.URL.Path[1:], "/")
-	class, known := conf.Names.classes[parts[0]]
+func (e *requestError) Error() string { return e.reason }
+
+// readRequest reads and checks what a client sent, its body included. All errors are of type
+// *requestError.
+func (a *Agent) readRequest(config *Config, w http.ResponseWriter, r *http.Request, receivedAt time.Time) (*request, error) {
+	if err := checkFraming(r); err != nil {
+		return nil, err
+	}
+	path := strings.Split(r.URL.Path[1:], "/")
+	class, known := config.Names.classes[path[0]]
 	if !known {
-		return nil, &requestError{status: http.StatusNotFound, text: "unknown class of request"}
+		return nil, &requestError{status: http.StatusNotFound, reason: "unknown class of request"}
+	}
+	req := &request{config: config, class: class, method: r.Method, target: r.RequestURI, host: r.Host,
+		retry: r.Header.Get("Client-Retry") == "1", answers: make(chan response, 1)}
+	timeoutText, err := readUniqueHeaders(req, r.Header)
+	if err != nil {
+		return nil, err
+	}
+	settings := &config.Settings.Classes[class]
+	if err := checkClass(req, settings.Effect, r.ContentLength); err != nil {
+		return nil, err
+	}
+	timeout, err := parseTimeout(timeoutText, config.maxDeadline())
+	if err != nil {
+		return nil, &requestError{status: http.StatusBadRequest, reason: "Request-Timeout: " + err.Error()}
+	}
+	// A client may wait for longer than a response of its class is worth anything; the agent
+	// doesn't.
+	req.deadline = receivedAt.Add(min(timeout, millis(settings.DeadlineMs)))
+	readRoutingHints(req, path, r.Header)
+	return req, a.readBody(w, r, req)
+}
+
+// checkFraming refuses requests of which it isn't certain where they end, and those for a proxy.
+func checkFraming(r *http.Request) error {
+	switch {
+	case len(r.TransferEncoding) > 0 || r.ContentLength < 0:
+		// The server ignores a Content-Length next to a Transfer-Encoding, so a request could be
+		// smuggled in the body past whoever reads it the other way. Clients send lengths.
+		return &requestError{status: http.StatusLengthRequired, reason: "Transfer-Encoding: not taken"}
+	case r.ContentLength > maxBody:
+		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "body: above 64 KiB"}
+	case !strings.HasPrefix(r.RequestURI, "/"):
+		return &requestError{status: http.StatusBadRequest, reason: "no path: an agent is no proxy"}
 	}
-	r.class = class
-	var timeout string
+	return nil
+}
+
+// readUniqueHeaders reads the headers that may stand once at most, and returns the text of
+// Request-Timeout.
+func readUniqueHeaders(req *request, header http.Header) (timeoutText string, err error) {
 	for _, field := range []struct {
 		key   string
 		value *string
-	}{{"Request-Id", &r.wireID}, {"Idempotency-Key", &r.idempotency}, {"Content-Type", &r.contentType}, {"Request-Timeout", &timeout}} {
-		values := hr.Header[field.key]
+	}{
+		{"Request-Id", &req.wireID},
+		{"Idempotency-Key", &req.idempotency},
+		{"Content-Type", &req.contentType},
+		{"Request-Timeout", &timeoutText},
+	} {
+		values := header[field.key]
 		if len(values) > 1 {
-			return nil, &requestError{status: http.StatusBadRequest, text: field.key + ": more than one"}
+			return "", &requestError{status: http.StatusBadRequest, reason: field.key + ": more than one"}
 		}
 		if len(values) == 1 {
 			*field.value = values[0]
 		}
 	}
-	set := &conf.Settings.Classes[class]
-	want := http.MethodPost
-	if set.Effect == policy.EffectIdempotent {
-		want = http.MethodGet
+	return timeoutText, nil
+}
+
+// checkClass checks a request against what its class's effect asks for, and that what is forwarded
+// of it can be.
+func checkClass(req *request, effect policy.Effect, contentLength int64) error {
+	method := http.MethodPost
+	if effect == policy.EffectIdempotent {
+		method = http.MethodGet
 	}
-	left, err := parseTimeout(timeout, conf.maxDeadline())
 	switch {
-	case hr.Method != want:
-		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class is asked with " + want}
-	case want == http.MethodGet && hr.ContentLength > 0:
-		return nil, &requestError{status: http.StatusBadRequest, text: "body: none belongs to GET"}
-	case !isPlainToken(r.host):
-		return nil, &requestError{status: http.StatusBadRequest, text: "Host: missing or no plain word"}
-	case !isPlainToken(r.wireID):
-		return nil, &requestError{status: http.StatusBadRequest, text: "Request-Id: missing or no plain word"}
-	case set.Effect == policy.EffectIdempotentWithKey && r.idempotency == "":
-		return nil, &requestError{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
-	case err != nil:
-		return nil, &requestError{status: http.StatusBadRequest, text: "Request-Timeout: " + err.Error()}
-	}
-	// A client may wait for longer than its class is worth anything, the agent does not.
-	r.deadline = came.Add(min(left, millis(set.DeadlineMs)))
-	if len(parts) > 1 && parts[len(parts)-1] != "" {
-		r.key = keyHash(parts[len(parts)-1])
-	}
-	if name := hr.Header.Get("Tenant"); len(conf.Names.tenants) > 0 {
-		if r.tenant, known = conf.Names.tenants[name]; !known {
-			r.tenant = -1
+	case req.method != method:
+		return &requestError{status: http.StatusMethodNotAllowed, reason: "this class is asked with " + method}
+	case method == http.MethodGet && contentLength > 0:
+		return &requestError{status: http.StatusBadRequest, reason: "body: none belongs to GET"}
+	case !isPlainToken(req.host):
+		return &requestError{status: http.StatusBadRequest, reason: "Host: missing or no plain word"}
+	case !isPlainToken(req.wireID):
+		return &requestError{status: http.StatusBadRequest, reason: "Request-Id: missing or no plain word"}
+	case effect == policy.EffectIdempotentWithKey && req.idempotency == "":
+		return &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key: missing"}
+	}
+	return nil
+}
+
+// isPlainToken reports whether an id or a host name can be forwarded as it is: 1 to maxTokenLen
+// visible ASCII characters.
+func isPlainToken(text string) bool {
+	if text == "" || len(text) > maxTokenLen {
+		return false
+	}
+	for _, char := range []byte(text) {
+		if char <= ' ' || char > '~' {
+			return false
+		}
+	}
+	return true
+}
+
+// readRoutingHints reads what the decision module chooses a backend by: the key at the end of the
+// path, the tenant (-1: unknown) and the work that the client expects, sent in µs. None of them is
+// required, and a hint that is no number is ignored.
+func readRoutingHints(req *request, path []string, header http.Header) {
+	if last := path[len(path)-1]; len(path) > 1 && last != "" {
+		req.key = keyHash(last)
+	}
+	if tenants := req.config.Names.tenants; len(tenants) > 0 {
+		tenant, known := tenants[header.Get("Tenant")]
+		if !known {
+			tenant = -1
 		}
+		req.tenant = tenant
 	}
-	if hint, err := strconv.ParseFloat(hr.Header.Get("Work-Hint"), 64); err == nil {
-		r.hintMs, r.hasHint = hint/1000, true
+	if micros, err := strconv.ParseFloat(header.Get("Work-Hint"), 64); err == nil {
+		req.hintMs, req.hasHint = micros/1000, true
 	}
-	return r, a.readBody(w, hr, r)
 }
 
-// readBody reads the body of the length that the head tells. The bodies held together
-// may take an eighth of the memory.
-func (a *Agent) readBody(w http.ResponseWriter, hr *http.Request, r *request) *requestError {
-	if hr.ContentLength == 0 {
+// readBody reads the body, of the length that the head gives. The bodies in memory together may
+// take an eighth of the process's memory.
+func (a *Agent) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
+	if r.ContentLength == 0 {
 		return nil
 	}
-	held := a.bodyBytes.Add(hr.ContentLength)
+	inMemory := a.bodyBytes.Add(r.ContentLength)
 	defer func() {
-		if r.body == nil {
-			a.bodyBytes.Add(-hr.ContentLength)
+		if req.body == nil {
+			a.bodyBytes.Add(-r.ContentLength)
 		}
 	}()
-	if held > int64(r.config.Limits.MemoryMB*(1<<20)/8) {
-		return &requestError{status: http.StatusServiceUnavailable, text: "body: no memory left",
-			retryAfter: millis(r.config.Settings.Limits.MaxRetryAfterMs)}
+	if inMemory > int64(req.config.Limits.MemoryMB*(1<<20)/8) {
+		return &requestError{status: http.StatusServiceUnavailable, reason: "body: no memory left",
+			retryAfter: maxRetryAfter(req.config)}
+	}
+	body, err := receiveBody(w, r, req)
+	if err != nil {
+		return err
 	}
-	// A body that stops coming must not hold its connection for ever, and one that comes
-	// slowly not the answer past its time.
+	req.body = body
+	return nil
+}
+
+// receiveBody reads the body within bodyTimeout, so that one that stops arriving doesn't hold its
+// connection without end, and within the request's deadline or minBodyTime, so that one that
+// arrives slowly doesn't delay the response past its deadline.
+func receiveBody(w http.ResponseWriter, r *http.Request, req *request) ([]byte, error) {
 	control := http.NewResponseController(w)
 	now := time.Now()
-	within := min(bodyTimeout, max(r.deadline.Sub(now), minBodyTime))
-	_ = control.SetReadDeadline(now.Add(within))
-	body := make([]byte, hr.ContentLength)
-	if _, err := io.ReadFull(hr.Body, body); err != nil {
-		if within < bodyTimeout && errors.Is(err, os.ErrDeadlineExceeded) {
-			return &requestError{status: http.StatusServiceUnavailable, text: "body: came too late",
-				retryAfter: millis(r.config.Settings.Limits.MaxRetryAfterMs)}
+	timeout := min(bodyTimeout, max(req.deadline.Sub(now), minBodyTime))
+	_ = control.SetReadDeadline(now.Add(timeout))
+	body := make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, body); err != nil {
+		if timeout < bodyTimeout && errors.Is(err, os.ErrDeadlineExceeded) {
+			return nil, &requestError{status: http.StatusServiceUnavailable, reason: "body: came too late",
+				retryAfter: maxRetryAfter(req.config)}
 		}
-		return &requestError{status: http.StatusRequestTimeout, text: "body: did not come whole"}
+		return nil, &requestError{status: http.StatusRequestTimeout, reason: "body: did not come whole"}
 	}
 	_ = control.SetReadDeadline(time.Time{})
-	r.body = body
-	return nil
+	return body, nil
 }
 
-// parseTimeout reads a number and a unit, m for milliseconds or u for microseconds.
+// parseTimeout parses a whole number above 0 with its unit: m for milliseconds, u for
+// microseconds. Its errors don't name the header.
 func parseTimeout(text string, longest time.Duration) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
@@ -146,16 +207,17 @@
 	default:
 		return 0, errors.New("no number with the unit m or u")
 	}
-	n, err := strconv.ParseUint(text[:len(text)-1], 10, 63)
-	if err != nil || n == 0 || n > uint64(longest/unit) {
+	count, err := strconv.ParseUint(text[:len(text)-1], 10, 63)
+	if err != nil || count == 0 || count > uint64(longest/unit) {
 		return 0, fmt.Errorf("no number above 0 and within %v", longest)
 	}
-	return time.Duration(n) * unit, nil
+	return time.Duration(count) * unit, nil
 }
 
-// keyOf gives what a request is about its number, the same at every agent; 0 is none.
+// keyHash is the 64-bit FNV-1a hash of a request's key, the same at every agent. It is never 0,
+// which means no key.
 func keyHash(text string) uint64 {
-	h := fnv.New64a()
-	io.WriteString(h, text)
-	return max(h.Sum64(), 1)
+	hash := fnv.New64a()
+	io.WriteString(hash, text)
+	return max(hash.Sum64(), 1)
 }
