--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -15,15 +15,6 @@
 	"ploverreel/policy"
 )
 
-// raw is a whole request as a client sends it.
-func raw(class, id string) string {
-	method := http.MethodPost
-	if class == "look" {
-		method = http.MethodGet
-	}
-	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
-}
-
 // handled waits until the loop has handled all that was posted so far.
 func (a *Agent) handled() { a.look(func(*loop) {}) }
 
--- a/internal/agent/client_listener_test.go
+++ b/internal/agent/client_listener_test.go
@@ -169,3 +169,20 @@
 		t.Errorf("told to end: %v after %d tries", err, *tries)
 	}
 }
+
+// Who leaves and the server both close the listener, in whatever order they come to it.
+func TestListenerClosesTwice(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := &clientListener{Listener: ln, table: newClientTable(1, 1)}
+	for range 2 {
+		if err := l.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := l.Accept(); err == nil {
+		t.Fatal("a closed listener accepts")
+	}
+}
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -14,38 +14,6 @@
 	"time"
 )
 
-// dial opens a client's connection by hand.
-func dial(t *testing.T, base string) net.Conn {
-	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	return c
-}
-
-// eventually waits for what another goroutine is about to do.
-func eventually(t *testing.T, what string, done func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never: ", what)
-		}
-	}
-}
-
-// answered reads all that comes on a connection until it ends.
-func answered(t *testing.T, c net.Conn) string {
-	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	text, err := io.ReadAll(c)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Fatalf("neither an end nor an error; it said %q", text)
-	}
-	return string(text)
-}
-
 // Connections that say nothing, or asked once and are kept for good, or began another
 // request that does not come to its end, must not keep out
 // a client whose time runs: a place is made for it.
@@ -385,20 +353,3 @@
 		t.Fatalf("told %+v", in)
 	}
 }
-
-// Who leaves and the server both close the listener, in whatever order they come to it.
-func TestListenerClosesTwice(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := &clientListener{Listener: ln, table: newClientTable(1, 1)}
-	for range 2 {
-		if err := l.Close(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if _, err := l.Accept(); err == nil {
-		t.Fatal("a closed listener accepts")
-	}
-}
--- /dev/null
+++ b/internal/agent/handler_test.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"ploverreel/policy"
+)
+
+// The last guard answers should the loop never do.
+func TestGuard(t *testing.T) {
+	conf := parse(t, config(nowhere))
+	a, err := New(conf, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.stop() // the loop does not run
+	req := call("http://b", "order")
+	req.RequestURI = "/order/u1"
+	req.Header.Set("Request-Timeout", "20m")
+	rec := httptest.NewRecorder()
+	a.ServeHTTP(rec, req)
+	if rec.Code != http.StatusGatewayTimeout {
+		t.Fatalf("answered %d", rec.Code)
+	}
+	if first, second := <-a.loop.inputs, <-a.loop.inputs; first.kind != inputRequest || second.kind != inputClientGone {
+		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
+	}
+}
+
+// The module's last word comes before the guard's, however short the settings' rounds: only
+// the module tells when to come back.
+func TestLastWordIsTheModules(t *testing.T) {
+	for left, less := range map[time.Duration]time.Duration{
+		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
+	} {
+		l := quietLoop(t, "127.0.0.1:1")
+		r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
+			wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
+		before := time.Until(r.deadline)
+		l.handle(input{kind: inputRequest, request: r})
+		sent := false
+		for _, act := range l.actions {
+			if act.Kind == policy.ActionSend && act.Request == r.id {
+				sent = true
+				if told := millis(act.DelayMs); told > before-less*9/10 {
+					t.Errorf("an attempt of a request with %v left may take %v", before, told)
+				}
+			}
+		}
+		if !sent && left > time.Second {
+			t.Errorf("a request with %v left was not sent", left)
+		}
+	}
+}
+
+// A request with no time left is refused, as it surely never ran, and told when to come back.
+func TestNoTimeLeft(t *testing.T) {
+	addr, came := counted(t, 200, false)
+	_, base, _, _ := start(t, config(nowhere, addr))
+	req := call(base, "order")
+	req.Header.Set("Request-Timeout", "1u")
+	if status, _, head := do(t, req); status != 503 || head.Get("Retry-After") != "0.6" || len(came) > 0 {
+		t.Fatalf("answered %d, Retry-After %q, %d sent on", status, head.Get("Retry-After"), len(came))
+	}
+}
+
+// explodes panics when the handler reads it.
+type explodes struct{}
+
+func (explodes) Read([]byte) (int, error) { panic("boom") }
+
+func (explodes) Close() error { return nil }
+
+// A panic in one handler must not leave its request without an answer.
+func TestHandlerPanic(t *testing.T) {
+	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer a.stop()
+	req := call("http://b", "order")
+	req.RequestURI = "/order/u1"
+	req.Body = explodes{}
+	rec := httptest.NewRecorder()
+	a.ServeHTTP(rec, req)
+	if rec.Code != http.StatusInternalServerError {
+		t.Fatalf("answered %d", rec.Code)
+	}
+}
--- /dev/null
+++ b/internal/agent/helpers_test.go
@@ -0,0 +1,188 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// config is a whole configuration; backends are listed as s-0, s-1, ...
+func config(discovery string, backends ...string) map[string]any {
+	hosts := []any{}
+	for i, dial := range backends {
+		hosts = append(hosts, host(i, dial, "ready"))
+	}
+	class := func(name, effect string) map[string]any {
+		return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": 30000, "credit": 1,
+			"effect": effect, "group": "all", "keyTtlMs": 20000}
+	}
+	return map[string]any{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":  map[string]any{"seq": 1, "whole": true, "hosts": hosts},
+		"settings": map[string]any{
+			"classes":        []any{class("look", "free"), class("send", "guarded"), class("order", "single_shot")},
+			"failureDomains": []any{"a", "b"}, "shapes": []any{"k"}, "membershipMode": "pushed",
+			"limits": map[string]any{"cancelling": true, "maxAttempts": 3, "connectTimeoutMs": 20000,
+				"keepaliveMs": 30000, "maxRetryAfterMs": 600},
+			"contract": map[string]any{"askWithinMs": 10000, "coldFrom": 0.3, "coldMs": 8000,
+				"drainGraceMs": 250, "fallMultiple": 2.5, "tipAfterMs": 1000},
+			"replicasOfMe": 1, "roundMs": 5, "weights": "nominal",
+		},
+	}
+}
+
+func host(i int, dial, health string) map[string]any {
+	return map[string]any{"host": fmt.Sprint("s-", i), "dial": dial, "site": "a", "class": "k",
+		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
+}
+
+func parse(t *testing.T, conf map[string]any) *Config {
+	t.Helper()
+	text, err := json.Marshal(conf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := ParseConfig(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return c
+}
+
+// start serves an agent until the test ends; stop is its SIGTERM.
+func start(t *testing.T, conf map[string]any) (a *Agent, base string, stop func(), ended chan error) {
+	t.Helper()
+	return startOn(t, conf, func(ln net.Listener) net.Listener { return ln })
+}
+
+// startOn is start with a wrapped listener.
+func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (a *Agent, base string, stop func(), ended chan error) {
+	t.Helper()
+	a, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	ended = make(chan error, 1)
+	go func() { ended <- a.Serve(ctx, wrap(ln)) }()
+	t.Cleanup(func() {
+		stop()
+		a.server.Close()
+		a.stop()
+	})
+	return a, "http://" + ln.Addr().String(), stop, ended
+}
+
+// lastID makes every request's id a new one.
+var lastID atomic.Int64
+
+// call is a request of the class, well-formed until it is changed.
+func call(base, class string) *http.Request {
+	method := http.MethodPost
+	if class == "look" {
+		method = http.MethodGet
+	}
+	req, err := http.NewRequest(method, base+"/"+class+"/u1", strings.NewReader("body"))
+	if err != nil {
+		panic(err)
+	}
+	if class == "look" {
+		req.Body, req.ContentLength = nil, 0
+	}
+	req.Header.Set("Request-Id", fmt.Sprint("id", lastID.Add(1)))
+	req.Header.Set("Request-Timeout", "30000m")
+	if class == "send" {
+		req.Header.Set("Idempotency-Key", "k1")
+	}
+	return req
+}
+
+func do(t *testing.T, req *http.Request) (int, string, http.Header) {
+	t.Helper()
+	resp, err := http.DefaultTransport.RoundTrip(req)
+	if err != nil {
+		t.Fatalf("no answer: %v", err)
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatalf("no whole answer: %v", err)
+	}
+	return resp.StatusCode, string(body), resp.Header
+}
+
+// counted is a backend that answers all it gets with status and counts it.
+func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
+	came = make(chan string, 100)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		came <- r.Header.Get("Request-Id")
+		if notStarted {
+			w.Header().Set("Not-Started", "1")
+		}
+		w.WriteHeader(status)
+		fmt.Fprint(w, "done")
+	}))
+	t.Cleanup(s.Close)
+	return s.Listener.Addr().String(), came
+}
+
+// noAnswer is after how long a test that waits for what never comes fails.
+const noAnswer = time.Minute
+
+// nowhere is a discovery that refuses all calls.
+const nowhere = "127.0.0.1:1"
+
+// dial opens a client's connection by hand.
+func dial(t *testing.T, base string) net.Conn {
+	t.Helper()
+	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	return c
+}
+
+// eventually waits for what another goroutine is about to do.
+func eventually(t *testing.T, what string, done func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("never: ", what)
+		}
+	}
+}
+
+// answered reads all that comes on a connection until it ends.
+func answered(t *testing.T, c net.Conn) string {
+	t.Helper()
+	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	text, err := io.ReadAll(c)
+	if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		t.Fatalf("neither an end nor an error; it said %q", text)
+	}
+	return string(text)
+}
+
+// raw is a whole request as a client sends it.
+func raw(class, id string) string {
+	method := http.MethodPost
+	if class == "look" {
+		method = http.MethodGet
+	}
+	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
+}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -3,10 +3,12 @@
 import (
 	"bufio"
 	"context"
+	"fmt"
 	"io"
 	"log/slog"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -141,3 +143,41 @@
 		t.Fatal(err)
 	}
 }
+
+// After SIGTERM new connections are still answered, what is held is finished, and
+// the agent ends without an error.
+func TestLeave(t *testing.T) {
+	got, release := make(chan struct{}, 2), make(chan struct{})
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		got <- struct{}{}
+		<-release
+		fmt.Fprint(w, "done")
+	}))
+	t.Cleanup(s.Close)
+	a, base, stop, ended := start(t, config(nowhere, s.Listener.Addr().String()))
+	answers := make(chan *http.Response, 2)
+	ask := func() {
+		resp, err := http.DefaultTransport.RoundTrip(call(base, "look"))
+		if err != nil {
+			t.Error(err)
+		}
+		answers <- resp
+	}
+	go ask()
+	<-got
+	stop()
+	for a.shutdownAt.Load() == nil {
+		time.Sleep(time.Millisecond)
+	}
+	go ask() // on a new connection: the first is busy
+	<-got
+	close(release)
+	for range 2 {
+		if resp := <-answers; resp == nil || resp.StatusCode != 200 || !resp.Close {
+			t.Errorf("answered %v, want 200 with Connection: close", resp)
+		}
+	}
+	if err := <-ended; err != nil {
+		t.Fatal(err)
+	}
+}
