--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -337,12 +337,14 @@
 			c["known"].(map[string]any)["hosts"] = []any{host(0, "127.0.0.1:1", "well")}
 		},
 	} {
-		c := config(nowhere)
-		change(c)
-		text, _ := json.Marshal(c)
-		if _, err := ParseConfig(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: said %v", key, err)
-		}
+		t.Run(key, func(t *testing.T) {
+			conf := config(nowhere)
+			change(conf)
+			text, _ := json.Marshal(conf)
+			if _, err := ParseConfig(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("said %v", err)
+			}
+		})
 	}
 	if _, err := ParseConfig([]byte("{")); err == nil {
 		t.Error("half a configuration was taken")
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -140,18 +140,28 @@
 	}
 }
 
-// A look at a connection that this machine could not make tells nothing of the client.
+// A peek that fails for want of a resource of this machine says nothing of the client.
 func TestFailedLooksAreNoEnds(t *testing.T) {
 	for _, test := range []struct {
+		name string
 		n    int
 		err  error
 		want int
 	}{
-		{1, nil, 1}, {0, nil, -1}, {-1, syscall.EAGAIN, 0}, {-1, syscall.EINTR, 0}, {-1, syscall.ENOBUFS, peekUnknown},
-		{-1, syscall.ENOMEM, peekUnknown}, {-1, syscall.ECONNRESET, -1}, {-1, syscall.ETIMEDOUT, -1}, {-1, syscall.EHOSTUNREACH, -1},
+		{"unread byte", 1, nil, peekUnread},
+		{"end of stream", 0, nil, peekClosed},
+		{"nothing to read", -1, syscall.EAGAIN, peekNothing},
+		{"interrupted", -1, syscall.EINTR, peekNothing},
+		{"no buffers", -1, syscall.ENOBUFS, peekUnknown},
+		{"no memory", -1, syscall.ENOMEM, peekUnknown},
+		{"reset", -1, syscall.ECONNRESET, peekClosed},
+		{"timed out", -1, syscall.ETIMEDOUT, peekClosed},
+		{"unreachable", -1, syscall.EHOSTUNREACH, peekClosed},
 	} {
-		if got := peekResult(test.n, test.err); got != test.want {
-			t.Errorf("a look that gave %d, %v tells %d, want %d", test.n, test.err, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := peekResult(test.n, test.err); got != test.want {
+				t.Errorf("recvfrom's %d, %v: got %d, want %d", test.n, test.err, got, test.want)
+			}
+		})
 	}
 }
--- a/internal/agent/client_listener_test.go
+++ b/internal/agent/client_listener_test.go
@@ -147,20 +147,26 @@
 		}, tries
 	}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		open, tries := failing(errno, 8)
-		if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
-			t.Errorf("%v: %v after %d tries", errno, err, *tries)
-		}
-		open, tries = failing(errno, 1<<30)
-		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
-			t.Errorf("%v for good: %v after %d tries", errno, err, *tries)
-		}
+		t.Run("for a moment: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 8)
+			if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
+		t.Run("for good: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 1<<30)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
 	}
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
-		open, tries := failing(errno, 1)
-		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
-			t.Errorf("%v: %v after %d tries", errno, err, *tries)
-		}
+		t.Run("permanent: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 1)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -353,3 +353,69 @@
 		t.Fatalf("told %+v", in)
 	}
 }
+
+// Each connection is in the eviction class that its stage, its age and what was read of it put it
+// in, and lower classes are evicted first.
+func TestEvictionClasses(t *testing.T) {
+	now := time.Now()
+	for _, test := range []struct {
+		name     string
+		conn     *clientConn
+		age      time.Duration
+		received bool
+		want     evictionClass
+	}{
+		{"new and silent for long", &clientConn{stage: stageNew}, silentConnGrace, false, evictSilent},
+		{"new and silent", &clientConn{stage: stageNew}, silentConnGrace - 1, false, notEvictable},
+		{"new with a head in progress", &clientConn{stage: stageNew}, unfinishedHeadGrace - 1, true, notEvictable},
+		{"new with an unfinished head", &clientConn{stage: stageNew}, unfinishedHeadGrace, true, evictUnfinishedHead},
+		{"idle", &clientConn{stage: stageIdle}, clientIdleGrace - 1, true, evictIdle},
+		{"idle for long", &clientConn{stage: stageIdle}, clientIdleGrace, true, evictLongIdle},
+		{"idle with a head in progress", &clientConn{stage: stageIdle, head: headState{started: true}}, unfinishedHeadGrace - 1, true, notEvictable},
+		{"idle with an unfinished head", &clientConn{stage: stageIdle, head: headState{started: true}}, clientIdleGrace, true, evictUnfinishedHead},
+		{"active", &clientConn{stage: stageActive}, time.Hour, true, notEvictable},
+		{"rejected", &clientConn{stage: stageRejected, responseWritten: true}, 0, true, evictRejected},
+		{"rejected, response in progress", &clientConn{stage: stageRejected}, time.Hour, true, notEvictable},
+		{"closing", &clientConn{stage: stageIdle, closing: true}, time.Hour, true, notEvictable},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.conn.stageSince = now.Add(-test.age)
+			test.conn.received.Store(test.received)
+			if got := newClientTable(1, 1).evictionClass(test.conn, now); got != test.want {
+				t.Errorf("got class %d, want %d", got, test.want)
+			}
+		})
+	}
+}
+
+// Of several connections the one of the lowest class is evicted, and of one class that which is at
+// its stage for longest.
+func TestEvictionOrder(t *testing.T) {
+	now, table := time.Now(), newClientTable(10, 10)
+	add := func(conn *clientConn, age time.Duration, received bool) *clientConn {
+		server, client := net.Pipe()
+		t.Cleanup(func() { server.Close(); client.Close() })
+		conn.Conn, conn.table, conn.stageSince = server, table, now.Add(-age)
+		conn.received.Store(received)
+		table.conns[conn] = struct{}{}
+		return conn
+	}
+	add(&clientConn{stage: stageActive}, time.Hour, true)
+	want := []*clientConn{
+		add(&clientConn{stage: stageIdle}, clientIdleGrace+1, true),
+		add(&clientConn{stage: stageIdle}, clientIdleGrace, true),
+		add(&clientConn{stage: stageNew}, time.Hour, false),
+		add(&clientConn{stage: stageRejected, responseWritten: true}, 0, true),
+		add(&clientConn{stage: stageNew}, time.Hour, true),
+		add(&clientConn{stage: stageIdle}, 0, true),
+	}
+	for i, conn := range want {
+		if got := table.evictionCandidate(now); got != conn {
+			t.Errorf("candidate %d: got %+v, want %+v", i, got, conn)
+		}
+		delete(table.conns, conn)
+	}
+	if got := table.evictionCandidate(now); got != nil {
+		t.Errorf("got %+v, which is active", got)
+	}
+}
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -34,26 +34,28 @@
 // The module's last word comes before the guard's, however short the settings' rounds: only
 // the module tells when to come back.
 func TestLastWordIsTheModules(t *testing.T) {
-	for left, less := range map[time.Duration]time.Duration{
+	for left, margin := range map[time.Duration]time.Duration{
 		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
 	} {
-		l := quietLoop(t, "127.0.0.1:1")
-		r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
-			wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
-		before := time.Until(r.deadline)
-		l.handle(input{kind: inputRequest, request: r})
-		sent := false
-		for _, act := range l.actions {
-			if act.Kind == policy.ActionSend && act.Request == r.id {
-				sent = true
-				if told := millis(act.DelayMs); told > before-less*9/10 {
-					t.Errorf("an attempt of a request with %v left may take %v", before, told)
+		t.Run(left.String(), func(t *testing.T) {
+			l := quietLoop(t, "127.0.0.1:1")
+			r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
+				wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
+			before := time.Until(r.deadline)
+			l.handle(input{kind: inputRequest, request: r})
+			sent := false
+			for _, act := range l.actions {
+				if act.Kind == policy.ActionSend && act.Request == r.id {
+					sent = true
+					if told := millis(act.DelayMs); told > before-margin*9/10 {
+						t.Errorf("an attempt of a request with %v left may take %v", before, told)
+					}
 				}
 			}
-		}
-		if !sent && left > time.Second {
-			t.Errorf("a request with %v left was not sent", left)
-		}
+			if !sent && left > time.Second {
+				t.Errorf("a request with %v left was not sent", left)
+			}
+		})
 	}
 }
 
