--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -35,7 +35,7 @@
 // What may have run is sent once more only where its class allows; what was turned
 // away may go on to another backend in any class.
 func TestRetries(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class      string
 		status     int
 		notStarted bool
@@ -48,17 +48,17 @@
 		{"send", 500, false, 3, http.StatusServiceUnavailable},
 		{"look", 503, false, 3, http.StatusServiceUnavailable},
 	} {
-		t.Run(fmt.Sprint(c.class, c.status, c.notStarted), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.class, test.status, test.notStarted), func(t *testing.T) {
 			var addrs []string
 			var came []chan string
 			for range 5 {
-				addr, ids := counted(t, c.status, c.notStarted)
+				addr, ids := counted(t, test.status, test.notStarted)
 				addrs, came = append(addrs, addr), append(came, ids)
 			}
 			_, base, _, _ := start(t, config(nowhere, addrs...))
-			status, _, head := do(t, call(base, c.class))
-			if status != c.answer {
-				t.Errorf("answered %d, want %d", status, c.answer)
+			status, _, head := do(t, call(base, test.class))
+			if status != test.answer {
+				t.Errorf("answered %d, want %d", status, test.answer)
 			}
 			if want := status == http.StatusServiceUnavailable; (head.Get("Retry-After") == "0.6") != want {
 				t.Errorf("Retry-After %q with %d", head.Get("Retry-After"), status)
@@ -67,8 +67,8 @@
 			for _, ids := range came {
 				attempts += len(ids) // each was counted before it was answered
 			}
-			if attempts != c.attempts {
-				t.Errorf("%d attempts, want %d", attempts, c.attempts)
+			if attempts != test.attempts {
+				t.Errorf("%d attempts, want %d", attempts, test.attempts)
 			}
 		})
 	}
@@ -76,9 +76,9 @@
 
 // A backend's answer that breaks off is not passed on, whole or in part.
 func TestBrokenAnswerFails(t *testing.T) {
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err == nil {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -90,8 +90,8 @@
 // A panic in the loop costs its one input.
 func TestLoopPanic(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, addr))
-	a.loop.post(input{kind: inputRequest, request: nil})
+	agent, base, _, _ := start(t, config(nowhere, addr))
+	agent.loop.post(input{kind: inputRequest, request: nil})
 	if status, _, _ := do(t, call(base, "order")); status != 200 {
 		t.Fatalf("answered %d after a panic", status)
 	}
@@ -102,18 +102,18 @@
 func TestMoreRequestsThanPlaces(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	stub := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		fmt.Fprint(w, "done")
 	}))
-	t.Cleanup(s.Close)
+	t.Cleanup(stub.Close)
 	t.Cleanup(open) // before the backend closes, also when the test fails
-	conf := config(nowhere, s.Listener.Addr().String())
+	conf := config(nowhere, stub.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = minSockets
-	a, base, _, _ := start(t, conf)
-	a.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
-	a.clients.silentGrace, a.clients.acquireTimeout = never, never
-	a.clients.mu.Unlock()
+	agent, base, _, _ := start(t, conf)
+	agent.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
+	agent.clients.silentGrace, agent.clients.acquireTimeout = never, never
+	agent.clients.mu.Unlock()
 	const over = 20
 	asked := openRequests(minSockets) + over
 	if asked <= clientSockets(minSockets) {
@@ -154,12 +154,12 @@
 // An attempt of a client that has gone is given up.
 func TestClientGone(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err != nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err != nil {
 			return
 		}
 		close(got)
-		r.ReadByte()
+		reader.ReadByte()
 		close(ended)
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -174,10 +174,10 @@
 // and the request goes on to another.
 func TestDrainWhileDialling(t *testing.T) {
 	good, came := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, "127.0.0.1:1"))
+	agent, base, _, _ := start(t, config(nowhere, "127.0.0.1:1"))
 	dialling := make(chan struct{})
-	plain := a.loop.pool.connect
-	a.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.connect
+	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == good {
 			return plain(ctx, network, addr)
 		}
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.loop.post(input{kind: inputWatchEvent, list: change})
+	agent.loop.post(input{kind: inputWatchEvent, list: change})
 	if status := <-answered; status != 200 {
 		t.Fatalf("answered %d", status)
 	}
@@ -225,48 +225,48 @@
 
 // Lists apply in the order of their versions, whichever way they come.
 func TestListOrder(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	usable := func(name string) bool { b := l.backends[addrOf(name)]; return b != nil && b.usable }
-	l.handle(input{kind: inputWatchEvent, list: listOf(5, false, h)})
+	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	usable := func(name string) bool { b := loop.backends[addrOf(name)]; return b != nil && b.usable }
+	loop.handle(input{kind: inputWatchEvent, list: listOf(5, false, endpoint)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
 	}
-	h.Health = "ready"
-	l.handle(input{kind: inputWatchEvent, list: listOf(4, false, h)})
-	l.handle(input{kind: inputFetched, list: listOf(3, true, h)})
+	endpoint.Health = "ready"
+	loop.handle(input{kind: inputWatchEvent, list: listOf(4, false, endpoint)})
+	loop.handle(input{kind: inputFetched, list: listOf(3, true, endpoint)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("an older version was applied")
 	}
-	l.handle(input{kind: inputFetched, list: listOf(6, true, h)})
-	if !usable("s-0") || usable("s-1") || l.listVersion != 6 {
+	loop.handle(input{kind: inputFetched, list: listOf(6, true, endpoint)})
+	if !usable("s-0") || usable("s-1") || loop.listVersion != 6 {
 		t.Fatal("the whole list of version 6 was not applied")
 	}
-	if len(l.backends) != 1 {
-		t.Fatalf("%d backends kept, one is listed", len(l.backends))
+	if len(loop.backends) != 1 {
+		t.Fatalf("%d backends kept, one is listed", len(loop.backends))
 	}
-	l.handle(input{kind: inputWatchEvent, list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
-	if len(l.backends) != 0 || l.hasEndpoint.Load() {
+	loop.handle(input{kind: inputWatchEvent, list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
+	if len(loop.backends) != 0 || loop.hasEndpoint.Load() {
 		t.Fatal("the backend that is gone was kept")
 	}
 }
 
 // A new process or address gets new connections; the backend stays the same.
 func TestNewProcessNewConnections(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
-	b := l.backends[addrOf("s-0")]
+	loop := quietLoop(t, "127.0.0.1:1")
+	b := loop.backends[addrOf("s-0")]
 	before := b.conns
-	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
-	l.handle(input{kind: inputWatchEvent, list: listOf(2, false, h)})
+	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
+	loop.handle(input{kind: inputWatchEvent, list: listOf(2, false, endpoint)})
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
 	waits := newAttempt(before, http.MethodPost, never)
 	b.attempts[waits] = struct{}{}
-	for i, change := range []func(){func() { h.Dial = "127.0.0.1:2" }, func() { h.BornMs = 7 }} {
+	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
-		l.handle(input{kind: inputWatchEvent, list: listOf(int64(3+i), false, h)})
-		if l.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != h.Dial {
+		loop.handle(input{kind: inputWatchEvent, list: listOf(int64(3+i), false, endpoint)})
+		if loop.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != endpoint.Dial {
 			t.Fatal("the old connections were kept")
 		}
 		before = b.conns
@@ -280,25 +280,25 @@
 // that stands idle is used again.
 func TestTimeoutDropsIdle(t *testing.T) {
 	closed := make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err == nil {
-			io.WriteString(c, okAnswer)
-			r.ReadByte()
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
+			io.WriteString(conn, okAnswer)
+			reader.ReadByte()
 			close(closed)
 		}
 	})
-	l := quietLoop(t, addr)
-	b := l.backends[addrOf("s-0")]
-	b.conns.pool.idleTimeout = never
-	a := newAttempt(b.conns, http.MethodPost, never)
-	a.backend = b
-	if res := a.run(); res.status != policy.StatusOK {
+	loop := quietLoop(t, addr)
+	target := loop.backends[addrOf("s-0")]
+	target.conns.pool.idleTimeout = never
+	first := newAttempt(target.conns, http.MethodPost, never)
+	first.backend = target
+	if res := first.run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(b.conns, http.MethodPost, never)
-	late.backend = b
+	late := newAttempt(target.conns, http.MethodPost, never)
+	late.backend = target
 	late.request.answers = make(chan response, 1)
-	l.handle(input{kind: inputOutcome, attempt: late, result: result{status: policy.StatusTimeout}})
+	loop.handle(input{kind: inputOutcome, attempt: late, result: result{status: policy.StatusTimeout}})
 	<-closed
 }
 
@@ -354,7 +354,7 @@
 // scripted is a discovery whose watch writes lines and then stays open or ends.
 func scripted(t *testing.T, stay bool, lines ...string) (*discovery, chan input) {
 	release := make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		for _, line := range lines {
 			fmt.Fprintln(w, line)
 		}
@@ -366,18 +366,18 @@
 			}
 		}
 	}))
-	t.Cleanup(func() { close(release); s.Close() })
+	t.Cleanup(func() { close(release); discoveryServer.Close() })
 	told := make(chan input, 100)
-	return newDiscovery(context.Background(), s.Listener.Addr().String(), 0, func(in input) { told <- in }), told
+	return newDiscovery(context.Background(), discoveryServer.Listener.Addr().String(), 0, func(in input) { told <- in }), told
 }
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
 // A watch ends at a line that makes no sense, having told those before.
 func TestMalformedLine(t *testing.T) {
-	d, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	d.silence = never
-	d.watch(1, false)
+	disc, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
+	disc.silence = never
+	disc.watch(1, false)
 	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
 	}
@@ -388,22 +388,22 @@
 
 // A watch on which nothing comes is dead and ends.
 func TestSilentWatch(t *testing.T) {
-	d, told := scripted(t, true)
-	d.silence = time.Millisecond
-	d.watch(1, false)
+	disc, told := scripted(t, true)
+	disc.silence = time.Millisecond
+	disc.watch(1, false)
 	if in := <-told; in.kind != inputWatchEnded || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
 }
 
 func TestFetch(t *testing.T) {
-	d, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
-	d.fetch(false)
+	disc, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
+	disc.fetch(false)
 	if in := <-told; in.kind != inputFetched || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
 		t.Fatalf("told %+v", in)
 	}
-	d, told = scripted(t, false, "no list")
-	d.fetch(false)
+	disc, told = scripted(t, false, "no list")
+	disc.fetch(false)
 	if in := <-told; in.kind != inputFetched || in.err == nil {
 		t.Fatalf("told %+v", in)
 	}
@@ -415,12 +415,12 @@
 	for _, mode := range []string{policy.MembershipPushed, policy.MembershipOnRequest} {
 		t.Run(mode, func(t *testing.T) {
 			asked := make(chan string, 10)
-			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				asked <- r.URL.RawQuery
 				fmt.Fprintln(w, change)
 			}))
-			t.Cleanup(s.Close)
-			conf := config(s.Listener.Addr().String(), "127.0.0.1:1")
+			t.Cleanup(discoveryServer.Close)
+			conf := config(discoveryServer.Listener.Addr().String(), "127.0.0.1:1")
 			set := conf["settings"].(map[string]any)
 			set["membershipMode"] = mode
 			set["contract"].(map[string]any)["askWithinMs"] = 10
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -85,15 +85,15 @@
 		id := fmt.Sprintf("f%06d", lastID.Add(1))
 		wanted[id] = bounds{least, most}
 		next.Store(&f)
-		c := dial(t, base)
-		defer c.Close()
-		io.WriteString(c, request(id))
-		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		said, err := io.ReadAll(c)
+		conn := dial(t, base)
+		defer conn.Close()
+		io.WriteString(conn, request(id))
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		said, err := io.ReadAll(conn)
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
 		}
-		c.Close()
+		conn.Close()
 		eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 		return string(said)
 	}
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -42,20 +42,20 @@
 				t.Run(fmt.Sprint(wait, " ", more.name, " ", cancelling), func(t *testing.T) {
 					good, came := counted(t, 200, false)
 					asked, turn := make(chan struct{}), make(chan struct{})
-					turns := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-						if _, err := readRequest(r); err == nil {
+					turns := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+						if _, err := readRequest(reader); err == nil {
 							close(asked)
 							<-turn
-							io.WriteString(c, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+							io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
 					known := map[string][]string{"room": nil, "connect": {"127.0.0.1:1"}, "retry": {turns}}[wait]
 					conf := config(nowhere, known...)
 					conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
-					a, base, _, _ := start(t, conf)
+					agent, base, _, _ := start(t, conf)
 					dialling, given := make(chan struct{}), make(chan struct{})
-					plain := a.loop.pool.connect
-					a.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					plain := agent.loop.pool.connect
+					agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						if addr != "127.0.0.1:1" {
 							return plain(ctx, network, addr)
 						}
@@ -64,20 +64,20 @@
 						close(given)
 						return nil, ctx.Err()
 					}
-					c := dial(t, base)
-					io.WriteString(c, raw("order", "left"))
-					eventually(t, "its request taken", func() bool { return a.holds("left") })
+					conn := dial(t, base)
+					io.WriteString(conn, raw("order", "left"))
+					eventually(t, "its request taken", func() bool { return agent.holds("left") })
 					switch wait {
 					case "connect":
 						<-dialling
 					case "retry":
 						<-asked
-						a.told(2) // nobody is left to send it to
+						agent.told(2) // nobody is left to send it to
 						close(turn)
-						eventually(t, "its outcome", func() bool { return a.unsent("left") })
+						eventually(t, "its outcome", func() bool { return agent.unsent("left") })
 					}
-					io.WriteString(c, more.text)
-					c.Close()
+					io.WriteString(conn, more.text)
+					conn.Close()
 					if wait == "connect" {
 						select {
 						case <-given:
@@ -85,8 +85,8 @@
 							t.Fatal("still connects for a client that has left")
 						}
 					}
-					eventually(t, "the leaving noticed", func() bool { return !a.holds("left") })
-					a.told(3, readyHost(9, good))
+					eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
+					agent.told(3, readyHost(9, good))
 					if status, _, _ := do(t, call(base, "order")); status != 200 {
 						t.Fatalf("the next client was answered %d", status)
 					}
@@ -151,18 +151,18 @@
 // failed, never that it was served what no backend said.
 func TestHalfClosedClientIsToldTheTruth(t *testing.T) {
 	got := make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err == nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
 			close(got)
-			r.ReadByte() // until it is given up
+			reader.ReadByte() // until it is given up
 		}
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
-	c := dial(t, base)
-	io.WriteString(c, raw("order", "half"))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "half"))
 	<-got
-	c.(*net.TCPConn).CloseWrite()
-	if said := answered(t, c); !strings.HasPrefix(said, "HTTP/1.1 502") || strings.Count(said, "HTTP/1.1") != 1 {
+	conn.(*net.TCPConn).CloseWrite()
+	if said := answered(t, conn); !strings.HasPrefix(said, "HTTP/1.1 502") || strings.Count(said, "HTTP/1.1") != 1 {
 		t.Fatalf("said %q", said)
 	}
 }
@@ -170,28 +170,28 @@
 // Requests that came behind an open one are answered in their order, none lost.
 func TestWhatCameBehindIsAnswered(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			got <- req.Header.Get("Request-Id")
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(conn, okAnswer)
 		}
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
-	c := dial(t, base)
-	io.WriteString(c, raw("order", "p1"))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "p1"))
 	if id := <-got; id != "p1" {
 		t.Fatalf("got %q", id)
 	}
-	io.WriteString(c, raw("order", "p2")+raw("order", "p3"))
+	io.WriteString(conn, raw("order", "p2")+raw("order", "p3"))
 	close(release)
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for range 3 {
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -199,8 +199,8 @@
 			t.Fatalf("got %d %q %v", resp.StatusCode, body, err)
 		}
 	}
-	if a, b := <-got, <-got; a != "p2" || b != "p3" {
-		t.Fatalf("then %q and %q", a, b)
+	if agent, b := <-got, <-got; agent != "p2" || b != "p3" {
+		t.Fatalf("then %q and %q", agent, b)
 	}
 }
 
@@ -208,17 +208,17 @@
 // the test ends its rest. The backend writes what it is told, beyond its answers.
 func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
 	beyond, came = make(chan string), make(chan string, 10)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			came <- req.Header.Get("Request-Id")
-			io.WriteString(c, okAnswer)
+			io.WriteString(conn, okAnswer)
 			go func() {
 				for text := range beyond {
-					io.WriteString(c, text)
+					io.WriteString(conn, text)
 				}
 			}()
 		}
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -71,71 +71,71 @@
 			t.Run(waits+" "+how, func(t *testing.T) {
 				good, came := counted(t, 200, false)
 				asked, turn := make(chan struct{}), make(chan struct{})
-				turns := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-					if _, err := readRequest(r); err == nil {
+				turns := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+					if _, err := readRequest(reader); err == nil {
 						close(asked)
 						<-turn
-						io.WriteString(c, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+						io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 					}
 				})
-				a, base, _, _ := start(t, config(nowhere))
+				agent, base, _, _ := start(t, config(nowhere))
 				occupied, release := make(chan struct{}), make(chan struct{})
 				occupy := func() {
-					a.busy(func(*loop) { close(occupied); <-release })
+					agent.busy(func(*loop) { close(occupied); <-release })
 					<-occupied
 				}
-				c := dial(t, base)
-				var r *request
+				conn := dial(t, base)
+				var reader *request
 				switch waits {
 				case "first":
-					a.told(2, readyHost(9, good))
+					agent.told(2, readyHost(9, good))
 					occupy()
-					io.WriteString(c, raw("order", "left"))
-					in := a.next(t, inputRequest)
-					r = in.request
-					a.loop.post(in)
+					io.WriteString(conn, raw("order", "left"))
+					in := agent.next(t, inputRequest)
+					reader = in.request
+					agent.loop.post(in)
 				case "further":
-					a.told(2, readyHost(1, turns))
-					io.WriteString(c, raw("order", "left"))
+					agent.told(2, readyHost(1, turns))
+					io.WriteString(conn, raw("order", "left"))
 					<-asked
-					a.told(3, readyHost(1, turns), readyHost(9, good))
+					agent.told(3, readyHost(1, turns), readyHost(9, good))
 					occupy()
 					close(turn)
-					in := a.next(t, inputOutcome)
-					r = in.attempt.request
-					a.loop.post(in)
+					in := agent.next(t, inputOutcome)
+					reader = in.attempt.request
+					agent.loop.post(in)
 				case "room":
-					io.WriteString(c, raw("order", "left"))
-					eventually(t, "its request taken", func() bool { return a.holds("left") })
-					a.look(func(l *loop) {
-						for _, r = range l.requests {
+					io.WriteString(conn, raw("order", "left"))
+					eventually(t, "its request taken", func() bool { return agent.holds("left") })
+					agent.look(func(l *loop) {
+						for _, reader = range l.requests {
 						}
 					})
 					occupy()
-					a.loop.post(input{kind: inputWatchEvent, list: listOf(3, true, readyHost(9, good))})
+					agent.loop.post(input{kind: inputWatchEvent, list: listOf(3, true, readyHost(9, good))})
 				}
 				out := make(chan int, 1)
-				a.busy(func(l *loop) {
+				agent.busy(func(l *loop) {
 					n := 0
 					for _, b := range l.backends {
 						n += len(b.attempts)
 					}
 					out <- n
 				})
-				leave(c)
-				eventually(t, "the leaving noticed by its handler", r.clientGone.Load)
+				leave(conn)
+				eventually(t, "the leaving noticed by its handler", reader.clientGone.Load)
 				close(release)
 				if n := <-out; n > 0 {
 					t.Fatal("an attempt made for a client that has left")
 				}
-				a.told(4, readyHost(9, good))
+				agent.told(4, readyHost(9, good))
 				if status, _, _ := do(t, call(base, "order")); status != 200 {
 					t.Fatalf("the next client was answered %d", status)
 				}
 				if id := <-came; id == "left" {
 					t.Fatal("sent on for a client that has left")
 				}
-				unopened(t, a, came)
+				unopened(t, agent, came)
 			})
 		}
 	}
@@ -175,10 +175,10 @@
 
 // lateConnect lets connections come up only when the test lets them. Only the connection
 // itself tells an attempt then whether its client has left.
-func lateConnect(a *Agent) (dialling chan struct{}, up chan struct{}) {
+func lateConnect(agent *Agent) (dialling chan struct{}, up chan struct{}) {
 	dialling, up = make(chan struct{}, 10), make(chan struct{})
-	plain := a.loop.pool.connect
-	a.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.connect
+	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling <- struct{}{}
 		<-up
 		return plain(ctx, network, addr)
@@ -187,23 +187,23 @@
 }
 
 // clientEnded waits until the end of a client has come to the agent's machine.
-func clientEnded(t *testing.T, a *Agent) {
+func clientEnded(t *testing.T, agent *Agent) {
 	t.Helper()
 	eventually(t, "the client's end", func() bool {
-		a.clients.mu.Lock()
-		defer a.clients.mu.Unlock()
-		for c := range a.clients.conns {
-			return peerClosed(c.Conn)
+		agent.clients.mu.Lock()
+		defer agent.clients.mu.Unlock()
+		for conn := range agent.clients.conns {
+			return peerClosed(conn.Conn)
 		}
 		return true
 	})
 }
 
 // unopened waits until the agent holds no request, and fails if a backend got one.
-func unopened(t *testing.T, a *Agent, came chan string) {
+func unopened(t *testing.T, agent *Agent, came chan string) {
 	t.Helper()
 	eventually(t, "no request held", func() (none bool) {
-		a.look(func(l *loop) { none = len(l.requests) == 0 })
+		agent.look(func(l *loop) { none = len(l.requests) == 0 })
 		return none
 	})
 	if len(came) > 0 {
@@ -218,17 +218,17 @@
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
 			read := make(chan struct{})
-			a, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+			agent, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
 				return stalledListener{ln, read}
 			})
-			dialling, up := lateConnect(a)
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "left"))
+			dialling, up := lateConnect(agent)
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "left"))
 			<-dialling
-			leave(c)
-			clientEnded(t, a)
+			leave(conn)
+			clientEnded(t, agent)
 			close(up)
-			unopened(t, a, came)
+			unopened(t, agent, came)
 			close(read)
 			if status, _, _ := do(t, call(base, "order")); status != 200 {
 				t.Fatalf("the next client was answered %d", status)
@@ -244,37 +244,37 @@
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			got, release := make(chan string, 10), make(chan struct{})
-			addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-				if req, err := readRequest(r); err == nil {
+			addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+				if req, err := readRequest(reader); err == nil {
 					got <- req.Header.Get("Request-Id")
 					<-release
-					io.WriteString(c, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
+					io.WriteString(conn, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
-			a, base, _, _ := start(t, config(nowhere, addr))
-			dialling, up := lateConnect(a)
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "p1")+raw("order", "p2"))
+			agent, base, _, _ := start(t, config(nowhere, addr))
+			dialling, up := lateConnect(agent)
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "p1")+raw("order", "p2"))
 			<-dialling
 			up <- struct{}{}
 			if id := <-got; id != "p1" {
 				t.Fatalf("got %q", id)
 			}
-			io.WriteString(c, "P") // and not the rest of the third
+			io.WriteString(conn, "P") // and not the rest of the third
 			eventually(t, "a byte of the third read", func() bool {
-				a.clients.mu.Lock()
-				defer a.clients.mu.Unlock()
-				for c := range a.clients.conns {
-					return c.head.started && peekConn(c.Conn) == 0
+				agent.clients.mu.Lock()
+				defer agent.clients.mu.Unlock()
+				for conn := range agent.clients.conns {
+					return conn.head.started && peekConn(conn.Conn) == 0
 				}
 				return false
 			})
 			close(release)
 			<-dialling // the second
-			leave(c)
-			clientEnded(t, a)
+			leave(conn)
+			clientEnded(t, agent)
 			close(up)
-			unopened(t, a, got)
+			unopened(t, agent, got)
 		})
 	}
 }
@@ -294,27 +294,27 @@
 			if how == "end of its sending" && len(text) < len(whole) {
 				continue // it reads its answer, that the request did not come whole
 			}
-			c := dial(t, base)
-			io.WriteString(c, strings.ReplaceAll(text, "left", fmt.Sprint("left", i, strings.ReplaceAll(how, " ", "_"))))
-			leave(c)
+			conn := dial(t, base)
+			io.WriteString(conn, strings.ReplaceAll(text, "left", fmt.Sprint("left", i, strings.ReplaceAll(how, " ", "_"))))
+			leave(conn)
 		}
 	}
-	a, err := New(parse(t, config(nowhere, addr)), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	agent, err := New(parse(t, config(nowhere, addr)), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(func() { stop(); a.server.Close(); a.stop() })
-	go a.Serve(ctx, ln)
+	t.Cleanup(func() { stop(); agent.server.Close(); agent.stop() })
+	go agent.Serve(ctx, ln)
 	if status, _, _ := do(t, call(base, "order")); status != 200 { // the last in the backlog
 		t.Fatalf("the next client was answered %d", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	eventually(t, "all connections ended", func() bool { return a.clients.count() == 0 })
+	eventually(t, "all connections ended", func() bool { return agent.clients.count() == 0 })
 	if id := <-came; strings.HasPrefix(id, "left") {
 		t.Fatalf("sent %q on for a client that has left", id)
 	}
-	unopened(t, a, came)
+	unopened(t, agent, came)
 }
 
 // Whoever leaves while the agent waits for the rest of its request has nothing sent on, and its
@@ -322,23 +322,23 @@
 func TestNothingIsSentForWhoLeftItsRequest(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, came := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, addr))
+	agent, base, _, _ := start(t, config(nowhere, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
 			t.Run(part+" "+how, func(t *testing.T) {
-				c := dial(t, base)
-				io.WriteString(c, text)
+				conn := dial(t, base)
+				io.WriteString(conn, text)
 				eventually(t, "its part read", func() bool {
-					a.clients.mu.Lock()
-					defer a.clients.mu.Unlock()
-					for c := range a.clients.conns {
-						return c.received.Load() && peekConn(c.Conn) == 0
+					agent.clients.mu.Lock()
+					defer agent.clients.mu.Unlock()
+					for conn := range agent.clients.conns {
+						return conn.received.Load() && peekConn(conn.Conn) == 0
 					}
 					return false
 				})
-				leavings[how](c)
-				eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
-				unopened(t, a, came)
+				leavings[how](conn)
+				eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
+				unopened(t, agent, came)
 			})
 		}
 	}
@@ -349,9 +349,9 @@
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
-			a, base, _, _ := start(t, config(nowhere, addr))
+			agent, base, _, _ := start(t, config(nowhere, addr))
 			asked, rested := make(chan struct{}, 10), make(chan time.Time)
-			p := a.loop.pool
+			p := agent.loop.pool
 			p.after = func(time.Duration) <-chan time.Time {
 				asked <- struct{}{}
 				return rested
@@ -368,13 +368,13 @@
 				return connect(ctx, network, addr)
 			}
 			p.mu.Unlock()
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "left"))
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "left"))
 			<-asked
-			leave(c)
-			eventually(t, "the leaving noticed", func() bool { return !a.holds("left") })
+			leave(conn)
+			eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
 			close(rested)
-			unopened(t, a, came)
+			unopened(t, agent, came)
 		})
 	}
 }
--- a/internal/agent/client_listener_test.go
+++ b/internal/agent/client_listener_test.go
@@ -47,10 +47,10 @@
 			_, base, _, ended := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
 				return failingListener{ln, errno, left}
 			})
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
-			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
+			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v", resp, err)
 			}
@@ -81,26 +81,26 @@
 func TestFailedAcceptsAreRetriedSoon(t *testing.T) {
 	ln, left, lines := listen(t), &atomic.Int32{}, &atomic.Int32{}
 	left.Store(100)
-	l := newClientListener(failingListener{ln, syscall.ENOBUFS, left}, newClientTable(1, 1),
+	listener := newClientListener(failingListener{ln, syscall.ENOBUFS, left}, newClientTable(1, 1),
 		slog.New(countingHandler{slog.DiscardHandler, lines}))
 	waits := 0
 	now := make(chan time.Time)
 	close(now)
-	l.after = func(d time.Duration) <-chan time.Time {
+	listener.after = func(d time.Duration) <-chan time.Time {
 		if waits++; d < 5*time.Millisecond || d > 20*time.Millisecond {
 			t.Errorf("waits for %v", d)
 		}
-		l.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		listener.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
 		return now
 	}
 	dial(t, ln.Addr().String())
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if waits != 100 || l.failures != 100 || lines.Load() != 1 {
-		t.Fatalf("%d waits, %d failures counted, %d lines", waits, l.failures, lines.Load())
+	defer conn.Close()
+	if waits != 100 || listener.failures != 100 || lines.Load() != 1 {
+		t.Fatalf("%d waits, %d failures counted, %d lines", waits, listener.failures, lines.Load())
 	}
 }
 
@@ -108,19 +108,19 @@
 func TestClosedWhileAcceptWaits(t *testing.T) {
 	left := &atomic.Int32{}
 	left.Store(1000)
-	l := newClientListener(failingListener{listen(t), syscall.EMFILE, left}, newClientTable(1, 1), slog.New(slog.DiscardHandler))
+	listener := newClientListener(failingListener{listen(t), syscall.EMFILE, left}, newClientTable(1, 1), slog.New(slog.DiscardHandler))
 	waiting := make(chan struct{}, 1)
-	l.after = func(time.Duration) <-chan time.Time {
+	listener.after = func(time.Duration) <-chan time.Time {
 		waiting <- struct{}{}
 		return nil // never over
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := l.Accept()
+		_, err := listener.Accept()
 		ended <- err
 	}()
 	<-waiting
-	l.Close()
+	listener.Close()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, net.ErrClosed) {
@@ -182,13 +182,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &clientListener{Listener: ln, table: newClientTable(1, 1)}
+	listener := &clientListener{Listener: ln, table: newClientTable(1, 1)}
 	for range 2 {
-		if err := l.Close(); err != nil {
+		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := l.Accept(); err == nil {
+	if _, err := listener.Accept(); err == nil {
 		t.Fatal("a closed listener accepts")
 	}
 }
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -23,35 +23,35 @@
 	conf["limits"].(map[string]any)["sockets"] = minSockets
 	for _, kind := range []string{"silent", "idle", "coming"} {
 		t.Run(kind, func(t *testing.T) {
-			a, base, _, _ := start(t, conf)
-			a.clients.mu.Lock()
-			a.clients.maxKeptIdle = clientSockets(minSockets) // all are kept
-			a.clients.mu.Unlock()
+			agent, base, _, _ := start(t, conf)
+			agent.clients.mu.Lock()
+			agent.clients.maxKeptIdle = clientSockets(minSockets) // all are kept
+			agent.clients.mu.Unlock()
 			for i := range clientSockets(minSockets) {
-				c := dial(t, base)
+				conn := dial(t, base)
 				if kind != "silent" {
-					fmt.Fprintf(c, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s%d\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", kind, i)
-					if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
+					fmt.Fprintf(conn, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s%d\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", kind, i)
+					if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
 						t.Fatalf("got %v, %v", resp, err)
 					}
 				}
 				if kind == "coming" {
-					io.WriteString(c, "P")
+					io.WriteString(conn, "P")
 				}
-				eventually(t, "the place taken", func() bool { return a.clients.count() == i+1 })
+				eventually(t, "the place taken", func() bool { return agent.clients.count() == i+1 })
 			}
 			if kind != "silent" {
 				// As if all had been so for long.
 				eventually(t, "all "+kind, func() bool {
-					a.clients.mu.Lock()
-					defer a.clients.mu.Unlock()
-					for c := range a.clients.conns {
-						if c.stage != stageIdle || c.head.started != (kind == "coming") {
+					agent.clients.mu.Lock()
+					defer agent.clients.mu.Unlock()
+					for conn := range agent.clients.conns {
+						if conn.stage != stageIdle || conn.head.started != (kind == "coming") {
 							return false
 						}
 					}
-					for c := range a.clients.conns {
-						c.stageSince = c.stageSince.Add(-clientIdleGrace)
+					for conn := range agent.clients.conns {
+						conn.stageSince = conn.stageSince.Add(-clientIdleGrace)
 					}
 					return true
 				})
@@ -65,41 +65,41 @@
 
 // A connection with a request open, or one that came just now, is never ended for another.
 func TestBusyPlacesStay(t *testing.T) {
-	p, now := newClientTable(3, 3), time.Now()
+	table, now := newClientTable(3, 3), time.Now()
 	for _, s := range []connStage{stageActive, stageActive, stageNew} {
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
-		c := &clientConn{Conn: server, table: p, stage: s, stageSince: now}
-		c.received.Store(true)
-		if !p.acquire(c, now) {
+		conn := &clientConn{Conn: server, table: table, stage: s, stageSince: now}
+		conn.received.Store(true)
+		if !table.acquire(conn, now) {
 			t.Fatal("no place though there is room")
 		}
 	}
 	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, table: p, stageSince: now}
-	if p.acquire(next, now) || p.count() != 3 {
+	next := &clientConn{Conn: server, table: table, stageSince: now}
+	if table.acquire(next, now) || table.count() != 3 {
 		t.Fatal("a connection that is in use was closed")
 	}
 	// What its server does: it reads, and closes the connection when that read ends.
 	ended := make(chan error, 1)
 	var ending *clientConn
-	for c := range p.conns {
-		if c.stage == stageNew {
-			ending = c
+	for conn := range table.conns {
+		if conn.stage == stageNew {
+			ending = conn
 		}
 	}
 	go func() {
 		_, err := ending.Read(make([]byte, 4096))
 		ended <- err
 	}()
-	if p.acquire(next, now.Add(unfinishedHeadGrace)) || p.count() != 3 {
+	if table.acquire(next, now.Add(unfinishedHeadGrace)) || table.count() != 3 {
 		t.Fatal("a place was given twice")
 	}
 	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("its read ended with %v", err)
 	}
 	ending.Close()
-	if !p.acquire(next, now.Add(unfinishedHeadGrace)) || p.count() != 3 {
+	if !table.acquire(next, now.Add(unfinishedHeadGrace)) || table.count() != 3 {
 		t.Fatal("no place was made of one whose request does not come")
 	}
 }
@@ -108,36 +108,36 @@
 // clients may hold: past a number connections end with their answer, and idle ones go.
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, addr))
-	a.clients.mu.Lock()
-	a.clients.maxKeptIdle = 3
-	a.clients.mu.Unlock()
+	agent, base, _, _ := start(t, config(nowhere, addr))
+	agent.clients.mu.Lock()
+	agent.clients.maxKeptIdle = 3
+	agent.clients.mu.Unlock()
 	kept := 0
 	for i := range 10 {
-		c := dial(t, base)
-		fmt.Fprintf(c, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: keep%d\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", i)
-		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		conn := dial(t, base)
+		fmt.Fprintf(conn, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: keep%d\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", i)
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("got %v, %v", resp, err)
 		}
 		if !resp.Close {
 			kept++
 		}
-		eventually(t, "its end", func() bool { return a.clients.count() <= 3 })
+		eventually(t, "its end", func() bool { return agent.clients.count() <= 3 })
 	}
 	if kept != 3 {
 		t.Fatalf("%d connections kept, want 3", kept)
 	}
-	a.clients.mu.Lock()
-	a.clients.maxKeptIdle = 2
-	a.clients.mu.Unlock()
-	a.clients.reapIdle(time.Now().Add(-time.Hour))
-	if n := a.clients.count(); n != 3 {
+	agent.clients.mu.Lock()
+	agent.clients.maxKeptIdle = 2
+	agent.clients.mu.Unlock()
+	agent.clients.reapIdle(time.Now().Add(-time.Hour))
+	if n := agent.clients.count(); n != 3 {
 		t.Fatalf("closed what was not idle for long: %d left", n)
 	}
 	eventually(t, "all idle", func() bool {
-		a.clients.reapIdle(time.Now().Add(clientIdleGrace))
-		return a.clients.count() == 0
+		agent.clients.reapIdle(time.Now().Add(clientIdleGrace))
+		return agent.clients.count() == 0
 	})
 }
 
@@ -176,9 +176,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := dial(t, base)
-			go io.WriteString(c, text)
-			said := answered(t, c)
+			conn := dial(t, base)
+			go io.WriteString(conn, text)
+			said := answered(t, conn)
 			if said != "" && !strings.HasPrefix(said, "HTTP/1.1 4") && !strings.HasPrefix(said, "HTTP/1.1 5") {
 				t.Errorf("said %q", said)
 			}
@@ -209,12 +209,12 @@
 // An id that is open is refused to whoever else sends it, and goes out once.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Get("Request-Id")
 		<-release
 	}))
-	t.Cleanup(s.Close)
-	_, base, _, _ := start(t, config(nowhere, s.Listener.Addr().String()))
+	t.Cleanup(backend.Close)
+	_, base, _, _ := start(t, config(nowhere, backend.Listener.Addr().String()))
 	first, again := call(base, "order"), call(base, "order")
 	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
 	served := make(chan int, 1)
@@ -239,11 +239,11 @@
 
 // Ids are forgotten in time, but not before.
 func TestIDMemory(t *testing.T) {
-	m, now := newSeenIDs(time.Second), time.Now()
-	if !m.add("a", now) || m.add("a", now.Add(900*time.Millisecond)) || m.add("a", now.Add(1500*time.Millisecond)) {
+	ids, now := newSeenIDs(time.Second), time.Now()
+	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
 		t.Fatal("an id that is known was taken for new")
 	}
-	if !m.add("b", now.Add(2*time.Second)) || !m.add("a", now.Add(4*time.Second)) || len(m.now)+len(m.before) > 2 {
+	if !ids.add("b", now.Add(2*time.Second)) || !ids.add("a", now.Add(4*time.Second)) || len(ids.now)+len(ids.before) > 2 {
 		t.Fatal("an old id was kept")
 	}
 }
@@ -269,11 +269,11 @@
 // After SIGTERM half requests and silent connections are not waited for.
 func TestLeaveAmongBadClients(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	a, base, stop, ended := start(t, config(nowhere, addr)) // give-up is 30 s here
+	agent, base, stop, ended := start(t, config(nowhere, addr)) // give-up is 30 s here
 	dial(t, base)
 	half := dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
-	eventually(t, "both accepted", func() bool { return a.clients.count() == 2 })
+	eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
 	stop()
 	select {
 	case err := <-ended:
@@ -300,33 +300,33 @@
 // nothing, and its versions may start lower. Backends stay known meanwhile.
 func TestReload(t *testing.T) {
 	asked := make(chan string, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		<-r.Context().Done()
 	}))
-	t.Cleanup(s.Close)
-	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	l.listVersion = 41
-	before := l.backends[addrOf("s-0")].conns
-	l.fetching, l.watching = true, true
-	reloadTo(t, l, s.Listener.Addr().String())
-	t.Cleanup(l.discovery.close)
+	t.Cleanup(discoveryServer.Close)
+	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+	loop.listVersion = 41
+	before := loop.backends[addrOf("s-0")].conns
+	loop.fetching, loop.watching = true, true
+	reloadTo(t, loop, discoveryServer.Listener.Addr().String())
+	t.Cleanup(loop.discovery.close)
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
-	h := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	l.handle(input{kind: inputWatchEvent, list: listOf(42, false, h)})
-	l.handle(input{kind: inputWatchEnded, err: io.EOF})
-	l.handle(input{kind: inputFetched, list: listOf(42, true, h)})
-	if !l.watching || !l.fetching || !l.backends[addrOf("s-0")].usable || l.backends[addrOf("s-0")].conns != before {
+	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	loop.handle(input{kind: inputWatchEvent, list: listOf(42, false, endpoint)})
+	loop.handle(input{kind: inputWatchEnded, err: io.EOF})
+	loop.handle(input{kind: inputFetched, list: listOf(42, true, endpoint)})
+	if !loop.watching || !loop.fetching || !loop.backends[addrOf("s-0")].usable || loop.backends[addrOf("s-0")].conns != before {
 		t.Fatal("a late word of the old discovery counted")
 	}
-	l.handle(input{kind: inputWatchEvent, list: listOf(3, false, h), discoveryGen: 1})
-	if b := l.backends[addrOf("s-0")]; b != nil && b.usable || l.listVersion != 3 {
+	loop.handle(input{kind: inputWatchEvent, list: listOf(3, false, endpoint), discoveryGen: 1})
+	if b := loop.backends[addrOf("s-0")]; b != nil && b.usable || loop.listVersion != 3 {
 		t.Fatal("the new discovery was not heard")
 	}
-	disc := l.discovery
-	if reloadTo(t, l, disc.addr); l.discovery != disc {
+	disc := loop.discovery
+	if reloadTo(t, loop, disc.addr); loop.discovery != disc {
 		t.Fatal("the same discovery was taken for a new one")
 	}
 }
@@ -334,7 +334,7 @@
 // The first calls to a new discovery are tried again without the module's back-off.
 func TestReloadTriesAgain(t *testing.T) {
 	tries := make(chan struct{}, 100)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		tries <- struct{}{}
 		if len(tries) < 3 {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -342,10 +342,10 @@
 		}
 		fmt.Fprintln(w, change)
 	}))
-	t.Cleanup(s.Close)
+	t.Cleanup(discoveryServer.Close)
 	told := make(chan input, 10)
-	d := newDiscovery(t.Context(), s.Listener.Addr().String(), 1, func(in input) { told <- in })
-	d.watch(0, true)
+	disc := newDiscovery(t.Context(), discoveryServer.Listener.Addr().String(), 1, func(in input) { told <- in })
+	disc.watch(0, true)
 	if in := <-told; in.kind != inputWatchEvent || in.list.Seq != 2 || in.discoveryGen != 1 {
 		t.Fatalf("told %+v", in)
 	}
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -75,23 +75,23 @@
 	},
 }
 
-func newcomer(p *clientTable) {
+func newcomer(table *clientTable) {
 	one, other := net.Pipe()
 	other.Close()
-	next := &clientConn{Conn: one, table: p}
-	p.acquire(next, time.Now().Add(clientIdleGrace))
+	next := &clientConn{Conn: one, table: table}
+	table.acquire(next, time.Now().Add(clientIdleGrace))
 	next.Close()
 }
 
 // restingAt waits until the agent's one connection is at a stage, and returns it.
-func restingAt(t *testing.T, a *Agent, want connStage) (found *clientConn) {
+func restingAt(t *testing.T, agent *Agent, want connStage) (found *clientConn) {
 	t.Helper()
 	eventually(t, "its connection at rest", func() bool {
-		a.clients.mu.Lock()
-		defer a.clients.mu.Unlock()
-		for c := range a.clients.conns {
-			found = c
-			return c.stage == want && !c.head.started
+		agent.clients.mu.Lock()
+		defer agent.clients.mu.Unlock()
+		for conn := range agent.clients.conns {
+			found = conn
+			return conn.stage == want && !conn.head.started
 		}
 		return false
 	})
@@ -110,24 +110,24 @@
 				t.Run(fmt.Sprint(ending, map[connStage]string{stageNew: " fresh ", stageIdle: " idle "}[at], crossing), func(t *testing.T) {
 					addr, came := counted(t, 200, false)
 					hooks := &crossingHooks{}
-					a, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+					agent, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
 						return crossingListener{ln, hooks}
 					})
-					c := dial(t, base)
-					_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-					r := bufio.NewReader(c)
+					client := dial(t, base)
+					_ = client.SetReadDeadline(time.Now().Add(20 * time.Second))
+					reader := bufio.NewReader(client)
 					if at == stageIdle {
-						io.WriteString(c, raw("order", "first"))
-						resp, err := http.ReadResponse(r, nil)
+						io.WriteString(client, raw("order", "first"))
+						resp, err := http.ReadResponse(reader, nil)
 						if err != nil || resp.StatusCode != 200 {
 							t.Fatalf("got %v, %v", resp, err)
 						}
 						io.Copy(io.Discard, resp.Body)
 						<-came
 					}
-					conn := restingAt(t, a, at)
+					conn := restingAt(t, agent, at)
 					if at == stageIdle {
-						a.clients.resize(100, 0) // too many for tidy
+						agent.clients.resize(100, 0) // too many for tidy
 					}
 					text, rest := raw("order", "crossing"), ""
 					if strings.HasPrefix(crossing, "half") {
@@ -135,25 +135,25 @@
 					}
 					if strings.HasSuffix(crossing, "unread") {
 						cross := func() {
-							io.WriteString(c, text)
+							io.WriteString(client, text)
 							eventually(t, "the bytes there", func() bool { return peekConn(conn.Conn) > 0 })
 						}
 						hooks.over.Store(&cross)
-						end(a.clients)
+						end(agent.clients)
 					} else {
-						cross := func() { end(a.clients) }
+						cross := func() { end(agent.clients) }
 						hooks.got.Store(&cross)
-						io.WriteString(c, text)
+						io.WriteString(client, text)
 					}
 					if rest != "" {
 						eventually(t, "the first half read", func() bool {
-							a.clients.mu.Lock()
-							defer a.clients.mu.Unlock()
-							return conn.head.started || len(a.clients.conns) == 0
+							agent.clients.mu.Lock()
+							defer agent.clients.mu.Unlock()
+							return conn.head.started || len(agent.clients.conns) == 0
 						})
-						io.WriteString(c, rest)
+						io.WriteString(client, rest)
 					}
-					resp, err := http.ReadResponse(r, nil)
+					resp, err := http.ReadResponse(reader, nil)
 					if err != nil || resp.StatusCode != 200 || !resp.Close && ending != "its time is over" {
 						t.Fatalf("got %v, %v; want an answer and the connection's end", resp, err)
 					}
@@ -172,68 +172,68 @@
 	for ending, end := range endings {
 		t.Run(ending, func(t *testing.T) {
 			addr, _ := counted(t, 200, false)
-			a, base, _, _ := start(t, config(nowhere, addr))
-			c := dial(t, base)
-			r := bufio.NewReader(c)
-			io.WriteString(c, raw("order", "first"))
-			resp, err := http.ReadResponse(r, nil)
+			agent, base, _, _ := start(t, config(nowhere, addr))
+			conn := dial(t, base)
+			reader := bufio.NewReader(conn)
+			io.WriteString(conn, raw("order", "first"))
+			resp, err := http.ReadResponse(reader, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			restingAt(t, a, stageIdle)
-			a.clients.resize(100, 0)
-			end(a.clients)
-			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			if _, err := r.ReadByte(); err != io.EOF {
+			restingAt(t, agent, stageIdle)
+			agent.clients.resize(100, 0)
+			end(agent.clients)
+			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Fatalf("got %v, want its end", err)
 			}
-			eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
+			eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
 		})
 	}
 }
 
 // Where several could go for one that comes, one is ended and keeps its place until it is closed.
 func TestOneIsEndedForOneThatComes(t *testing.T) {
-	p, now := newClientTable(2, 2), time.Now()
+	table, now := newClientTable(2, 2), time.Now()
 	for range 2 {
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
-		if !p.acquire(&clientConn{Conn: server, table: p, stage: stageIdle, stageSince: now}, now) {
+		if !table.acquire(&clientConn{Conn: server, table: table, stage: stageIdle, stageSince: now}, now) {
 			t.Fatal("no place though there is room")
 		}
 	}
 	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, table: p, stageSince: now}
+	next := &clientConn{Conn: server, table: table, stageSince: now}
 	for range 3 {
-		if p.acquire(next, now) || p.closingCount() != 1 || p.count() != 2 {
-			t.Fatalf("%d ended, %d places taken", p.closingCount(), p.count())
+		if table.acquire(next, now) || table.closingCount() != 1 || table.count() != 2 {
+			t.Fatalf("%d ended, %d places taken", table.closingCount(), table.count())
 		}
 	}
-	for c := range p.conns {
-		if c.closing {
-			c.Close()
+	for conn := range table.conns {
+		if conn.closing {
+			conn.Close()
 		}
 	}
-	if !p.acquire(next, now) || p.count() != 2 {
+	if !table.acquire(next, now) || table.count() != 2 {
 		t.Fatal("no place though one was closed")
 	}
 }
 
 // The answer to a request that is bad is not cut off for one that comes.
 func TestRejectedClientsAreAnswered(t *testing.T) {
-	p, now := newClientTable(1, 1), time.Now()
+	table, now := newClientTable(1, 1), time.Now()
 	server, client := net.Pipe()
 	defer client.Close()
-	bad := &clientConn{Conn: server, table: p, stageSince: now}
-	next := &clientConn{Conn: server, table: p, stageSince: now}
-	p.acquire(bad, now)
-	p.setStage(bad, stageRejected)
-	if p.acquire(next, now) {
+	bad := &clientConn{Conn: server, table: table, stageSince: now}
+	next := &clientConn{Conn: server, table: table, stageSince: now}
+	table.acquire(bad, now)
+	table.setStage(bad, stageRejected)
+	if table.acquire(next, now) {
 		t.Fatal("closed before its answer was written")
 	}
 	_ = bad.CloseWrite()
-	if !p.acquire(next, now) {
+	if !table.acquire(next, now) {
 		t.Fatal("no place though all was said on the one that has it")
 	}
 }
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -13,21 +13,21 @@
 	for _, call := range []string{"watch", "fetch"} {
 		t.Run(call, func(t *testing.T) {
 			told := make(chan input, 10)
-			d := newDiscovery(t.Context(), nowhere, 0, func(in input) { told <- in })
+			disc := newDiscovery(t.Context(), nowhere, 0, func(in input) { told <- in })
 			dialling, ended := make(chan struct{}), make(chan struct{})
-			d.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			disc.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				close(dialling)
 				<-ctx.Done()
 				close(ended)
 				return nil, ctx.Err()
 			}
 			if call == "watch" {
-				d.firstWordTimeout = time.Millisecond
-				go d.watch(1, false)
+				disc.firstWordTimeout = time.Millisecond
+				go disc.watch(1, false)
 			} else {
-				go d.fetch(false)
+				go disc.fetch(false)
 				<-dialling
-				d.close()
+				disc.close()
 			}
 			if in := await(t, told); in.err == nil {
 				t.Fatalf("told %+v", in)
@@ -54,19 +54,19 @@
 
 // A place is free when the descriptor is: given to a new connection before, both would be open.
 func TestPlaceIsHeldUntilTheDescriptorIsClosed(t *testing.T) {
-	p := newClientTable(1, 1)
+	table := newClientTable(1, 1)
 	server, client := net.Pipe()
 	defer client.Close()
 	closed := false
-	c := &clientConn{table: p, Conn: closingConn{server, func() {
-		if closed = true; p.count() != 1 {
+	conn := &clientConn{table: table, Conn: closingConn{server, func() {
+		if closed = true; table.count() != 1 {
 			t.Error("its place is free while it is still open")
 		}
 	}}}
-	if !p.acquire(c, time.Now()) {
+	if !table.acquire(conn, time.Now()) {
 		t.Fatal("no place though there is room")
 	}
-	if err := c.Close(); err != nil || !closed || p.count() != 0 {
-		t.Fatalf("closed %v, %v; %d places taken", closed, err, p.count())
+	if err := conn.Close(); err != nil || !closed || table.count() != 0 {
+		t.Fatalf("closed %v, %v; %d places taken", closed, err, table.count())
 	}
 }
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -17,13 +17,13 @@
 // stopped is an agent whose loop doesn't run and has its queue full.
 func stopped(t *testing.T) *Agent {
 	t.Helper()
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(a.stop)
-	a.fill()
-	return a
+	t.Cleanup(agent.stop)
+	agent.fill()
+	return agent
 }
 
 // fill fills the loop's queue.
@@ -63,12 +63,12 @@
 }
 
 // serveWithin has the agent answer a request, which must not take for ever.
-func serveWithin(t *testing.T, a *Agent, w http.ResponseWriter, req *http.Request) {
+func serveWithin(t *testing.T, agent *Agent, w http.ResponseWriter, req *http.Request) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		a.ServeHTTP(w, req)
+		agent.ServeHTTP(w, req)
 	}()
 	select {
 	case <-done:
@@ -96,17 +96,17 @@
 func TestFinalAnswers(t *testing.T) {
 	for name, test := range map[string]struct {
 		timeout string
-		prepare func(a *Agent, req *http.Request) *http.Request
+		prepare func(agent *Agent, req *http.Request) *http.Request
 		status  int
 		refused bool
 	}{
 		"queue full": {"50m", nil, http.StatusServiceUnavailable, true},
-		"queue full behind it": {"1000m", func(a *Agent, req *http.Request) *http.Request {
-			a.takeRequest(a.fill)
+		"queue full behind it": {"1000m", func(agent *Agent, req *http.Request) *http.Request {
+			agent.takeRequest(agent.fill)
 			return req
 		}, http.StatusGatewayTimeout, false},
-		"loop stands still": {"1000m", func(a *Agent, req *http.Request) *http.Request {
-			a.takeRequest(func() {})
+		"loop stands still": {"1000m", func(agent *Agent, req *http.Request) *http.Request {
+			agent.takeRequest(func() {})
 			return req
 		}, http.StatusGatewayTimeout, false},
 		"client gone, queue full": {"30000m", func(_ *Agent, req *http.Request) *http.Request {
@@ -114,19 +114,19 @@
 			gone()
 			return req.WithContext(ctx)
 		}, http.StatusBadGateway, false},
-		"last call, queue full": {"30000m", func(a *Agent, req *http.Request) *http.Request {
-			close(a.lastCall)
+		"last call, queue full": {"30000m", func(agent *Agent, req *http.Request) *http.Request {
+			close(agent.lastCall)
 			return req
 		}, http.StatusServiceUnavailable, true},
-		"last call, queue full behind it": {"30000m", func(a *Agent, req *http.Request) *http.Request {
-			a.takeRequest(func() {
-				a.fill()
-				close(a.lastCall)
+		"last call, queue full behind it": {"30000m", func(agent *Agent, req *http.Request) *http.Request {
+			agent.takeRequest(func() {
+				agent.fill()
+				close(agent.lastCall)
 			})
 			return req
 		}, http.StatusGatewayTimeout, false},
-		"memory for bodies gone": {"30000m", func(a *Agent, req *http.Request) *http.Request {
-			a.bodyBytes.Add(1 << 40)
+		"memory for bodies gone": {"30000m", func(agent *Agent, req *http.Request) *http.Request {
+			agent.bodyBytes.Add(1 << 40)
 			req.Body, req.ContentLength = io.NopCloser(strings.NewReader("body")), 4
 			return req
 		}, http.StatusServiceUnavailable, true},
@@ -134,18 +134,18 @@
 			req.Body, req.ContentLength = explodes{}, 4
 			return req
 		}, http.StatusInternalServerError, false},
-		"loop ended, queue full": {"50m", func(a *Agent, req *http.Request) *http.Request {
-			a.stop()
+		"loop ended, queue full": {"50m", func(agent *Agent, req *http.Request) *http.Request {
+			agent.stop()
 			return req
 		}, http.StatusServiceUnavailable, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a, req, w := stopped(t), direct(test.timeout), httptest.NewRecorder()
+			agent, req, w := stopped(t), direct(test.timeout), httptest.NewRecorder()
 			if test.prepare != nil {
-				req = test.prepare(a, req)
+				req = test.prepare(agent, req)
 			}
-			serveWithin(t, a, w, req)
+			serveWithin(t, agent, w, req)
 			if w.Code != test.status || (w.Header().Get("Retry-After") != "") != test.refused {
 				t.Fatalf("answered %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 			}
@@ -156,15 +156,15 @@
 // Of a request that never came to the loop the loop is told nothing, or what waits to tell it would
 // be without bound while its queue is full.
 func TestWhatWasNotPostedIsNotDropped(t *testing.T) {
-	a := stopped(t)
+	agent := stopped(t)
 	ctx, gone := context.WithCancel(t.Context())
 	gone()
 	for range 20 {
-		serveWithin(t, a, httptest.NewRecorder(), direct("30000m").WithContext(ctx))
+		serveWithin(t, agent, httptest.NewRecorder(), direct("30000m").WithContext(ctx))
 	}
 	for {
 		select {
-		case in := <-a.loop.inputs:
+		case in := <-agent.loop.inputs:
 			if in.kind == inputClientGone || in.kind == inputRequest {
 				t.Fatalf("the loop was told %d of a request that it does not know", in.kind)
 			}
@@ -177,8 +177,8 @@
 
 // A panic before an answer is begun, also while it is being worded, is answered as one.
 func TestPanicWhileAnswering(t *testing.T) {
-	a, w := stopped(t), &explodingWriter{ResponseRecorder: httptest.NewRecorder()}
-	serveWithin(t, a, w, direct("20m"))
+	agent, w := stopped(t), &explodingWriter{ResponseRecorder: httptest.NewRecorder()}
+	serveWithin(t, agent, w, direct("20m"))
 	if w.Code != http.StatusInternalServerError {
 		t.Fatalf("answered %d", w.Code)
 	}
@@ -188,18 +188,18 @@
 // no more time than that.
 func TestLastCall(t *testing.T) {
 	told, release := make(chan string, 10), make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		told <- r.Header.Get("Request-Timeout")
 		<-release
 	}))
-	t.Cleanup(s.Close)
+	t.Cleanup(backend.Close)
 	t.Cleanup(func() { close(release) })
-	a, err := New(parse(t, config(nowhere, s.Listener.Addr().String())), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere, backend.Listener.Addr().String())), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := make(chan func(), 1)
-	a.after = func(d time.Duration, call func()) *time.Timer {
+	agent.after = func(d time.Duration, call func()) *time.Timer {
 		if d != 3600*time.Millisecond {
 			t.Errorf("answers %v after SIGTERM, SIGKILL may come after 3.7 s", d)
 		}
@@ -209,18 +209,18 @@
 	ln := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- a.Serve(ctx, ln) }()
+	go func() { ended <- agent.Serve(ctx, ln) }()
 	base := "http://" + ln.Addr().String()
 	ask := func(id string) *bufio.Reader {
-		c := dial(t, base)
-		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		io.WriteString(c, raw("order", id))
-		return bufio.NewReader(c)
+		conn := dial(t, base)
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		io.WriteString(conn, raw("order", id))
+		return bufio.NewReader(conn)
 	}
 	first := ask("before")
 	<-told
 	late := dial(t, base)
-	eventually(t, "both accepted", func() bool { return a.clients.count() == 2 })
+	eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
 	stop()
 	call := <-calls
 	_ = late.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -258,11 +258,11 @@
 		for _, second := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, " second ", second), func(t *testing.T) {
 				t.Parallel()
-				c := dial(t, base)
+				conn := dial(t, base)
 				if second {
-					io.WriteString(c, raw("order", fmt.Sprint("whole", lastID.Add(1))))
-					r := bufio.NewReader(c)
-					resp, err := http.ReadResponse(r, nil)
+					io.WriteString(conn, raw("order", fmt.Sprint("whole", lastID.Add(1))))
+					reader := bufio.NewReader(conn)
+					resp, err := http.ReadResponse(reader, nil)
 					if err != nil || resp.StatusCode != 200 {
 						t.Fatalf("got %v, %v", resp, err)
 					}
@@ -270,8 +270,8 @@
 					<-came
 				}
 				began := time.Now()
-				io.WriteString(c, test.text)
-				said := answered(t, c)
+				io.WriteString(conn, test.text)
+				said := answered(t, conn)
 				if test.status != "" && !strings.HasPrefix(said, "HTTP/1.1 "+test.status) || strings.Count(said, "HTTP/1.1") > 1 {
 					t.Fatalf("said %q", said)
 				}
@@ -291,20 +291,20 @@
 func TestDrippingHeadsEnd(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
-	p := newClientTable(1, 1)
-	c := &clientConn{Conn: server, table: p, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), head: headState{bufferSize: 4096}}
+	table := newClientTable(1, 1)
+	conn := &clientConn{Conn: server, table: table, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), head: headState{bufferSize: 4096}}
 	var by time.Time
 	for i := range 3 {
-		_ = c.SetReadDeadline(time.Now().Add(clientKeepAlive)) // as the server does at each stage
+		_ = conn.SetReadDeadline(time.Now().Add(clientKeepAlive)) // as the server does at each stage
 		go func() { _, _ = client.Write([]byte("P")) }()
-		if n, err := c.Read(make([]byte, 4096-i)); n != 1 || err != nil {
+		if n, err := conn.Read(make([]byte, 4096-i)); n != 1 || err != nil {
 			t.Fatalf("read %d, %v", n, err)
 		}
 		if i == 0 {
-			by = c.head.deadline
+			by = conn.head.deadline
 		}
-		if c.head.deadline != by || by.IsZero() || time.Until(by) > headTimeout {
-			t.Fatalf("the head may come until %v, at its first byte until %v", c.head.deadline, by)
+		if conn.head.deadline != by || by.IsZero() || time.Until(by) > headTimeout {
+			t.Fatalf("the head may come until %v, at its first byte until %v", conn.head.deadline, by)
 		}
 	}
 }
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -13,20 +13,20 @@
 // The last guard answers should the loop never do.
 func TestGuard(t *testing.T) {
 	conf := parse(t, config(nowhere))
-	a, err := New(conf, slog.New(slog.DiscardHandler))
+	agent, err := New(conf, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.stop() // the loop does not run
+	defer agent.stop() // the loop does not run
 	req := call("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Header.Set("Request-Timeout", "20m")
 	rec := httptest.NewRecorder()
-	a.ServeHTTP(rec, req)
+	agent.ServeHTTP(rec, req)
 	if rec.Code != http.StatusGatewayTimeout {
 		t.Fatalf("answered %d", rec.Code)
 	}
-	if first, second := <-a.loop.inputs, <-a.loop.inputs; first.kind != inputRequest || second.kind != inputClientGone {
+	if first, second := <-agent.loop.inputs, <-agent.loop.inputs; first.kind != inputRequest || second.kind != inputClientGone {
 		t.Fatalf("the loop was told %d, %d", first.kind, second.kind)
 	}
 }
@@ -38,13 +38,13 @@
 		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
 	} {
 		t.Run(left.String(), func(t *testing.T) {
-			l := quietLoop(t, "127.0.0.1:1")
-			r := &request{config: l.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
+			loop := quietLoop(t, "127.0.0.1:1")
+			r := &request{config: loop.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
 				wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
 			before := time.Until(r.deadline)
-			l.handle(input{kind: inputRequest, request: r})
+			loop.handle(input{kind: inputRequest, request: r})
 			sent := false
-			for _, act := range l.actions {
+			for _, act := range loop.actions {
 				if act.Kind == policy.ActionSend && act.Request == r.id {
 					sent = true
 					if told := millis(act.DelayMs); told > before-margin*9/10 {
@@ -79,16 +79,16 @@
 
 // A panic in one handler must not leave its request without an answer.
 func TestHandlerPanic(t *testing.T) {
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.stop()
+	defer agent.stop()
 	req := call("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Body = explodes{}
 	rec := httptest.NewRecorder()
-	a.ServeHTTP(rec, req)
+	agent.ServeHTTP(rec, req)
 	if rec.Code != http.StatusInternalServerError {
 		t.Fatalf("answered %d", rec.Code)
 	}
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -14,20 +14,20 @@
 // until the handler had its turn is not the client's to lose.
 func TestDeadlineCountsFromTheRead(t *testing.T) {
 	told := make(chan string, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		told <- r.Header.Get("Request-Timeout")
 	}))
-	t.Cleanup(s.Close)
-	a, _, _, _ := start(t, config(nowhere, s.Listener.Addr().String()))
+	t.Cleanup(backend.Close)
+	agent, _, _, _ := start(t, config(nowhere, backend.Listener.Addr().String()))
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
 	const held = 5 * time.Second
-	c := &clientConn{Conn: server, table: a.clients, head: headState{receivedAt: time.Now().Add(-held)}}
+	conn := &clientConn{Conn: server, table: agent.clients, head: headState{receivedAt: time.Now().Add(-held)}}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", "held")
 	req.Header.Set("Request-Timeout", "30000m")
 	w := httptest.NewRecorder()
-	a.ServeHTTP(w, req.WithContext(context.WithValue(req.Context(), connKey{}, c)))
+	agent.ServeHTTP(w, req.WithContext(context.WithValue(req.Context(), connKey{}, conn)))
 	if w.Code != 200 {
 		t.Fatalf("answered %d", w.Code)
 	}
@@ -40,18 +40,18 @@
 func TestHeadsTimeIsThatOfItsLastRead(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
-	p := newClientTable(1, 1)
-	c := &clientConn{Conn: server, table: p, stageSince: time.Now()}
+	table := newClientTable(1, 1)
+	conn := &clientConn{Conn: server, table: table, stageSince: time.Now()}
 	read := func(text string) time.Time {
 		go func() { _, _ = client.Write([]byte(text)) }()
-		if n, err := c.Read(make([]byte, 4096)); n != len(text) || err != nil {
+		if n, err := conn.Read(make([]byte, 4096)); n != len(text) || err != nil {
 			t.Fatalf("read %d, %v", n, err)
 		}
-		at, _ := p.beginRequest(c)
+		at, _ := table.beginRequest(conn)
 		return at
 	}
 	first := read("first")
-	p.setStage(c, stageIdle)
+	table.setStage(conn, stageIdle)
 	before := time.Now()
 	second := read("second")
 	if !first.Before(before) || second.Before(before) || second.After(time.Now()) {
@@ -75,13 +75,13 @@
 
 // For a connection that waits for its place the time counts from when its bytes were there.
 func TestTimeCountsWhileAPlaceIsWaitedFor(t *testing.T) {
-	p, ln := newClientTable(1, 1), listen(t)
-	p.acquireTimeout = time.Minute
+	table, ln := newClientTable(1, 1), listen(t)
+	table.acquireTimeout = time.Minute
 	kept, _ := net.Pipe()
 	var c *clientConn
 	// Closed a moment after it was ended for the other: the first look for a place fails.
-	c = &clientConn{Conn: endHookConn{kept, func() { go c.Close() }}, table: p, stage: stageIdle, stageSince: time.Now()}
-	p.acquire(c, time.Now())
+	c = &clientConn{Conn: endHookConn{kept, func() { go c.Close() }}, table: table, stage: stageIdle, stageSince: time.Now()}
+	table.acquire(c, time.Now())
 	client := dial(t, "http://"+ln.Addr().String())
 	if _, err := client.Write([]byte(strings.Repeat("x", 20))); err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 	}
 	defer accepted.Close()
 	eventually(t, "the bytes there", func() bool { return peekConn(accepted) > 0 })
-	l := &clientListener{Listener: ln, table: p}
-	placed := l.acquireSlot(accepted)
+	listener := &clientListener{Listener: ln, table: table}
+	placed := listener.acquireSlot(accepted)
 	if placed == nil {
 		t.Fatal("no place")
 	}
@@ -101,7 +101,7 @@
 	if _, err := placed.Read(make([]byte, 4096)); err != nil {
 		t.Fatal(err)
 	}
-	if at, _ := p.beginRequest(placed); seen.IsZero() || at != seen || at.After(after) {
+	if at, _ := table.beginRequest(placed); seen.IsZero() || at != seen || at.After(after) {
 		t.Fatalf("its time counts from %v, its bytes were seen at %v", at, seen)
 	}
 }
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -52,23 +52,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := ParseConfig(text)
+	parsed, err := ParseConfig(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return parsed
 }
 
 // start serves an agent until the test ends; stop is its SIGTERM.
-func start(t *testing.T, conf map[string]any) (a *Agent, base string, stop func(), ended chan error) {
+func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
 	return startOn(t, conf, func(ln net.Listener) net.Listener { return ln })
 }
 
 // startOn is start with a wrapped listener.
-func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (a *Agent, base string, stop func(), ended chan error) {
+func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
-	a, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	agent, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,13 +78,13 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
-	go func() { ended <- a.Serve(ctx, wrap(ln)) }()
+	go func() { ended <- agent.Serve(ctx, wrap(ln)) }()
 	t.Cleanup(func() {
 		stop()
-		a.server.Close()
-		a.stop()
+		agent.server.Close()
+		agent.stop()
 	})
-	return a, "http://" + ln.Addr().String(), stop, ended
+	return agent, "http://" + ln.Addr().String(), stop, ended
 }
 
 // lastID makes every request's id a new one.
@@ -128,7 +128,7 @@
 // counted is a backend that answers all it gets with status and counts it.
 func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
 	came = make(chan string, 100)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		came <- r.Header.Get("Request-Id")
 		if notStarted {
 			w.Header().Set("Not-Started", "1")
@@ -136,8 +136,8 @@
 		w.WriteHeader(status)
 		fmt.Fprint(w, "done")
 	}))
-	t.Cleanup(s.Close)
-	return s.Listener.Addr().String(), came
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), came
 }
 
 // noAnswer is after how long a test that waits for what never comes fails.
@@ -149,12 +149,12 @@
 // dial opens a client's connection by hand.
 func dial(t *testing.T, base string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	return c
+	t.Cleanup(func() { conn.Close() })
+	return conn
 }
 
 // eventually waits for what another goroutine is about to do.
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -50,18 +50,18 @@
 
 // A path without a last part names nothing: such requests must not all go by one key.
 func TestNoKey(t *testing.T) {
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.stop()
+	defer agent.stop()
 	for path, keyed := range map[string]bool{"/order": false, "/order/": false, "/order/u1": true, "/order/a/u1": true} {
 		t.Run(path, func(t *testing.T) {
 			req := call("http://b", "order")
 			req.RequestURI, req.URL.Path = path, path
 			req.Body = http.NoBody
 			req.ContentLength = 0
-			got, err := a.readRequest(a.config.Load(), httptest.NewRecorder(), req, time.Now())
+			got, err := agent.readRequest(agent.config.Load(), httptest.NewRecorder(), req, time.Now())
 			if err != nil || (got.key != 0) != keyed {
 				t.Errorf("%+v, %v", got, err)
 			}
@@ -94,11 +94,11 @@
 // What is refused before the loop is a requestError with its HTTP status, and its text names the
 // header or the part at fault.
 func TestRequestErrors(t *testing.T) {
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.stop()
+	defer agent.stop()
 	for _, test := range []struct {
 		name   string
 		change func(r *http.Request)
@@ -119,15 +119,15 @@
 		{"no key", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400, "Idempotency-Key"},
 		{"no timeout", func(r *http.Request) { r.Header.Del("Request-Timeout") }, 400, "Request-Timeout: no number"},
 		{"short body", func(r *http.Request) { r.Body = io.NopCloser(strings.NewReader("bo")) }, 408, "body: did not come whole"},
-		{"no memory left", func(*http.Request) { a.bodyBytes.Store(1 << 40) }, 503, "body: no memory left"},
+		{"no memory left", func(*http.Request) { agent.bodyBytes.Store(1 << 40) }, 503, "body: no memory left"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			a.bodyBytes.Store(0)
+			agent.bodyBytes.Store(0)
 			req := call("http://b", "send")
 			req.RequestURI = "/send/u1"
 			test.change(req)
-			before := a.bodyBytes.Load()
-			_, err := a.readRequest(a.config.Load(), httptest.NewRecorder(), req, time.Now())
+			before := agent.bodyBytes.Load()
+			_, err := agent.readRequest(agent.config.Load(), httptest.NewRecorder(), req, time.Now())
 			var refused *requestError
 			if !errors.As(err, &refused) {
 				t.Fatalf("got %v, want a requestError", err)
@@ -138,7 +138,7 @@
 			if wantRetryAfter := test.status == http.StatusServiceUnavailable; (refused.retryAfter > 0) != wantRetryAfter {
 				t.Errorf("Retry-After of %v with %d", refused.retryAfter, refused.status)
 			}
-			if after := a.bodyBytes.Load(); after != before {
+			if after := agent.bodyBytes.Load(); after != before {
 				t.Errorf("%d bytes of bodies are counted as in memory, before it were %d", after, before)
 			}
 		})
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -43,34 +43,34 @@
 }
 
 // hooked serves an agent whose clients' bytes pass a hook.
-func hooked(t *testing.T, conf map[string]any) (a *Agent, base string, read *atomic.Pointer[func()]) {
+func hooked(t *testing.T, conf map[string]any) (agent *Agent, base string, read *atomic.Pointer[func()]) {
 	t.Helper()
 	read = &atomic.Pointer[func()]{}
-	a, base, _, _ = startOn(t, conf, func(ln net.Listener) net.Listener { return hookListener{ln, read} })
-	return a, base, read
+	agent, base, _, _ = startOn(t, conf, func(ln net.Listener) net.Listener { return hookListener{ln, read} })
+	return agent, base, read
 }
 
 // Bytes that were read of a request keep its connection open, though none waits any more.
 func TestComingRequestKeepsItsConnection(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	a, base, _ := hooked(t, config(nowhere, addr))
-	c := dial(t, base)
-	r := bufio.NewReader(c)
+	agent, base, _ := hooked(t, config(nowhere, addr))
+	conn := dial(t, base)
+	reader := bufio.NewReader(conn)
 	for i, text := range []string{raw("order", "c1"), raw("order", "c2")} {
 		half := len(text) / 2
-		io.WriteString(c, text[:half])
+		io.WriteString(conn, text[:half])
 		eventually(t, "half of it read", func() bool {
-			a.clients.mu.Lock()
-			defer a.clients.mu.Unlock()
-			for c := range a.clients.conns {
-				return c.head.started && peekConn(c.Conn) == 0
+			agent.clients.mu.Lock()
+			defer agent.clients.mu.Unlock()
+			for conn := range agent.clients.conns {
+				return conn.head.started && peekConn(conn.Conn) == 0
 			}
 			return false
 		})
-		a.clients.closeIdle(true)
-		a.clients.reapIdle(time.Now().Add(never))
-		io.WriteString(c, text[half:])
-		resp, err := http.ReadResponse(r, nil)
+		agent.clients.closeIdle(true)
+		agent.clients.reapIdle(time.Now().Add(never))
+		io.WriteString(conn, text[half:])
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("request %d: got %v, %v", i, resp, err)
 		}
@@ -80,9 +80,9 @@
 
 // listening tells whether the agent still takes connections.
 func listening(base string) bool {
-	c, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err == nil {
-		c.Close()
+		conn.Close()
 	}
 	return err == nil
 }
@@ -91,12 +91,12 @@
 // cut off: it came on a connection that was accepted.
 func TestLeaveWaitsForWhatIsBeingRead(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	a, base, stop, ended := start(t, config(nowhere, addr))
-	c := dial(t, base)
+	agent, base, stop, ended := start(t, config(nowhere, addr))
+	conn := dial(t, base)
 	text := strings.Replace(raw("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
 	stop()
-	eventually(t, "leaving", func() bool { return a.shutdownAt.Load() != nil })
-	io.WriteString(c, text+"half")
+	eventually(t, "leaving", func() bool { return agent.shutdownAt.Load() != nil })
+	io.WriteString(conn, text+"half")
 	eventually(t, "no more connections", func() bool { return !listening(base) })
 	// Long past the time left to settle: whoever ends by it has ended.
 	select {
@@ -104,8 +104,8 @@
 		t.Errorf("ended with half a request read: %v", err)
 	case <-time.After(4 * shutdownSettleTime):
 	}
-	io.WriteString(c, "rest")
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	io.WriteString(conn, "rest")
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || !resp.Close {
 		t.Fatalf("got %v, %v; want an answer and the connection's end", resp, err)
 	}
@@ -118,9 +118,9 @@
 // and not sent on.
 func TestLateRequestsAreRefused(t *testing.T) {
 	addr, came := counted(t, 200, false)
-	a, base, _, _ := start(t, config(nowhere, addr))
+	agent, base, _, _ := start(t, config(nowhere, addr))
 	long := time.Now().Add(-shutdownRejectAfter)
-	a.shutdownAt.Store(&long)
+	agent.shutdownAt.Store(&long)
 	status, _, head := do(t, call(base, "order"))
 	if status != http.StatusServiceUnavailable || head.Get("Retry-After") != "0.6" || len(came) > 0 {
 		t.Fatalf("answered %d, Retry-After %q, %d sent on", status, head.Get("Retry-After"), len(came))
@@ -129,7 +129,7 @@
 
 // SIGTERM before the agent serves, and nothing to finish: it ends without an error.
 func TestLeaveBeforeServing(t *testing.T) {
-	a, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
+	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if err := a.Serve(ctx, ln); err != nil {
+	if err := agent.Serve(ctx, ln); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -148,13 +148,13 @@
 // the agent ends without an error.
 func TestLeave(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got <- struct{}{}
 		<-release
 		fmt.Fprint(w, "done")
 	}))
-	t.Cleanup(s.Close)
-	a, base, stop, ended := start(t, config(nowhere, s.Listener.Addr().String()))
+	t.Cleanup(backend.Close)
+	agent, base, stop, ended := start(t, config(nowhere, backend.Listener.Addr().String()))
 	answers := make(chan *http.Response, 2)
 	ask := func() {
 		resp, err := http.DefaultTransport.RoundTrip(call(base, "look"))
@@ -166,7 +166,7 @@
 	go ask()
 	<-got
 	stop()
-	for a.shutdownAt.Load() == nil {
+	for agent.shutdownAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	go ask() // on a new connection: the first is busy
