--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// What may have run is sent once more only where its class allows; what was turned
-// away may go on to another backend in any class.
+// A request that may have run is retried only if its class allows it; one that was rejected may be
+// sent to another backend in any class.
 func TestRetries(t *testing.T) {
 	for _, test := range []struct {
 		class      string
@@ -74,7 +74,7 @@
 	}
 }
 
-// A backend's answer that breaks off is not passed on, whole or in part.
+// A backend's incomplete answer is not forwarded, whole or in part.
 func TestBrokenAnswerFails(t *testing.T) {
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := readRequest(reader); err == nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// A panic in the loop costs its one input.
+// A panic in the loop loses one input only.
 func TestLoopPanic(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, addr))
@@ -97,8 +97,7 @@
 	}
 }
 
-// With more requests than places for clients those over it are refused at once; left
-// to wait for a place they would be lost.
+// Requests above openRequests are rejected at once; left to wait for a slot they would be lost.
 func TestMoreRequestsThanPlaces(t *testing.T) {
 	release := make(chan struct{})
 	open := sync.OnceFunc(func() { close(release) })
@@ -151,7 +150,7 @@
 	}
 }
 
-// An attempt of a client that has gone is given up.
+// The attempt of a client that has disconnected is cancelled.
 func TestClientGone(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -170,8 +169,8 @@
 	<-ended
 }
 
-// A backend that drains while the connection to it still comes up is sent nothing,
-// and the request goes on to another.
+// A backend that begins to drain during the connect to it is sent nothing, and the request is sent
+// to another.
 func TestDrainWhileDialling(t *testing.T) {
 	good, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, "127.0.0.1:1"))
@@ -207,7 +206,7 @@
 	<-came
 }
 
-// quietLoop is a loop that a test drives by hand.
+// quietLoop is a loop whose inputs a test handles itself.
 func quietLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -223,7 +222,7 @@
 	return List{Seq: seq, Whole: whole, Hosts: hosts}
 }
 
-// Lists apply in the order of their versions, whichever way they come.
+// Endpoint lists apply in the order of their versions, whether watched or fetched.
 func TestListOrder(t *testing.T) {
 	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
@@ -251,7 +250,7 @@
 	}
 }
 
-// A new process or address gets new connections; the backend stays the same.
+// A new process or address of a backend gets new connections; the backend stays the same.
 func TestNewProcessNewConnections(t *testing.T) {
 	loop := quietLoop(t, "127.0.0.1:1")
 	b := loop.backends[addrOf("s-0")]
@@ -276,8 +275,8 @@
 	}
 }
 
-// A machine that vanished is silent on all its connections: after a time-out none
-// that stands idle is used again.
+// A machine that vanished is silent on all its connections: after a timeout no idle connection to it
+// is used again.
 func TestTimeoutDropsIdle(t *testing.T) {
 	closed := make(chan struct{})
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -312,7 +311,7 @@
 	}
 }
 
-// Errors of a configuration name the key.
+// Errors of a configuration name the field.
 func TestConfigErrors(t *testing.T) {
 	for key, change := range map[string]func(c map[string]any){
 		"name":             func(c map[string]any) { delete(c, "name") },
@@ -351,7 +350,7 @@
 	}
 }
 
-// scripted is a discovery whose watch writes lines and then stays open or ends.
+// scripted is a discovery whose watch sends lines and then stays open or ends.
 func scripted(t *testing.T, stay bool, lines ...string) (*discovery, chan input) {
 	release := make(chan struct{})
 	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -373,7 +372,7 @@
 
 const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
-// A watch ends at a line that makes no sense, having told those before.
+// A watch ends at a malformed line, after the events of the lines before it.
 func TestMalformedLine(t *testing.T) {
 	disc, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
 	disc.silence = never
@@ -386,7 +385,7 @@
 	}
 }
 
-// A watch on which nothing comes is dead and ends.
+// A watch without any line for too long is ended.
 func TestSilentWatch(t *testing.T) {
 	disc, told := scripted(t, true)
 	disc.silence = time.Millisecond
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// fault is what befalls a client's connection: all is read and written a byte at a time, and the
-// read or the write after so many bytes fails, and each after it.
+// fault describes how a client's connection fails: it reads and writes a byte at a time, and from a
+// number of bytes on each read or write fails.
 type fault struct {
 	errno           syscall.Errno
 	readAt, writeAt int64 // -1: none
@@ -60,9 +60,9 @@
 	return &faultyConn{Conn: c, fault: *l.next.Load()}, nil
 }
 
-// Wherever in a request or its answer a client's connection breaks, and however little each read
-// and write moves: one answer or a part of it or none, never a wrong one, at most one attempt, none
-// before the request is whole, and the connection's place is free again.
+// Wherever in a request or its response a client's connection breaks, and however few bytes each
+// read and write moves: the client gets one response, a part of it or none, never a wrong one; there
+// is at most one attempt, none before the request is complete; and the slot is free again.
 func TestClientsConnectionsBreakAnywhere(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	next := &atomic.Pointer[fault]{}
@@ -75,8 +75,8 @@
 	}
 	type bounds struct{ least, most int }
 	attempts, wanted := map[string]int{}, map[string]bounds{}
-	// ask sends a request over a connection with a fault, of which so many attempts are wanted
-	// in the end, and hands back what was said.
+	// ask sends a request over a connection with a fault, notes how many attempts it may lead to,
+	// and returns what the client was sent.
 	ask := func(f fault, least, most int) string {
 		t.Helper()
 		for len(came) > 0 {
@@ -113,7 +113,7 @@
 				t.Fatalf("%+v: said %q", f, said)
 			}
 		}
-		// Right behind the request: its client has gone, as far as the agent can tell.
+		// A failure right after the request: to the agent its client has disconnected.
 		f := fault{errno, int64(length), -1}
 		said := ask(f, 0, 1)
 		if strings.Count(said, "HTTP/1.1") > 1 || strings.Contains(said, " 200 ") && said != whole {
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -15,10 +15,10 @@
 	"ploverreel/policy"
 )
 
-// handled waits until the loop has handled all that was posted so far.
+// handled waits until the loop has handled all inputs posted so far.
 func (a *Agent) handled() { a.look(func(*loop) {}) }
 
-// told hands the agent a whole list of the backends at these addresses.
+// told posts a complete endpoint list to the loop and waits until it is applied.
 func (a *Agent) told(seq int64, hosts ...Host) {
 	a.loop.post(input{kind: inputWatchEvent, list: listOf(seq, true, hosts...)})
 	a.handled()
@@ -28,8 +28,8 @@
 	return Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
 }
 
-// Where the client has left, its request is not sent on: wherever it waits, whatever the
-// settings say of cancelling, and whether or not more came before the end.
+// The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
+// settings say of cancelling, and whether or not more bytes arrived before the close.
 func TestNothingIsSentForWhoLeft(t *testing.T) {
 	for _, more := range []struct{ name, text string }{
 		{"at once", ""},
@@ -72,7 +72,7 @@
 						<-dialling
 					case "retry":
 						<-asked
-						agent.told(2) // nobody is left to send it to
+						agent.told(2) // no endpoint remains
 						close(turn)
 						eventually(t, "its outcome", func() bool { return agent.unsent("left") })
 					}
@@ -99,8 +99,8 @@
 	}
 }
 
-// looker lets a test look at what the loop owns: it runs what is handed to it when the loop
-// logs what look had it told.
+// looker is a log handler that lets a test inspect the loop's state: it runs a function in the loop's
+// goroutine when the loop logs the error that look posted.
 type looker struct {
 	slog.Handler
 	see chan func()
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// look runs see in the loop's own goroutine, after all that was posted so far.
+// look runs see in the loop's goroutine, after all inputs posted so far.
 func (a *Agent) look(see func(l *loop)) {
 	done := make(chan struct{})
 	a.log.Handler().(looker).see <- func() { see(a.loop); close(done) }
@@ -127,7 +127,7 @@
 	<-done
 }
 
-// holds tells whether the loop has the request with this id open.
+// holds reports whether the loop has the request with this id in progress.
 func (a *Agent) holds(id string) (found bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
@@ -137,7 +137,7 @@
 	return found
 }
 
-// unsent tells whether the request with this id has no attempt out.
+// unsent reports whether the request with this id has no attempt in flight.
 func (a *Agent) unsent(id string) (none bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
@@ -147,8 +147,8 @@
 	return none
 }
 
-// A client that only ended its sending side may still read: it is told that its request
-// failed, never that it was served what no backend said.
+// A client that only shut down its sending side may still read: it is sent an error, never a 200
+// that no backend gave.
 func TestHalfClosedClientIsToldTheTruth(t *testing.T) {
 	got := make(chan struct{})
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// Requests that came behind an open one are answered in their order, none lost.
+// Requests read while another is in progress are answered in order, and none is lost.
 func TestWhatCameBehindIsAnswered(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -199,13 +199,13 @@
 			t.Fatalf("got %d %q %v", resp.StatusCode, body, err)
 		}
 	}
-	if agent, b := <-got, <-got; agent != "p2" || b != "p3" {
-		t.Fatalf("then %q and %q", agent, b)
+	if second, third := <-got, <-got; second != "p2" || third != "p3" {
+		t.Fatalf("then %q and %q", second, third)
 	}
 }
 
-// resting is a backend's group with one connection at rest, which an attempt waits for until
-// the test ends its rest. The backend writes what it is told, beyond its answers.
+// resting makes a backend's connections with one at rest, for which an attempt waits until the test
+// ends the rest. The backend writes what the test sends on beyond, besides its answers.
 func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
 	beyond, came = make(chan string), make(chan string, 10)
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -224,22 +224,22 @@
 		}
 	})
 	t.Cleanup(func() { close(beyond) })
-	p := testPool()
+	backendPool := testPool()
 	rested = make(chan time.Time)
 	asked := make(chan struct{}, 10)
-	p.after = func(time.Duration) <-chan time.Time {
+	backendPool.after = func(time.Duration) <-chan time.Time {
 		asked <- struct{}{}
 		return rested
 	}
-	g = p.newBackendConns(addr)
+	g = backendPool.newBackendConns(addr)
 	t.Cleanup(g.closeIdle)
 	if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	p.mu.Lock()
+	backendPool.mu.Lock()
 	kept = g.idle[0]
 	kept.since = time.Now().Add(never) // so that it rests however slow the test is
-	p.mu.Unlock()
+	backendPool.mu.Unlock()
 	<-came
 	waits = newAttempt(g, http.MethodPost, never)
 	waits.request.wireID = "next"
@@ -249,8 +249,8 @@
 	return g, kept, waits, done, rested, beyond, came
 }
 
-// A second answer that comes some milliseconds behind the first must not meet the next
-// request on the connection.
+// A second answer some milliseconds after the first must not be taken for that to the next request
+// on the connection.
 func TestLateSecondAnswer(t *testing.T) {
 	_, kept, _, done, rested, beyond, _ := resting(t)
 	beyond <- strings.Replace(okAnswer, "done", "gone", 1)
@@ -261,8 +261,8 @@
 	}
 }
 
-// An attempt that waits for a connection at rest ends with its request, sends nothing, and
-// leaves the connection to others.
+// An attempt that waits for a connection at rest ends with its request, sends nothing, and leaves
+// the connection to other attempts.
 func TestLeavingEndsTheRest(t *testing.T) {
 	g, _, waits, done, rested, _, came := resting(t)
 	waits.withdraw()
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// leavings are the ways in which a client can leave.
+// leavings are the ways in which a client can disconnect.
 var leavings = map[string]func(c net.Conn){
 	"close": func(c net.Conn) { c.Close() },
 	"reset": func(c net.Conn) {
@@ -33,15 +33,15 @@
 	"end of its sending": func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() },
 }
 
-// busy has the loop do see, and nothing else as long as it takes, after all that was posted
-// so far. It returns when that is posted.
+// busy runs see in the loop's goroutine, after all inputs posted so far, and returns once that is
+// posted. The loop handles nothing else until see returns.
 func (a *Agent) busy(see func(l *loop)) {
 	a.log.Handler().(looker).see <- func() { see(a.loop) }
 	a.loop.post(input{kind: inputFetched, err: io.EOF})
 }
 
-// next takes the first input of the kind out of the queue of a loop that is busy, and hands
-// back what came before it.
+// next takes the first input of a kind out of the queue of a busy loop, and posts those before it
+// again.
 func (a *Agent) next(t *testing.T, kind inputKind) (found input) {
 	t.Helper()
 	var others []input
@@ -62,9 +62,8 @@
 	return found
 }
 
-// Where the loop is busy, what is in its queue is handled in its order: the request, the end
-// of its attempt or what makes room for it, before the word that its client has left. No
-// attempt is made then.
+// A busy loop handles its queue in order: the request, the outcome of its attempt or what gives it
+// capacity, before the input that its client has disconnected. No attempt is made then.
 func TestNothingIsSentForWhoLeftTheQueue(t *testing.T) {
 	for _, waits := range []string{"first", "further", "room"} {
 		for how, leave := range leavings {
@@ -141,8 +140,8 @@
 	}
 }
 
-// stalledConn is a client's connection of which nobody has the time to read more than the
-// first bytes until it is released.
+// stalledConn is a client's connection of which no more than the first bytes are read until it is
+// released.
 type stalledConn struct {
 	*net.TCPConn
 	got     atomic.Bool
@@ -173,8 +172,8 @@
 	return &stalledConn{TCPConn: c.(*net.TCPConn), release: l.release}, nil
 }
 
-// lateConnect lets connections come up only when the test lets them. Only the connection
-// itself tells an attempt then whether its client has left.
+// lateConnect holds up connects to backends until the test releases them. Only the client's
+// connection tells an attempt then whether the client has disconnected.
 func lateConnect(agent *Agent) (dialling chan struct{}, up chan struct{}) {
 	dialling, up = make(chan struct{}, 10), make(chan struct{})
 	plain := agent.loop.pool.connect
@@ -186,7 +185,7 @@
 	return dialling, up
 }
 
-// clientEnded waits until the end of a client has come to the agent's machine.
+// clientEnded waits until a client's close has arrived in the agent's kernel.
 func clientEnded(t *testing.T, agent *Agent) {
 	t.Helper()
 	eventually(t, "the client's end", func() bool {
@@ -199,7 +198,7 @@
 	})
 }
 
-// unopened waits until the agent holds no request, and fails if a backend got one.
+// unopened waits until no request is in progress, and fails the test if a backend got one.
 func unopened(t *testing.T, agent *Agent, came chan string) {
 	t.Helper()
 	eventually(t, "no request held", func() (none bool) {
@@ -211,8 +210,8 @@
 	}
 }
 
-// The end of a client counts as soon as it has come, read or not: on a busy machine whoever
-// looks for it may get the processor later than the attempt.
+// A client's close counts as soon as it has arrived, read or not: on a busy machine the goroutine
+// that reads it may run later than the attempt.
 func TestNothingIsSentForWhoseEndIsUnread(t *testing.T) {
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
@@ -237,9 +236,8 @@
 	}
 }
 
-// The server doesn't look for the client's end under a request that came in one piece with
-// the one before it, when a byte of a third was read under that one. Nothing is sent on for
-// it all the same.
+// The http server doesn't watch for a client's close during a request that arrived together with the
+// one before it, if a byte of a third was read during that one. Nothing is forwarded all the same.
 func TestNothingIsSentForWhoLeftBehindOthers(t *testing.T) {
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
@@ -279,8 +277,8 @@
 	}
 }
 
-// Whoever leaves while its request comes in, in the head, in the body or right behind it, has
-// nothing sent on: here all of it came before the agent even took the connection.
+// Nothing is forwarded for a client that disconnects in the head, in the body or right after its
+// request, here with all of it there before the connection is accepted.
 func TestNothingIsSentForWhoLeftUnread(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, came := counted(t, 200, false)
@@ -317,8 +315,8 @@
 	unopened(t, agent, came)
 }
 
-// Whoever leaves while the agent waits for the rest of its request has nothing sent on, and its
-// place is free again.
+// Nothing is forwarded for a client that disconnects while the agent waits for the rest of its
+// request, and its slot is free again.
 func TestNothingIsSentForWhoLeftItsRequest(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, came := counted(t, 200, false)
@@ -344,15 +342,15 @@
 	}
 }
 
-// A client that leaves while its attempt waits for a connection at rest has nothing sent on it.
+// Nothing is sent for a client that disconnects while its attempt waits for a connection at rest.
 func TestNothingIsSentForWhoLeftARest(t *testing.T) {
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
 			agent, base, _, _ := start(t, config(nowhere, addr))
 			asked, rested := make(chan struct{}, 10), make(chan time.Time)
-			p := agent.loop.pool
-			p.after = func(time.Duration) <-chan time.Time {
+			backendPool := agent.loop.pool
+			backendPool.after = func(time.Duration) <-chan time.Time {
 				asked <- struct{}{}
 				return rested
 			}
@@ -360,14 +358,14 @@
 				t.Fatalf("answered %d", status)
 			}
 			<-came
-			p.mu.Lock()
-			p.idle.Front().Value.(*backendConn).since = time.Now().Add(never) // rests however slow the test is
-			connect := p.connect
-			p.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			backendPool.mu.Lock()
+			backendPool.idle.Front().Value.(*backendConn).since = time.Now().Add(never) // rests however slow the test is
+			connect := backendPool.connect
+			backendPool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				<-ctx.Done() // an extra connection that came up first would rightly be sent on
 				return connect(ctx, network, addr)
 			}
-			p.mu.Unlock()
+			backendPool.mu.Unlock()
 			conn := dial(t, base)
 			io.WriteString(conn, raw("order", "left"))
 			<-asked
--- a/internal/agent/client_listener_test.go
+++ b/internal/agent/client_listener_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// failingListener fails with an error some times before each accept.
+// failingListener fails a number of accepts with an error before it accepts.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
@@ -29,14 +29,14 @@
 	return l.Listener.Accept()
 }
 
-// acceptErrnos are those in which accept may fail with nothing wrong with the listener.
+// acceptErrnos are errors of accept that say nothing against the listener.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.EPERM, syscall.ENFILE, syscall.EMFILE, syscall.ETIMEDOUT,
 	syscall.EINTR, syscall.ECONNABORTED, syscall.EAGAIN, syscall.EINVAL,
 }
 
-// However accept fails and however often, the agent goes on and serves what comes next.
+// However accept fails and however often, the agent serves the next connection.
 func TestFailedAcceptsEndNothing(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	for _, errno := range acceptErrnos {
@@ -63,7 +63,7 @@
 	}
 }
 
-// countingHandler counts the lines that are logged.
+// countingHandler counts the lines logged.
 type countingHandler struct {
 	slog.Handler
 	lines *atomic.Int32
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// A failed accept is waited after for 5 to 20 ms however often it fails, and a storm of them
-// is logged in one line.
+// The pause after a failed accept is 5 to 20 ms however often it fails, and many failures in a row
+// are logged in one line.
 func TestFailedAcceptsAreRetriedSoon(t *testing.T) {
 	ln, left, lines := listen(t), &atomic.Int32{}, &atomic.Int32{}
 	left.Store(100)
@@ -104,7 +104,7 @@
 	}
 }
 
-// A listener that is closed during the wait after a failure ends at once.
+// Close ends the pause after a failed accept at once.
 func TestClosedWhileAcceptWaits(t *testing.T) {
 	left := &atomic.Int32{}
 	left.Store(1000)
@@ -131,8 +131,8 @@
 	}
 }
 
-// A start goes on where the machine had no room for its listener for a moment, and ends soon where
-// it can't listen, or is told to end.
+// Listen is retried while a resource of this machine is exhausted. It fails at once for a permanent
+// fault, after a bounded number of retries, and when its context ends.
 func TestListenIsTriedAgain(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
@@ -176,7 +176,7 @@
 	}
 }
 
-// Who leaves and the server both close the listener, in whatever order they come to it.
+// The shutdown and the http server both close the listener, in either order.
 func TestListenerClosesTwice(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -14,9 +14,8 @@
 	"time"
 )
 
-// Connections that say nothing, or asked once and are kept for good, or began another
-// request that does not come to its end, must not keep out
-// a client whose time runs: a place is made for it.
+// Connections that are silent, idle without end, or stuck in an unfinished request must not keep
+// out a new client: one of them is evicted for it.
 func TestPlacesAreMade(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	conf := config(nowhere, addr)
@@ -41,7 +40,7 @@
 				eventually(t, "the place taken", func() bool { return agent.clients.count() == i+1 })
 			}
 			if kind != "silent" {
-				// As if all had been so for long.
+				// As if all had been at this stage for long.
 				eventually(t, "all "+kind, func() bool {
 					agent.clients.mu.Lock()
 					defer agent.clients.mu.Unlock()
@@ -63,7 +62,7 @@
 	}
 }
 
-// A connection with a request open, or one that came just now, is never ended for another.
+// A connection with a request in progress, or one just accepted, is never evicted.
 func TestBusyPlacesStay(t *testing.T) {
 	table, now := newClientTable(3, 3), time.Now()
 	for _, s := range []connStage{stageActive, stageActive, stageNew} {
@@ -80,7 +79,7 @@
 	if table.acquire(next, now) || table.count() != 3 {
 		t.Fatal("a connection that is in use was closed")
 	}
-	// What its server does: it reads, and closes the connection when that read ends.
+	// As the http server does: read, and close the connection when that read ends.
 	ended := make(chan error, 1)
 	var ending *clientConn
 	for conn := range table.conns {
@@ -104,8 +103,8 @@
 	}
 }
 
-// Clients that ask once and keep their connections for good must not use up all that
-// clients may hold: past a number connections end with their answer, and idle ones go.
+// Clients that send one request and keep their connections without end must not use up all slots:
+// above maxKeptIdle connections close with their response, and idle ones are reaped.
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, addr))
@@ -141,8 +140,8 @@
 	})
 }
 
-// What can't be read or trusted gets an error or a close soon, and no backend hears of
-// it, nor of what follows on the connection.
+// Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
+// on the connection reach a backend.
 func TestBadClients(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -194,7 +193,7 @@
 	})
 }
 
-// Silent connections and half requests end within the 3 s owed.
+// Silent connections and incomplete requests end within 3 s of connecting.
 func TestSilenceEnds(t *testing.T) {
 	if headTimeout+bodyTimeout > 2700*time.Millisecond {
 		t.Fatal("a bad client is owed an end within 3 s")
@@ -206,7 +205,7 @@
 	}
 }
 
-// An id that is open is refused to whoever else sends it, and goes out once.
+// A request whose id is in progress is rejected, and the first one forwarded once.
 func TestIDOfAnOpenRequest(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -237,7 +236,7 @@
 	}
 }
 
-// Ids are forgotten in time, but not before.
+// Ids are known for the time given, and forgotten some time after it.
 func TestIDMemory(t *testing.T) {
 	ids, now := newSeenIDs(time.Second), time.Now()
 	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
@@ -248,7 +247,7 @@
 	}
 }
 
-// However many ids come, the memory of them is bounded, and the last are known.
+// However many ids arrive, the memory for them is bounded, and the latest are known.
 func TestIDMemoryIsBounded(t *testing.T) {
 	m, now := newSeenIDs(never), time.Now()
 	for i := range 5 * maxIDs {
@@ -266,7 +265,7 @@
 	}
 }
 
-// After SIGTERM half requests and silent connections are not waited for.
+// A graceful shutdown doesn't wait for incomplete requests and silent connections.
 func TestLeaveAmongBadClients(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, stop, ended := start(t, config(nowhere, addr)) // give-up is 30 s here
@@ -285,7 +284,7 @@
 	}
 }
 
-// reloadTo puts the loop's configuration with another discovery in force.
+// reloadTo reloads the loop's configuration with another discovery address.
 func reloadTo(t *testing.T, l *loop, discovery string) {
 	t.Helper()
 	next, done := *l.config, make(chan error, 1)
@@ -296,8 +295,8 @@
 	}
 }
 
-// A new discovery is watched and asked at once, late words of the old one change
-// nothing, and its versions may start lower. Backends stay known meanwhile.
+// A new discovery is watched and fetched from at once, late events of the old one are ignored, and
+// the versions of the new one may start lower. Backends stay known meanwhile.
 func TestReload(t *testing.T) {
 	asked := make(chan string, 10)
 	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -331,7 +330,7 @@
 	}
 }
 
-// The first calls to a new discovery are tried again without the module's back-off.
+// The first calls to a new discovery are retried without the decision module's backoff.
 func TestReloadTriesAgain(t *testing.T) {
 	tries := make(chan struct{}, 100)
 	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// crossingConn is a client's connection with a hook between the end of a read and what the
-// agent makes of it: one for a read that got bytes, one for a read whose time was over.
+// crossingConn is a client's connection with hooks between the end of a read and its handling by
+// the agent: one for a read that returned bytes, one for a read that timed out.
 type crossingConn struct {
 	*net.TCPConn
 	hooks *crossingHooks
@@ -35,7 +35,7 @@
 	switch {
 	case n > 0:
 		run(&c.hooks.got)
-	case errors.Is(err, os.ErrDeadlineExceeded) && len(p) > 1: // else it was the answer's
+	case errors.Is(err, os.ErrDeadlineExceeded) && len(p) > 1: // a read of one byte is that next to a handler
 		run(&c.hooks.over)
 	}
 	return n, err
@@ -54,7 +54,7 @@
 	return crossingConn{c.(*net.TCPConn), l.hooks}, nil
 }
 
-// endings are the ways in which the agent ends a connection on which no request is open.
+// endings are the ways in which the agent ends a connection without a request in progress.
 var endings = map[string]func(p *clientTable){
 	"leaving":  func(p *clientTable) { p.closeIdle(true) },
 	"too many": func(p *clientTable) { p.reapIdle(time.Now().Add(clientIdleGrace)) },
@@ -66,7 +66,7 @@
 		p.resize(0, 0)
 		newcomer(p)
 	},
-	"its time is over": func(p *clientTable) { // of keep-alive, or for a first head
+	"its time is over": func(p *clientTable) { // the keep-alive timeout, or that for a first head
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for c := range p.conns {
@@ -83,7 +83,7 @@
 	next.Close()
 }
 
-// restingAt waits until the agent's one connection is at a stage, and returns it.
+// restingAt waits until the agent's only connection is at a stage and waits for a head.
 func restingAt(t *testing.T, agent *Agent, want connStage) (found *clientConn) {
 	t.Helper()
 	eventually(t, "its connection at rest", func() bool {
@@ -98,13 +98,13 @@
 	return found
 }
 
-// A request that crosses the end of its connection, whatever ends it, gets its one answer when
-// any of it was read, and when it came before the agent saw that nothing had.
+// A request that crosses the end of its connection, whatever ends that, gets its one response if any
+// of it was read, or if it arrived before the agent saw that nothing had.
 func TestRequestsThatCrossAnEndAreAnswered(t *testing.T) {
 	for ending, end := range endings {
 		for _, at := range []connStage{stageNew, stageIdle} {
 			if at == stageNew && ending == "too many" {
-				continue // which ends idle ones alone
+				continue // reaping ends idle connections only
 			}
 			for _, crossing := range []string{"read", "unread", "half read", "half unread"} {
 				t.Run(fmt.Sprint(ending, map[connStage]string{stageNew: " fresh ", stageIdle: " idle "}[at], crossing), func(t *testing.T) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// A connection that was ended while at rest is closed with nothing said, and its place is free;
-// until then it holds its place, and no other is ended in its stead.
+// A connection that is ended while it waits for a head is closed without a response. It holds its
+// slot until then, and no other is evicted in its stead.
 func TestEndedConnectionsClose(t *testing.T) {
 	for ending, end := range endings {
 		t.Run(ending, func(t *testing.T) {
@@ -193,7 +193,8 @@
 	}
 }
 
-// Where several could go for one that comes, one is ended and keeps its place until it is closed.
+// Of several connections that could be evicted for a new one, only one is, and it keeps its slot
+// until it is closed.
 func TestOneIsEndedForOneThatComes(t *testing.T) {
 	table, now := newClientTable(2, 2), time.Now()
 	for range 2 {
@@ -220,7 +221,7 @@
 	}
 }
 
-// The answer to a request that is bad is not cut off for one that comes.
+// The response to a rejected request is not cut off to make a slot free.
 func TestRejectedClientsAreAnswered(t *testing.T) {
 	table, now := newClientTable(1, 1), time.Now()
 	server, client := net.Pipe()
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A call of discovery that is given up while its connection comes up leaves no dial behind: a
-// discovery that was cut off would cost a descriptor a call, for minutes.
+// A call of discovery that is given up while it connects ends its dial: with a discovery that is
+// cut off from the network each call would otherwise hold a descriptor for minutes.
 func TestGivenUpCallStopsDialling(t *testing.T) {
 	for _, call := range []string{"watch", "fetch"} {
 		t.Run(call, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// closingConn tells when a client's connection is closed.
+// closingConn calls a hook before it is closed.
 type closingConn struct {
 	net.Conn
 	closing func()
@@ -52,7 +52,8 @@
 	return c.Conn.Close()
 }
 
-// A place is free when the descriptor is: given to a new connection before, both would be open.
+// A slot is free once the descriptor is: before that, the old and a new connection would be open at
+// once.
 func TestPlaceIsHeldUntilTheDescriptorIsClosed(t *testing.T) {
 	table := newClientTable(1, 1)
 	server, client := net.Pipe()
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// takeRequest takes all out of the queue up to a request, and then does what follows.
+// takeRequest empties the queue up to the first request, in the background, and then calls then.
 func (a *Agent) takeRequest(then func()) {
 	go func() {
 		for {
@@ -54,7 +54,7 @@
 	}()
 }
 
-// direct is a request as the handler gets it.
+// direct is a request as the http server hands it to the handler.
 func direct(timeout string) *http.Request {
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", fmt.Sprint("final", lastID.Add(1)))
@@ -62,7 +62,7 @@
 	return req
 }
 
-// serveWithin has the agent answer a request, which must not take for ever.
+// serveWithin calls the handler, and fails the test if it doesn't return.
 func serveWithin(t *testing.T, agent *Agent, w http.ResponseWriter, req *http.Request) {
 	t.Helper()
 	done := make(chan struct{})
@@ -77,7 +77,7 @@
 	}
 }
 
-// explodingWriter panics before an answer is begun, once.
+// explodingWriter panics once, before a response is begun.
 type explodingWriter struct {
 	*httptest.ResponseRecorder
 	exploded bool
@@ -91,8 +91,8 @@
 	return w.ResponseRecorder.Header()
 }
 
-// Each request that was read gets its one final answer in its time, whatever goes wrong in the
-// agent: with a status that is true of it, and where it never ran with when to come back.
+// Each request that was read gets its one final response in time, whatever fails in the agent: with
+// a true status, and with a Retry-After if it never ran.
 func TestFinalAnswers(t *testing.T) {
 	for name, test := range map[string]struct {
 		timeout string
@@ -153,8 +153,8 @@
 	}
 }
 
-// Of a request that never came to the loop the loop is told nothing, or what waits to tell it would
-// be without bound while its queue is full.
+// The loop isn't told that a request was abandoned which it never got: the goroutines that wait to
+// post that would have no bound while its queue is full.
 func TestWhatWasNotPostedIsNotDropped(t *testing.T) {
 	agent := stopped(t)
 	ctx, gone := context.WithCancel(t.Context())
@@ -175,7 +175,7 @@
 	}
 }
 
-// A panic before an answer is begun, also while it is being worded, is answered as one.
+// A panic before a response is begun, also while it is being composed, is answered with 500.
 func TestPanicWhileAnswering(t *testing.T) {
 	agent, w := stopped(t), &explodingWriter{ResponseRecorder: httptest.NewRecorder()}
 	serveWithin(t, agent, w, direct("20m"))
@@ -184,8 +184,8 @@
 	}
 }
 
-// What SIGKILL would find unanswered is answered before, and what comes after SIGTERM is told
-// no more time than that.
+// A request that SIGKILL would find unanswered is answered before, and a request after SIGTERM is
+// forwarded with no more time than until then.
 func TestLastCall(t *testing.T) {
 	told, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -239,9 +239,8 @@
 	}
 }
 
-// Clients that stop in the middle of a request and stay get an answer or a close, and the
-// connection ends: also where the request's head was bad, or its time is short, and for the second
-// request on a connection.
+// Clients that stop in the middle of a request and stay connected get an error or a close: also if
+// the head is invalid, the timeout short, or the request the second on its connection.
 func TestStoppedRequestsEnd(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -278,7 +277,7 @@
 				if test.status == "503" && !strings.Contains(said, "Retry-After: 0.6\r\n") {
 					t.Fatalf("said %q", said)
 				}
-				// keepIdle would be 15 s; the 3 s owed are those of the constants.
+				// clientKeepAlive is 15 s; TestSilenceEnds checks the 3 s by the constants.
 				if took := time.Since(began); took > clientKeepAlive-2*time.Second {
 					t.Fatalf("took %v", took)
 				}
@@ -287,7 +286,7 @@
 	}
 }
 
-// A head's time is from its first byte, however slowly the others come.
+// A head's deadline counts from its first byte, however slowly the others arrive.
 func TestDrippingHeadsEnd(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -10,7 +10,7 @@
 	"ploverreel/policy"
 )
 
-// The last guard answers should the loop never do.
+// The handler answers by itself if the loop never does.
 func TestGuard(t *testing.T) {
 	conf := parse(t, config(nowhere))
 	agent, err := New(conf, slog.New(slog.DiscardHandler))
@@ -31,8 +31,8 @@
 	}
 }
 
-// The module's last word comes before the guard's, however short the settings' rounds: only
-// the module tells when to come back.
+// The decision module's last answer comes before the handler's own, however short the interval
+// between its turns: only the module's has a Retry-After.
 func TestLastWordIsTheModules(t *testing.T) {
 	for left, margin := range map[time.Duration]time.Duration{
 		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
@@ -59,7 +59,7 @@
 	}
 }
 
-// A request with no time left is refused, as it surely never ran, and told when to come back.
+// A request with no time left never ran: it is rejected with a Retry-After.
 func TestNoTimeLeft(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -70,14 +70,14 @@
 	}
 }
 
-// explodes panics when the handler reads it.
+// explodes is a body that panics when it is read.
 type explodes struct{}
 
 func (explodes) Read([]byte) (int, error) { panic("boom") }
 
 func (explodes) Close() error { return nil }
 
-// A panic in one handler must not leave its request without an answer.
+// A request whose handler panics is answered.
 func TestHandlerPanic(t *testing.T) {
 	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The time that a server is told counts from when the request's head was read. What passed
-// until the handler had its turn is not the client's to lose.
+// The timeout that a backend is sent counts from when the request's head was read: the time until
+// the handler ran is part of it.
 func TestDeadlineCountsFromTheRead(t *testing.T) {
 	told := make(chan string, 1)
 	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// The time of a head is that of its last read, and isn't changed by what comes beside its answer.
+// A head counts as received at its last read, and reads next to the handler don't change that.
 func TestHeadsTimeIsThatOfItsLastRead(t *testing.T) {
 	server, client := net.Pipe()
 	t.Cleanup(func() { server.Close(); client.Close() })
@@ -62,7 +62,7 @@
 	}
 }
 
-// endHookConn tells when its read is ended.
+// endHookConn calls a hook when a read deadline is set.
 type endHookConn struct {
 	net.Conn
 	ended func()
@@ -73,13 +73,13 @@
 	return nil
 }
 
-// For a connection that waits for its place the time counts from when its bytes were there.
+// For a connection that waits for a slot a request counts as received when its bytes were seen.
 func TestTimeCountsWhileAPlaceIsWaitedFor(t *testing.T) {
 	table, ln := newClientTable(1, 1), listen(t)
 	table.acquireTimeout = time.Minute
 	kept, _ := net.Pipe()
 	var c *clientConn
-	// Closed a moment after it was ended for the other: the first look for a place fails.
+	// Closed a moment after it was evicted, so that the first acquire fails.
 	c = &clientConn{Conn: endHookConn{kept, func() { go c.Close() }}, table: table, stage: stageIdle, stageSince: time.Now()}
 	table.acquire(c, time.Now())
 	client := dial(t, "http://"+ln.Addr().String())
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// config is a whole configuration; backends are listed as s-0, s-1, ...
+// config is a complete configuration whose endpoint list has the backends as s-0, s-1, ...
 func config(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
 	for i, dial := range backends {
@@ -59,13 +59,13 @@
 	return parsed
 }
 
-// start serves an agent until the test ends; stop is its SIGTERM.
+// start serves an agent until the test ends; stop is its SIGTERM, ended gets what Serve returns.
 func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
 	return startOn(t, conf, func(ln net.Listener) net.Listener { return ln })
 }
 
-// startOn is start with a wrapped listener.
+// startOn is start with a listener that wrap makes of the agent's.
 func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
 	agent, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
@@ -87,10 +87,10 @@
 	return agent, "http://" + ln.Addr().String(), stop, ended
 }
 
-// lastID makes every request's id a new one.
+// lastID counts up, so that every request has an id of its own.
 var lastID atomic.Int64
 
-// call is a request of the class, well-formed until it is changed.
+// call is a valid request of a class.
 func call(base, class string) *http.Request {
 	method := http.MethodPost
 	if class == "look" {
@@ -125,7 +125,7 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// counted is a backend that answers all it gets with status and counts it.
+// counted is a backend that answers each request with status and sends its id on came.
 func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
 	came = make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -140,10 +140,10 @@
 	return server.Listener.Addr().String(), came
 }
 
-// noAnswer is after how long a test that waits for what never comes fails.
+// noAnswer is how long a test waits for what has to come before it fails.
 const noAnswer = time.Minute
 
-// nowhere is a discovery that refuses all calls.
+// nowhere is the address of a discovery that refuses connections.
 const nowhere = "127.0.0.1:1"
 
 // dial opens a client's connection by hand.
@@ -157,7 +157,7 @@
 	return conn
 }
 
-// eventually waits for what another goroutine is about to do.
+// eventually waits until done, and fails the test if that takes 20 s.
 func eventually(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
@@ -178,7 +178,7 @@
 	return string(text)
 }
 
-// raw is a whole request as a client sends it.
+// raw is the text of a complete request without a body.
 func raw(class, id string) string {
 	method := http.MethodPost
 	if class == "look" {
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Bad input gets a 4xx that promises nothing of a retry, and reaches no backend.
+// An invalid request gets a 4xx other than 429, as it fails again when retried, and reaches no
+// backend.
 func TestBadInput(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, config(nowhere, addr))
@@ -48,7 +49,7 @@
 	}
 }
 
-// A path without a last part names nothing: such requests must not all go by one key.
+// A path without a last segment has no key: such requests must not all hash to the same backend.
 func TestNoKey(t *testing.T) {
 	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// How long a request may wait is for the settings to say: a class may have minutes.
+// The longest timeout accepted follows from the settings: a class may have a deadline of minutes.
 func TestDeadlinesOfTheSettings(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	conf := config(nowhere, addr)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// hookConn runs a hook between the read of a client's bytes and their handling.
+// hookConn calls a hook between the read of a client's bytes and their handling.
 type hookConn struct {
 	*net.TCPConn
 	read *atomic.Pointer[func()]
@@ -42,7 +42,7 @@
 	return hookConn{c.(*net.TCPConn), l.read}, nil
 }
 
-// hooked serves an agent whose clients' bytes pass a hook.
+// hooked starts an agent whose clients' connections are hookConns.
 func hooked(t *testing.T, conf map[string]any) (agent *Agent, base string, read *atomic.Pointer[func()]) {
 	t.Helper()
 	read = &atomic.Pointer[func()]{}
@@ -50,7 +50,7 @@
 	return agent, base, read
 }
 
-// Bytes that were read of a request keep its connection open, though none waits any more.
+// A connection of which part of a request was read isn't ended, though no bytes are unread.
 func TestComingRequestKeepsItsConnection(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, _ := hooked(t, config(nowhere, addr))
@@ -78,7 +78,7 @@
 	}
 }
 
-// listening tells whether the agent still takes connections.
+// listening reports whether the agent still accepts connections.
 func listening(base string) bool {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err == nil {
@@ -87,8 +87,8 @@
 	return err == nil
 }
 
-// A request whose head was read when the agent has nothing else to finish is answered, not
-// cut off: it came on a connection that was accepted.
+// A shutdown waits for a request whose head was read, also if nothing else is in progress: it came
+// on an accepted connection.
 func TestLeaveWaitsForWhatIsBeingRead(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, stop, ended := start(t, config(nowhere, addr))
@@ -98,7 +98,7 @@
 	eventually(t, "leaving", func() bool { return agent.shutdownAt.Load() != nil })
 	io.WriteString(conn, text+"half")
 	eventually(t, "no more connections", func() bool { return !listening(base) })
-	// Long past the time left to settle: whoever ends by it has ended.
+	// Far longer than shutdownSettleTime: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
 		t.Errorf("ended with half a request read: %v", err)
@@ -114,8 +114,8 @@
 	}
 }
 
-// What comes so late after SIGTERM that SIGKILL might find it unanswered is refused at once,
-// and not sent on.
+// A request so late after SIGTERM that SIGKILL might find it unanswered is rejected at once and not
+// forwarded.
 func TestLateRequestsAreRefused(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, addr))
@@ -127,7 +127,7 @@
 	}
 }
 
-// SIGTERM before the agent serves, and nothing to finish: it ends without an error.
+// SIGTERM before the agent serves, with no request in progress, ends it without an error.
 func TestLeaveBeforeServing(t *testing.T) {
 	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -144,7 +144,7 @@
 	}
 }
 
-// After SIGTERM new connections are still answered, what is held is finished, and
+// After SIGTERM requests on new connections are still answered, those in progress are finished, and
 // the agent ends without an error.
 func TestLeave(t *testing.T) {
 	got, release := make(chan struct{}, 2), make(chan struct{})
@@ -169,7 +169,7 @@
 	for agent.shutdownAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	go ask() // on a new connection: the first is busy
+	go ask() // on a new connection, as the first is in use
 	<-got
 	close(release)
 	for range 2 {
