--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -297,10 +296,7 @@
 			leave(conn)
 		}
 	}
-	agent, err := New(parse(t, config(nowhere, addr)), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
-	if err != nil {
-		t.Fatal(err)
-	}
+	agent := newAgent(t, config(nowhere, addr))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); agent.server.Close(); agent.stop() })
 	go agent.Serve(ctx, ln)
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -55,22 +55,22 @@
 }
 
 // endings are the ways in which the agent ends a connection without a request in progress.
-var endings = map[string]func(p *clientTable){
-	"leaving":  func(p *clientTable) { p.closeIdle(true) },
-	"too many": func(p *clientTable) { p.reapIdle(time.Now().Add(clientIdleGrace)) },
-	"for a new one": func(p *clientTable) {
-		p.resize(1, 0)
-		newcomer(p)
+var endings = map[string]func(table *clientTable){
+	"leaving":  func(table *clientTable) { table.closeIdle(true) },
+	"too many": func(table *clientTable) { table.reapIdle(time.Now().Add(clientIdleGrace)) },
+	"for a new one": func(table *clientTable) {
+		table.resize(1, 0)
+		newcomer(table)
 	},
-	"a lowered limit": func(p *clientTable) {
-		p.resize(0, 0)
-		newcomer(p)
+	"a lowered limit": func(table *clientTable) {
+		table.resize(0, 0)
+		newcomer(table)
 	},
-	"its time is over": func(p *clientTable) { // the keep-alive timeout, or that for a first head
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		for c := range p.conns {
-			_ = c.Conn.SetReadDeadline(time.Now())
+	"its time is over": func(table *clientTable) { // the keep-alive timeout, or that for a first head
+		table.mu.Lock()
+		defer table.mu.Unlock()
+		for conn := range table.conns {
+			_ = conn.Conn.SetReadDeadline(time.Now())
 		}
 	},
 }
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -17,11 +16,7 @@
 // stopped is an agent whose loop doesn't run and has its queue full.
 func stopped(t *testing.T) *Agent {
 	t.Helper()
-	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(agent.stop)
+	agent := newAgent(t, config(nowhere))
 	agent.fill()
 	return agent
 }
@@ -194,10 +189,7 @@
 	}))
 	t.Cleanup(backend.Close)
 	t.Cleanup(func() { close(release) })
-	agent, err := New(parse(t, config(nowhere, backend.Listener.Addr().String())), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
+	agent := newAgent(t, config(nowhere, backend.Listener.Addr().String()))
 	calls := make(chan func(), 1)
 	agent.after = func(d time.Duration, call func()) *time.Timer {
 		if d != 3600*time.Millisecond {
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -79,11 +79,7 @@
 
 // A request whose handler panics is answered.
 func TestHandlerPanic(t *testing.T) {
-	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer agent.stop()
+	agent := newAgent(t, config(nowhere))
 	req := call("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Body = explodes{}
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -59,6 +59,17 @@
 	return parsed
 }
 
+// newAgent makes an agent that serves nothing yet; its loop ends with the test.
+func newAgent(t *testing.T, conf map[string]any) *Agent {
+	t.Helper()
+	agent, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(agent.stop)
+	return agent
+}
+
 // start serves an agent until the test ends; stop is its SIGTERM, ended gets what Serve returns.
 func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
@@ -68,10 +79,7 @@
 // startOn is start with a listener that wrap makes of the agent's.
 func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
-	agent, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
-	if err != nil {
-		t.Fatal(err)
-	}
+	agent = newAgent(t, conf)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -51,11 +50,7 @@
 
 // A path without a last segment has no key: such requests must not all hash to the same backend.
 func TestNoKey(t *testing.T) {
-	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer agent.stop()
+	agent := newAgent(t, config(nowhere))
 	for path, keyed := range map[string]bool{"/order": false, "/order/": false, "/order/u1": true, "/order/a/u1": true} {
 		t.Run(path, func(t *testing.T) {
 			req := call("http://b", "order")
@@ -95,11 +90,7 @@
 // What is refused before the loop is a requestError with its HTTP status, and its text names the
 // header or the part at fault.
 func TestRequestErrors(t *testing.T) {
-	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer agent.stop()
+	agent := newAgent(t, config(nowhere))
 	for _, test := range []struct {
 		name   string
 		change func(r *http.Request)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -129,10 +128,7 @@
 
 // SIGTERM before the agent serves, with no request in progress, ends it without an error.
 func TestLeaveBeforeServing(t *testing.T) {
-	agent, err := New(parse(t, config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
+	agent := newAgent(t, config(nowhere))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
