--- a/internal/agent/client_conn.go
+++ b/internal/agent/client_conn.go
@@ -98,8 +98,8 @@
 		return 0, io.EOF
 	default:
 		n, err = c.receive(buffer)
-		// A client's deadline counts from when it wrote. The time that the bytes spent in the
-		// kernel can't be known; none of the agent's own delays from here on is charged to it.
+		// A client's deadline counts from when it wrote. How long the bytes were in the kernel
+		// can't be known; all that passes from here on is part of the client's time.
 		receivedAt = time.Now()
 		if !c.firstSeenAt.IsZero() {
 			receivedAt, c.firstSeenAt = c.firstSeenAt, time.Time{}
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -259,12 +259,7 @@
 			}
 			io.WriteString(conn, "P") // and not the rest of the third
 			eventually(t, "a byte of the third read", func() bool {
-				agent.clients.mu.Lock()
-				defer agent.clients.mu.Unlock()
-				for conn := range agent.clients.conns {
-					return conn.head.started && peekConn(conn.Conn) == 0
-				}
-				return false
+				return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && peekConn(conn.Conn) == 0 })
 			})
 			close(release)
 			<-dialling // the second
@@ -323,12 +318,7 @@
 				conn := dial(t, base)
 				io.WriteString(conn, text)
 				eventually(t, "its part read", func() bool {
-					agent.clients.mu.Lock()
-					defer agent.clients.mu.Unlock()
-					for conn := range agent.clients.conns {
-						return conn.received.Load() && peekConn(conn.Conn) == 0
-					}
-					return false
+					return onlyConnIs(agent, func(conn *clientConn) bool { return conn.received.Load() && peekConn(conn.Conn) == 0 })
 				})
 				leavings[how](conn)
 				eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -28,7 +28,7 @@
 // ServeHTTP reads one request, forwards it to the loop and writes its one response.
 func (a *Agent) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w := &responseWriter{ResponseWriter: rw}
-	var req *request
+	var req *request // set once it is read
 	// A panic must leave neither the request without a response nor the loop with the request.
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -62,8 +62,8 @@
 }
 
 // beginRequest takes the request of a client's connection, which is nil in tests that call the
-// handler alone. It returns when the request was received: when its head was read, as far as that
-// is known, so that the wait for a processor isn't taken from the client's time.
+// handler alone. It returns when the request was received: when its head was read, if that is
+// known, and not when the handler came to run, as the client's deadline doesn't wait for that.
 func (a *Agent) beginRequest(w http.ResponseWriter, client *clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
@@ -79,8 +79,8 @@
 	return receivedAt
 }
 
-// onHandlerPanic logs a panic of the handler, abandons its request, if it had one,
-// and answers with 500 unless a response was begun.
+// onHandlerPanic logs a panic of the handler, abandons its request, if that was read, and answers
+// with 500 unless a response was begun.
 func (a *Agent) onHandlerPanic(w *responseWriter, req *request, reason any) {
 	a.log.Error("panic in a handler", "panic", reason, "stack", string(debug.Stack()))
 	if req != nil {
@@ -146,8 +146,8 @@
 }
 
 // abandon tells the loop that nobody waits for a request any more. It doesn't block: where the
-// loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are abandoned,
-// so these goroutines are no more than the requests that the loop and its queue hold.
+// loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are
+// abandoned, so these goroutines are no more than the requests that the loop and its queue hold.
 func (a *Agent) abandon(req *request) {
 	req.clientGone.Store(true) // seen at once, however long the loop's queue is
 	gone := input{kind: inputClientGone, request: req}
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -175,6 +175,17 @@
 	}
 }
 
+// onlyConnIs reports whether the agent has a client connection that meets a condition, which is
+// called under the table's lock. It is for tests with one connection.
+func onlyConnIs(agent *Agent, condition func(conn *clientConn) bool) bool {
+	agent.clients.mu.Lock()
+	defer agent.clients.mu.Unlock()
+	for conn := range agent.clients.conns {
+		return condition(conn)
+	}
+	return false
+}
+
 // answered reads all that comes on a connection until it ends.
 func answered(t *testing.T, c net.Conn) string {
 	t.Helper()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -59,12 +59,7 @@
 		half := len(text) / 2
 		io.WriteString(conn, text[:half])
 		eventually(t, "half of it read", func() bool {
-			agent.clients.mu.Lock()
-			defer agent.clients.mu.Unlock()
-			for conn := range agent.clients.conns {
-				return conn.head.started && peekConn(conn.Conn) == 0
-			}
-			return false
+			return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && peekConn(conn.Conn) == 0 })
 		})
 		agent.clients.closeIdle(true)
 		agent.clients.reapIdle(time.Now().Add(never))
