--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// fault is what befalls a client's connection: all is read and written a byte at a time, and the
-// read or the write after so many bytes fails, and each after it.
+// fault describes how a client's connection fails: it reads and writes a byte at a time, and from a
+// number of bytes on each read or write fails.
 type fault struct {
 	errno           syscall.Errno
 	readAt, writeAt int64 // -1: none
@@ -60,9 +60,9 @@
 	return &faultyConn{Conn: c, fault: *l.next.Load()}, nil
 }
 
-// Wherever in a request or its answer a client's connection breaks, and however little each read
-// and write moves: one answer or a part of it or none, never a wrong one, at most one attempt, none
-// before the request is whole, and the connection's place is free again.
+// Wherever in a request or its response a client's connection breaks, and however few bytes each
+// read and write moves: the client gets one response, a part of it or none, never a wrong one; there
+// is at most one attempt, none before the request is complete; and the slot is free again.
 func TestClientsConnectionsBreakAnywhere(t *testing.T) {
 	addr, came := counted(t, 200, false)
 	next := &atomic.Pointer[fault]{}
@@ -75,8 +75,8 @@
 	}
 	type bounds struct{ least, most int }
 	attempts, wanted := map[string]int{}, map[string]bounds{}
-	// ask sends a request over a connection with a fault, of which so many attempts are wanted
-	// in the end, and hands back what was said.
+	// ask sends a request over a connection with a fault, notes how many attempts it may lead to,
+	// and returns what the client was sent.
 	ask := func(f fault, least, most int) string {
 		t.Helper()
 		for len(came) > 0 {
@@ -85,15 +85,15 @@
 		id := fmt.Sprintf("f%06d", lastID.Add(1))
 		wanted[id] = bounds{least, most}
 		next.Store(&f)
-		c := dial(t, base)
-		defer c.Close()
-		io.WriteString(c, request(id))
-		_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		said, err := io.ReadAll(c)
+		conn := dial(t, base)
+		defer conn.Close()
+		io.WriteString(conn, request(id))
+		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		said, err := io.ReadAll(conn)
 		if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
 		}
-		c.Close()
+		conn.Close()
 		eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 		return string(said)
 	}
@@ -113,7 +113,7 @@
 				t.Fatalf("%+v: said %q", f, said)
 			}
 		}
-		// Right behind the request: its client has gone, as far as the agent can tell.
+		// A failure right after the request: to the agent its client has disconnected.
 		f := fault{errno, int64(length), -1}
 		said := ask(f, 0, 1)
 		if strings.Count(said, "HTTP/1.1") > 1 || strings.Contains(said, " 200 ") && said != whole {
@@ -140,18 +140,28 @@
 	}
 }
 
-// A look at a connection that this machine could not make tells nothing of the client.
+// A peek that fails for want of a resource of this machine says nothing of the client.
 func TestFailedLooksAreNoEnds(t *testing.T) {
 	for _, test := range []struct {
+		name string
 		n    int
 		err  error
 		want int
 	}{
-		{1, nil, 1}, {0, nil, -1}, {-1, syscall.EAGAIN, 0}, {-1, syscall.EINTR, 0}, {-1, syscall.ENOBUFS, unknown},
-		{-1, syscall.ENOMEM, unknown}, {-1, syscall.ECONNRESET, -1}, {-1, syscall.ETIMEDOUT, -1}, {-1, syscall.EHOSTUNREACH, -1},
+		{"unread byte", 1, nil, peekUnread},
+		{"end of stream", 0, nil, peekClosed},
+		{"nothing to read", -1, syscall.EAGAIN, peekNothing},
+		{"interrupted", -1, syscall.EINTR, peekNothing},
+		{"no buffers", -1, syscall.ENOBUFS, peekUnknown},
+		{"no memory", -1, syscall.ENOMEM, peekUnknown},
+		{"reset", -1, syscall.ECONNRESET, peekClosed},
+		{"timed out", -1, syscall.ETIMEDOUT, peekClosed},
+		{"unreachable", -1, syscall.EHOSTUNREACH, peekClosed},
 	} {
-		if got := seen(test.n, test.err); got != test.want {
-			t.Errorf("a look that gave %d, %v tells %d, want %d", test.n, test.err, got, test.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := peekResult(test.n, test.err); got != test.want {
+				t.Errorf("recvfrom's %d, %v: got %d, want %d", test.n, test.err, got, test.want)
+			}
+		})
 	}
 }
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -15,19 +15,10 @@
 	"ploverreel/policy"
 )
 
-// raw is a whole request as a client sends it.
-func raw(class, id string) string {
-	method := http.MethodPost
-	if class == "look" {
-		method = http.MethodGet
-	}
-	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
-}
-
-// handled waits until the loop has handled all that was posted so far.
+// handled waits until the loop has handled all inputs posted so far.
 func (a *Agent) handled() { a.look(func(*loop) {}) }
 
-// told hands the agent a whole list of the backends at these addresses.
+// told posts a complete endpoint list to the loop and waits until it is applied.
 func (a *Agent) told(seq int64, hosts ...Host) {
 	a.loop.post(watchEvent{list: listOf(seq, true, hosts...)})
 	a.handled()
@@ -37,8 +28,8 @@
 	return Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
 }
 
-// Where the client has left, its request is not sent on: wherever it waits, whatever the
-// settings say of cancelling, and whether or not more came before the end.
+// The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
+// settings say of cancelling, and whether or not more bytes arrived before the close.
 func TestNothingIsSentForWhoLeft(t *testing.T) {
 	for _, more := range []struct{ name, text string }{
 		{"at once", ""},
@@ -51,20 +42,20 @@
 				t.Run(fmt.Sprint(wait, " ", more.name, " ", cancelling), func(t *testing.T) {
 					good, came := counted(t, 200, false)
 					asked, turn := make(chan struct{}), make(chan struct{})
-					turns := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-						if _, err := readRequest(r); err == nil {
+					turns := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+						if _, err := readRequest(reader); err == nil {
 							close(asked)
 							<-turn
-							io.WriteString(c, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+							io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					})
 					known := map[string][]string{"room": nil, "connect": {"127.0.0.1:1"}, "retry": {turns}}[wait]
 					conf := config(nowhere, known...)
 					conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
-					a, base, _, _ := start(t, conf)
+					agent, base, _, _ := start(t, conf)
 					dialling, given := make(chan struct{}), make(chan struct{})
-					plain := a.loop.pool.connect
-					a.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					plain := agent.loop.pool.connect
+					agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						if addr != "127.0.0.1:1" {
 							return plain(ctx, network, addr)
 						}
@@ -73,20 +64,20 @@
 						close(given)
 						return nil, ctx.Err()
 					}
-					c := dial(t, base)
-					io.WriteString(c, raw("order", "left"))
-					eventually(t, "its request taken", func() bool { return a.holds("left") })
+					conn := dial(t, base)
+					io.WriteString(conn, raw("order", "left"))
+					eventually(t, "its request taken", func() bool { return agent.holds("left") })
 					switch wait {
 					case "connect":
 						<-dialling
 					case "retry":
 						<-asked
-						a.told(2) // nobody is left to send it to
+						agent.told(2) // no endpoint remains
 						close(turn)
-						eventually(t, "its outcome", func() bool { return a.unsent("left") })
+						eventually(t, "its outcome", func() bool { return agent.unsent("left") })
 					}
-					io.WriteString(c, more.text)
-					c.Close()
+					io.WriteString(conn, more.text)
+					conn.Close()
 					if wait == "connect" {
 						select {
 						case <-given:
@@ -94,8 +85,8 @@
 							t.Fatal("still connects for a client that has left")
 						}
 					}
-					eventually(t, "the leaving noticed", func() bool { return !a.holds("left") })
-					a.told(3, readyHost(9, good))
+					eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
+					agent.told(3, readyHost(9, good))
 					if status, _, _ := do(t, call(base, "order")); status != 200 {
 						t.Fatalf("the next client was answered %d", status)
 					}
@@ -108,8 +99,8 @@
 	}
 }
 
-// looker lets a test look at what the loop owns: it runs what is handed to it when the loop
-// logs what look had it told.
+// looker is a log handler that lets a test inspect the loop's state: it runs a function in the loop's
+// goroutine when the loop logs the error that look posted.
 type looker struct {
 	slog.Handler
 	see chan func()
@@ -128,7 +119,7 @@
 	return nil
 }
 
-// look runs see in the loop's own goroutine, after all that was posted so far.
+// look runs see in the loop's goroutine, after all inputs posted so far.
 func (a *Agent) look(see func(l *loop)) {
 	done := make(chan struct{})
 	a.log.Handler().(looker).see <- func() { see(a.loop); close(done) }
@@ -136,7 +127,7 @@
 	<-done
 }
 
-// holds tells whether the loop has the request with this id open.
+// holds reports whether the loop has the request with this id in progress.
 func (a *Agent) holds(id string) (found bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
@@ -146,7 +137,7 @@
 	return found
 }
 
-// unsent tells whether the request with this id has no attempt out.
+// unsent reports whether the request with this id has no attempt in flight.
 func (a *Agent) unsent(id string) (none bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
@@ -156,51 +147,51 @@
 	return none
 }
 
-// A client that only ended its sending side may still read: it is told that its request
-// failed, never that it was served what no backend said.
+// A client that only shut down its sending side may still read: it is sent an error, never a 200
+// that no backend gave.
 func TestHalfClosedClientIsToldTheTruth(t *testing.T) {
 	got := make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err == nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
 			close(got)
-			r.ReadByte() // until it is given up
+			reader.ReadByte() // until it is given up
 		}
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
-	c := dial(t, base)
-	io.WriteString(c, raw("order", "half"))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "half"))
 	<-got
-	c.(*net.TCPConn).CloseWrite()
-	if said := answered(t, c); !strings.HasPrefix(said, "HTTP/1.1 502") || strings.Count(said, "HTTP/1.1") != 1 {
+	conn.(*net.TCPConn).CloseWrite()
+	if said := answered(t, conn); !strings.HasPrefix(said, "HTTP/1.1 502") || strings.Count(said, "HTTP/1.1") != 1 {
 		t.Fatalf("said %q", said)
 	}
 }
 
-// Requests that came behind an open one are answered in their order, none lost.
+// Requests read while another is in progress are answered in order, and none is lost.
 func TestWhatCameBehindIsAnswered(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			got <- req.Header.Get("Request-Id")
 			<-release
-			io.WriteString(c, okAnswer)
+			io.WriteString(conn, okAnswer)
 		}
 	})
 	_, base, _, _ := start(t, config(nowhere, addr))
-	c := dial(t, base)
-	io.WriteString(c, raw("order", "p1"))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "p1"))
 	if id := <-got; id != "p1" {
 		t.Fatalf("got %q", id)
 	}
-	io.WriteString(c, raw("order", "p2")+raw("order", "p3"))
+	io.WriteString(conn, raw("order", "p2")+raw("order", "p3"))
 	close(release)
-	r := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for range 3 {
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -208,47 +199,47 @@
 			t.Fatalf("got %d %q %v", resp.StatusCode, body, err)
 		}
 	}
-	if a, b := <-got, <-got; a != "p2" || b != "p3" {
-		t.Fatalf("then %q and %q", a, b)
+	if second, third := <-got, <-got; second != "p2" || third != "p3" {
+		t.Fatalf("then %q and %q", second, third)
 	}
 }
 
-// resting is a backend's group with one connection at rest, which an attempt waits for until
-// the test ends its rest. The backend writes what it is told, beyond its answers.
+// resting makes a backend's connections with one at rest, for which an attempt waits until the test
+// ends the rest. The backend writes what the test sends on beyond, besides its answers.
 func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
 	beyond, came = make(chan string), make(chan string, 10)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			came <- req.Header.Get("Request-Id")
-			io.WriteString(c, okAnswer)
+			io.WriteString(conn, okAnswer)
 			go func() {
 				for text := range beyond {
-					io.WriteString(c, text)
+					io.WriteString(conn, text)
 				}
 			}()
 		}
 	})
 	t.Cleanup(func() { close(beyond) })
-	p := testPool()
+	backendPool := testPool()
 	rested = make(chan time.Time)
 	asked := make(chan struct{}, 10)
-	p.after = func(time.Duration) <-chan time.Time {
+	backendPool.after = func(time.Duration) <-chan time.Time {
 		asked <- struct{}{}
 		return rested
 	}
-	g = p.newBackendConns(addr)
+	g = backendPool.newBackendConns(addr)
 	t.Cleanup(g.closeIdle)
 	if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	p.mu.Lock()
+	backendPool.mu.Lock()
 	kept = g.idle[0]
 	kept.since = time.Now().Add(never) // so that it rests however slow the test is
-	p.mu.Unlock()
+	backendPool.mu.Unlock()
 	<-came
 	waits = newAttempt(g, http.MethodPost, never)
 	waits.request.wireID = "next"
@@ -258,8 +249,8 @@
 	return g, kept, waits, done, rested, beyond, came
 }
 
-// A second answer that comes some milliseconds behind the first must not meet the next
-// request on the connection.
+// A second answer some milliseconds after the first must not be taken for that to the next request
+// on the connection.
 func TestLateSecondAnswer(t *testing.T) {
 	_, kept, _, done, rested, beyond, _ := resting(t)
 	beyond <- strings.Replace(okAnswer, "done", "gone", 1)
@@ -270,8 +261,8 @@
 	}
 }
 
-// An attempt that waits for a connection at rest ends with its request, sends nothing, and
-// leaves the connection to others.
+// An attempt that waits for a connection at rest ends with its request, sends nothing, and leaves
+// the connection to other attempts.
 func TestLeavingEndsTheRest(t *testing.T) {
 	g, _, waits, done, rested, _, came := resting(t)
 	waits.withdraw()
--- a/internal/agent/client_listener_test.go
+++ b/internal/agent/client_listener_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// failingListener fails with an error some times before each accept.
+// failingListener fails a number of accepts with an error before it accepts.
 type failingListener struct {
 	net.Listener
 	errno syscall.Errno
@@ -29,14 +29,14 @@
 	return l.Listener.Accept()
 }
 
-// acceptErrnos are those in which accept may fail with nothing wrong with the listener.
+// acceptErrnos are errors of accept that say nothing against the listener.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.EPERM, syscall.ENFILE, syscall.EMFILE, syscall.ETIMEDOUT,
 	syscall.EINTR, syscall.ECONNABORTED, syscall.EAGAIN, syscall.EINVAL,
 }
 
-// However accept fails and however often, the agent goes on and serves what comes next.
+// However accept fails and however often, the agent serves the next connection.
 func TestFailedAcceptsEndNothing(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	for _, errno := range acceptErrnos {
@@ -47,10 +47,10 @@
 			_, base, _, ended := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
 				return failingListener{ln, errno, left}
 			})
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
-			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
+			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v", resp, err)
 			}
@@ -63,7 +63,7 @@
 	}
 }
 
-// countingHandler counts the lines that are logged.
+// countingHandler counts the lines logged.
 type countingHandler struct {
 	slog.Handler
 	lines *atomic.Int32
@@ -76,51 +76,51 @@
 	return nil
 }
 
-// A failed accept is waited after for 5 to 20 ms however often it fails, and a storm of them
-// is logged in one line.
+// The pause after a failed accept is 5 to 20 ms however often it fails, and many failures in a row
+// are logged in one line.
 func TestFailedAcceptsAreRetriedSoon(t *testing.T) {
 	ln, left, lines := listen(t), &atomic.Int32{}, &atomic.Int32{}
 	left.Store(100)
-	l := newClientListener(failingListener{ln, syscall.ENOBUFS, left}, newClientTable(1, 1),
+	listener := newClientListener(failingListener{ln, syscall.ENOBUFS, left}, newClientTable(1, 1),
 		slog.New(countingHandler{slog.DiscardHandler, lines}))
 	waits := 0
 	now := make(chan time.Time)
 	close(now)
-	l.after = func(d time.Duration) <-chan time.Time {
+	listener.after = func(d time.Duration) <-chan time.Time {
 		if waits++; d < 5*time.Millisecond || d > 20*time.Millisecond {
 			t.Errorf("waits for %v", d)
 		}
-		l.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		listener.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
 		return now
 	}
 	dial(t, ln.Addr().String())
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if waits != 100 || l.failures != 100 || lines.Load() != 1 {
-		t.Fatalf("%d waits, %d failures counted, %d lines", waits, l.failures, lines.Load())
+	defer conn.Close()
+	if waits != 100 || listener.failures != 100 || lines.Load() != 1 {
+		t.Fatalf("%d waits, %d failures counted, %d lines", waits, listener.failures, lines.Load())
 	}
 }
 
-// A listener that is closed during the wait after a failure ends at once.
+// Close ends the pause after a failed accept at once.
 func TestClosedWhileAcceptWaits(t *testing.T) {
 	left := &atomic.Int32{}
 	left.Store(1000)
-	l := newClientListener(failingListener{listen(t), syscall.EMFILE, left}, newClientTable(1, 1), slog.New(slog.DiscardHandler))
+	listener := newClientListener(failingListener{listen(t), syscall.EMFILE, left}, newClientTable(1, 1), slog.New(slog.DiscardHandler))
 	waiting := make(chan struct{}, 1)
-	l.after = func(time.Duration) <-chan time.Time {
+	listener.after = func(time.Duration) <-chan time.Time {
 		waiting <- struct{}{}
 		return nil // never over
 	}
 	ended := make(chan error, 1)
 	go func() {
-		_, err := l.Accept()
+		_, err := listener.Accept()
 		ended <- err
 	}()
 	<-waiting
-	l.Close()
+	listener.Close()
 	select {
 	case err := <-ended:
 		if !errors.Is(err, net.ErrClosed) {
@@ -131,8 +131,8 @@
 	}
 }
 
-// A start goes on where the machine had no room for its listener for a moment, and ends soon where
-// it can't listen, or is told to end.
+// Listen is retried while a resource of this machine is exhausted. It fails at once for a permanent
+// fault, after a bounded number of retries, and when its context ends.
 func TestListenIsTriedAgain(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
@@ -147,20 +147,26 @@
 		}, tries
 	}
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		open, tries := failing(errno, 8)
-		if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
-			t.Errorf("%v: %v after %d tries", errno, err, *tries)
-		}
-		open, tries = failing(errno, 1<<30)
-		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
-			t.Errorf("%v for good: %v after %d tries", errno, err, *tries)
-		}
+		t.Run("for a moment: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 8)
+			if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
+		t.Run("for good: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 1<<30)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
 	}
 	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
-		open, tries := failing(errno, 1)
-		if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
-			t.Errorf("%v: %v after %d tries", errno, err, *tries)
-		}
+		t.Run("permanent: "+errno.Error(), func(t *testing.T) {
+			open, tries := failing(errno, 1)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
+				t.Errorf("%v after %d tries", err, *tries)
+			}
+		})
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -169,3 +175,20 @@
 		t.Errorf("told to end: %v after %d tries", err, *tries)
 	}
 }
+
+// The shutdown and the http server both close the listener, in either order.
+func TestListenerClosesTwice(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	listener := &clientListener{Listener: ln, table: newClientTable(1, 1)}
+	for range 2 {
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := listener.Accept(); err == nil {
+		t.Fatal("a closed listener accepts")
+	}
+}
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// crossingConn is a client's connection with a hook between the end of a read and what the
-// agent makes of it: one for a read that got bytes, one for a read whose time was over.
+// crossingConn is a client's connection with hooks between the end of a read and its handling by
+// the agent: one for a read that returned bytes, one for a read that timed out.
 type crossingConn struct {
 	*net.TCPConn
 	hooks *crossingHooks
@@ -35,7 +35,7 @@
 	switch {
 	case n > 0:
 		run(&c.hooks.got)
-	case errors.Is(err, os.ErrDeadlineExceeded) && len(p) > 1: // else it was the answer's
+	case errors.Is(err, os.ErrDeadlineExceeded) && len(p) > 1: // a read of one byte is that next to a handler
 		run(&c.hooks.over)
 	}
 	return n, err
@@ -54,80 +54,80 @@
 	return crossingConn{c.(*net.TCPConn), l.hooks}, nil
 }
 
-// endings are the ways in which the agent ends a connection on which no request is open.
-var endings = map[string]func(p *clientTable){
-	"leaving":  func(p *clientTable) { p.closeIdle(true) },
-	"too many": func(p *clientTable) { p.reapIdle(time.Now().Add(clientIdleGrace)) },
-	"for a new one": func(p *clientTable) {
-		p.resize(1, 0)
-		newcomer(p)
+// endings are the ways in which the agent ends a connection without a request in progress.
+var endings = map[string]func(table *clientTable){
+	"leaving":  func(table *clientTable) { table.closeIdle(true) },
+	"too many": func(table *clientTable) { table.reapIdle(time.Now().Add(clientIdleGrace)) },
+	"for a new one": func(table *clientTable) {
+		table.resize(1, 0)
+		newcomer(table)
 	},
-	"a lowered limit": func(p *clientTable) {
-		p.resize(0, 0)
-		newcomer(p)
+	"a lowered limit": func(table *clientTable) {
+		table.resize(0, 0)
+		newcomer(table)
 	},
-	"its time is over": func(p *clientTable) { // of keep-alive, or for a first head
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		for c := range p.conns {
-			_ = c.Conn.SetReadDeadline(time.Now())
+	"its time is over": func(table *clientTable) { // the keep-alive timeout, or that for a first head
+		table.mu.Lock()
+		defer table.mu.Unlock()
+		for conn := range table.conns {
+			_ = conn.Conn.SetReadDeadline(time.Now())
 		}
 	},
 }
 
-func newcomer(p *clientTable) {
+func newcomer(table *clientTable) {
 	one, other := net.Pipe()
 	other.Close()
-	next := &clientConn{Conn: one, table: p}
-	p.acquire(next, time.Now().Add(clientIdleGrace))
+	next := &clientConn{Conn: one, table: table}
+	table.acquire(next, time.Now().Add(clientIdleGrace))
 	next.Close()
 }
 
-// restingAt waits until the agent's one connection is at a stage, and returns it.
-func restingAt(t *testing.T, a *Agent, want connStage) (found *clientConn) {
+// restingAt waits until the agent's only connection is at a stage and waits for a head.
+func restingAt(t *testing.T, agent *Agent, want connStage) (found *clientConn) {
 	t.Helper()
 	eventually(t, "its connection at rest", func() bool {
-		a.clients.mu.Lock()
-		defer a.clients.mu.Unlock()
-		for c := range a.clients.conns {
-			found = c
-			return c.stage == want && !c.headStarted
+		agent.clients.mu.Lock()
+		defer agent.clients.mu.Unlock()
+		for conn := range agent.clients.conns {
+			found = conn
+			return conn.stage == want && !conn.head.started
 		}
 		return false
 	})
 	return found
 }
 
-// A request that crosses the end of its connection, whatever ends it, gets its one answer when
-// any of it was read, and when it came before the agent saw that nothing had.
+// A request that crosses the end of its connection, whatever ends that, gets its one response if any
+// of it was read, or if it arrived before the agent saw that nothing had.
 func TestRequestsThatCrossAnEndAreAnswered(t *testing.T) {
 	for ending, end := range endings {
 		for _, at := range []connStage{stageNew, stageIdle} {
 			if at == stageNew && ending == "too many" {
-				continue // which ends idle ones alone
+				continue // reaping ends idle connections only
 			}
 			for _, crossing := range []string{"read", "unread", "half read", "half unread"} {
 				t.Run(fmt.Sprint(ending, map[connStage]string{stageNew: " fresh ", stageIdle: " idle "}[at], crossing), func(t *testing.T) {
 					addr, came := counted(t, 200, false)
 					hooks := &crossingHooks{}
-					a, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+					agent, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
 						return crossingListener{ln, hooks}
 					})
-					c := dial(t, base)
-					_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-					r := bufio.NewReader(c)
+					client := dial(t, base)
+					_ = client.SetReadDeadline(time.Now().Add(20 * time.Second))
+					reader := bufio.NewReader(client)
 					if at == stageIdle {
-						io.WriteString(c, raw("order", "first"))
-						resp, err := http.ReadResponse(r, nil)
+						io.WriteString(client, raw("order", "first"))
+						resp, err := http.ReadResponse(reader, nil)
 						if err != nil || resp.StatusCode != 200 {
 							t.Fatalf("got %v, %v", resp, err)
 						}
 						io.Copy(io.Discard, resp.Body)
 						<-came
 					}
-					conn := restingAt(t, a, at)
+					conn := restingAt(t, agent, at)
 					if at == stageIdle {
-						a.clients.resize(100, 0) // too many for tidy
+						agent.clients.resize(100, 0) // too many for tidy
 					}
 					text, rest := raw("order", "crossing"), ""
 					if strings.HasPrefix(crossing, "half") {
@@ -135,25 +135,25 @@
 					}
 					if strings.HasSuffix(crossing, "unread") {
 						cross := func() {
-							io.WriteString(c, text)
+							io.WriteString(client, text)
 							eventually(t, "the bytes there", func() bool { return peekConn(conn.Conn) > 0 })
 						}
 						hooks.over.Store(&cross)
-						end(a.clients)
+						end(agent.clients)
 					} else {
-						cross := func() { end(a.clients) }
+						cross := func() { end(agent.clients) }
 						hooks.got.Store(&cross)
-						io.WriteString(c, text)
+						io.WriteString(client, text)
 					}
 					if rest != "" {
 						eventually(t, "the first half read", func() bool {
-							a.clients.mu.Lock()
-							defer a.clients.mu.Unlock()
-							return conn.headStarted || len(a.clients.conns) == 0
+							agent.clients.mu.Lock()
+							defer agent.clients.mu.Unlock()
+							return conn.head.started || len(agent.clients.conns) == 0
 						})
-						io.WriteString(c, rest)
+						io.WriteString(client, rest)
 					}
-					resp, err := http.ReadResponse(r, nil)
+					resp, err := http.ReadResponse(reader, nil)
 					if err != nil || resp.StatusCode != 200 || !resp.Close && ending != "its time is over" {
 						t.Fatalf("got %v, %v; want an answer and the connection's end", resp, err)
 					}
@@ -166,74 +166,75 @@
 	}
 }
 
-// A connection that was ended while at rest is closed with nothing said, and its place is free;
-// until then it holds its place, and no other is ended in its stead.
+// A connection that is ended while it waits for a head is closed without a response. It holds its
+// slot until then, and no other is evicted in its stead.
 func TestEndedConnectionsClose(t *testing.T) {
 	for ending, end := range endings {
 		t.Run(ending, func(t *testing.T) {
 			addr, _ := counted(t, 200, false)
-			a, base, _, _ := start(t, config(nowhere, addr))
-			c := dial(t, base)
-			r := bufio.NewReader(c)
-			io.WriteString(c, raw("order", "first"))
-			resp, err := http.ReadResponse(r, nil)
+			agent, base, _, _ := start(t, config(nowhere, addr))
+			conn := dial(t, base)
+			reader := bufio.NewReader(conn)
+			io.WriteString(conn, raw("order", "first"))
+			resp, err := http.ReadResponse(reader, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v", resp, err)
 			}
 			io.Copy(io.Discard, resp.Body)
-			restingAt(t, a, stageIdle)
-			a.clients.resize(100, 0)
-			end(a.clients)
-			_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-			if _, err := r.ReadByte(); err != io.EOF {
+			restingAt(t, agent, stageIdle)
+			agent.clients.resize(100, 0)
+			end(agent.clients)
+			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Fatalf("got %v, want its end", err)
 			}
-			eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
+			eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
 		})
 	}
 }
 
-// Where several could go for one that comes, one is ended and keeps its place until it is closed.
+// Of several connections that could be evicted for a new one, only one is, and it keeps its slot
+// until it is closed.
 func TestOneIsEndedForOneThatComes(t *testing.T) {
-	p, now := newClientTable(2, 2), time.Now()
+	table, now := newClientTable(2, 2), time.Now()
 	for range 2 {
 		server, client := net.Pipe()
 		t.Cleanup(func() { server.Close(); client.Close() })
-		if !p.acquire(&clientConn{Conn: server, table: p, stage: stageIdle, stageSince: now}, now) {
+		if !table.acquire(&clientConn{Conn: server, table: table, stage: stageIdle, stageSince: now}, now) {
 			t.Fatal("no place though there is room")
 		}
 	}
 	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, table: p, stageSince: now}
+	next := &clientConn{Conn: server, table: table, stageSince: now}
 	for range 3 {
-		if p.acquire(next, now) || p.closing() != 1 || p.count() != 2 {
-			t.Fatalf("%d ended, %d places taken", p.closing(), p.count())
+		if table.acquire(next, now) || table.closingCount() != 1 || table.count() != 2 {
+			t.Fatalf("%d ended, %d places taken", table.closingCount(), table.count())
 		}
 	}
-	for c := range p.conns {
-		if c.closing {
-			c.Close()
+	for conn := range table.conns {
+		if conn.closing {
+			conn.Close()
 		}
 	}
-	if !p.acquire(next, now) || p.count() != 2 {
+	if !table.acquire(next, now) || table.count() != 2 {
 		t.Fatal("no place though one was closed")
 	}
 }
 
-// The answer to a request that is bad is not cut off for one that comes.
+// The response to a rejected request is not cut off to make a slot free.
 func TestRejectedClientsAreAnswered(t *testing.T) {
-	p, now := newClientTable(1, 1), time.Now()
+	table, now := newClientTable(1, 1), time.Now()
 	server, client := net.Pipe()
 	defer client.Close()
-	bad := &clientConn{Conn: server, table: p, stageSince: now}
-	next := &clientConn{Conn: server, table: p, stageSince: now}
-	p.acquire(bad, now)
-	p.setStage(bad, stageRejected)
-	if p.acquire(next, now) {
+	bad := &clientConn{Conn: server, table: table, stageSince: now}
+	next := &clientConn{Conn: server, table: table, stageSince: now}
+	table.acquire(bad, now)
+	table.setStage(bad, stageRejected)
+	if table.acquire(next, now) {
 		t.Fatal("closed before its answer was written")
 	}
 	_ = bad.CloseWrite()
-	if !p.acquire(next, now) {
+	if !table.acquire(next, now) {
 		t.Fatal("no place though all was said on the one that has it")
 	}
 }
