--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -23,16 +23,17 @@
 	// and what it has to tell counts as told 6 s after it fell silent, the wait before the
 	// next call and that call included.
 	watchSilence = 3 * time.Second
-	// callFirst is the same for the first word of a call to a discovery that serves many in
+	// firstWordTimeout is the same for the first word of a call to a discovery that serves many in
 	// turn: it has failed what waited for 2 s, and a call that is given up later would leave
 	// too little of the 6 s to the next.
 	firstWordTimeout = 2500 * time.Millisecond
-	// localFirst is the same for the first word of a watch on the agent's own machine, which
-	// answers at once: what it has when it is back counts as told, and has the drains' grace.
-	localFirstWordTimeout = 750 * time.Millisecond
-	fetchTimeout          = 3 * time.Second
-	maxList               = 4 << 20  // bytes of one list
-	maxListHead           = 64 << 10 // of the answer's head
+	// localHedgeDelay is after how long without a word another call is made beside the first to a
+	// discovery on the agent's own machine: what it has when it is back after an outage counts as
+	// notified, and has the drains' grace.
+	localHedgeDelay = 750 * time.Millisecond
+	fetchTimeout    = 3 * time.Second
+	maxList         = 4 << 20  // bytes of one list
+	maxListHead     = 64 << 10 // of the answer's head
 	// What a new discovery tells counts as told after 4 s: the first calls are tried
 	// again for eagerFor, eagerEvery after one that failed or took over eagerTry.
 	newDiscoveryRetryTime, newDiscoveryRetryInterval, newDiscoveryCallTimeout = 4 * time.Second, 200 * time.Millisecond, 1300 * time.Millisecond
@@ -134,8 +135,10 @@
 	dial             func(ctx context.Context, network, addr string) (net.Conn, error)
 	post             func(input)
 	pause            func(time.Duration) bool // false: the calls end
-	firstWordTimeout time.Duration            // within which a watch must begin to tell
-	silence          time.Duration            // after which it has ended
+	firstWordTimeout time.Duration            // within which a call of a watch must be answered
+	hedgeAfter       time.Duration            // after which a watch makes another call; 0: never
+	after            func(time.Duration) <-chan time.Time
+	silence          time.Duration // after which it has ended
 	ctx              context.Context
 	close            context.CancelFunc // ends all calls
 }
@@ -144,7 +147,7 @@
 type callKey struct{}
 
 func newDiscovery(ctx context.Context, addr string, gen int, post func(input)) *discovery {
-	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", generation: gen, firstWordTimeout: watchSilence, silence: watchSilence,
+	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", generation: gen, firstWordTimeout: watchSilence, silence: watchSilence, after: time.After,
 		dial: (&net.Dialer{}).DialContext}
 	d.client = &http.Client{
 		// A connection a call: a kept one could break under the next call, which the
@@ -239,7 +242,7 @@
 func (d *discovery) watch(since int64, eager bool) {
 	var w watchResult
 	_ = d.retryWhileNew(eager, func() error {
-		w = d.watchOnce(since, eager)
+		w = d.watchHedged(since, eager)
 		if w.notified {
 			return nil
 		}
@@ -263,17 +266,23 @@
 	return w.notified || w.alive && w.lasted >= silence
 }
 
-// follow is one watch.
-func (d *discovery) watchOnce(since int64, eager bool) (w watchResult) {
+// watchHedged is one watch, whatever the number of its calls. A new discovery is not waited for
+// longer than newDiscoveryCallTimeout before it is called again.
+func (d *discovery) watchHedged(since int64, eager bool) watchResult {
+	hedged := &hedgedWatch{discovery: d, since: since, firstWord: d.firstWordTimeout}
+	if eager && d.hedgeAfter == 0 {
+		hedged.firstWord = min(hedged.firstWord, newDiscoveryCallTimeout)
+	}
+	return hedged.run(d.hedgeAfter)
+}
+
+// watchOnce is one call of a watch. Its first word counts only if claim then says so.
+func (d *discovery) watchOnce(ctx context.Context, since int64, firstWord time.Duration, claim func() bool) (w watchResult) {
 	began := time.Now()
 	defer func() { w.lasted = time.Since(began) }()
-	ctx, cancel := context.WithCancelCause(d.ctx)
+	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first := d.firstWordTimeout
-	if eager {
-		first = min(first, newDiscoveryCallTimeout)
-	}
-	dead := time.AfterFunc(first, func() { cancel(errWatchSilent) })
+	dead := time.AfterFunc(firstWord, func() { cancel(errWatchSilent) })
 	defer dead.Stop()
 	body, err := d.get(ctx, d.base+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
@@ -282,6 +291,10 @@
 	}
 	defer body.Close()
 	f := &listReader{from: body, heard: func() {
+		if !w.alive && !claim() {
+			cancel(errWatchSuperseded)
+			return
+		}
 		w.alive = true
 		dead.Reset(d.silence)
 	}}
@@ -296,6 +309,10 @@
 			w.err = fmt.Errorf("list: %w", err)
 			return w
 		}
+		if !w.alive {
+			w.err = errWatchSuperseded
+			return w
+		}
 		w.notified = true
 		d.post(input{kind: inputWatchEvent, list: l})
 		f.next(lists.Buffered())
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -40,8 +40,8 @@
 			t.Fatalf("what %s tells counts, though discovery has moved", d.addr)
 		}
 	}
-	if l.discovery.addr != "127.0.0.1:1" || l.discovery.firstWordTimeout != localFirstWordTimeout {
-		t.Fatalf("asks %s within %v", l.discovery.addr, l.discovery.firstWordTimeout)
+	if l.discovery.addr != "127.0.0.1:1" || l.discovery.hedgeAfter != localHedgeDelay {
+		t.Fatalf("asks %s within %v", l.discovery.addr, l.discovery.hedgeAfter)
 	}
 	// A lower version than the first time, as it may have begun anew.
 	l.handle(input{kind: inputWatchEvent, discoveryGen: l.discovery.generation, list: listOf(3, true, draining)})
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -47,9 +47,9 @@
 	}
 	l.log.Info("discovery: changed", "from", l.discovery.addr, "to", addr)
 	l.discovery.close()
-	first := l.discovery.firstWordTimeout
+	first, hedgeAfter := l.discovery.firstWordTimeout, l.discovery.hedgeAfter
 	l.discovery = newDiscovery(l.ctx, addr, l.discovery.generation+1, l.post)
-	l.discovery.firstWordTimeout = first
+	l.discovery.firstWordTimeout, l.discovery.hedgeAfter = first, hedgeAfter
 	l.listVersion, l.fetching, l.watching = 0, true, true
 	l.startTimes.unwatched(l.nowMs(), 0)
 	go l.discovery.fetch(true)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -84,9 +84,9 @@
 
 func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
 	set := c.module()
-	first := firstWordTimeout
+	hedgeAfter := time.Duration(0) // where each call is work for discovery there is one at a time
 	if set.Membership == policy.MembershipWatched {
-		first = localFirstWordTimeout
+		hedgeAfter = localHedgeDelay
 	}
 	bal, err := policy.New(set, c.Seed)
 	if err != nil {
@@ -100,7 +100,7 @@
 		pool: newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0), seenIDs: newSeenIDs(0)}
 	l.applyLimits()
 	l.discovery = newDiscovery(ctx, c.Discovery, 0, l.post)
-	l.discovery.firstWordTimeout = first
+	l.discovery.firstWordTimeout, l.discovery.hedgeAfter = firstWordTimeout, hedgeAfter
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
 	l.applyEndpointList(policy.ListCached, &c.Known)
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -170,7 +170,7 @@
 				}
 				close(pieces)
 			}()
-			if w := d.watchOnce(1, false); w.endedAfterNotice(c.silence) != c.lost {
+			if w := d.watchHedged(1, false); w.endedAfterNotice(c.silence) != c.lost {
 				t.Fatalf("lost is not %v after %+v", c.lost, w)
 			}
 		})
@@ -213,17 +213,17 @@
 // A discovery on the agent's own machine answers at once: a call without a word is given up
 // soon. Where it is one service for all, calls wait in turn.
 func TestFirstWordOfAWatch(t *testing.T) {
-	for mode, want := range map[string]time.Duration{policy.MembershipPushed: localFirstWordTimeout, policy.MembershipOnRequest: firstWordTimeout} {
+	for mode, want := range map[string]time.Duration{policy.MembershipPushed: localHedgeDelay, policy.MembershipOnRequest: 0} {
 		conf := config(nowhere)
 		conf["settings"].(map[string]any)["membershipMode"] = mode
 		a, _, _, _ := start(t, conf)
 		a.look(func(l *loop) {
-			if l.discovery.firstWordTimeout != want {
-				t.Errorf("%s: waits %v for the first word", mode, l.discovery.firstWordTimeout)
+			if l.discovery.hedgeAfter != want || l.discovery.firstWordTimeout != firstWordTimeout {
+				t.Errorf("%s: waits %v and %v for the first word", mode, l.discovery.hedgeAfter, l.discovery.firstWordTimeout)
 			}
 			l.switchDiscovery("127.0.0.1:2")
-			if l.discovery.firstWordTimeout != want {
-				t.Errorf("%s: waits %v after a reload", mode, l.discovery.firstWordTimeout)
+			if l.discovery.hedgeAfter != want || l.discovery.firstWordTimeout != firstWordTimeout {
+				t.Errorf("%s: waits %v and %v after a reload", mode, l.discovery.hedgeAfter, l.discovery.firstWordTimeout)
 			}
 		})
 	}
