--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -19,10 +19,10 @@
 	// agents in turn: it has failed what waited for 2 s, and a call that is given up later would
 	// leave too little of the 6 s to the next.
 	firstWordTimeout = 2500 * time.Millisecond
-	// localFirstWordTimeout is the same for the first bytes of a watch on the agent's own machine,
-	// which answers at once: what it has when it is back counts as known to the agent after the
-	// grace of a drain.
-	localFirstWordTimeout = 750 * time.Millisecond
+	// localHedgeDelay is after how long without a byte another call is made beside the first to a
+	// discovery on the agent's own machine: what it has when it is back after an outage counts as
+	// notified, and has the drains' grace.
+	localHedgeDelay = 750 * time.Millisecond
 	// fetchTimeout bounds a fetch from its connect to its last byte.
 	fetchTimeout = 3 * time.Second
 	// maxListHead bounds the header of a response, in bytes.
@@ -62,7 +62,9 @@
 	post       func(input)
 	pause      func(time.Duration) bool // waits; false: the calls end
 
-	firstWordTimeout time.Duration // within which a watch must deliver its first bytes
+	firstWordTimeout time.Duration // within which a call of a watch must deliver its first bytes
+	hedgeAfter       time.Duration // after which a watch makes another call; 0: never
+	after            func(time.Duration) <-chan time.Time
 	silence          time.Duration // a watch that delivered nothing for so long is ended
 
 	ctx   context.Context
@@ -74,7 +76,7 @@
 
 func newDiscovery(ctx context.Context, addr string, generation int, post func(input)) *discovery {
 	d := &discovery{addr: addr, base: "http://" + addr + "/v1/endpoints", generation: generation, post: post,
-		firstWordTimeout: watchSilence, silence: watchSilence, dial: (&net.Dialer{}).DialContext}
+		firstWordTimeout: watchSilence, silence: watchSilence, after: time.After, dial: (&net.Dialer{}).DialContext}
 	d.client = &http.Client{
 		Transport: &http.Transport{
 			// A connection a call: one that is kept could break under the next call, which the
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -44,8 +44,8 @@
 			t.Fatalf("what %s delivers counts, though discovery has moved", d.addr)
 		}
 	}
-	if l.watch.discovery.addr != "127.0.0.1:1" || l.watch.discovery.firstWordTimeout != localFirstWordTimeout {
-		t.Fatalf("asks %s within %v", l.watch.discovery.addr, l.watch.discovery.firstWordTimeout)
+	if l.watch.discovery.addr != "127.0.0.1:1" || l.watch.discovery.hedgeAfter != localHedgeDelay {
+		t.Fatalf("asks %s within %v", l.watch.discovery.addr, l.watch.discovery.hedgeAfter)
 	}
 	// A lower version than the first time, as it may have begun anew.
 	l.handle(watchEvent{generation: l.watch.discovery.generation, list: listOf(3, true, draining)})
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -72,7 +72,7 @@
 	l.log.Info("discovery: changed", "from", former.addr, "to", addr)
 	former.close()
 	current := newDiscovery(l.ctx, addr, former.generation+1, l.post)
-	current.firstWordTimeout = former.firstWordTimeout
+	current.firstWordTimeout, current.hedgeAfter = former.firstWordTimeout, former.hedgeAfter
 	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.watch.startTimes.unwatched(l.nowMs(), 0)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -100,7 +100,7 @@
 	l.watch.discovery = newDiscovery(ctx, config.Discovery, 0, l.post)
 	l.watch.discovery.firstWordTimeout = firstWordTimeout
 	if settings.Membership == policy.MembershipWatched {
-		l.watch.discovery.firstWordTimeout = localFirstWordTimeout
+		l.watch.discovery.hedgeAfter = localHedgeDelay // elsewhere each call is work for it
 	}
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -26,7 +26,7 @@
 func (d *discovery) watch(since int64, isNew bool) {
 	var result watchResult
 	_ = d.retryWhileNew(isNew, func() error {
-		result = d.watchOnce(since, isNew)
+		result = d.watchHedged(since, isNew)
 		if result.notified {
 			return nil
 		}
@@ -50,17 +50,24 @@
 	return r.notified || r.alive && r.lasted >= silence
 }
 
-// watchOnce is one watch: it posts the lists that come, in order, until it ends.
-func (d *discovery) watchOnce(since int64, isNew bool) (result watchResult) {
+// watchHedged is one watch, whatever the number of its calls. A new discovery that is shared is not
+// waited for longer than newDiscoveryCallTimeout before it is called again.
+func (d *discovery) watchHedged(since int64, isNew bool) watchResult {
+	hedged := &hedgedWatch{discovery: d, since: since, firstWord: d.firstWordTimeout}
+	if isNew && d.hedgeAfter == 0 {
+		hedged.firstWord = min(hedged.firstWord, newDiscoveryCallTimeout)
+	}
+	return hedged.run(d.hedgeAfter)
+}
+
+// watchOnce is one call of a watch: it posts the lists that come, in order, until it ends. What comes
+// counts only if claim says so as the first of it does.
+func (d *discovery) watchOnce(ctx context.Context, since int64, firstWord time.Duration, claim func() bool) (result watchResult) {
 	began := time.Now()
 	defer func() { result.lasted = time.Since(began) }()
-	ctx, cancel := context.WithCancelCause(d.ctx)
+	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	first := d.firstWordTimeout
-	if isNew {
-		first = min(first, newDiscoveryCallTimeout)
-	}
-	silence := time.AfterFunc(first, func() { cancel(errWatchSilent) })
+	silence := time.AfterFunc(firstWord, func() { cancel(errWatchSilent) })
 	defer silence.Stop()
 	body, err := d.get(ctx, d.base+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
@@ -69,6 +76,10 @@
 	}
 	defer body.Close()
 	reader := &listReader{from: body, heard: func() {
+		if !result.alive && !claim() {
+			cancel(errWatchSuperseded)
+			return
+		}
 		result.alive = true
 		silence.Reset(d.silence)
 	}}
@@ -83,6 +94,10 @@
 			result.err = fmt.Errorf("list: %w", err)
 			return result
 		}
+		if !result.alive {
+			result.err = errWatchSuperseded
+			return result
+		}
 		result.notified = true
 		d.post(watchEvent{generation: d.generation, list: list})
 		reader.next(lists.Buffered())
