--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -17,6 +17,19 @@
 	goldenRatio = math.Phi
 )
 
+// ageErrorFactor is how many times its capacity a server that is warming up may be taken to have, for
+// an error in its age: warm servers may be crowded by half, which slowStartMargin allows for.
+const ageErrorFactor = 1.5
+
+// StartToleranceMs is how much older than it is a server that is warming up may be taken for, in ms:
+// at its start, where that means most, it then counts as ageErrorFactor times what it can do.
+func (c *Contract) StartToleranceMs() float64 {
+	if c.ColdFrom >= 1 {
+		return c.ColdMs
+	}
+	return min((ageErrorFactor-1)*c.ColdFrom/(1-c.ColdFrom)*c.ColdMs, c.ColdMs)
+}
+
 // hasRoom bounds what a server holds of this agent: its window, one at a time
 // until it is validated, and a cold server's credit.
 func (b *Balancer) hasRoom(s *server, r *request) bool {
@@ -55,7 +68,10 @@
 // make its first attempt with its first request, before anything tells what the servers bear:
 // where agents are many, that was all that was asked in the first seconds, up to the budget.
 func (b *Balancer) hasTurn(s *server) bool {
-	alone := b.aimMin / min(b.ramp(s)*b.set.Contract.FallMultiple, 1) // a turn of one that is alone
+	alone := b.aimMin // a turn of one that is alone
+	if multiple := b.set.Contract.FallMultiple; multiple > 0 {
+		alone /= min(b.ramp(s)*multiple, 1)
+	}
 	turn := alone * max(float64(b.set.Replicas)/(attemptsPerServer*b.capacity()), 1)
 	_, part := math.Modf(goldenRatio * float64(b.set.Index))
 	return b.now-b.triedAt >= turn && b.now-s.since >= part*(turn-alone)
