--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"molepaddle/internal/wire"
-	"molepaddle/policy"
+	"ploverreel/internal/simwire"
+	"ploverreel/policy"
 )
 
 // Limits is what the machine allows the process.
@@ -31,14 +31,14 @@
 	Seed      uint64
 	Limits    Limits
 	Settings  policy.Settings
-	Names     names
+	Names     nameIndex
 	Known     List
 
 	clock machineClock // nil: that of this machine
 }
 
 // names maps the words of discovery and of clients to the module's numbers.
-type names struct {
+type nameIndex struct {
 	sites, kinds, classes, tenants map[string]int
 }
 
@@ -96,7 +96,7 @@
 	case len(raw.Settings) == 0:
 		return nil, errors.New("config: settings: missing")
 	}
-	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	var words struct {
@@ -110,7 +110,7 @@
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c.Names = names{sites: index(words.Sites), kinds: index(words.Kinds),
+	c.Names = nameIndex{sites: index(words.Sites), kinds: index(words.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
@@ -130,10 +130,10 @@
 }
 
 // longest is the longest deadline that a request may bring.
-func (c *Config) longest() time.Duration {
+func (c *Config) maxDeadline() time.Duration {
 	longest := leastTimeout
 	for i := range c.Settings.Classes {
-		longest = max(longest, ms(c.Settings.Classes[i].GiveUpMs))
+		longest = max(longest, millis(c.Settings.Classes[i].DeadlineMs))
 	}
 	return longest
 }
@@ -144,18 +144,18 @@
 // drains from the fetches its own failures caused.
 func (c *Config) module() policy.Settings {
 	set := c.Settings
-	if most := openRequests(c.Limits.Sockets); set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
-		set.Limits.OpenCap = most
+	if most := openRequests(c.Limits.Sockets); set.Limits.MaxOpenRequests <= 0 || set.Limits.MaxOpenRequests > most {
+		set.Limits.MaxOpenRequests = most
 	}
-	if set.Membership == policy.Pushed {
-		set.Membership = policy.Watched
+	if set.Membership == policy.MembershipPushed {
+		set.Membership = policy.MembershipWatched
 	}
 	return set
 }
 
 // keeps reports the first word that doesn't have the same place in other names: what the
 // list said of the servers rests on it.
-func (n *names) keeps(other *names) error {
+func (n *nameIndex) keeps(other *nameIndex) error {
 	for _, f := range []struct {
 		key      string
 		old, new map[string]int
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"testing"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // hookedConn calls before ahead of each write.
@@ -27,8 +27,8 @@
 	for _, at := range []string{"connect", "write"} {
 		c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
 		p := testPool()
-		a := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never)
-		b := &backend{group: a.group, attempts: map[*attempt]struct{}{a: {}}}
+		a := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+		b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
 		p.connect = func(context.Context, string, string) (net.Conn, error) {
 			if at == "connect" {
 				b.withdraw()
@@ -40,10 +40,10 @@
 			}}, nil
 		}
 		res := a.run()
-		if began := c.written.Len() > 0; began != (at == "write") || began != (res.status == policy.OK) {
+		if began := c.written.Len() > 0; began != (at == "write") || began != (res.status == policy.StatusOK) {
 			t.Errorf("withdrawn at the %s: %d bytes written, ended %d", at, c.written.Len(), res.status)
 		}
-		if at == "connect" && res.status != policy.Full {
+		if at == "connect" && res.status != policy.StatusRejected {
 			t.Errorf("withdrawn at the %s: ended %d", at, res.status)
 		}
 	}
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // failingConnects lets the first connects fail with an error.
@@ -69,9 +69,9 @@
 				t.Errorf("%d connects", n)
 			}
 			a.look(func(l *loop) {
-				for tier, s := range l.bal.Snapshot(l.clock()).Tiers {
-					if tier > 0 && s.Servers > 0 {
-						t.Errorf("%d servers were demoted to tier %d", s.Servers, tier)
+				for tier, s := range l.balancer.Snapshot(l.nowMs()).Tiers {
+					if tier > 0 && s.Endpoints > 0 {
+						t.Errorf("%d servers were demoted to tier %d", s.Endpoints, tier)
 					}
 				}
 			})
@@ -82,14 +82,14 @@
 // What ends an attempt before the last byte of its request is told by its kind.
 func TestEndingsOfThisMachine(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Status{
-		syscall.ENFILE: policy.LocalFailure, syscall.EADDRNOTAVAIL: policy.LocalFailure,
-		syscall.EAGAIN: policy.LocalFailure, syscall.EINTR: policy.LocalFailure,
-		syscall.ENETUNREACH: policy.Unreachable, syscall.EHOSTUNREACH: policy.Unreachable,
-		syscall.ECONNREFUSED: policy.ConnectFailed, syscall.ETIMEDOUT: policy.ConnectFailed,
+		syscall.ENFILE: policy.StatusLocalFailure, syscall.EADDRNOTAVAIL: policy.StatusLocalFailure,
+		syscall.EAGAIN: policy.StatusLocalFailure, syscall.EINTR: policy.StatusLocalFailure,
+		syscall.ENETUNREACH: policy.StatusUnreachable, syscall.EHOSTUNREACH: policy.StatusUnreachable,
+		syscall.ECONNREFUSED: policy.StatusConnectFailed, syscall.ETIMEDOUT: policy.StatusConnectFailed,
 	} {
 		p := testPool()
 		p.connect = (&failingConnects{errno: errno, fail: 1}).connect
-		if got := newAttempt(p.group("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+		if got := newAttempt(p.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
 			t.Errorf("%v: ended %d, want %d", errno, got, want)
 		}
 		if p.open != 0 {
@@ -101,9 +101,9 @@
 // An extra connection that this machine could not open says nothing of its backend.
 func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
 	p := testPool()
-	p.idle = never
+	p.idleTimeout = never
 	p.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
-	g := p.group("127.0.0.1:1")
+	g := p.newBackendConns("127.0.0.1:1")
 	g.openExtra(context.Background(), nil, nil)
 	if wait := time.Until(g.noExtra); wait > time.Second {
 		t.Errorf("none is opened for %v", wait)
