--- /dev/null
+++ b/internal/agent/actions.go
@@ -0,0 +1,81 @@
+package agent
+
+import (
+	"runtime/debug"
+	"time"
+
+	"ploverreel/policy"
+)
+
+// notify hands the module one event and carries out what it decides.
+func (l *loop) notify(event *policy.Event) {
+	l.decidedAt = time.Now()
+	l.actions = l.decide(l.nowMs(), event)
+	l.perform()
+}
+
+// decide hands the module one event. What it had decided before a panic counts: it waits for the
+// ends of those attempts.
+func (l *loop) decide(nowMs float64, event *policy.Event) (actions []policy.Action) {
+	defer func() {
+		if p := recover(); p != nil {
+			l.log.Error("panic in the module", "event", event.Kind, "panic", p, "stack", string(debug.Stack()))
+			actions = l.balancer.Decided()
+		}
+	}()
+	return l.balancer.Handle(nowMs, event, l.actions[:0])
+}
+
+// perform carries out the module's actions in their order.
+func (l *loop) perform() {
+	for i := range l.actions {
+		l.carryOut(&l.actions[i])
+	}
+}
+
+// carryOut carries out one action. A panic costs that action alone: those behind it belong to other
+// requests, and the module relies on them.
+func (l *loop) carryOut(action *policy.Action) {
+	defer l.recovered("action", int(action.Kind))
+	switch action.Kind {
+	case policy.ActionSend, policy.ActionCancel, policy.ActionReject, policy.ActionFail:
+		if request := l.requests[action.Request]; request != nil {
+			l.carryOutFor(request, action)
+		}
+	case policy.ActionTimer:
+		token := action.Token
+		time.AfterFunc(millis(action.DelayMs), func() { l.post(timerFired{token: token}) })
+	case policy.ActionWatch:
+		l.openWatch()
+	case policy.ActionFetch:
+		l.startFetch()
+	case policy.ActionCloseIdle:
+		if backend := l.backends[action.Server]; backend != nil {
+			backend.conns.closeIdle()
+		}
+	case policy.ActionLog:
+		l.log.Info(action.Text)
+	}
+}
+
+// carryOutFor carries out an action that is about an open request.
+func (l *loop) carryOutFor(request *request, action *policy.Action) {
+	switch action.Kind {
+	case policy.ActionSend:
+		l.send(request, action)
+	case policy.ActionCancel:
+		if action.Attempt < 0 || action.Attempt >= len(request.attempts) {
+			return
+		}
+		if attempt := request.attempts[action.Attempt]; attempt != nil {
+			attempt.withdraw() // else its first byte could still cross this
+			attempt.cancel(errCancelled)
+		}
+	case policy.ActionReject:
+		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.DelayMs)})
+		l.forget(request)
+	case policy.ActionFail:
+		l.answer(request, response{status: policy.StatusServerError})
+		l.forget(request)
+	}
+}
--- /dev/null
+++ b/internal/fleet/model/attempt.go
@@ -0,0 +1,99 @@
+package model
+
+import (
+	"ploverreel/policy"
+)
+
+// attempt is one send of a request to a server.
+type attempt struct {
+	request       *request
+	index         int // among those of the request
+	server        *server
+	sentAt        float64 // in ms
+	serverProcess int     // number of the process of its server that serves it
+	ended         bool    // its agent no longer waits for it
+	queued        bool    // in its server's queue
+}
+
+// The events of requests, attempts and agents. Each is the thing itself under another type, so that
+// scheduling one allocates nothing.
+type (
+	requestDeadline request
+	attemptArrived  attempt // at its server
+	attemptServed   attempt // its server has done its work
+	attemptAnswered attempt
+	attemptReset    attempt
+	attemptTimedOut attempt
+	connectFailed   attempt
+	timer           struct {
+		agent *agent
+		token uint32
+	}
+)
+
+// send sends an attempt of a request.
+func (a *agent) send(request *request, act *policy.Action) {
+	model, server := a.m, a.m.serverAt(act.Server)
+	if server == nil {
+		return
+	}
+	count := model.second()
+	count.Attempts++
+	if request.attempts > 0 {
+		count.Retries++
+	} else if request.retries == 0 {
+		model.waits.add(model.now - request.arrivedAt)
+	}
+	if server.zone != a.client.zone {
+		count.CrossZone++
+	}
+	if model.region(server.zone) != model.region(a.client.zone) {
+		count.CrossRegion++
+	}
+	if !a.takeIdle(server) {
+		count.Connects++
+	}
+	sent := &attempt{request: request, index: request.attempts, server: server, sentAt: model.now}
+	request.attempts++
+	request.inFlight = sent
+	a.inFlight++
+	model.schedule(model.now+model.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
+	model.queue.pushLate(model.now+act.DelayMs, (*attemptTimedOut)(sent))
+}
+
+func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
+func (t *connectFailed) fire(*Model)   { (*attempt)(t).end(policy.StatusConnectFailed) }
+func (t *attemptReset) fire(*Model)    { (*attempt)(t).end(policy.StatusReset) }
+func (t *attemptAnswered) fire(*Model) { (*attempt)(t).end(policy.StatusOK) }
+
+// end ends an attempt for its agent and reports the outcome. It does nothing the second time.
+func (t *attempt) end(status policy.Status) {
+	if t.ended {
+		return
+	}
+	t.ended = true
+	t.server.abandon(t)
+	request := t.request
+	agent := request.agent
+	model := agent.m
+	request.inFlight = nil
+	agent.inFlight--
+	if status == policy.StatusOK {
+		agent.conns[t.server] = t.serverProcess
+		agent.idle[t.server] = append(agent.idle[t.server], model.now)
+	} else {
+		delete(agent.conns, t.server)
+		delete(agent.idle, t.server)
+	}
+	if status == policy.StatusOK && !request.final && !agent.ended {
+		request.final = true
+		if model.now-request.arrivedAt <= model.cfg.Settings.Classes[request.class].LatencyObjectiveMs {
+			model.second().WithinObjective++
+			model.shares.addServed(request)
+			model.secondOf(request.arrivedAt).Served++
+		}
+	}
+	agent.handle(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: t.index, Server: t.server.addr,
+		Status: status, LatencyMs: model.now - t.sentAt, Final: request.final})
+	request.forget()
+}
--- /dev/null
+++ b/internal/fleet/model/delayed_view.go
@@ -0,0 +1,143 @@
+package model
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"ploverreel/policy"
+)
+
+const (
+	// viewIntervalMs is the greatest age, in ms, of what agents see of the servers.
+	viewIntervalMs = 250.0
+	// viewDraws is the number of servers among which an agent chooses.
+	viewDraws = 4
+)
+
+// decider decides for an agent: a policy.Balancer or, to compare with, a delayedView.
+type decider interface {
+	Start(now float64, out []policy.Action) []policy.Action
+	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
+}
+
+// newDecider is the decider of a new process of the client's agent. Its error is that of policy.New.
+func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
+	if c.m.cfg.DelayedView {
+		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
+			open: map[policy.RequestID]*openRequest{}}, nil
+	}
+	return policy.New(settings, seed)
+}
+
+// serverView is what was seen of a server.
+type serverView struct {
+	up           bool
+	pending      int     // on it when it was seen, and sent to it since
+	msPerRequest float64 // that it needs at the speed it had then
+}
+
+// waitMs is the time until one more request would be answered.
+func (v *serverView) waitMs() float64 { return float64(v.pending+1) * v.msPerRequest }
+
+// refreshViews renews what agents see of the servers, if it is too old.
+func (m *Model) refreshViews() {
+	if m.now-m.viewsAt < viewIntervalMs {
+		return
+	}
+	m.viewsAt = m.now
+	for _, server := range m.servers {
+		server.view = serverView{up: !server.down && !server.silent && server.listed == policy.HealthReady}
+		if server.view.up {
+			server.view.pending, server.view.msPerRequest = server.pending, m.cfg.WorkMs/(server.capacity(m.now)*float64(m.cfg.Cores))
+		}
+	}
+}
+
+// delayedView is the baseline with a delayed view of the servers' true state. It sends each request
+// at once to the server with the shortest wait of a few, drawn among those that are up, by what was
+// last seen of them and was sent to them since. It rejects what would miss its latency objective
+// there or overload the server. It knows what no agent can, but with a delay, and so isn't optimal.
+type delayedView struct {
+	m        *Model
+	servers  *service
+	settings policy.Settings
+	rng      *rand.Rand
+	open     map[policy.RequestID]*openRequest
+}
+
+// openRequest is a request that has no answer yet.
+type openRequest struct {
+	class      int
+	deadline   float64 // in ms
+	attempts   int     // so far
+	mayHaveRun bool    // some attempt
+}
+
+// Start has no actions: the baseline needs no endpoint list.
+func (l *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
+
+// Handle sends what comes, and retries what did not run or may be repeated.
+func (l *delayedView) Handle(now float64, event *policy.Event, out []policy.Action) []policy.Action {
+	switch event.Kind {
+	case policy.EventRequest:
+		l.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
+		return l.send(now, event.Request, out)
+	case policy.EventClientGone:
+		delete(l.open, event.Request)
+	case policy.EventOutcome:
+		return l.ended(now, event, out)
+	}
+	return out
+}
+
+// ended retries a request after an attempt that did not answer it, or fails it.
+func (l *delayedView) ended(now float64, event *policy.Event, out []policy.Action) []policy.Action {
+	request := l.open[event.Request]
+	if request == nil {
+		return out
+	}
+	if event.Final {
+		delete(l.open, event.Request)
+		return out
+	}
+	request.mayHaveRun = request.mayHaveRun || !event.Status.NeverRan()
+	if request.mayHaveRun && l.settings.Classes[request.class].Effect != policy.EffectIdempotent {
+		delete(l.open, event.Request)
+		return append(out, policy.Action{Kind: policy.ActionFail, Request: event.Request})
+	}
+	return l.send(now, event.Request, out)
+}
+
+// send sends a request to the server of pick, or rejects it.
+func (l *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
+	request := l.open[id]
+	if server := l.pick(request); server != nil && request.attempts < l.settings.Limits.MaxAttempts && now < request.deadline {
+		request.attempts++
+		server.view.pending++
+		return append(out, policy.Action{Kind: policy.ActionSend, Request: id, Server: server.addr, DelayMs: request.deadline - now})
+	}
+	delete(l.open, id)
+	return append(out, policy.Action{Kind: policy.ActionReject, Request: id, DelayMs: l.settings.Limits.MaxRetryAfterMs})
+}
+
+// pick is the server with the shortest wait of viewDraws that were seen up; nil if the request would
+// be too late there or overload it.
+func (l *delayedView) pick(request *openRequest) *server {
+	l.m.refreshViews()
+	var best *server
+	least := math.Inf(1)
+	all := l.servers.servers
+	for drawn, tries := 0, 0; drawn < viewDraws && tries < 4*len(all); tries++ {
+		server := all[l.rng.IntN(len(all))]
+		if !server.view.up {
+			continue
+		}
+		if drawn++; server.view.waitMs() < least {
+			best, least = server, server.view.waitMs()
+		}
+	}
+	if least > l.settings.Classes[request.class].LatencyObjectiveMs || best.view.pending >= maxPendingPerCore*l.m.cfg.Cores {
+		return nil
+	}
+	return best
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,177 +1,170 @@
-// This file holds the Balancer: its state, and what each event leads to.
+// This file holds the Balancer: its components and what each event leads to.
 
 package policy
 
 import (
-	"math"
 	"math/rand/v2"
 )
 
+// Tokens of the timers that the Balancer sets.
 const (
-	tickToken, followToken = 1, 2
+	timerTick, timerWatch = 1, 2
 )
 
+// minTickMs is the shortest time between two checks of what waits, in ms.
+const minTickMs = 5.0
+
+// environment is what all components share: the settings, the source of randomness, and the time
+// and the actions of the event in hand. Each component embeds a pointer to the Balancer's.
+type environment struct {
+	set     Settings
+	rng     *rand.Rand // the only randomness; the order of its draws is part of the behaviour
+	now     float64    // time of the event in hand, in ms
+	actions []Action   // decided on for that event
+	work    uint64     // see Balancer.Work
+}
+
+// do decides on an action.
+func (env *environment) do(action Action) { env.actions = append(env.actions, action) }
+
+// countWork counts a walk over endpoints as work.
+func (env *environment) countWork(endpoints []*endpoint) { env.work += uint64(len(endpoints)) }
+
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
-	set         Settings
-	rng         *rand.Rand
-	now         float64
-	out         []Action
-	servers     endpointSet
-	ejected     endpointSet // those of them in a state after Unknown
-	busy        endpointSet // with attempts out
-	cold        []*endpoint // that may not have their whole capacity yet
-	byAddr      map[Addr]*endpoint
-	requests    map[RequestID]*request
-	held        []*request
-	tier        []*endpoint // scratch of pick
-	shares      []float64   // scratch of common
-	unserved    []unservedRequest
-	recentKeys  keyCounter
-	warm        float64 // weight of warm servers, as of warmAt and warmEpoch
-	warmAt      float64
-	warmEpoch   uint64
-	warmStale   bool   // some server got cold or warm since
-	epoch       uint64 // counts changes of tiers and list
-	inflight    int
-	stuck       int // of these, on servers that fell silent
-	abandoned   abandonedAttempts
-	unanswered  float64 // share of the attempts of late that their servers left unanswered
-	giveUpMost  float64 // the longest time after which clients give up
-	probes      int
-	classes     []*class
-	meanHint    float64
-	hints       float64 // answers to hinted requests, and their means and spread
-	hintMean    float64
-	hintTime    float64
-	hintVar     float64
-	hintCov     float64
-	answers     float64   // served so far
-	fleetLat    float64   // mean answer time as a part of the aim, all servers
-	calmLat     float64   // the same when nothing is crowded
-	usage       []float64 // tenants' shares of requests
-	worst       *class    // the class served worst
-	credit      float64   // mean worth of a request
-	aimMin      float64
-	meanAim     float64 // of the requests of late, by their classes
-	lookedAt    float64 // last fetch of the list
-	askedAt     float64 // last call that follows the list
-	failures    int     // failed calls in a row
-	losses      int     // watches in a row that ended as soon as they had told
-	flow        float64 // work sent to a warm server of weight one, fading over the cold time
-	flowAt      float64
-	limitScale  float64 // how many times its share of attempts the agent may have out
-	retryBudget float64 // retry budget: attempts after a first that may still be made
-	ready       int     // servers listed as ready
-	capacityNow float64 // what they can do, as of capacityAt
-	capacityAt  float64
-	meanRTT     float64 // mean answer time
-	recent      float64 // requests of late, over the keepalive time, as of recentAt
-	recentAt    float64
-	fleetPace   float64 // mean answer time as a part of the aim, of the last answers
-	home        float64 // weight of the own zone's servers, and mean answer times there and elsewhere
-	homeLat     float64
-	awayLat     float64
-	allLat      float64
-	kinds       [256]struct{ lat, weight float64 } // mean answer time and weight of each kind of machine
-	triedAt     float64                            // last attempt
-	began       float64
-	seen        float64 // requests since
-	ticking     bool
-	scarce      bool // requests that would take any server find no room
-	work        uint64
-	outcomes    OutcomeCounts
-	local       localFailure
+	environment
+	endpoints endpointSet
+	queue     admissionQueue
+	selector  selector
+	retries   retryPolicy
+	limiter   concurrencyLimiter
+	slowStart slowStart
+	outliers  outlierDetector
+	latency   latencyTracker
+	classes   classStats
+	quotas    quotaTracker
+	watch     watchScheduler
+	traffic   requestRate
+	local     localFailure
+	outcomes  OutcomeCounts
+	ticking   bool // the timer of timerTick is set
 }
 
-// New returns the balancer of one agent, or an error that names the setting
-// that makes no sense. All its randomness comes from the seed.
+// New returns the Balancer of one agent, or an error that names the setting that makes no sense.
+// All its randomness comes from the seed.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[Addr]*endpoint{},
-		requests: map[RequestID]*request{}, usage: make([]float64, len(set.Tenants)),
-		home: ownZone, retryBudget: retryBurst, limitScale: 1, lookedAt: math.Inf(-1),
-		recentKeys: keyCounter{count: map[uint64]int{}}}
-	for i := range b.kinds {
-		b.kinds[i].weight = 1
-	}
-	b.takeClasses()
+	b := &Balancer{environment: environment{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
+	b.connect()
 	return b, nil
 }
 
-// Start gives the first actions of a new agent and appends them to out.
+// connect makes the components and gives each the others that it asks.
+func (b *Balancer) connect() {
+	env := &b.environment
+	b.endpoints = newEndpointSet(env)
+	b.classes = newClassStats(env)
+	b.quotas = newQuotaTracker(env)
+	b.traffic = requestRate{environment: env}
+	b.latency = latencyTracker{environment: env}
+	b.watch = newWatchScheduler(env)
+	b.slowStart = slowStart{environment: env, endpoints: &b.endpoints}
+	b.limiter = concurrencyLimiter{environment: env, scale: 1, endpoints: &b.endpoints,
+		slowStart: &b.slowStart, traffic: &b.traffic, latency: &b.latency, classes: &b.classes}
+	b.retries = retryPolicy{environment: env, endpoints: &b.endpoints, tokens: retryBurst}
+	b.queue = newAdmissionQueue(env, &b.classes, &b.quotas, &b.latency)
+	b.selector = newSelector(env)
+	b.selector.endpoints, b.selector.classes, b.selector.traffic = &b.endpoints, &b.classes, &b.traffic
+	b.selector.limiter, b.selector.slowStart = &b.limiter, &b.slowStart
+	b.selector.latency, b.selector.retries = &b.latency, &b.retries
+	b.outliers = outlierDetector{environment: env, endpoints: &b.endpoints, queue: &b.queue,
+		selector: &b.selector, slowStart: &b.slowStart, limiter: &b.limiter, classes: &b.classes,
+		traffic: &b.traffic, watch: &b.watch}
+	b.local = localFailure{environment: env, endpoints: &b.endpoints, outliers: &b.outliers}
+}
+
+// Start gives the first actions of a new agent at the time now, in ms, and appends them to out.
 func (b *Balancer) Start(now float64, out []Action) []Action {
-	b.now, b.out, b.began, b.recentAt, b.flowAt, b.askedAt = now, out, now, now, now, now
-	b.askForList()
-	return b.out
+	b.now, b.actions = now, out
+	b.traffic.start()
+	b.slowStart.flowAt = now
+	b.watch.start()
+	return b.actions
 }
 
-// Handle takes one event and appends the actions it calls for to out. Events
-// for what is finished or unknown are ignored.
+// Handle takes one event at the time now, in ms, and appends the actions it calls for to out.
+// Events for what is finished or unknown are ignored.
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
-	b.now, b.out = now, out
+	b.now, b.actions = now, out
 	switch ev.Kind {
 	case EventRequest:
 		b.onRequest(ev)
 	case EventOutcome:
 		b.onOutcome(ev)
 	case EventResponseStarted:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			r.started = true
-			if a := r.attempt(ev.Attempt); a != nil {
-				a.s.heard = now
-			}
-		}
+		b.onResponseStarted(ev)
 	case EventClientGone:
-		if r := b.requests[ev.Request]; r != nil && !r.closed {
-			b.remember(r)
-			b.close(r)
-		}
+		b.onClientGone(ev)
 	case EventEndpointList:
-		b.onList(ev)
+		b.onEndpointList(ev)
 	case EventHealthChecked:
-		b.onProbed(ev)
+		b.outliers.onHealthChecked(ev)
 	case EventTimer:
 		b.onTimer(ev.Token)
 	}
 	b.dispatch()
-	b.arm()
-	return b.out
+	b.setTick()
+	return b.actions
 }
 
 // Decided gives the actions that the latest call of Handle has decided on so far: after a panic
 // in it they have to be carried out, as the Balancer counts on them.
-func (b *Balancer) Decided() []Action { return b.out }
-
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) Decided() []Action { return b.actions }
 
-// arm keeps one timer running while there is something to watch.
-func (b *Balancer) arm() {
-	if !b.ticking && (len(b.held) > 0 || b.inflight > 0) {
+// setTick keeps one timer running while requests wait or attempts are in flight.
+func (b *Balancer) setTick() {
+	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, 5), Token: tickToken})
+		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, minTickMs), Token: timerTick})
 	}
 }
 
+// onTimer does what a timer of the token was set for.
 func (b *Balancer) onTimer(token uint32) {
 	switch token {
-	case followToken:
-		b.askedAt = b.now
-		b.do(Action{Kind: ActionWatch})
-	case tickToken:
+	case timerWatch:
+		b.watch.begin()
+	case timerTick:
 		b.ticking = false
 		b.ejectSilent()
-		b.callOffLate()
+		b.cancelLate()
 		b.expire()
 	}
 }
 
-// Work is how many listed servers, entries of lists and held requests the decisions have
+// onResponseStarted notes that a streamed answer has begun: its request is not sent again.
+func (b *Balancer) onResponseStarted(ev *Event) {
+	request := b.queue.open[ev.Request]
+	if request == nil || request.closed {
+		return
+	}
+	request.started = true
+	if attempt := request.attempt(ev.Attempt); attempt != nil {
+		attempt.endpoint.traffic.heardAt = b.now
+	}
+}
+
+// onClientGone ends a request whose client has left.
+func (b *Balancer) onClientGone(ev *Event) {
+	if request := b.queue.open[ev.Request]; request != nil && !request.closed {
+		b.queue.remember(request)
+		b.close(request)
+	}
+}
+
+// Work is how many listed endpoints, entries of lists and queued requests the decisions have
 // looked at so far: what a decision costs, without a clock. Its growth with the size of the
 // list can be tested where times can't.
 func (b *Balancer) Work() uint64 { return b.work }
-
-// countWork counts a walk over servers as work.
-func (b *Balancer) countWork(servers []*endpoint) { b.work += uint64(len(servers)) }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -1,4 +1,4 @@
-// This file holds the four states of a server: demotion, ejection and validation.
+// This file holds the states of an endpoint: ejection, validation and health checks.
 
 package policy
 
@@ -7,231 +7,255 @@
 )
 
 const (
-	// failWeight is the weight of an attempt in its server's share of failures, failShare
-	// the least median of these shares with which failures are the fleet's, not a server's.
-	failWeight, failShare = 0.05, 0.01
-	// unansweredMost is the share of attempts that went unanswered up to their aim from which on
-	// that is the fleet's, not a server's.
-	unansweredMost = 0.5
-	// probeCap bounds the validations under way at once.
-	probeCap = 2
+	// outcomeWeight is the weight of an attempt in its endpoint's failure rate and in the share of
+	// unanswered attempts.
+	outcomeWeight = 0.05
+	// minCommonFailureRate is the least median failure rate with which failures are the fleet's,
+	// not an endpoint's.
+	minCommonFailureRate = 0.01
+	// maxCommonFailureFactor is how many times the median an endpoint's failure rate may be then.
+	maxCommonFailureFactor = 3
+	// maxUnansweredShare is the share of attempts that went unanswered up to their objective from
+	// which on that is the fleet's, not an endpoint's.
+	maxUnansweredShare = 0.5
+	// maxHealthChecks bounds the health checks under way at once.
+	maxHealthChecks = 2
+	// maxConsecutiveEjections bounds the doubling of the ejection time, maxEjectionMs that time.
+	maxConsecutiveEjections, maxEjectionMs = 5, 60000.0
+	// servedPerEjection is how many served requests take back an ejection, for each that counts.
+	servedPerEjection = 16
+	// rejectedWindowCut is what an endpoint that rejected an attempt keeps of its window.
+	rejectedWindowCut = 0.7
 )
 
-// recordOutcome takes what an attempt's end says about its server.
-func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
-	s := a.s
-	switch st {
-	case StatusOK:
-		b.earn(s, a.cost)
-		b.served(a, rtt)
-	case StatusServerError, StatusReset:
-		s.heard = b.now
-		if b.common(s) {
-			b.recheck(s)
-		} else {
-			b.demote(s, false)
-		}
-		s.fails += failWeight * (1 - s.fails)
-	case StatusConnectFailed:
-		b.demote(s, true)
-		if s.lostAt == 0 {
-			s.lostAt = b.now
-		}
-	case StatusTimeout:
-		b.abandoned.unanswered(rtt, abandonedMost*b.giveUpMost)
-		a.r.class.unanswered(b.now, rtt)
-		if !b.set.Limits.Cancellation && rtt > 0 {
-			b.abandoned.add(a)
-		}
-		// A server that answered others meanwhile is not to blame for a costly
-		// request; it counts as slow.
-		if s.heard > a.sentAt {
-			b.learnHint(a.r, rtt)
-			b.learn(s, b.partOfAim(a.r, rtt))
-		} else {
-			b.demote(s, true)
-		}
-	case StatusCancelled:
-		// Its client left, or it was late: so long at least it takes.
-		a.r.class.unanswered(b.now, rtt)
-		if b.now >= a.r.aimAt && s.heard <= a.sentAt && b.unanswered < unansweredMost {
-			b.demote(s, true)
-		}
-		if x := b.partOfAim(a.r, rtt); x > b.pace(s) {
-			b.learnPace(s, x)
-		}
-	case StatusRejected:
-		s.heard = b.now
-		b.cut(s, 0.7, 1)
+// outlierDetector moves endpoints between the states, and tells failures of one endpoint from
+// those of all.
+type outlierDetector struct {
+	*environment
+	endpoints *endpointSet
+	queue     *admissionQueue
+	selector  *selector
+	slowStart *slowStart
+	limiter   *concurrencyLimiter
+	classes   *classStats
+	traffic   *requestRate
+	watch     *watchScheduler
+
+	failureRates []float64 // scratch space of medianFailureRate
+	unanswered   float64   // recent share of attempts that their endpoints left unanswered
+	checking     int       // health checks under way
+}
+
+// onError takes an endpoint's answer of failure, or a connection that it broke.
+func (d *outlierDetector) onError(endpoint *endpoint) {
+	endpoint.traffic.heardAt = d.now
+	if d.isCommonFailure(endpoint) {
+		d.recheck(endpoint)
+	} else {
+		d.eject(endpoint, false)
 	}
+	endpoint.health.failureRate += outcomeWeight * (1 - endpoint.health.failureRate)
 }
 
-// common tells whether the server fails no more than the fleet does, as when a network
-// breaks connections at random: that says nothing of this one server. When each such failure
-// ejected its server, all were out at once and two thirds of the requests were refused.
-func (b *Balancer) common(s *endpoint) bool {
-	median := b.medianFails()
-	return median >= failShare && s.fails <= 3*median
+// onConnectFailed takes a connect that failed.
+func (d *outlierDetector) onConnectFailed(endpoint *endpoint) {
+	d.eject(endpoint, true)
+	if endpoint.health.unreachableAt == 0 {
+		endpoint.health.unreachableAt = d.now
+	}
 }
 
-// recheck demotes a server and has it validated at once, without an ejection.
-func (b *Balancer) recheck(s *endpoint) {
-	if s.state != StateUnhealthy {
-		b.enter(s, StateUnhealthy)
-		s.silent, s.good = false, 0
-		b.enter(s, StateUnhealthyPending)
+// onAnswer notes that an endpoint lives. One that no connect reached for long may be a new
+// process, warming up and not yet listed: it is taken to have started now. Time-outs alone don't
+// tell: crowded endpoints would be left to idle.
+func (d *outlierDetector) onAnswer(endpoint *endpoint) {
+	unreachableAt := endpoint.health.unreachableAt
+	if unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs {
+		endpoint.slowStart.startedAt, endpoint.slowStart.allowance = d.now, d.rng.Float64()
+		endpoint.window.size = 1
+		d.slowStart.begin(endpoint)
+	}
+	endpoint.traffic.heardAt, endpoint.health.unreachableAt = d.now, 0
+	for _, attempt := range endpoint.traffic.inFlight {
+		if attempt.stalled {
+			attempt.stalled = false
+			d.limiter.stalled--
+		}
 	}
-	b.refetch()
 }
 
-// demote makes a server Unhealthy; failures of one moment count as one ejection.
-func (b *Balancer) demote(s *endpoint, silent bool) {
-	if s.state != StateUnhealthy {
-		s.ejections = min(s.ejections+1, maxEjections)
-		b.enter(s, StateUnhealthy)
-		s.silent = silent
-		s.good, s.lat, s.samples = 0, 0, 0
-		s.window = max(s.window/2, 1)
+// onServed takes a request that an endpoint has served: it is healthy, and after enough of them
+// an ejection is taken back. It reports false for an attempt that was sent before the endpoint
+// failed: that says nothing about what came after.
+func (d *outlierDetector) onServed(attempt *attempt) bool {
+	endpoint, health := attempt.endpoint, &attempt.endpoint.health
+	if health.state == StateUnhealthy && attempt.sentAt < health.since && !health.silent {
+		return false
+	}
+	if health.state != StateConnected {
+		d.enter(endpoint, StateConnected)
+	}
+	if health.silent {
+		health.silent = false
+		health.takeBackEjection()
 	}
-	b.refetch()
+	if health.served++; health.served >= servedPerEjection*health.consecutiveEjections {
+		health.served = 0
+		health.takeBackEjection()
+	}
+	return true
+}
+
+// takeBackEjection counts one ejection less.
+func (h *endpointHealth) takeBackEjection() {
+	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
 }
 
-// ejectionTime is how long a server stays Unhealthy before it is validated again: one aim for
-// a stray failure, or the time in which the agent comes by each server if that is longer,
-// doubled with each further ejection up to a minute. A probe is answered beside the requests
-// and clears a server that fails them: held for a few aims, less than an agent takes to
-// come by, failing servers kept an even share for as long as they failed. While the others
-// have no room none is ejected: a server that fails some requests is better than refusing
-// them all. One that answers nothing is not.
-func (b *Balancer) ejectionTime(s *endpoint) float64 {
-	if b.scarce && !s.silent {
+// isCommonFailure tells whether the endpoint fails no more than the fleet does, as when a network
+// breaks connections at random: that says nothing of this one endpoint, and an ejection for each
+// such failure would eject all at once.
+func (d *outlierDetector) isCommonFailure(endpoint *endpoint) bool {
+	median := d.medianFailureRate()
+	return median >= minCommonFailureRate && endpoint.health.failureRate <= maxCommonFailureFactor*median
+}
+
+// medianFailureRate is the middle one of the usable endpoints' failure rates; of one or two
+// endpoints it tells nothing.
+func (d *outlierDetector) medianFailureRate() float64 {
+	rates := d.failureRates[:0]
+	d.countWork(d.endpoints.all)
+	for _, endpoint := range d.endpoints.all {
+		if endpoint.usable {
+			rates = append(rates, endpoint.health.failureRate)
+		}
+	}
+	d.failureRates = rates
+	if len(rates) < 3 {
 		return 0
 	}
-	meet := b.set.Limits.KeepaliveMs * float64(b.subset()) / max(b.recent, 1)
-	return min(max(b.aimMin, meet)*float64(int(1)<<max(s.ejections-1, 0)), maxEjectionMs)
+	slices.Sort(rates)
+	return rates[len(rates)/2]
 }
 
-// ejectSilent demotes servers that took attempts and have answered nothing for
-// several answer times: hung or gone silent, they would stay Connected.
-func (b *Balancer) ejectSilent() {
-	b.countWork(b.busy)
-	for _, s := range b.busy {
-		silent := func(a *attempt, times float64) bool {
-			return b.now-max(s.heard, a.sentAt) >= b.expected(a.r)*times
-		}
-		soon := 8 / float64(max(min(len(s.out), 3), 1))
-		if len(s.out) > 0 && s.state != StateUnhealthy && silent(s.out[0], soon) {
-			b.demote(s, true)
+// countUnanswered keeps the share of attempts that went unanswered up to their objective, at
+// endpoints that answered no later ones either.
+func (d *outlierDetector) countUnanswered(attempt *attempt, status Status) {
+	unanswered := 0.0
+	if status == StatusTimeout || status == StatusCancelled {
+		if d.now < attempt.request.timing.objectiveAt {
+			return // its client left early: that tells nothing
 		}
-		for _, a := range s.out {
-			if s.silent && s.state == StateUnhealthy && silent(a, soon) {
-				b.release(a, silent(a, 8))
-			}
+		if attempt.endpoint.traffic.heardAt <= attempt.sentAt {
+			unanswered = 1
 		}
 	}
+	d.unanswered += outcomeWeight * (unanswered - d.unanswered)
 }
 
-// release lets go of an attempt on a server that fell silent under it. It stands in no queue
-// that the agent's limit is to keep short: held by the limit up to deadlines of a minute and
-// more, such attempts took all of it, and nothing was sent to the servers that lived. Where
-// the request may go elsewhere in time the attempt is called off, and else the request ends
-// when it can no longer earn anything, as those do that are held. The limit lets go only when
-// it is sure: crowded servers seem silent for a while too, and need the limit most.
-func (b *Balancer) release(a *attempt, sure bool) {
-	r, c := a.r, a.r.class
-	if sure && !a.stuck {
-		a.stuck = true
-		b.stuck++
+// mostUnanswered tells whether so many attempts go unanswered that it is not an endpoint's fault.
+func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
+
+// recheck has an endpoint validated at once, without an ejection.
+func (d *outlierDetector) recheck(endpoint *endpoint) {
+	if endpoint.health.state != StateUnhealthy {
+		d.enter(endpoint, StateUnhealthy)
+		endpoint.health.silent, endpoint.health.served = false, 0
+		d.enter(endpoint, StateUnhealthyPending)
 	}
-	again := c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && b.repeatWithin(r) > 0
-	switch {
-	case a.called || r.closed || r.started:
-	case c.LateWeight == 0 && b.now >= r.aimAt:
-		a.called = true
-		b.end(r)
-	case again && b.set.Limits.Cancellation && len(r.attempts) < r.maxAttempts && b.retryBudget >= 1 &&
-		b.now+b.expected(r) < r.aimAt:
-		a.called = true
-		b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
-	}
-}
-
-// revalidate, on each request, refreshes servers that were Unhealthy long enough to
-// pending, to be validated in the background.
-func (b *Balancer) revalidate() {
-	b.countWork(b.ejected)
-	for _, s := range b.ejected {
-		if s.state == StateUnhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.ejectionTime(s) {
-			b.enter(s, StateUnhealthyPending)
-			b.refetch()
-		}
-		pending := s.state == StateUnhealthyPending && s.usable
-		if pending && b.set.Limits.HealthChecks && !s.probing && b.probes < probeCap {
-			s.probing = true
-			b.probes++
-			b.do(Action{Kind: ActionHealthCheck, Server: s.id})
-		}
+	d.watch.fetch()
+}
+
+// eject takes an endpoint for unhealthy; silent tells that it gave no answer, not a bad one.
+// Failures of one moment count as one ejection.
+func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
+	health := &endpoint.health
+	if health.state != StateUnhealthy {
+		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
+		d.enter(endpoint, StateUnhealthy)
+		health.silent, health.served = silent, 0
+		endpoint.latency.mean, endpoint.latency.samples = 0, 0
+		endpoint.window.size = max(endpoint.window.size/2, 1)
 	}
+	d.watch.fetch()
 }
 
-func (b *Balancer) onProbed(ev *Event) {
-	s := b.byAddr[ev.Server]
-	if s == nil || !s.probing {
-		return
+// clear takes back what an endpoint was blamed for since then, as this machine had lost its
+// network. The next attempt validates it.
+func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
+	health := &endpoint.health
+	if health.unreachableAt >= since {
+		health.unreachableAt = 0
 	}
-	s.probing = false
-	b.probes--
-	switch {
-	case s.state != StateUnhealthyPending:
-	case ev.Status == StatusOK:
-		b.recordAnswer(s)
-		b.enter(s, StateConnected)
-	case ev.Status != StatusRejected:
-		b.demote(s, true)
+	if health.state == StateUnhealthy && health.since >= since {
+		health.silent = false
+		health.takeBackEjection()
+		d.enter(endpoint, StateUnhealthyPending)
 	}
 }
 
-// medianFails is the middle one of the usable servers' shares of failures; of one or two
-// servers it tells nothing.
-func (b *Balancer) medianFails() float64 {
-	b.shares = b.shares[:0]
-	b.countWork(b.servers)
-	for _, s := range b.servers {
-		if s.usable {
-			b.shares = append(b.shares, s.fails)
-		}
-	}
-	if len(b.shares) < 3 {
+// ejectionTime is how long, in ms, an endpoint stays unhealthy before it is validated again: one
+// latency objective for a stray failure, or the time in which the agent comes by each endpoint if
+// that is longer, doubled with each further ejection up to a minute. A health check is answered
+// beside the requests and clears an endpoint that fails them: ejected for less than an agent takes
+// to come by, failing endpoints would keep an even share for as long as they fail. While the
+// others have no capacity none is ejected: an endpoint that fails some requests is better than
+// rejecting them all. One that answers nothing is not.
+func (d *outlierDetector) ejectionTime(endpoint *endpoint) float64 {
+	if d.queue.scarce && !endpoint.health.silent {
 		return 0
 	}
-	slices.Sort(b.shares)
-	return b.shares[len(b.shares)/2]
+	meetMs := d.set.Limits.KeepaliveMs * float64(d.selector.subset()) / max(d.traffic.recent, 1)
+	doublings := max(endpoint.health.consecutiveEjections-1, 0)
+	return min(max(d.classes.shortestObjectiveMs, meetMs)*float64(int(1)<<doublings), maxEjectionMs)
 }
 
-// noteAnswered keeps the share of attempts that went unanswered up to their aim, on servers that
-// answered no later ones either.
-func (b *Balancer) noteAnswered(a *attempt, st Status) {
-	none := 0.0
-	if st == StatusTimeout || st == StatusCancelled {
-		if b.now < a.r.aimAt {
-			return // its client left early: that tells nothing
+// revalidate, on each request, lets endpoints that were unhealthy long enough be validated, and
+// checks their health in the background where the settings allow it.
+func (d *outlierDetector) revalidate() {
+	d.countWork(d.endpoints.ejected)
+	for _, endpoint := range d.endpoints.ejected {
+		health := &endpoint.health
+		if health.state == StateUnhealthy && endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
+			d.now-health.since >= d.ejectionTime(endpoint) {
+			d.enter(endpoint, StateUnhealthyPending)
+			d.watch.fetch()
 		}
-		if a.s.heard <= a.sentAt {
-			none = 1
+		pending := health.state == StateUnhealthyPending && endpoint.usable
+		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
+			health.checking = true
+			d.checking++
+			d.do(Action{Kind: ActionHealthCheck, Server: endpoint.id})
 		}
 	}
-	b.unanswered += failWeight * (none - b.unanswered)
 }
 
-// enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *endpoint, to State) {
-	if s.state > StateUnknown || to > StateUnknown {
-		b.epoch++
+// onHealthChecked takes the result of a health check.
+func (d *outlierDetector) onHealthChecked(ev *Event) {
+	endpoint := d.endpoints.byAddr[ev.Server]
+	if endpoint == nil || !endpoint.health.checking {
+		return
+	}
+	endpoint.health.checking = false
+	d.checking--
+	switch {
+	case endpoint.health.state != StateUnhealthyPending:
+	case ev.Status == StatusOK:
+		d.onAnswer(endpoint)
+		d.enter(endpoint, StateConnected)
+	case ev.Status != StatusRejected:
+		d.eject(endpoint, true)
+	}
+}
+
+// enter puts an endpoint in a new state; tiers have changed.
+func (d *outlierDetector) enter(endpoint *endpoint, state State) {
+	if endpoint.health.state > StateUnknown || state > StateUnknown {
+		d.endpoints.epoch++
 	}
-	if to > StateUnknown {
-		b.ejected.add(s)
+	if state > StateUnknown {
+		d.endpoints.ejected.insert(endpoint)
 	} else {
-		b.ejected.remove(s)
+		d.endpoints.ejected.remove(endpoint)
 	}
-	s.state, s.since = to, b.now
+	endpoint.health.state, endpoint.health.since = state, d.now
 }
