--- a/cmd/fleetbench/path.go
+++ b/cmd/fleetbench/path.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math"
+	"os"
 	"strings"
 	"time"
 
@@ -47,7 +48,14 @@
 		return err
 	}
 	result := fleet.NewResult("path", c.args(), c.Size)
-	return c.finish(result, plan.Run(ctx, log, result))
+	err := c.finish(result, plan.Run(ctx, log, result))
+	if len(result.Cases) == 0 {
+		return err
+	}
+	if failed := writeSummary(os.Stdout, result.Cases, pathSummary); err == nil {
+		err = failed
+	}
+	return err
 }
 
 // args are the arguments beside the size.
