--- /dev/null
+++ b/internal/fleet/replace_file_test.go
@@ -0,0 +1,129 @@
+package fleet
+
+import (
+	"errors"
+	"os"
+	"path/filepath"
+	"syscall"
+	"testing"
+)
+
+// failingFiles is the real file system with one call that fails, once it has done part of it.
+type failingFiles struct {
+	osFileSystem
+	call string
+	err  error
+}
+
+func (f failingFiles) CreateTemp(dir, pattern string) (temporaryFile, error) {
+	if f.call == "create" {
+		return nil, f.err
+	}
+	file, err := f.osFileSystem.CreateTemp(dir, pattern)
+	return failingFile{file, f}, err
+}
+
+func (f failingFiles) Rename(from, to string) error {
+	if f.call == "rename" {
+		return f.err
+	}
+	return f.osFileSystem.Rename(from, to)
+}
+
+func (f failingFiles) SyncDir(dir string) error {
+	if f.call == "sync folder" {
+		return f.err
+	}
+	return f.osFileSystem.SyncDir(dir)
+}
+
+type failingFile struct {
+	temporaryFile
+	of failingFiles
+}
+
+func (f failingFile) Write(data []byte) (int, error) {
+	if f.of.call == "write" { // half of it still fitted
+		n, err := f.temporaryFile.Write(data[:len(data)/2])
+		return n, errors.Join(err, f.of.err)
+	}
+	return f.temporaryFile.Write(data)
+}
+
+func (f failingFile) Sync() error {
+	if f.of.call == "sync" {
+		return f.of.err
+	}
+	return f.temporaryFile.Sync()
+}
+
+func (f failingFile) Close() error {
+	err := f.temporaryFile.Close()
+	if f.of.call == "close" {
+		return f.of.err
+	}
+	return err
+}
+
+// Whichever call fails, the file holds its old or its new text whole, and no other file is left.
+func TestFailedWritesLeaveTheOldFileWhole(t *testing.T) {
+	const before, after = "the old text", "the new text, longer"
+	for _, call := range []string{"create", "write", "sync", "close", "rename", "sync folder"} {
+		for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
+			path := filepath.Join(t.TempDir(), "result.json")
+			if err := os.WriteFile(path, []byte(before), fileMode); err != nil {
+				t.Fatal(err)
+			}
+			if err := replaceFile(failingFiles{call: call, err: cause}, path, []byte(after)); !errors.Is(err, cause) {
+				t.Errorf("%s, %v: error %v", call, cause, err)
+			}
+			want := before
+			if call == "sync folder" { // the rename was made
+				want = after
+			}
+			text, err := os.ReadFile(path)
+			if err != nil || string(text) != want {
+				t.Errorf("%s, %v: holds %q (%v), want %q", call, cause, text, err, want)
+			}
+			files, err := os.ReadDir(filepath.Dir(path))
+			if err != nil || len(files) != 1 {
+				t.Errorf("%s, %v: %d files (%v), want 1", call, cause, len(files), err)
+			}
+		}
+	}
+}
+
+// A result that is saved over another has its text and mode, through a link too.
+func TestReplaceFileKeepsLinksAndDevices(t *testing.T) {
+	dir := t.TempDir()
+	path, link := filepath.Join(dir, "result.json"), filepath.Join(dir, "link")
+	if err := os.Symlink(path, link); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{path, link, os.DevNull} {
+		if err := ReplaceFile(name, []byte("of "+name)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil || string(text) != "of "+link {
+		t.Errorf("%q (%v)", text, err)
+	}
+	for name, want := range map[string]os.FileMode{path: fileMode, link: os.ModeSymlink, os.DevNull: os.ModeDevice} {
+		info, err := os.Lstat(name)
+		if err != nil || info.Mode()&want != want {
+			t.Errorf("%s: mode %v (%v), want %v", name, info.Mode(), err, want)
+		}
+	}
+}
+
+// A result whose write fails is an error that says why.
+func TestSaveReportsAFailedWrite(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "folder")
+	if err := os.Mkdir(path, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := NewResult("decide", nil, Target()).Save(path, nil); !errors.Is(err, syscall.EISDIR) {
+		t.Error(err)
+	}
+}
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -64,7 +64,8 @@
 		Machine: machine(), Started: time.Now().UTC().Truncate(time.Second)}
 }
 
-// Save writes the result to path, finished if cause is nil and else marked with it.
+// Save writes the result to path, finished if cause is nil and else marked with it. It makes
+// the folder. After an error the file that was at path before is still there, whole.
 func (r *Result) Save(path string, cause error) error {
 	r.TookS = time.Since(r.Started).Seconds()
 	r.Finished, r.Cause = cause == nil, ""
@@ -78,7 +79,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return fmt.Errorf("result: %w", err)
 	}
-	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
+	if err := ReplaceFile(path, append(text, '\n')); err != nil {
 		return fmt.Errorf("result: %w", err)
 	}
 	return nil
