--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -25,6 +25,7 @@
 	Control        controlCmd        `cmd:"" help:"Changes of the list: time until in force, and costs of agents and discovery."`
 	ControlProcess controlProcessCmd `cmd:"" hidden:""`
 	Fleet          fleetCmd          `cmd:"" help:"Play the whole fleet in virtual time, on days on which things fail."`
+	Coldstart      coldstartCmd      `cmd:"" help:"Play the start of a whole service: the slow-start budget by agents and load."`
 	Report         reportCmd         `cmd:"" help:"Write the tables of the capacity page from the results."`
 }
 
