--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -35,7 +35,7 @@
 
 // Help is shown under the subcommand.
 func (c *controlCmd) Help() string {
-	return `Runs hollow agents (the real watch code and module, no clients) in a few processes against stand-ins of discovery, one process each, all on the loopback. Measures how long changes of the list take to be in force and what they cost an agent and a stand-in; then a stand-in killed, a tenth of the agents restarted, discovery silent, a zone lost and back, and a region cut off. Takes some five minutes at the target size; --no-sweep and --no-troubles shorten it.`
+	return `Runs simulated agents (the real watch code and module, no clients) in a few processes against stand-ins of discovery, one process each, all on the loopback. Measures how long changes of the list take to be in force and what they cost an agent and a stand-in; then a stand-in killed, a tenth of the agents restarted, discovery silent, a zone lost and back, and a region cut off. Takes some five minutes at the target size; --no-sweep and --no-troubles shorten it.`
 }
 
 // Run plays the plan in processes of this program.
@@ -51,7 +51,7 @@
 func (c *controlCmd) play(ctx context.Context, log *slog.Logger, spawn control.Spawn) error {
 	plan := &control.Plan{Size: c.Size, StandIns: c.StandIns, Processes: c.Processes, Membership: c.Membership, Scope: c.Scope,
 		AskWithin: c.AskWithin, Spread: c.Spread, Changes: c.Changes, Calm: c.Calm, Down: c.Down, Silent: c.Silent,
-		Cut: c.Cut, CutEvery: c.CutEvery, Limit: c.Limit, Sweep: c.Sweep, Troubles: c.Troubles}
+		Cut: c.Cut, CutEvery: c.CutEvery, Limit: c.Limit, Sweep: c.Sweep, Faults: c.Troubles}
 	if err := plan.Validate(); err != nil {
 		return err
 	}
--- a/internal/fleet/control/directory.go
+++ b/internal/fleet/control/directory.go
@@ -13,59 +13,59 @@
 // errSilent says that a directory tells nothing now.
 var errSilent = errors.New("list: silent")
 
-// maxFrames bounds the texts that a directory keeps for the next reader of the same.
-const maxFrames = 1024
+// maxTexts bounds the texts that a directory keeps for the next reader of the same.
+const maxTexts = 1024
 
 // directory is a list of servers with its versions: the bench's, which is the truth, and
 // each stand-in's copy. Servers that are gone stay in it, as changes have to name them.
 type directory struct {
-	mu      sync.Mutex
-	seq     int64
-	first   int64    // the version that it began with: it can't tell changes since an older one
-	names   []string // in the order in which they came
-	hosts   map[string]*versioned
-	scope   func(host string) int // the scope that a server belongs to; nil: there is one
-	frames  map[frame][]byte      // texts of the version at hand
-	changed chan struct{}         // closed at the next change of version or of silence
-	silent  bool
-	heard   time.Time // when the source last said anything
+	mu         sync.Mutex
+	seq        int64
+	first      int64    // the version that it began with: it can't tell changes since an older one
+	names      []string // in the order in which they came
+	hosts      map[string]*versionedHost
+	scope      func(host string) int // the scope that a server belongs to; nil: there is one
+	texts      map[textKey][]byte    // texts of the version at hand
+	changed    chan struct{}         // closed at the next change of version or of silence
+	silent     bool
+	lastUpdate time.Time // when the source last said anything
 }
 
-type versioned struct {
+type versionedHost struct {
 	agent.Host
 	seq int64 // of its last change
 }
 
-// frame is what a reader needs: the list of its scope since the version that it has.
-type frame struct {
+// textKey is what a reader needs: the list of its scope since the version that it has.
+type textKey struct {
 	scope int
 	since int64
 }
 
 func newDirectory(scope func(string) int) *directory {
-	return &directory{hosts: map[string]*versioned{}, scope: scope, frames: map[frame][]byte{},
-		changed: make(chan struct{}), heard: time.Now()}
+	return &directory{hosts: map[string]*versionedHost{}, scope: scope, texts: map[textKey][]byte{},
+		changed: make(chan struct{}), lastUpdate: time.Now()}
 }
 
 // take applies a list, whole or a change, and wakes who waits.
 func (d *directory) take(l *agent.List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard, d.seq = time.Now(), l.Seq
+	d.lastUpdate, d.seq = time.Now(), l.Seq
 	if l.Whole {
 		d.first = l.Seq
-		d.names, d.hosts = nil, map[string]*versioned{}
+		d.names, d.hosts = nil, map[string]*versionedHost{}
 	}
 	for _, h := range l.Hosts {
 		v := d.hosts[h.Host]
 		if v == nil {
-			v = &versioned{}
+			v = &versionedHost{}
 			d.hosts[h.Host] = v
 			d.names = append(d.names, h.Host)
 		}
 		v.Host, v.seq = h, l.Seq
 	}
-	clear(d.frames)
+	clear(d.texts)
 	d.wake()
 }
 
@@ -86,7 +86,7 @@
 func (d *directory) age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Since(d.heard)
+	return time.Since(d.lastUpdate)
 }
 
 // state is what a reader may know at once.
@@ -108,8 +108,8 @@
 	if whole {
 		since = 0
 	}
-	at := frame{scope, since}
-	if text := d.frames[at]; text != nil {
+	at := textKey{scope, since}
+	if text := d.texts[at]; text != nil {
 		return text, d.seq, nil
 	}
 	l := agent.List{Seq: d.seq, Whole: whole, Hosts: []agent.Host{}}
@@ -125,9 +125,9 @@
 		return nil, 0, fmt.Errorf("list: %w", err)
 	}
 	text = append(text, '\n')
-	if len(d.frames) >= maxFrames {
-		clear(d.frames)
+	if len(d.texts) >= maxTexts {
+		clear(d.texts)
 	}
-	d.frames[at] = text
+	d.texts[at] = text
 	return text, d.seq, nil
 }
--- a/internal/fleet/control/fleet.go
+++ b/internal/fleet/control/fleet.go
@@ -17,13 +17,13 @@
 // pollEvery is how often agents' processes are asked what has come to be in force.
 const pollEvery = 100 * time.Millisecond
 
-// running is one fleet under measurement.
-type running struct {
+// fleetRun is one fleet under measurement.
+type fleetRun struct {
 	plan     *Plan
 	log      *slog.Logger
 	spawn    Spawn
 	rng      *rand.Rand
-	truth    *directory
+	source   *directory
 	ports    []reservation // of all stand-ins, a scope after the other
 	standIns []*machine
 	workers  []*worker
@@ -52,10 +52,10 @@
 
 // start opens the stand-ins and then the agents. The fleet must be ended also where it
 // returns an error.
-func (f *running) start(ctx context.Context) error {
+func (f *fleetRun) start(ctx context.Context) error {
 	p := f.plan
-	f.truth = newDirectory(nil)
-	f.truth.take(&agent.List{Seq: 1, Whole: true, Hosts: p.hosts()})
+	f.source = newDirectory(nil)
+	f.source.take(&agent.List{Seq: 1, Whole: true, Hosts: p.hosts()})
 	for range p.StandIns * p.Size.Regions {
 		m := &machine{}
 		f.standIns = append(f.standIns, m)
@@ -93,7 +93,7 @@
 	}
 	f.events = make([][]event, p.Size.Agents)
 	f.began = time.Now()
-	return f.each(len(f.workers), func(i int) error {
+	return f.forEach(len(f.workers), func(i int) error {
 		w := f.workers[i]
 		cmd := &command{Op: opOpen, Plan: p, Agents: w.agents}
 		for _, a := range w.agents {
@@ -105,8 +105,8 @@
 }
 
 // open starts a stand-in at a machine's ports, with the list as it is.
-func (f *running) open(ctx context.Context, m *machine) error {
-	text, seq, err := f.truth.text(0, 0)
+func (f *fleetRun) open(ctx context.Context, m *machine) error {
+	text, seq, err := f.source.text(0, 0)
 	if err != nil {
 		return err
 	}
@@ -119,8 +119,8 @@
 }
 
 // end ends all processes.
-func (f *running) end() {
-	_ = f.each(len(f.workers), func(i int) error { f.workers[i].close(); return nil })
+func (f *fleetRun) end() {
+	_ = f.forEach(len(f.workers), func(i int) error { f.workers[i].close(); return nil })
 	for _, m := range f.standIns {
 		if m.Process != nil {
 			m.close()
@@ -131,8 +131,8 @@
 	}
 }
 
-// each runs do for 0 to n-1 at once and gives the first error.
-func (f *running) each(n int, do func(int) error) error {
+// forEach runs do for 0 to n-1 at once and gives the first error.
+func (f *fleetRun) forEach(n int, do func(int) error) error {
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- do(i) }()
@@ -148,21 +148,21 @@
 
 // change makes a new version of the list and sends it to the stand-ins that can be reached.
 // It returns the version and when it was made.
-func (f *running) change(ctx context.Context, hosts ...agent.Host) (int64, time.Time, error) {
-	seq, _, _ := f.truth.state()
+func (f *fleetRun) change(ctx context.Context, hosts ...agent.Host) (int64, time.Time, error) {
+	seq, _, _ := f.source.state()
 	made := time.Now()
-	f.truth.take(&agent.List{Seq: seq + 1, Hosts: hosts})
+	f.source.take(&agent.List{Seq: seq + 1, Hosts: hosts})
 	return seq + 1, made, f.send(ctx)
 }
 
 // send brings the stand-ins up to date that can be reached.
-func (f *running) send(ctx context.Context) error {
-	return f.each(len(f.standIns), func(i int) error {
+func (f *fleetRun) send(ctx context.Context) error {
+	return f.forEach(len(f.standIns), func(i int) error {
 		m := f.standIns[i]
 		if m.Process == nil || m.cut {
 			return nil
 		}
-		text, seq, err := f.truth.text(0, m.seq)
+		text, seq, err := f.source.text(0, m.seq)
 		if err != nil {
 			return err
 		}
@@ -172,12 +172,12 @@
 	})
 }
 
-// anyHost is a server of the list with another word of its health than it has: it drains,
-// or is back as a new process.
-func (f *running) anyHost() agent.Host {
-	f.truth.mu.Lock()
-	defer f.truth.mu.Unlock()
-	h := f.truth.hosts[f.truth.names[f.rng.IntN(len(f.truth.names))]].Host
+// randomChange returns a server of the list with its health changed: a ready one drains, another
+// is ready again as a new process.
+func (f *fleetRun) randomChange() agent.Host {
+	f.source.mu.Lock()
+	defer f.source.mu.Unlock()
+	h := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
 	if h.Health == "ready" {
 		h.Health = "draining"
 	} else {
@@ -187,8 +187,8 @@
 }
 
 // poll takes in what the processes report; with heap they collect their garbage first.
-func (f *running) poll(ctx context.Context, heap bool) error {
-	if err := f.each(len(f.workers), func(i int) (err error) {
+func (f *fleetRun) poll(ctx context.Context, heap bool) error {
+	if err := f.forEach(len(f.workers), func(i int) (err error) {
 		f.workers[i].last, err = f.workers[i].call(ctx, &command{Op: opReport, Heap: heap})
 		return err
 	}); err != nil {
@@ -204,8 +204,8 @@
 }
 
 // pollStandIns takes in what the stand-ins report.
-func (f *running) pollStandIns(ctx context.Context) error {
-	if err := f.each(len(f.standIns), func(i int) error {
+func (f *fleetRun) pollStandIns(ctx context.Context) error {
+	if err := f.forEach(len(f.standIns), func(i int) error {
 		m := f.standIns[i]
 		if m.Process == nil {
 			return nil
@@ -227,8 +227,8 @@
 	return nil
 }
 
-// forced is when a version came to be in force at an agent, at the earliest at from.
-func (f *running) forced(agent int, seq int64, from time.Time) (time.Time, bool) {
+// inForceAt is when a version came to be in force at an agent, at the earliest at from.
+func (f *fleetRun) inForceAt(agent int, seq int64, from time.Time) (time.Time, bool) {
 	for _, e := range f.events[agent] {
 		if at := time.UnixMicro(e.At); e.Seq >= seq && !at.Before(from.Truncate(time.Microsecond)) {
 			return at, true
@@ -239,7 +239,7 @@
 
 // await waits until a version is in force at all of the agents, for the plan's limit at
 // most, and counts those that don't have it then.
-func (f *running) await(ctx context.Context, agents []int, seq int64, from time.Time) (without int, err error) {
+func (f *fleetRun) await(ctx context.Context, agents []int, seq int64, from time.Time) (without int, err error) {
 	end, said := time.Now().Add(f.plan.Limit), time.Now()
 	for {
 		if err := f.poll(ctx, false); err != nil {
@@ -247,7 +247,7 @@
 		}
 		without = 0
 		for _, a := range agents {
-			if _, ok := f.forced(a, seq, from); !ok {
+			if _, ok := f.inForceAt(a, seq, from); !ok {
 				without++
 			}
 		}
@@ -265,7 +265,7 @@
 }
 
 // agents are those of the stand-ins for which at holds.
-func (f *running) agents(at func(standIn int) bool) []int {
+func (f *fleetRun) agents(at func(standIn int) bool) []int {
 	var list []int
 	for i := range f.plan.Size.Agents {
 		if at(f.plan.standInOf(i)) {
@@ -277,18 +277,18 @@
 
 func everywhere(int) bool { return true }
 
-// times is how long versions took to be in force, over agents and versions.
-type times struct {
+// delays is how long versions took to be in force, over agents and versions.
+type delays struct {
 	histogram *hdrhistogram.Histogram
 	without   int
 }
 
-func newTimes() *times { return &times{histogram: hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
+func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
 
 // add takes in one version. Times count from made, for events since from.
-func (t *times) add(f *running, agents []int, seq int64, from time.Time, made func(agent int) time.Time) error {
+func (t *delays) add(f *fleetRun, agents []int, seq int64, from time.Time, made func(agent int) time.Time) error {
 	for _, a := range agents {
-		at, ok := f.forced(a, seq, from)
+		at, ok := f.inForceAt(a, seq, from)
 		if !ok {
 			t.without++
 			continue
@@ -300,8 +300,8 @@
 	return nil
 }
 
-// put adds the figures to a case. A part of the agents that was not reached has no time.
-func (t *times) put(c *fleet.Case, prefix string) {
+// addTo adds the figures to a case. A quantile that takes in agents that were not reached is left out.
+func (t *delays) addTo(c *fleet.Case, prefix string) {
 	reached := float64(t.histogram.TotalCount())
 	all := reached + float64(t.without)
 	c.Add(prefix+"_agents", "count", all)
@@ -316,9 +316,9 @@
 	}
 }
 
-// begin begins a phase, a span whose costs are measured: what came to be in force before is
+// beginPhase begins a phase, a span whose costs are measured: what came to be in force before is
 // forgotten.
-func (f *running) begin(ctx context.Context) error {
+func (f *fleetRun) beginPhase(ctx context.Context) error {
 	if err := f.poll(ctx, false); err != nil {
 		return err
 	}
@@ -338,9 +338,9 @@
 	return nil
 }
 
-// costs adds to a case what the phase has taken, an agent and a stand-in. A stand-in that
+// addCosts adds to a case what the phase has taken, an agent and a stand-in. A stand-in that
 // was replaced counts from its start.
-func (f *running) costs(ctx context.Context, c *fleet.Case, prefix string) error {
+func (f *fleetRun) addCosts(ctx context.Context, c *fleet.Case, prefix string) error {
 	took := time.Since(f.began).Seconds()
 	if err := f.poll(ctx, false); err != nil {
 		return err
@@ -359,7 +359,7 @@
 		standInCPU += m.last.Usage.CPUMs - m.base.Usage.CPUMs
 		n.Calls += m.last.Counts.Calls - m.base.Counts.Calls
 		n.Lists += m.last.Counts.Lists - m.base.Counts.Lists
-		n.Lives += m.last.Counts.Lives - m.base.Counts.Lives
+		n.Heartbeats += m.last.Counts.Heartbeats - m.base.Counts.Heartbeats
 		n.Bytes += m.last.Counts.Bytes - m.base.Counts.Bytes
 		n.BytesRead += m.last.Counts.BytesRead - m.base.Counts.BytesRead
 	}
@@ -369,7 +369,7 @@
 	c.Add(prefix+"_agent_bytes", "bytes", bytes/agents)
 	c.Add(prefix+"_agent_bytes_s", "bytes/s", bytes/agents/took)
 	c.Add(prefix+"_agent_lists", "count", float64(n.Lists)/agents)
-	c.Add(prefix+"_agent_lives", "count", float64(n.Lives)/agents)
+	c.Add(prefix+"_agent_lives", "count", float64(n.Heartbeats)/agents)
 	c.Add(prefix+"_agent_calls", "count", float64(n.Calls)/agents)
 	c.Add(prefix+"_agent_cpu", "ms", cpu/agents)
 	c.Add(prefix+"_agent_cpu_share", "share", cpu/1000/agents/took)
@@ -382,8 +382,8 @@
 	return nil
 }
 
-// memory adds what agents and stand-ins hold.
-func (f *running) memory(ctx context.Context, c *fleet.Case) error {
+// addMemory adds what agents and stand-ins hold.
+func (f *fleetRun) addMemory(ctx context.Context, c *fleet.Case) error {
 	if err := f.poll(ctx, true); err != nil {
 		return err
 	}
@@ -404,7 +404,7 @@
 }
 
 // agentsSample draws a part of the agents.
-func (f *running) agentsSample(part float64) []int {
+func (f *fleetRun) agentsSample(part float64) []int {
 	n := max(int(part*float64(f.plan.Size.Agents)), 1)
 	list := f.rng.Perm(f.plan.Size.Agents)[:n]
 	slices.Sort(list)
--- a/internal/fleet/control/plan.go
+++ b/internal/fleet/control/plan.go
@@ -1,9 +1,9 @@
 // Package control measures the control side of a large fleet: how long a change of the list
 // of servers takes to be in force at all agents, and what that costs agents and discovery.
 //
-// The agents are hollow: the real watch code and the real module, without clients and
-// without connections to bid servers, some hundreds in a process. Discovery is stand-ins
-// that speak its protocol, one process each. The bench is their source of truth.
+// The agents are simulated in part: the real watch code and the real decision module, without
+// clients and without connections to bid servers, some hundreds in a process. Discovery is played
+// by stand-ins that speak its protocol, one process each. The bench is their source of truth.
 package control
 
 import (
@@ -26,7 +26,8 @@
 	ScopeService = "service"
 )
 
-// Plan is what a run plays.
+// Plan is what a run plays; the command line of 'fleetbench control' explains each field. Spans are
+// of real time.
 type Plan struct {
 	Size       fleet.Size
 	StandIns   int // of discovery, a region
@@ -43,7 +44,7 @@
 	CutEvery   time.Duration // between the changes that a cut-off region misses
 	Limit      time.Duration // waited for a version to be in force
 	Sweep      bool          // smaller fleets and lists too, for the slopes
-	Troubles   bool
+	Faults     bool          // play the faults too, at the size asked for
 }
 
 // What the memory of an agent is taken to be before a run: a fixed part, and what each entry
@@ -53,7 +54,8 @@
 	spareFiles             = 64 // of a process, beside the watches
 )
 
-// Validate reports the first argument that makes no sense or does not fit the machine.
+// Validate returns a *fleet.UsageError for the first argument that is out of range or asks for more
+// memory, processes or descriptors than the machine has.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
--- a/internal/fleet/control/process.go
+++ b/internal/fleet/control/process.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// The roles that a process of the bench may have.
+// The roles of the bench's processes, the last argument of their command line.
 const (
 	RoleStandIn = "stand-in"
 	RoleAgents  = "agents"
@@ -52,29 +52,31 @@
 	LateMs float64 `json:"late_ms,omitempty"` // report: the longest wait for a processor since the last
 }
 
-// lateEvery is how often a process looks whether it gets a processor.
-const lateEvery = 20 * time.Millisecond
+// delayProbeEvery is how often a process looks whether it gets a processor.
+const delayProbeEvery = 20 * time.Millisecond
 
-// lateness is how long a process waited for a processor: its own of GOMAXPROCS, or one of
-// the machine's, which others use too. A time can't be told apart from a wait of that length.
-type lateness struct {
+// schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
+// the machine's, which others use too. A measured time can't be told apart from a wait of that length.
+type schedulingDelay struct {
 	mu   sync.Mutex
 	most time.Duration
 }
 
-func (l *lateness) watch(ctx context.Context) {
+// watch measures until the context ends.
+func (l *schedulingDelay) watch(ctx context.Context) {
 	for {
 		began := time.Now()
-		if sleep(ctx, lateEvery) != nil {
+		if sleep(ctx, delayProbeEvery) != nil {
 			return
 		}
 		l.mu.Lock()
-		l.most = max(l.most, time.Since(began)-lateEvery)
+		l.most = max(l.most, time.Since(began)-delayProbeEvery)
 		l.mu.Unlock()
 	}
 }
 
-func (l *lateness) takeMs() float64 {
+// takeMs returns the longest wait since the last call, in milliseconds.
+func (l *schedulingDelay) takeMs() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	most := l.most
@@ -90,6 +92,7 @@
 	Allocated float64 `json:"allocated"`
 }
 
+// measureUsage reads this process's usage, after a garbage collection if collect is set.
 func measureUsage(collect bool) (u usage, err error) {
 	if collect {
 		runtime.GC()
@@ -118,8 +121,11 @@
 	return u, nil
 }
 
-// Serve is a process of the bench in one role: it carries out the commands that come in
-// until they end, the bench with them, or the context does.
+// Serve runs a process of the bench in one role, RoleStandIn or RoleAgents: it reads commands, one
+// JSON object each, from in and writes a reply to out for each. It returns nil when in ends, as it
+// does when the bench ends, or when the context is done; and an error for an unknown role, for
+// what is no command, or if a reply can't be written. A command that fails is no error of Serve:
+// its reply says so.
 func Serve(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -130,14 +136,14 @@
 		defer s.close()
 		handle = s.handle
 	case RoleAgents:
-		h := &hollows{}
+		h := &simulatedAgents{}
 		defer h.close()
 		handle = h.handle
 	default:
 		return fmt.Errorf("unknown role %q", role)
 	}
-	late := &lateness{}
-	go late.watch(ctx)
+	delay := &schedulingDelay{}
+	go delay.watch(ctx)
 	commands := make(chan command)
 	ended := make(chan error, 1)
 	go func() {
@@ -167,7 +173,7 @@
 				answer.Error = err.Error()
 			}
 			if cmd.Op == opReport {
-				answer.LateMs = late.takeMs()
+				answer.LateMs = delay.takeMs()
 			}
 			if err := replies.Encode(answer); err != nil {
 				return fmt.Errorf("reply: %w", err)
@@ -183,7 +189,7 @@
 	}
 }
 
-// Process is a process of the bench, seen from the bench.
+// Process is the bench's handle of one of its processes: a pipe for commands and one for replies.
 type Process struct {
 	name string
 	in   io.WriteCloser
@@ -193,11 +199,11 @@
 	once sync.Once
 }
 
-// Spawn starts a process in a role.
+// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill it.
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
-// Command is a Spawn that starts the program named with the arguments and the role behind
-// them. Each process has one core for Go code: the bench is a guest on its machine.
+// Command returns a Spawn that starts the program with the arguments, followed by the role. Each
+// process has one core for Go code, as the bench shares its machine. The Spawn's errors name the role.
 func Command(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
@@ -259,14 +265,14 @@
 	})
 }
 
-// graceFor is how long a process may take to end after its commands have.
-const graceFor = 5 * time.Second
+// shutdownGrace is how long a process may take to end after its commands have.
+const shutdownGrace = 5 * time.Second
 
 // close lets the process end, and ends it if it does not.
 func (p *Process) close() {
 	p.once.Do(func() {
 		p.in.Close()
-		late := time.AfterFunc(graceFor, p.end)
+		late := time.AfterFunc(shutdownGrace, p.end)
 		defer late.Stop()
 		_ = p.wait() // its results have come, or the run's error is known
 	})
