--- a/cmd/fleetbench/path.go
+++ b/cmd/fleetbench/path.go
@@ -42,8 +42,8 @@
 // Run plays the cases.
 func (c *pathCmd) Run(ctx context.Context, log *slog.Logger) error {
 	rate := c.Rate / float64(c.Agents)
-	plan := path.Plan{Size: c.Size, Agent: c.Agent, Lists: c.List, Replicas: c.Replicas, Open: c.Open, Beside: c.Beside,
-		Answer: c.Answer, Aim: c.Aim, Calls: int(min(c.Seconds*rate, math.MaxInt32)), Warmup: int(min(c.Warmup*rate, math.MaxInt32))}
+	plan := path.Plan{Size: c.Size, Agent: c.Agent, Lists: c.List, Replicas: c.Replicas, Open: c.Open, Chains: c.Beside,
+		Answer: c.Answer, Objective: c.Aim, Calls: int(min(c.Seconds*rate, math.MaxInt32)), Warmup: int(min(c.Warmup*rate, math.MaxInt32))}
 	if err := plan.Validate(); err != nil {
 		return err
 	}
--- a/internal/fleet/path/load.go
+++ b/internal/fleet/path/load.go
@@ -18,39 +18,39 @@
 	keys      = 10_000 // that the calls are about
 )
 
-// tally is how the calls of one kind went.
-type tally struct {
-	mu       sync.Mutex
-	took     *hdrhistogram.Histogram // of those served, in us
-	late     *hdrhistogram.Histogram // how late the calls were sent, in us
-	served   int
-	refused  int
-	failed   int
-	open     int
-	peak     int // the most open at one time
-	firstErr error
+// callStats counts how the calls of one kind ended, and their latencies.
+type callStats struct {
+	mu        sync.Mutex
+	latency   *hdrhistogram.Histogram // of those served, in us
+	sendDelay *hdrhistogram.Histogram // how late the calls were sent, in us
+	served    int
+	refused   int
+	failed    int
+	open      int
+	peak      int // the most open at one time
+	firstErr  error
 }
 
-func newTally() *tally {
-	return &tally{took: hdrhistogram.New(1, longestUs, digits), late: hdrhistogram.New(1, longestUs, digits)}
+func newCallStats() *callStats {
+	return &callStats{latency: hdrhistogram.New(1, longestUs, digits), sendDelay: hdrhistogram.New(1, longestUs, digits)}
 }
 
-func (t *tally) begin(late time.Duration) {
+func (t *callStats) begin(sendDelay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = t.late.RecordValue(min(late.Microseconds(), longestUs))
+	_ = t.sendDelay.RecordValue(min(sendDelay.Microseconds(), longestUs))
 	t.open++
 	t.peak = max(t.peak, t.open)
 }
 
-func (t *tally) end(status int, err error, took time.Duration) {
+func (t *callStats) end(status int, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open--
 	switch {
 	case err == nil && status == http.StatusOK:
 		t.served++
-		_ = t.took.RecordValue(min(took.Microseconds(), longestUs))
+		_ = t.latency.RecordValue(min(took.Microseconds(), longestUs))
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
 		t.refused++
 	default:
@@ -65,12 +65,14 @@
 }
 
 // ms is a quantile of the served calls' times, in ms.
-func (t *tally) ms(quantile float64) float64 { return float64(t.took.ValueAtQuantile(quantile)) / 1000 }
+func (t *callStats) ms(quantile float64) float64 {
+	return float64(t.latency.ValueAtQuantile(quantile)) / 1000
+}
 
 // stream sends calls at times drawn at random, whether earlier ones are answered or not, and
 // waits for all. A call's time counts from when it was sent: as none waits for another,
 // nothing is hidden by that, and how late it was sent is the load generator's own.
-func (t *tally) stream(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
+func (t *callStats) stream(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	last := time.Now()
--- a/internal/fleet/path/path.go
+++ b/internal/fleet/path/path.go
@@ -20,46 +20,46 @@
 	processBytes, serverBytes = 64 << 20, 64 << 10
 	// longestRun bounds one case: it would be an argument that was meant otherwise.
 	longestRun = time.Hour
-	// maxAnswer is the longest answer time; the aims that follow from it stay within what
+	// maxAnswer is the longest answer time; the objectives that follow from it stay within what
 	// an agent takes for a deadline.
 	maxAnswer = 10 * time.Second
-	// An aim is longer by hopAims answer times a hop, as the answers are no part of what is
+	// An objective is longer by hopAnswers answer times a hop, as the answers are no part of what is
 	// measured.
-	hopAims, giveUpAims = 4, 4
-	maxAim              = 10 * time.Minute
-	maxValue            = 100_000 // of a list's length, of replicas and of requests open
+	hopAnswers, giveUpObjectives = 4, 4
+	maxObjective                 = 10 * time.Minute
+	maxValue                     = 100_000 // of a list's length, of replicas and of requests open
 )
 
-// Plan is what is to be measured.
+// Plan is what is to be measured; the command line of 'fleetbench path' explains each field.
 type Plan struct {
-	Size     fleet.Size
-	Agent    string        // path of the agent's binary
-	Lists    []int         // lengths of the list of servers
-	Replicas []int         // replicas that the agents are told of
-	Open     []int         // requests open at once, at the longer answer times they need
-	Beside   int           // agents side by side in the cases of one hop
-	Answer   time.Duration // answer time of a stand-in server
-	Aim      time.Duration // of the calls' class; a call is given up after giveUpAims of it
-	Calls    int           // calls a measured stream
-	Warmup   int           // calls a stream before that are not measured
+	Size      fleet.Size
+	Agent     string        // path of the agent's binary
+	Lists     []int         // lengths of the list of servers
+	Replicas  []int         // replicas that the agents' settings name
+	Open      []int         // requests open at once, at the longer answer times they need
+	Chains    int           // agents side by side in the cases of one hop
+	Answer    time.Duration // answer time of a stand-in server
+	Objective time.Duration // of the calls' class; a call is given up after giveUpObjectives of it
+	Calls     int           // calls a measured stream
+	Warmup    int           // calls a stream before that are not measured
 }
 
 // scenario is one case: its agents, servers and calls.
 type scenario struct {
-	name     string
-	family   string // which slope it belongs to
-	listed   int
-	replicas int
-	hops     int
-	chains   int // chains of agents side by side, each with its own stream of calls
-	open     int // requests open at once; 0: what comes of the answer time
-	answer   time.Duration
-	aim      time.Duration
-	warmup   int
+	name      string
+	family    string // which slope it belongs to
+	listed    int
+	replicas  int
+	hops      int
+	chains    int // chains of agents side by side, each with its own stream of calls
+	open      int // requests open at once; 0: what comes of the answer time
+	answer    time.Duration
+	objective time.Duration
+	warmup    int
 }
 
 // giveUp is how long a call is waited for.
-func (s *scenario) giveUp() time.Duration { return giveUpAims * s.aim }
+func (s *scenario) giveUp() time.Duration { return giveUpObjectives * s.objective }
 
 // families of the cases.
 const (
@@ -74,7 +74,8 @@
 // service is the size of a service when all are alike: what an agent of a deep call lists.
 func (p *Plan) service() int { return max(p.Size.Servers/p.Size.Services, 1) }
 
-// Validate reports the first argument that makes no sense or does not fit the machine.
+// Validate returns a *fleet.UsageError for the first argument that is out of range or asks for more
+// memory, processes or descriptors than the machine has.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
@@ -101,12 +102,12 @@
 	}
 	most := fleet.MaxProcesses - 1 // and the bench itself
 	switch {
-	case p.Beside < 1 || p.Beside > most:
-		return fleet.Usage("beside", "must be from 1 to %d, is %d", most, p.Beside)
+	case p.Chains < 1 || p.Chains > most:
+		return fleet.Usage("beside", "must be from 1 to %d, is %d", most, p.Chains)
 	case p.Answer <= 0 || p.Answer > maxAnswer:
 		return fleet.Usage("answer", "must be above 0 and at most %v, is %v", maxAnswer, p.Answer)
-	case p.Aim <= 0 || p.Aim > maxAim:
-		return fleet.Usage("aim", "must be above 0 and at most %v, is %v", maxAim, p.Aim)
+	case p.Objective <= 0 || p.Objective > maxObjective:
+		return fleet.Usage("aim", "must be above 0 and at most %v, is %v", maxObjective, p.Objective)
 	case p.Calls < 1 || float64(p.Calls) > p.rate()*longestRun.Seconds():
 		return fleet.Usage("seconds", "must be above 0 and at most %.0f", longestRun.Seconds())
 	case p.Warmup < 0 || float64(p.Warmup) > p.rate()*longestRun.Seconds():
@@ -122,10 +123,10 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
 	}
-	if need := uint64(2*max(longest, p.service()*p.Size.Depth) + p.Beside*agentSockets); need > files.Cur {
+	if need := uint64(2*max(longest, p.service()*p.Size.Depth) + p.Chains*agentSockets); need > files.Cur {
 		return fleet.Usage("list", "%d servers need some %d descriptors of %d", longest, need, files.Cur)
 	}
-	processes := max(p.Beside, p.Size.Depth)
+	processes := max(p.Chains, p.Size.Depth)
 	return fleet.CheckMemory("list", float64(processes)*processBytes+float64(longest)*serverBytes)
 }
 
@@ -134,7 +135,7 @@
 	var all []scenario
 	add := func(s scenario) {
 		s.warmup = max(p.Warmup, int(2*s.answer.Seconds()*p.rate()))
-		s.aim = p.Aim + hopAims*time.Duration(s.hops)*s.answer
+		s.objective = p.Objective + hopAnswers*time.Duration(s.hops)*s.answer
 		s.name = fmt.Sprintf("hops %d, listed %d, replicas %d", s.hops, s.listed, s.replicas)
 		if s.open > 0 {
 			s.name += fmt.Sprintf(", open %d", s.open)
@@ -143,7 +144,7 @@
 	}
 	for _, replicas := range p.Replicas {
 		for _, n := range p.Lists {
-			add(scenario{family: byList, listed: n, replicas: replicas, hops: 1, chains: p.Beside, answer: p.Answer})
+			add(scenario{family: byList, listed: n, replicas: replicas, hops: 1, chains: p.Chains, answer: p.Answer})
 		}
 		if p.Size.Depth > 1 {
 			add(scenario{family: byHops, listed: p.service(), replicas: replicas, hops: p.Size.Depth, chains: 1, answer: p.Answer})
@@ -161,8 +162,10 @@
 	return all
 }
 
-// Run plays all cases one after the other and adds them, the slopes and the notes to the
-// result. What was played stays in the result when a case fails.
+// Run plays all cases one after the other and adds them, the fitted lines and the notes to the
+// result. All processes that it started have ended when it returns. When a case fails, by an agent
+// that died or did not start or by the context's end, the error names the case, and the cases before
+// it stay in the result.
 func (p *Plan) Run(ctx context.Context, log *slog.Logger, r *fleet.Result) error {
 	r.Notes = append(r.Notes,
 		"added_* is the difference of the same quantile through the agents and direct, in one run; a served call counts from the moment it was sent.",
--- a/internal/fleet/path/servers.go
+++ b/internal/fleet/path/servers.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// lifeEvery is how often discovery writes an empty line to a watch.
-	lifeEvery      = 2 * time.Second
+	// heartbeatEvery is how often discovery writes an empty line to a watch.
+	heartbeatEvery = 2 * time.Second
 	bodyBytes      = 256 // of a server's answer
 	maxAnswerBytes = 64 << 10
 )
@@ -28,11 +28,11 @@
 
 // standIns are the stand-in servers of one hop: one HTTP server on a listener each.
 type standIns struct {
-	addrs  []string
-	server *http.Server
-	answer time.Duration
-	next   *caller // who is called for each request; nil: nobody
-	came   atomic.Int64
+	addrs    []string
+	server   *http.Server
+	answer   time.Duration
+	next     *caller // who is called for each request; nil: nobody
+	requests atomic.Int64
 
 	mu    sync.Mutex
 	open  int // connections
@@ -86,7 +86,7 @@
 // there that is not served has failed here: the server may have done part of its work.
 func (s *standIns) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	came := time.Now()
-	s.came.Add(1)
+	s.requests.Add(1)
 	left, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"))
 	if err != nil || r.Header.Get("Request-Id") == "" {
 		http.Error(w, "Request-Id or Request-Timeout: missing", http.StatusNotFound)
@@ -120,7 +120,7 @@
 	}
 }
 
-// newDiscovery starts a stand-in of discovery that tells one list, which never changes, and
+// newDiscovery starts a stand-in of discovery that serves one list, which never changes, and
 // gives its address. It ends with the context.
 func newDiscovery(ctx context.Context, list agent.List) (addr string, err error) {
 	text, err := json.Marshal(list)
@@ -134,7 +134,7 @@
 				return
 			}
 			flush := http.NewResponseController(w)
-			for flush.Flush() == nil && sleep(r.Context(), lifeEvery) {
+			for flush.Flush() == nil && sleep(r.Context(), heartbeatEvery) {
 				if _, err := io.WriteString(w, "\n"); err != nil {
 					return
 				}
@@ -175,7 +175,7 @@
 }
 
 // call sends one request and returns the answer's status. It waits a little longer than the
-// called one is told, so that its last word counts.
+// deadline that it passes on, so that the last answer in time counts.
 func (c *caller) call(ctx context.Context, path string, timeout time.Duration) (int, error) {
 	if timeout < time.Millisecond {
 		return 0, errors.New("no time left")
