--- a/internal/fleet/decide/decide.go
+++ b/internal/fleet/decide/decide.go
@@ -1,6 +1,6 @@
 // Package decide measures the decision module alone: one balancer is driven through virtual
 // time, and what each kind of event costs it is taken down, against the number of servers
-// listed, requests held, the shares of cold and of unhealthy servers and the number of agents.
+// listed, requests queued, the shares of cold and of unhealthy servers and the number of agents.
 package decide
 
 import (
@@ -15,7 +15,7 @@
 	"molepaddle/policy"
 )
 
-// Options say how much is played.
+// Options say how much is played; the command line of 'fleetbench decide' explains each field.
 type Options struct {
 	Size     fleet.Size
 	Requests int // of a case, in each round
@@ -36,8 +36,8 @@
 	replacements, wholeLists = 20, 3
 )
 
-// maxHeld is how many requests a balancer holds at most.
-const maxHeld = 512
+// maxQueued is how many requests a balancer queues at most.
+const maxQueued = 512
 
 // series is a set of cases that differ in one parameter.
 type series struct {
@@ -51,7 +51,7 @@
 
 // play is one case.
 type play struct {
-	load
+	workload
 	at     float64 // the value of the series' parameter
 	lists  bool    // list changes are measured, not requests
 	p      *player
@@ -64,7 +64,9 @@
 	listFigures = []string{"delta", "delta alloc", "whole list", "whole list alloc", "state"}
 )
 
-// Run plays all cases and adds them with their fits to the result.
+// Run plays all cases and adds them, with the lines fitted through them, to the result. Times are
+// processor time of the calling goroutine's thread, which it locks meanwhile. It returns an error for
+// invalid options, where the thread's clock can't be read, or when the context ends.
 func Run(ctx context.Context, log *slog.Logger, o Options, r *fleet.Result) error {
 	all, err := o.plan()
 	if err != nil {
@@ -121,7 +123,8 @@
 	return nil
 }
 
-// Validate reports the first option that makes no sense, by its argument.
+// Validate returns a *fleet.UsageError for the first option that is out of range or needs more memory
+// than the machine has.
 func (o Options) Validate() error {
 	_, err := o.plan()
 	return err
@@ -144,35 +147,35 @@
 	for _, n := range o.lengths() {
 		l := base
 		l.servers, l.replicas = n, max(int(math.Round(float64(base.replicas)*float64(n)/float64(base.servers))), 1)
-		servers.plays = append(servers.plays, &play{load: l, at: float64(n)})
-		lists.plays = append(lists.plays, &play{load: l, at: float64(n), lists: true})
+		servers.plays = append(servers.plays, &play{workload: l, at: float64(n)})
+		lists.plays = append(lists.plays, &play{workload: l, at: float64(n), lists: true})
 	}
-	// Where nothing is held the load is another. What a call costs there says little: most end
+	// Where nothing is queued the load is another. What a call costs there says little: most end
 	// unserved.
-	held := &series{name: "held", over: "held", target: maxHeld, figures: callFigures[:4], apart: 1}
-	for _, n := range []int{0, 8, 32, 64, 256, maxHeld} {
+	queued := &series{name: "held", over: "held", target: maxQueued, figures: callFigures[:4], apart: 1}
+	for _, n := range []int{0, 8, 32, 64, 256, maxQueued} {
 		l := base
-		l.held = n
-		held.plays = append(held.plays, &play{load: l, at: float64(n)})
+		l.queued = n
+		queued.plays = append(queued.plays, &play{workload: l, at: float64(n)})
 	}
 	cold := &series{name: "cold", over: "cold"}
 	unhealthy := &series{name: "unhealthy", over: "unhealthy"}
 	for _, share := range []float64{0, 0.1, 0.5} {
 		l := base
 		l.cold = share
-		cold.plays = append(cold.plays, &play{load: l, at: share})
+		cold.plays = append(cold.plays, &play{workload: l, at: share})
 		l = base
 		l.unhealthy = share
-		unhealthy.plays = append(unhealthy.plays, &play{load: l, at: share})
+		unhealthy.plays = append(unhealthy.plays, &play{workload: l, at: share})
 	}
 	replicas := &series{name: "replicas", over: "replicas", target: float64(base.replicas),
 		figures: []string{"call", "work"}}
 	for _, n := range sizes(base.replicas, 1, 100, 20, 4, 2, 1) {
 		l := base
 		l.replicas = n
-		replicas.plays = append(replicas.plays, &play{load: l, at: float64(n)})
+		replicas.plays = append(replicas.plays, &play{workload: l, at: float64(n)})
 	}
-	all := []*series{servers, held, cold, unhealthy, replicas, lists}
+	all := []*series{servers, queued, cold, unhealthy, replicas, lists}
 	total := 0
 	for _, s := range all {
 		for _, p := range s.plays {
@@ -183,8 +186,8 @@
 }
 
 // base is an agent of the whole fleet, with all its servers listed.
-func (o Options) base() load {
-	return load{servers: o.Size.Servers, replicas: o.Size.Agents, perAgent: o.Size.Rate / float64(o.Size.Agents),
+func (o Options) base() workload {
+	return workload{servers: o.Size.Servers, replicas: o.Size.Agents, perAgent: o.Size.Rate / float64(o.Size.Agents),
 		zones: o.Size.Zones, seed: o.Size.Seed}
 }
 
@@ -207,16 +210,16 @@
 func (p *play) start(ctx context.Context, o Options) error {
 	before := inUse()
 	var err error
-	if p.p, err = newPlayer(p.load); err != nil {
+	if p.p, err = newPlayer(p.workload); err != nil {
 		return err
 	}
 	for range warmRounds {
 		if err := ctx.Err(); err != nil {
 			return fmt.Errorf("decide: interrupted: %w", err)
 		}
-		p.p.play(o.Requests)
+		p.p.advance(o.Requests)
 	}
-	p.p.tally = tally{} // not the balancer's
+	p.p.counts = requestCounts{} // not the balancer's
 	p.state = inUse() - before
 	return nil
 }
@@ -238,22 +241,22 @@
 		return
 	}
 	n := float64(o.Requests)
-	p.p.tally = tally{}
+	p.p.counts = requestCounts{}
 	m.begin(timing, readNs, p.p.b)
 	from := p.p.now
-	p.p.play(o.Requests)
+	p.p.advance(o.Requests)
 	c.Add("request", "us", m.us(newRequest))
 	c.Add("outcome", "us", m.us(outcome))
 	c.Add("tick", "us", m.us(tick))
 	ns := m.perKind[newRequest].ns + m.perKind[outcome].ns + m.perKind[tick].ns
 	c.Add("call", "us", ns/1000/n)
 	c.Add("core", "share", ns/1e6/max(p.p.now-from, 1))
-	c.Add("work", "count", float64(p.p.b.Work()-m.workAt)/n)
-	c.Add("attempts", "count", float64(p.p.tally.attempts)/n)
-	c.Add("refused", "share", float64(p.p.tally.refused)/n)
+	c.Add("work", "count", float64(p.p.b.Work()-m.workBefore)/n)
+	c.Add("attempts", "count", float64(p.p.counts.attempts)/n)
+	c.Add("refused", "share", float64(p.p.counts.refused)/n)
 	part := min(o.Requests, byteRequests)
 	m.begin(counting, 0, p.p.b)
-	p.p.play(part)
+	p.p.advance(part)
 	c.Add("request alloc", "bytes", m.bytes(newRequest))
 	c.Add("outcome alloc", "bytes", m.bytes(outcome))
 	c.Add("tick alloc", "bytes", m.bytes(tick))
@@ -261,7 +264,7 @@
 	p.rounds = append(p.rounds, c.Figures)
 }
 
-// changeLists replaces servers one by one and then tells the whole list a few times.
+// changeLists replaces servers one by one and then hands over the whole list a few times.
 func (p *play) changeLists() {
 	for range replacements {
 		p.p.replace()
@@ -287,9 +290,9 @@
 	return c
 }
 
-func (l load) params() map[string]float64 {
+func (l workload) params() map[string]float64 {
 	return map[string]float64{"servers": float64(l.servers), "replicas": float64(l.replicas),
-		"held": float64(l.held), "cold": l.cold, "unhealthy": l.unhealthy}
+		"held": float64(l.queued), "cold": l.cold, "unhealthy": l.unhealthy}
 }
 
 // limit plays agents of the whole fleet that have only a part of its servers listed, as those
@@ -307,26 +310,26 @@
 		if err != nil {
 			return nil, err
 		}
-		var first tally
+		var first requestCounts
 		for round := range warmRounds + limitRounds {
 			if err := ctx.Err(); err != nil {
 				return nil, fmt.Errorf("decide: interrupted: %w", err)
 			}
 			if round == warmRounds {
-				first, p.tally = p.tally, tally{}
+				first, p.counts = p.counts, requestCounts{}
 			}
-			p.play(o.Requests)
+			p.advance(o.Requests)
 		}
 		c := fleet.Case{Name: fmt.Sprintf("limit %d", n), Params: l.params()}
-		t := &p.tally
-		slices.Sort(t.waits)
-		requests := float64(t.requests)
+		counts := &p.counts
+		slices.Sort(counts.waits)
+		requests := float64(counts.requests)
 		c.Add("refused first", "share", float64(first.refused)/float64(first.requests))
 		c.Add("requests", "count", requests)
-		c.Add("refused", "share", float64(t.refused)/requests)
-		c.Add("attempts", "count", float64(t.attempts)/requests)
-		c.Add("wait p50", "ms", quantile(t.waits, 0.5))
-		c.Add("wait p99", "ms", quantile(t.waits, 0.99))
+		c.Add("refused", "share", float64(counts.refused)/requests)
+		c.Add("attempts", "count", float64(counts.attempts)/requests)
+		c.Add("wait p50", "ms", quantile(counts.waits, 0.5))
+		c.Add("wait p99", "ms", quantile(counts.waits, 0.99))
 		cases = append(cases, c)
 	}
 	return cases, nil
--- a/internal/fleet/decide/meter.go
+++ b/internal/fleet/decide/meter.go
@@ -25,10 +25,10 @@
 // meter measures what events cost the balancer: processor time of this thread, which other
 // processes don't lengthen, or bytes allocated.
 type meter struct {
-	mode    meterMode
-	readNs  float64 // what reading the clock takes, not counted
-	perKind [eventKinds]struct{ events, ns, bytes float64 }
-	workAt  uint64
+	mode       meterMode
+	readNs     float64 // what reading the clock takes, not counted
+	perKind    [eventKinds]struct{ events, ns, bytes float64 }
+	workBefore uint64
 }
 
 type meterMode uint8
@@ -61,7 +61,7 @@
 
 // begin empties the meter; what it measures from here on counts.
 func (m *meter) begin(mode meterMode, readNs float64, b *policy.Balancer) {
-	*m = meter{mode: mode, readNs: readNs, workAt: b.Work()}
+	*m = meter{mode: mode, readNs: readNs, workBefore: b.Work()}
 }
 
 // us is the mean processor time of an event of the kind.
--- a/internal/fleet/decide/player.go
+++ b/internal/fleet/decide/player.go
@@ -12,7 +12,7 @@
 const (
 	began     = 1e6 // virtual time at which a play begins, in ms
 	answerMs  = 5.0 // until an answer
-	refusalMs = 1.0 // until a probe's answer, or a connect that is refused
+	refusedMs = 1.0 // until a probe's answer, or a connect that is refused
 	keys      = 1000
 	coldAge   = 1000.0 // of cold servers as they are listed, in ms
 	// coldFor is the cold time where some servers are cold: they stay so while they are measured.
@@ -22,12 +22,12 @@
 // Shares of the requests by class and by tenant.
 var classShares, tenantShares = []float64{0.7, 0.2, 0.1}, []float64{0.6, 0.25, 0.15}
 
-// load is what one balancer is played with.
-type load struct {
+// workload is what one balancer is played with.
+type workload struct {
 	servers   int     // listed
 	replicas  int     // agents of the fleet
 	perAgent  float64 // requests a second of each
-	held      int     // requests kept waiting, where answers come no faster than perAgent; 0: an easy load
+	queued    int     // requests kept queued, where answers come no faster than perAgent; 0: an easy load
 	cold      float64 // share of the servers that started just now
 	unhealthy float64 // share that refuses connections
 	zones     int
@@ -36,7 +36,7 @@
 
 // settings are those of a deployment with a class of each effect and three tenants, whose
 // quotas are what all agents send.
-func (l load) settings() policy.Settings {
+func (l workload) settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{
 			{Name: "read", AimMs: 600, GiveUpMs: 2500, Effect: policy.Free, Credit: 1},
@@ -66,36 +66,36 @@
 // player drives one balancer through virtual time: it sends requests, answers attempts and
 // probes, and fires timers. All that is random comes from the seed.
 type player struct {
-	load
-	set     policy.Settings
-	b       *policy.Balancer
-	rng     *rand.Rand
-	now     float64
-	nextMs  float64 // time of the next request of an easy load
-	freeMs  float64 // when the next answer can come, where requests are held
-	due     dueEvents
-	order   int
-	actions []policy.Action
-	entries []policy.Entry
-	named   int // servers named so far
-	refuses map[policy.Addr]bool
-	untried map[policy.Addr]bool // of these
-	open    map[policy.RequestID]*request
-	last    policy.RequestID
-	waiting int // requests that the balancer holds
-	meter   *meter
-	tally   tally
+	workload
+	set      policy.Settings
+	b        *policy.Balancer
+	rng      *rand.Rand
+	now      float64
+	nextMs   float64 // time of the next request of an easy load
+	freeMs   float64 // when the next answer can come, where requests are queued
+	due      dueEvents
+	order    int
+	actions  []policy.Action
+	entries  []policy.Entry
+	named    int // servers named so far
+	refusing map[policy.Addr]bool
+	untried  map[policy.Addr]bool // of these
+	open     map[policy.RequestID]*request
+	last     policy.RequestID
+	waiting  int // requests that the balancer queues
+	meter    *meter
+	counts   requestCounts
 }
 
 // request is one that is not yet answered.
 type request struct {
 	cameMs   float64
 	attempts int
-	held     bool
+	queued   bool
 }
 
-// tally counts what became of the requests.
-type tally struct {
+// requestCounts counts what became of the requests.
+type requestCounts struct {
 	requests, served, refused, attempts int
 	waits                               []float64 // from a request to its first attempt, in ms
 }
@@ -123,17 +123,17 @@
 	return x
 }
 
-// newPlayer starts a balancer and tells it the list. Servers that refuse are listed alone
+// newPlayer starts a balancer and hands it the list. Servers that refuse are listed alone
 // first, until all of them have been tried: their share is known before anything is measured.
-func newPlayer(l load) (*player, error) {
-	p := &player{load: l, rng: rand.New(rand.NewPCG(l.seed, uint64(l.servers))), now: began, nextMs: began,
-		set: l.settings(), meter: &meter{}, refuses: map[policy.Addr]bool{},
+func newPlayer(l workload) (*player, error) {
+	p := &player{workload: l, rng: rand.New(rand.NewPCG(l.seed, uint64(l.servers))), now: began, nextMs: began,
+		set: l.settings(), meter: &meter{}, refusing: map[policy.Addr]bool{},
 		untried: map[policy.Addr]bool{}, open: map[policy.RequestID]*request{}}
 	bad := int(l.unhealthy * float64(l.servers))
 	for i := range l.servers {
 		p.entries = append(p.entries, p.entry())
 		if i < bad {
-			p.refuses[p.entries[i].Server], p.untried[p.entries[i].Server] = true, true
+			p.refusing[p.entries[i].Server], p.untried[p.entries[i].Server] = true, true
 		}
 	}
 	for i := range int(l.cold * float64(l.servers)) {
@@ -148,7 +148,7 @@
 		p.list(policy.ListFull, p.entries[:bad], wholeList)
 		for i := 0; len(p.untried) > 0 && i < 20*bad; i++ {
 			p.request()
-			for until := p.now + refusalMs; len(p.due) > 0 && p.due[0].at <= until; {
+			for until := p.now + refusedMs; len(p.due) > 0 && p.due[0].at <= until; {
 				p.deliver()
 			}
 		}
@@ -166,8 +166,8 @@
 		Zone: i % max(p.zones, 1), Cell: i / 8, Health: policy.Ready, Weight: 1}
 }
 
-// play goes on until n more requests came.
-func (p *player) play(n int) {
+// advance goes on until n more requests came.
+func (p *player) advance(n int) {
 	for end := p.last + policy.RequestID(n); p.last < end; {
 		p.step()
 	}
@@ -175,11 +175,11 @@
 
 // step plays what comes next.
 func (p *player) step() {
-	if p.held > 0 && p.waiting < p.held {
+	if p.queued > 0 && p.waiting < p.queued {
 		p.request()
 		return
 	}
-	if p.held == 0 && (len(p.due) == 0 || p.nextMs <= p.due[0].at) {
+	if p.queued == 0 && (len(p.due) == 0 || p.nextMs <= p.due[0].at) {
 		p.now = p.nextMs
 		p.nextMs += p.rng.ExpFloat64() * 1000 / p.perAgent
 		p.request()
@@ -195,10 +195,10 @@
 	if d.kind == outcome && d.event.Kind == policy.EvOutcome {
 		// An answer crosses its cancelling, and may come after its request was given up.
 		if r := p.open[d.event.Request]; r != nil && d.event.Final {
-			p.tally.served++
+			p.counts.served++
 			delete(p.open, d.event.Request)
 		} else if r != nil {
-			r.held = true // until the balancer says otherwise
+			r.queued = true // until the balancer says otherwise
 			p.waiting++
 		}
 	}
@@ -208,9 +208,9 @@
 func (p *player) request() {
 	p.last++
 	class, tenant := p.draw(classShares), p.draw(tenantShares)
-	p.open[p.last] = &request{cameMs: p.now, held: true}
+	p.open[p.last] = &request{cameMs: p.now, queued: true}
 	p.waiting++
-	p.tally.requests++
+	p.counts.requests++
 	p.handle(newRequest, &policy.Event{Kind: policy.EvRequest, Request: p.last, Class: class, Tenant: tenant,
 		Key: 1 + p.rng.Uint64N(keys), LeftMs: p.set.Classes[class].GiveUpMs})
 }
@@ -251,29 +251,29 @@
 		r := p.open[a.Request]
 		switch a.Kind {
 		case policy.ActSend:
-			p.tally.attempts++
+			p.counts.attempts++
 			if r.attempts++; r.attempts == 1 {
-				p.tally.waits = append(p.tally.waits, p.now-r.cameMs)
+				p.counts.waits = append(p.counts.waits, p.now-r.cameMs)
 			}
-			r.held = false
+			r.queued = false
 			p.waiting--
 			p.answer(a, r.attempts-1)
 		case policy.ActRefuse, policy.ActFail:
 			if r == nil {
 				continue
 			}
-			p.tally.refused++
-			if r.held {
+			p.counts.refused++
+			if r.queued {
 				p.waiting--
 			}
 			delete(p.open, a.Request)
 		case policy.ActProbe:
 			status := policy.OK
-			if p.refuses[a.Server] {
+			if p.refusing[a.Server] {
 				status = policy.ConnectFailed
 			}
-			p.after(refusalMs, outcome, policy.Event{Kind: policy.EvProbed, Server: a.Server, Status: status,
-				LatencyMs: refusalMs})
+			p.after(refusedMs, outcome, policy.Event{Kind: policy.EvProbed, Server: a.Server, Status: status,
+				LatencyMs: refusedMs})
 		case policy.ActTimer:
 			p.after(a.Ms, tick, policy.Event{Kind: policy.EvTimer, Token: a.Token})
 		}
@@ -281,17 +281,17 @@
 }
 
 // answer has an attempt end: at once where its server refuses, after answerMs where servers
-// are idle, and as fast as they serve where requests are held.
+// are idle, and as fast as they serve where requests are queued.
 func (p *player) answer(a *policy.Action, attempt int) {
 	ev := policy.Event{Kind: policy.EvOutcome, Request: a.Request, Attempt: attempt, Server: a.Server}
-	if p.refuses[a.Server] {
+	if p.refusing[a.Server] {
 		delete(p.untried, a.Server)
-		ev.Status, ev.LatencyMs = policy.ConnectFailed, refusalMs
-		p.after(refusalMs, outcome, ev)
+		ev.Status, ev.LatencyMs = policy.ConnectFailed, refusedMs
+		p.after(refusedMs, outcome, ev)
 		return
 	}
 	ev.Status, ev.Final, ev.LatencyMs = policy.OK, true, answerMs
-	if p.held > 0 {
+	if p.queued > 0 {
 		p.freeMs = max(p.freeMs+1000/p.perAgent, p.now+answerMs)
 		ev.LatencyMs = p.freeMs - p.now
 	}
