--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,7 @@
-// Command adapter runs many independent balancers on the simulator's wire:
-// batches on standard input, one reply a batch on standard output.
+// Command adapter runs many independent balancers, the agents' decision module, on the simulator's
+// wire: batches on standard input, one reply for each on standard output. It ends with 0 at a clean end
+// of input, and with 1 and one line on standard error for a batch that can't be read or a reply that
+// can't be written.
 package main
 
 import (
@@ -70,6 +72,7 @@
 	}
 }
 
+// boot returns a balancer with the settings and the seed of a Boot record.
 func boot(rec *wire.Record) (*policy.Balancer, error) {
 	settings, err := wire.ParseSettings(rec.Settings)
 	if err != nil {
--- a/internal/fleet/fit.go
+++ b/internal/fleet/fit.go
@@ -24,8 +24,9 @@
 	Measured *float64  `json:"measured,omitempty"` // the run's value there, where one fits the machine
 }
 
-// FitLine fits the figure over the parameter of those cases that have both, the target's own
-// left out where enough others are left: the line then foretells it.
+// FitLine fits a straight line by least squares to the figure over the parameter of those cases that have
+// both. The case at the target is left out where enough others are left: the line then predicts it. With
+// fewer than four sizes it returns an error.
 func FitLine(cases []Case, figure, over string, target float64) (Fit, error) {
 	f := Fit{Figure: figure, Over: over, Target: target}
 	var x, y, xAll, yAll []float64
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Machine is what a result was measured on.
+// Machine describes the machine that a result was measured on; a field that it does not tell is empty.
 type Machine struct {
 	CPU      string  `json:"cpu"`
 	Cores    int     `json:"cores"`
@@ -23,7 +23,7 @@
 		MemoryGB: float64(MemoryBytes()>>20) / 1024, OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 }
 
-// MemoryBytes is the machine's memory; 0 where it can't be told.
+// MemoryBytes returns the machine's memory in bytes, 0 where /proc/meminfo can't be read.
 func MemoryBytes() int64 {
 	kb, _, _ := strings.Cut(procField("/proc/meminfo", "MemTotal"), " ")
 	n, err := strconv.ParseInt(kb, 10, 64)
@@ -33,7 +33,8 @@
 	return n << 10
 }
 
-// CheckMemory refuses a run that would need over half of the machine's memory.
+// CheckMemory returns a *UsageError that names arg if a run would need more bytes than half of the
+// machine's memory.
 func CheckMemory(arg string, bytes float64) error {
 	if all := MemoryBytes(); all > 0 && bytes > float64(all)/2 {
 		return Usage(arg, "would need some %.1f GB, over half of the machine's %.1f GB", bytes/(1<<30), float64(all)/(1<<30))
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -40,8 +40,8 @@
 	return results, nil
 }
 
-// RenderPage returns the page with the tables of its sections made anew, and the names of
-// the sections. A section without its result, or without its end, is an error.
+// RenderPage returns the page with the tables of its sections rendered from the results, and the names of
+// the sections. A section without its result or its end is an error that names the line.
 func RenderPage(page string, results map[string]*Result) (string, []string, error) {
 	var out, names []string
 	open := "" // the section that is being replaced
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -12,7 +12,7 @@
 // resultForm is the form of the results' files; report refuses any other.
 const resultForm = "ploverreel fleetbench 1"
 
-// Result is what one run of a subcommand measured: one JSON file.
+// Result is what one run of a subcommand measured, in the form of its JSON file.
 type Result struct {
 	Form     string    `json:"form"`
 	Bench    string    `json:"bench"` // the subcommand
@@ -29,14 +29,14 @@
 	Notes    []string  `json:"notes,omitempty"`
 }
 
-// Case is one thing played or measured: a point of a slope, a day, a trouble.
+// Case is one thing played or measured: a point of a fitted line, a day, a fault.
 type Case struct {
 	Name    string             `json:"name"`
 	Params  map[string]float64 `json:"params,omitempty"` // what it was played at, e.g. servers
 	Figures []Figure           `json:"figures"`
 }
 
-// Figure is one measured value with its unit ("us", "ms", "s", "bytes", "count", "share").
+// Figure is one measured value with its unit: "us", "ms", "s", "bytes", "bytes/s", "count" or "share".
 type Figure struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
@@ -58,7 +58,8 @@
 	return 0, false
 }
 
-// NewResult begins the result of a subcommand; Save ends it.
+// NewResult returns a result without cases of a subcommand that starts now, with the commit and the
+// machine. Save ends it.
 func NewResult(bench string, args []string, size Size) *Result {
 	return &Result{Form: resultForm, Bench: bench, Args: args, Size: size, Commit: commit(),
 		Machine: machine(), Started: time.Now().UTC().Truncate(time.Second)}
@@ -85,7 +86,8 @@
 	return nil
 }
 
-// LoadResult reads a result; an unfinished or foreign one is an error.
+// LoadResult reads a result. One that is not of this bench, is unfinished or has no cases is an error
+// that names the file.
 func LoadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -1,5 +1,6 @@
-// Package fleet is the project's own model of the fleets served: how large they are, what
-// is measured of them, and the form of the results.
+// Package fleet is what the bench's parts share: the size of a fleet, the form of a result and of the
+// page made of results, lines fitted through figures, and checks against the machine. The parts are the
+// packages below it.
 package fleet
 
 import "fmt"
@@ -32,17 +33,22 @@
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
 
-// UsageError is an argument that makes no sense. The bench ends with one line and exit 2.
-type UsageError struct{ Arg, Why string }
+// UsageError is an invalid argument of the command line. The bench ends with one line that names it, and
+// exit code 2.
+type UsageError struct {
+	Arg string // without the dashes
+	Why string
+}
 
+// Error returns the argument and what is wrong with it.
 func (e *UsageError) Error() string { return fmt.Sprintf("--%s: %s", e.Arg, e.Why) }
 
-// Usage makes a UsageError.
+// Usage returns a *UsageError; format and args say what is wrong with arg.
 func Usage(arg, format string, args ...any) error {
-	return &UsageError{arg, fmt.Sprintf(format, args...)}
+	return &UsageError{Arg: arg, Why: fmt.Sprintf(format, args...)}
 }
 
-// Validate reports the first figure that makes no sense, by its argument.
+// Validate returns a *UsageError for the first figure that is out of range, else nil.
 func (s Size) Validate() error {
 	for _, f := range []struct {
 		arg   string
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,10 @@
-// Package wire translates between the simulator's binary frames and the
-// policy's events and actions. It decides nothing.
+// Package wire is the codec of the simulator's wire: it translates its binary frames to the events of
+// package policy, and that package's actions to reply frames. It decides nothing.
+//
+// A batch is a header of 8 bytes (the number of records and the bytes that follow), the clock, records
+// of EventSize bytes and a tail that records point into. A reply is a header of the same form, records
+// of ActionSize bytes and a tail. All numbers are big-endian; times are milliseconds as IEEE 754 doubles.
+// The words of the codes are those of the wire's own page.
 package wire
 
 import (
@@ -13,11 +18,11 @@
 	"molepaddle/policy"
 )
 
-// Record sizes of the wire.
+// Sizes on the wire, in bytes.
 const (
-	EventSize  = 48
-	ActionSize = 24
-	entrySize  = 24
+	EventSize  = 48      // a record of a batch
+	ActionSize = 24      // a record of a reply
+	entrySize  = 24      // a line of an endpoint list
 	maxFrame   = 1 << 30 // no legal batch comes near it
 )
 
@@ -61,13 +66,14 @@
 	Event                  // Instance, Event
 )
 
-// Record is one event record of a batch, list tables already resolved.
+// Record is one record of a batch, with its list tables resolved. It is valid until the function that
+// Next calls returns; the entries of its event stay valid.
 type Record struct {
 	Kind     Kind
-	Instance uint32
-	Seed     uint64
-	Settings []byte
-	Event    policy.Event
+	Instance uint32       // the balancer that it is for
+	Seed     uint64       // of a Boot
+	Settings []byte       // of a Boot: JSON, for ParseSettings
+	Event    policy.Event // of an Event
 }
 
 // Decoder reads batches from a stream. It keeps the numbered lists, which
@@ -81,8 +87,9 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch and calls fn for each record in order, after the clock
-// is known. It returns io.EOF at a clean end of input.
+// Next reads one batch and calls fn for each of its records in order; now is the batch's clock in ms.
+// It returns io.EOF if the input ends before a batch, the error of fn if that returns one, and else an
+// error that names the field that is truncated, out of range or unknown; nothing more can be read then.
 func (d *Decoder) Next(fn func(now float64, rec *Record) error) error {
 	var head [8]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
@@ -256,7 +263,8 @@
 	return values, nil
 }
 
-// ParseSettings reads the JSON text of a boot record. Unknown keys are skipped.
+// ParseSettings reads the settings' JSON, as a Boot record or an agent's configuration has it. Unknown
+// keys are skipped. The error of a value of the wrong type names its key; values are checked by policy.New.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var s policy.Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -269,14 +277,14 @@
 	return s, nil
 }
 
-// Encoder builds one reply frame.
+// Encoder builds one reply frame at a time. Its zero value is an empty frame.
 type Encoder struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset forgets the reply built so far.
+// Reset empties the frame; its memory is used again.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
 func (e *Encoder) record(code byte, instance uint32) []byte {
@@ -296,10 +304,10 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash adds the statement that an instance's decision code failed.
+// Crash appends the record that an instance's decision code failed, with the reason.
 func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
 
-// Add appends one action of an instance.
+// Add appends one action of an instance. Kinds of actions that the wire has no record for are skipped.
 func (e *Encoder) Add(instance uint32, a *policy.Action) {
 	be := binary.BigEndian
 	switch a.Kind {
@@ -335,7 +343,8 @@
 	}
 }
 
-// WriteTo writes the reply frame.
+// WriteTo writes the frame to w and returns the bytes written, or the error of w. The frame stays until
+// Reset.
 func (e *Encoder) WriteTo(w io.Writer) (int64, error) {
 	var head [8]byte
 	binary.BigEndian.PutUint32(head[:], e.count)
