--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -8,8 +8,8 @@
 	"strings"
 	"sync"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/internal/fleet/model"
+	"ploverreel/internal/fleet"
+	"ploverreel/internal/fleet/model"
 )
 
 // coldstartCmd plays the start of a whole service, servers and agents alike, at many loads and
@@ -54,7 +54,7 @@
 		{"late", "agents begin by the old list and are told of the start within 2 s", late},
 		{"restart", "each agent starts once more within 4 s", restart},
 		{"colder", "servers begin at a tenth of their capacity", func(cfg *model.Config) {
-			cfg.Settings.Contract.ColdFrom = colderFrom
+			cfg.Settings.Contract.SlowStartFrom = colderFrom
 		}},
 		{"all", "heavy, late and restart together", func(cfg *model.Config) { heavy(cfg); late(cfg); restart(cfg) }},
 	}
--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/internal/fleet/control"
+	"ploverreel/internal/fleet"
+	"ploverreel/internal/fleet/controlplane"
 )
 
 // controlCmd is the command line of 'control'.
@@ -44,21 +44,21 @@
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	return c.play(ctx, log, control.Command(program, "control-process"))
+	return c.play(ctx, log, controlplane.Command(program, "control-process"))
 }
 
 // play plays the plan and writes its result, also that of a run that did not finish.
-func (c *controlCmd) play(ctx context.Context, log *slog.Logger, spawn control.Spawn) error {
-	plan := &control.Plan{Size: c.Size, StandIns: c.StandIns, Processes: c.Processes, Membership: c.Membership, Scope: c.Scope,
+func (c *controlCmd) play(ctx context.Context, log *slog.Logger, spawn controlplane.Spawn) error {
+	plan := &controlplane.Plan{Size: c.Size, StandIns: c.StandIns, Processes: c.Processes, Membership: c.Membership, Scope: c.Scope,
 		AskWithin: c.AskWithin, Spread: c.Spread, Changes: c.Changes, Calm: c.Calm, Down: c.Down, Silent: c.Silent,
 		Cut: c.Cut, CutEvery: c.CutEvery, Limit: c.Limit, Sweep: c.Sweep, Faults: c.Troubles}
 	if err := plan.Validate(); err != nil {
 		return err
 	}
 	r := fleet.NewResult("control", c.args(), c.Size)
-	r.Notes = control.Notes(plan)
+	r.Notes = controlplane.Notes(plan)
 	var err error
-	r.Cases, r.Fits, err = control.Run(ctx, log, plan, spawn)
+	r.Cases, r.Fits, err = controlplane.Run(ctx, log, plan, spawn)
 	return c.finish(r, err)
 }
 
@@ -86,5 +86,5 @@
 
 // Run serves the bench.
 func (c *controlProcessCmd) Run(ctx context.Context) error {
-	return control.Serve(ctx, c.Role, os.Stdin, os.Stdout)
+	return controlplane.Serve(ctx, c.Role, os.Stdin, os.Stdout)
 }
--- a/cmd/fleetbench/decide.go
+++ b/cmd/fleetbench/decide.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"log/slog"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/internal/fleet/decide"
+	"ploverreel/internal/fleet"
+	"ploverreel/internal/fleet/decisions"
 )
 
 // decideCmd measures the decision module alone.
@@ -34,10 +34,10 @@
 
 // Run plays all cases and writes the result.
 func (c *decideCmd) Run(ctx context.Context, log *slog.Logger) error {
-	o := decide.Options{Size: c.Size, Requests: c.Requests, Repeats: c.Repeats}
+	o := decisions.Options{Size: c.Size, Requests: c.Requests, Repeats: c.Repeats}
 	if err := o.Validate(); err != nil {
 		return err
 	}
 	r := fleet.NewResult("decide", []string{fmt.Sprintf("--requests=%d", c.Requests), fmt.Sprintf("--repeats=%d", c.Repeats)}, c.Size)
-	return c.finish(r, decide.Run(ctx, log, o, r))
+	return c.finish(r, decisions.Run(ctx, log, o, r))
 }
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -7,8 +7,8 @@
 	"strings"
 	"sync"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/internal/fleet/model"
+	"ploverreel/internal/fleet"
+	"ploverreel/internal/fleet/model"
 )
 
 // fleetCmd plays the whole fleet in virtual time.
--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 // commands are the subcommands; each has its own file.
--- a/cmd/fleetbench/output.go
+++ b/cmd/fleetbench/output.go
@@ -3,7 +3,7 @@
 import (
 	"path/filepath"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 // output is where a subcommand's result goes.
--- a/cmd/fleetbench/path.go
+++ b/cmd/fleetbench/path.go
@@ -9,15 +9,15 @@
 	"strings"
 	"time"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/internal/fleet/path"
+	"ploverreel/internal/fleet"
+	"ploverreel/internal/fleet/datapath"
 )
 
 // pathCmd is the subcommand path.
 type pathCmd struct {
 	fleet.Size `embed:""`
 	output     `embed:""`
-	Agent      string        `help:"Program of the agent, as deploy/balancer.toml builds it." default:"bin/molepaddle" type:"path"`
+	Agent      string        `help:"Program of the agent, as deploy/balancer.toml builds it." default:"bin/ploverreel" type:"path"`
 	List       []int         `help:"Lengths of the list of servers, a case each; from four on a slope is fitted." default:"12,50,200,500,2000"`
 	Replicas   []int         `help:"Replicas the agents are told of; the cases are played with each." default:"1,2000"`
 	Open       []int         `help:"Requests open at once, a case each, at the answer times that this takes." default:"10,50,100,200,400"`
@@ -42,7 +42,7 @@
 // Run plays the cases.
 func (c *pathCmd) Run(ctx context.Context, log *slog.Logger) error {
 	rate := c.Rate / float64(c.Agents)
-	plan := path.Plan{Size: c.Size, Agent: c.Agent, Lists: c.List, Replicas: c.Replicas, Open: c.Open, Chains: c.Beside,
+	plan := datapath.Plan{Size: c.Size, Agent: c.Agent, Lists: c.List, Replicas: c.Replicas, Open: c.Open, Chains: c.Beside,
 		Answer: c.Answer, Objective: c.Aim, Calls: int(min(c.Seconds*rate, math.MaxInt32)), Warmup: int(min(c.Warmup*rate, math.MaxInt32))}
 	if err := plan.Validate(); err != nil {
 		return err
--- a/cmd/fleetbench/report.go
+++ b/cmd/fleetbench/report.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 // reportCmd writes the generated tables of the capacity page.
--- a/cmd/fleetbench/summary.go
+++ b/cmd/fleetbench/summary.go
@@ -5,7 +5,7 @@
 	"io"
 	"text/tabwriter"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 // summaryColumn is one column of a summary: a figure of the cases, multiplied by scale.
--- a/cmd/molepaddle/main.go
+++ b/cmd/ploverreel/main.go
@@ -1,4 +1,4 @@
-// Command molepaddle is one load-balancing agent on real sockets. Its file of
+// Command ploverreel is one load-balancing agent on real sockets. Its file of
 // settings is named by EDGE_CONFIG.
 package main
 
@@ -13,12 +13,12 @@
 	"runtime/debug"
 	"syscall"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "molepaddle:", err)
+		fmt.Fprintln(os.Stderr, "ploverreel:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter runs many independent balancers, the agents' decision module, on the simulator's
+// Command simadapter runs many independent balancers, the agents' decision module, on the simulator's
 // wire: batches on standard input, one reply for each on standard output. It ends with 0 at a clean end
 // of input, and with 1 and one line on standard error for a batch that can't be read or a reply that
 // can't be written.
@@ -10,13 +10,13 @@
 	"io"
 	"os"
 
-	"molepaddle/internal/wire"
-	"molepaddle/policy"
+	"ploverreel/internal/simwire"
+	"ploverreel/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -24,14 +24,14 @@
 // run serves batches until the input ends. Instances share nothing but the
 // process; each is reached through its number only.
 func run(in io.Reader, out io.Writer) error {
-	decoder := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
+	decoder := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	output := bufio.NewWriterSize(out, 1<<16)
 	instances := map[uint32]*policy.Balancer{}
-	var encoder wire.Encoder
+	var encoder simwire.Encoder
 	var actions []policy.Action
-	handle := func(now float64, record *wire.Record) error {
+	handle := func(now float64, record *simwire.Record) error {
 		switch record.Kind {
-		case wire.Boot:
+		case simwire.Boot:
 			balancer, err := boot(record)
 			if err != nil {
 				encoder.Crash(record.Instance, err.Error())
@@ -40,7 +40,7 @@
 			}
 			instances[record.Instance] = balancer
 			actions = balancer.Start(now, actions[:0])
-		case wire.Killed:
+		case simwire.Killed:
 			delete(instances, record.Instance)
 			return nil
 		default:
@@ -73,8 +73,8 @@
 }
 
 // boot returns a balancer with the settings and the seed of a Boot record.
-func boot(record *wire.Record) (*policy.Balancer, error) {
-	settings, err := wire.ParseSettings(record.Settings)
+func boot(record *simwire.Record) (*policy.Balancer, error) {
+	settings, err := simwire.ParseSettings(record.Settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // send starts an attempt.
@@ -19,7 +19,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	var stop context.CancelFunc
-	a.ctx, stop = context.WithDeadline(ctx, l.decided.Add(ms(act.Ms)))
+	a.ctx, stop = context.WithDeadline(ctx, l.decided.Add(ms(act.DelayMs)))
 	a.cancel = func(cause error) {
 		cancel(cause)
 		stop()
@@ -30,7 +30,7 @@
 	defer func() { // after a panic too: the module waits for the end of each attempt
 		if !begun {
 			a.cancel(nil)
-			l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.Moot}})
+			l.todo = append(l.todo, input{kind: inOutcome, att: a, res: result{status: policy.StatusNotSent}})
 		}
 	}()
 	if !b.usable || r.answered || r.gone.Load() {
@@ -51,17 +51,17 @@
 	if res.broken != nil {
 		l.log.Error("attempt ended", "err", res.broken)
 	}
-	if res.status == policy.LocalFailure || res.status == policy.Unreachable {
+	if res.status == policy.StatusLocalFailure || res.status == policy.StatusUnreachable {
 		r.attempts[a.index] = nil
 	}
-	if res.status == policy.OK {
-		l.answer(r, answer{status: policy.OK, body: res.body, kind: res.kind})
+	if res.status == policy.StatusOK {
+		l.answer(r, answer{status: policy.StatusOK, body: res.body, kind: res.kind})
 	}
-	if res.status == policy.Timeout {
+	if res.status == policy.StatusTimeout {
 		// The machine may have vanished; its other connections would be as silent.
 		b.group.closeIdle()
 	}
-	l.tell(&policy.Event{Kind: policy.EvOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
+	l.tell(&policy.Event{Kind: policy.EventOutcome, Request: r.id, Attempt: a.index, Server: b.addr,
 		Status: res.status, LatencyMs: float64(res.took) / float64(time.Millisecond),
 		Final: r.answered, Report: report(res.load, l.conf.Settings.Report.Names)})
 	l.forget(r)
--- a/internal/agent/backend_answer.go
+++ b/internal/agent/backend_answer.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // answer reads the answer, and reports whether the connection can be used again. Of an
@@ -49,12 +49,12 @@
 	res.load = resp.Header.Get("Server-Load")
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		res.status, res.body, res.kind = policy.OK, body, resp.Header.Get("Content-Type")
+		res.status, res.body, res.kind = policy.StatusOK, body, resp.Header.Get("Content-Type")
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("Not-Started") == "1":
-		res.status = policy.Full
+		res.status = policy.StatusRejected
 	default:
-		res.status = policy.Error // it may have run
+		res.status = policy.StatusServerError // it may have run
 	}
 	return res, !resp.Close && !untilEnd, nil
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"molepaddle/internal/wire"
-	"molepaddle/policy"
+	"ploverreel/internal/simwire"
+	"ploverreel/policy"
 )
 
 // Limits is what the machine allows the process.
@@ -96,7 +96,7 @@
 	case len(raw.Settings) == 0:
 		return nil, errors.New("config: settings: missing")
 	}
-	if c.Settings, err = wire.ParseSettings(raw.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(raw.Settings); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	var words struct {
@@ -133,7 +133,7 @@
 func (c *Config) longest() time.Duration {
 	longest := leastTimeout
 	for i := range c.Settings.Classes {
-		longest = max(longest, ms(c.Settings.Classes[i].GiveUpMs))
+		longest = max(longest, ms(c.Settings.Classes[i].DeadlineMs))
 	}
 	return longest
 }
@@ -144,11 +144,11 @@
 // drains from the fetches its own failures caused.
 func (c *Config) module() policy.Settings {
 	set := c.Settings
-	if most := openRequests(c.Limits.Sockets); set.Limits.OpenCap <= 0 || set.Limits.OpenCap > most {
-		set.Limits.OpenCap = most
+	if most := openRequests(c.Limits.Sockets); set.Limits.MaxOpenRequests <= 0 || set.Limits.MaxOpenRequests > most {
+		set.Limits.MaxOpenRequests = most
 	}
-	if set.Membership == policy.Pushed {
-		set.Membership = policy.Watched
+	if set.Membership == policy.MembershipPushed {
+		set.Membership = policy.MembershipWatched
 	}
 	return set
 }
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 const (
@@ -63,7 +63,7 @@
 }
 
 var healths = map[string]policy.Health{
-	"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone,
+	"ready": policy.HealthReady, "draining": policy.HealthDraining, "gone": policy.HealthGone,
 }
 
 var (
@@ -92,7 +92,7 @@
 			return fmt.Errorf("hosts[%d].host: missing", i)
 		case !known:
 			return fmt.Errorf("hosts[%d].health: unknown word %q", i, h.Health)
-		case health != policy.Gone && checkAddress(h.Dial) != nil:
+		case health != policy.HealthGone && checkAddress(h.Dial) != nil:
 			return fmt.Errorf("hosts[%d].dial: no address with a port: %q", i, h.Dial)
 		}
 	}
@@ -109,7 +109,7 @@
 		return -1
 	}
 	return policy.Entry{Server: addrOf(h.Host), Zone: at(n.sites, h.Site), Cell: h.Block,
-		Kind: at(n.kinds, h.Class), SinceMs: h.BornMs, Health: healths[h.Health], Weight: h.Share}
+		MachineKind: at(n.kinds, h.Class), StartedMs: h.BornMs, Health: healths[h.Health], Weight: h.Share}
 }
 
 // addrOf gives a backend its address in the module: from its name alone, so that
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,7 +1,7 @@
 package agent
 
 import (
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 func (l *loop) onDiscovery(in *input) {
@@ -11,7 +11,7 @@
 		switch {
 		case in.err != nil:
 			l.log.Warn("discovery: fetch failed", "err", in.err)
-			l.tell(&policy.Event{Kind: policy.EvList, List: policy.ListFailed})
+			l.tell(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
 		case in.list.Seq >= l.seq: // the watch may have told more meanwhile
 			l.learn(policy.ListFull, &in.list)
 			l.starts.fetched(l.clock())
@@ -23,7 +23,7 @@
 		case in.list.Seq > l.seq:
 			l.learn(policy.ListDelta, &in.list)
 		default: // nothing new, and yet a sign that discovery is there
-			l.tell(&policy.Event{Kind: policy.EvList, List: policy.ListDelta})
+			l.tell(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
 		}
 		l.starts.watched()
 	case inWatchEnded:
@@ -32,9 +32,9 @@
 		l.log.Warn("discovery: watch ended", "err", in.err)
 		how := policy.ListFailed
 		if in.lost {
-			how = policy.ListLost
+			how = policy.ListWatchEnded
 		}
-		l.tell(&policy.Event{Kind: policy.EvList, List: how})
+		l.tell(&policy.Event{Kind: policy.EventEndpointList, List: how})
 	}
 }
 
@@ -68,13 +68,13 @@
 		named[addr] = true
 		b := l.backends[addr]
 		if b == nil {
-			if entries[i].Health == policy.Gone {
+			if entries[i].Health == policy.HealthGone {
 				continue
 			}
 			b = &backend{addr: addr, attempts: map[*attempt]struct{}{}}
 			l.backends[addr] = b
 		}
-		if entries[i].Health != policy.Gone && (b.group == nil || b.group.dial != h.Dial || b.bornMs != h.BornMs) {
+		if entries[i].Health != policy.HealthGone && (b.group == nil || b.group.dial != h.Dial || b.bornMs != h.BornMs) {
 			// Connections to another address or to the process before are of no use, and
 			// what has not begun there must not.
 			if b.group != nil {
@@ -83,7 +83,7 @@
 			}
 			b.bornMs, b.group = h.BornMs, l.pool.group(h.Dial)
 		}
-		b.usable = entries[i].Health == policy.Ready
+		b.usable = entries[i].Health == policy.HealthReady
 	}
 	l.starts.translate(entries, l.clock())
 	l.starts.forget(l.backends)
@@ -96,7 +96,7 @@
 		}
 		l.drop(b)
 	}
-	l.tell(&policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
+	l.tell(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
 	usable := false
 	for _, b := range l.backends {
 		usable = usable || b.usable
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // problem is why a request is not taken.
@@ -138,7 +138,7 @@
 
 // refuse tells a client that its request never ran, and when to come back.
 func (a *Agent) refuse(w http.ResponseWriter, conf *Config) {
-	a.answer(w, answer{status: policy.Full, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
+	a.answer(w, answer{status: policy.StatusRejected, retryAfter: ms(conf.Settings.Limits.MaxRetryAfterMs)})
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -183,9 +183,9 @@
 		w.Header().Set("Connection", "close")
 	}
 	switch ans.status {
-	case policy.OK:
+	case policy.StatusOK:
 		a.write(w, http.StatusOK, ans.kind, ans.body)
-	case policy.Full:
+	case policy.StatusRejected:
 		setRetryAfter(w, ans.retryAfter)
 		a.write(w, http.StatusServiceUnavailable, "", nil)
 	default:
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // inKind tells what happened.
@@ -85,7 +85,7 @@
 func newLoop(ctx context.Context, c *Config, log *slog.Logger) (*loop, error) {
 	set := c.module()
 	first := callFirst
-	if set.Membership == policy.Watched {
+	if set.Membership == policy.MembershipWatched {
 		first = localFirst
 	}
 	bal, err := policy.New(set, c.Seed)
@@ -161,13 +161,13 @@
 	case inDropped:
 		if r := in.req; r.id != 0 && !r.answered {
 			l.close(r)
-			l.tell(&policy.Event{Kind: policy.EvDropped, Request: r.id})
+			l.tell(&policy.Event{Kind: policy.EventClientGone, Request: r.id})
 			l.forget(r)
 		}
 	case inOutcome:
 		l.onOutcome(in.att, &in.res)
 	case inTimer:
-		l.tell(&policy.Event{Kind: policy.EvTimer, Token: in.token})
+		l.tell(&policy.Event{Kind: policy.EventTimer, Token: in.token})
 	case inReload:
 		in.done <- l.reload(in.conf)
 	case inTrace:
@@ -238,45 +238,45 @@
 	defer l.recovered("action", int(act.Kind))
 	r := l.requests[act.Request]
 	switch act.Kind {
-	case policy.ActSend:
+	case policy.ActionSend:
 		if r != nil {
 			l.send(r, act)
 		}
-	case policy.ActCancel:
+	case policy.ActionCancel:
 		if r != nil && act.Attempt >= 0 && act.Attempt < len(r.attempts) {
 			if a := r.attempts[act.Attempt]; a != nil {
 				a.withdraw() // else its first byte could still cross this
 				a.cancel(errCancelled)
 			}
 		}
-	case policy.ActRefuse:
+	case policy.ActionReject:
 		if r != nil {
-			l.answer(r, answer{status: policy.Full, retryAfter: ms(act.Ms)})
+			l.answer(r, answer{status: policy.StatusRejected, retryAfter: ms(act.DelayMs)})
 			l.forget(r)
 		}
-	case policy.ActFail:
+	case policy.ActionFail:
 		if r != nil {
-			l.answer(r, answer{status: policy.Error})
+			l.answer(r, answer{status: policy.StatusServerError})
 			l.forget(r)
 		}
-	case policy.ActTimer:
+	case policy.ActionTimer:
 		token := act.Token
-		time.AfterFunc(ms(act.Ms), func() { l.post(input{kind: inTimer, token: token}) })
-	case policy.ActFollow:
+		time.AfterFunc(ms(act.DelayMs), func() { l.post(input{kind: inTimer, token: token}) })
+	case policy.ActionWatch:
 		if !l.watching {
 			l.watching = true
 			go l.disc.watch(l.seq, false)
 		}
-	case policy.ActFetch:
+	case policy.ActionFetch:
 		if !l.fetching {
 			l.fetching = true
 			go l.disc.fetch(false)
 		}
-	case policy.ActClose:
+	case policy.ActionCloseIdle:
 		if b := l.backends[act.Server]; b != nil {
 			b.group.closeIdle()
 		}
-	case policy.ActLog:
+	case policy.ActionLog:
 		l.log.Info(act.Text)
 	}
 }
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // plain tells whether an id or a name can be sent on as it is.
@@ -63,7 +63,7 @@
 	}
 	set := &conf.Settings.Classes[class]
 	want := http.MethodPost
-	if set.Effect == policy.Free {
+	if set.Effect == policy.EffectIdempotent {
 		want = http.MethodGet
 	}
 	left, err := parseTimeout(timeout, conf.longest())
@@ -76,13 +76,13 @@
 		return nil, &problem{status: http.StatusBadRequest, text: "Host: missing or no plain word"}
 	case !plain(r.wireID):
 		return nil, &problem{status: http.StatusBadRequest, text: "Request-Id: missing or no plain word"}
-	case set.Effect == policy.Guarded && r.idempotency == "":
+	case set.Effect == policy.EffectIdempotentWithKey && r.idempotency == "":
 		return nil, &problem{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	case err != nil:
 		return nil, &problem{status: http.StatusBadRequest, text: "Request-Timeout: " + err.Error()}
 	}
 	// A client may wait for longer than its class is worth anything, the agent does not.
-	r.deadline = came.Add(min(left, ms(set.GiveUpMs)))
+	r.deadline = came.Add(min(left, ms(set.DeadlineMs)))
 	if len(parts) > 1 && parts[len(parts)-1] != "" {
 		r.key = keyOf(parts[len(parts)-1])
 	}
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // duplicate is the answer to a request whose id came before.
@@ -83,7 +83,7 @@
 
 func (l *loop) onRequest(r *request) {
 	if !l.renumber(r) { // it never ran
-		l.answer(r, answer{status: policy.Full, retryAfter: ms(l.conf.Settings.Limits.MaxRetryAfterMs)})
+		l.answer(r, answer{status: policy.StatusRejected, retryAfter: ms(l.conf.Settings.Limits.MaxRetryAfterMs)})
 		return
 	}
 	if !l.ids.add(r.wireID, time.Now()) {
@@ -98,8 +98,8 @@
 	l.requests[r.id] = r
 	left := time.Until(r.deadline)
 	left -= min(guardMargin+wordMargin, left/4)
-	l.tell(&policy.Event{Kind: policy.EvRequest, Request: r.id, Class: r.class, Tenant: r.tenant,
-		Key: r.key, LeftMs: float64(left) / float64(time.Millisecond),
+	l.tell(&policy.Event{Kind: policy.EventRequest, Request: r.id, Class: r.class, Tenant: r.tenant,
+		Key: r.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
 		HintMs: r.hintMs, HasHint: r.hasHint, Retry: r.retry})
 }
 
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -177,7 +177,7 @@
 	longest := time.Duration(0)
 	classes := a.conf.Load().Settings.Classes
 	for i := range classes {
-		longest = max(longest, ms(classes[i].GiveUpMs))
+		longest = max(longest, ms(classes[i].DeadlineMs))
 	}
 	return min(longest, killedAfter) + refuseAfter
 }
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // maxClockDistance is how far apart, in ms, the wall clocks of two machines are taken to be: each may
@@ -85,7 +85,7 @@
 func (t *startTimes) translate(entries []policy.Entry, now float64) {
 	newest := 0.0
 	for i := range entries {
-		born := entries[i].SinceMs
+		born := entries[i].StartedMs
 		if t.first && born > now || !t.first && t.known[entries[i].Server].bornMs == born {
 			continue
 		}
@@ -96,22 +96,22 @@
 	}
 	for i := range entries {
 		e := &entries[i]
-		if !(e.SinceMs > 0) { // long ago; a start that is known stays so
-			e.SinceMs = 0
+		if !(e.StartedMs > 0) { // long ago; a start that is known stays so
+			e.StartedMs = 0
 			continue
 		}
 		old, again := t.known[e.Server]
-		if !again || old.bornMs != e.SinceMs {
-			since := t.noticed(e.SinceMs, now)
+		if !again || old.bornMs != e.StartedMs {
+			since := t.noticed(e.StartedMs, now)
 			if again { // the module takes only a later start for another process
 				since = max(since, math.Nextafter(old.sinceMs, math.Inf(1)))
 			} else {
-				since = min(since, e.SinceMs+maxClockDistance)
+				since = min(since, e.StartedMs+maxClockDistance)
 			}
-			old = startTime{bornMs: e.SinceMs, sinceMs: since}
+			old = startTime{bornMs: e.StartedMs, sinceMs: since}
 			t.known[e.Server] = old
 		}
-		e.SinceMs = old.sinceMs
+		e.StartedMs = old.sinceMs
 	}
 }
 
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 const (
@@ -80,11 +80,11 @@
 
 // attributes are a line's: counts are those since the line before.
 func (t *tracer) attributes(s policy.Snapshot) []any {
-	all := []any{"limit", rounded(s.Limit), "floor", rounded(s.Floor), "out", s.Inflight, "stuck", s.Stuck,
-		"held", s.Held, "retryBudget", rounded(s.RetryBudget), "calm", rounded(s.CalmLatency),
+	all := []any{"limit", rounded(s.Limit), "floor", rounded(s.Floor), "out", s.Inflight, "stuck", s.Stalled,
+		"held", s.Queued, "retryBudget", rounded(s.RetryBudget), "calm", rounded(s.UncontendedLatency),
 		"latency", rounded(s.Latency), t.outcomes(s.Outcomes)}
 	for rank, tier := range s.Tiers {
-		all = append(all, slog.Group(fmt.Sprint("tier", rank), "servers", tier.Servers, "cold", tier.Cold, "room", tier.Room))
+		all = append(all, slog.Group(fmt.Sprint("tier", rank), "servers", tier.Endpoints, "cold", tier.WarmingUp, "room", tier.WithCapacity))
 	}
 	classes := s.Classes[:min(len(s.Classes), mostTraceClasses)]
 	if len(t.last) != len(classes) { // the first line, or one after a change of the classes
@@ -92,9 +92,9 @@
 	}
 	for i, c := range classes {
 		now, was := c.Counts, t.last[i]
-		all = append(all, slog.Group(c.Name, "asked", now.Asked-was.Asked, "sent", now.Sent-was.Sent,
-			"served", now.Served-was.Served, "inTime", now.InTime-was.InTime, "refused", now.Refused-was.Refused,
-			"failed", now.Failed-was.Failed, "held", c.Held, "expectedMs", rounded(c.ExpectedMs)))
+		all = append(all, slog.Group(c.Name, "asked", now.Requests-was.Requests, "sent", now.Attempts-was.Attempts,
+			"served", now.Served-was.Served, "inTime", now.WithinObjective-was.WithinObjective, "refused", now.Rejected-was.Rejected,
+			"failed", now.Failed-was.Failed, "held", c.Queued, "expectedMs", rounded(c.ExpectedMs)))
 		t.last[i] = now
 	}
 	return all
@@ -104,9 +104,9 @@
 func (t *tracer) outcomes(now policy.OutcomeCounts) slog.Attr {
 	was := t.ended
 	t.ended = now
-	return slog.Group("ended", "ok", now.OK-was.OK, "error", now.Error-was.Error, "full", now.Full-was.Full,
+	return slog.Group("ended", "ok", now.OK-was.OK, "error", now.ServerError-was.ServerError, "full", now.Rejected-was.Rejected,
 		"timeout", now.Timeout-was.Timeout, "connect", now.ConnectFailed-was.ConnectFailed, "reset", now.Reset-was.Reset,
-		"cancelled", now.Cancelled-was.Cancelled, "moot", now.Moot-was.Moot,
+		"cancelled", now.Cancelled-was.Cancelled, "moot", now.NotSent-was.NotSent,
 		"local", now.LocalFailure-was.LocalFailure, "unreachable", now.Unreachable-was.Unreachable)
 }
 
--- a/internal/fleet/control/directory.go
+++ b/internal/fleet/controlplane/directory.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 // errSilent says that a directory tells nothing now.
--- a/internal/fleet/control/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/agent"
+	"ploverreel/internal/fleet"
 )
 
 // pollEvery is how often agents' processes are asked what has come to be in force.
--- a/internal/fleet/control/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -1,10 +1,10 @@
-// Package control measures the control side of a large fleet: how long a change of the list
+// Package controlplane measures the control side of a large fleet: how long a change of the list
 // of servers takes to be in force at all agents, and what that costs agents and discovery.
 //
 // The agents are simulated in part: the real watch code and the real decision module, without
 // clients and without connections to bid servers, some hundreds in a process. Discovery is played
 // by stand-ins that speak its protocol, one process each. The bench is their source of truth.
-package control
+package controlplane
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/fleet"
-	"molepaddle/policy"
+	"ploverreel/internal/agent"
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
 )
 
 // What a list holds of the servers: all of the fleet's, as discovery's protocol has it, or
@@ -80,8 +80,8 @@
 	if p.Spread < 0 || p.Spread >= p.Limit {
 		return fleet.Usage("spread", "must be from 0 to less than --limit, is %v", p.Spread)
 	}
-	if p.Membership != policy.OnRequest && p.Membership != policy.Pushed {
-		return fleet.Usage("membership", "must be %s or %s, is %q", policy.OnRequest, policy.Pushed, p.Membership)
+	if p.Membership != policy.MembershipOnRequest && p.Membership != policy.MembershipPushed {
+		return fleet.Usage("membership", "must be %s or %s, is %q", policy.MembershipOnRequest, policy.MembershipPushed, p.Membership)
 	}
 	if p.Scope != ScopeFleet && p.Scope != ScopeService {
 		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
@@ -208,7 +208,7 @@
 		"seed":   fmt.Sprintf("%016x", p.Size.Seed<<32+uint64(index)),
 		"limits": object{"cores": 1, "memory_mb": 32, "sockets": 64},
 		"settings": object{
-			"classes":        []object{{"name": "call", "aimMs": 20, "giveUpMs": 200, "credit": 1, "effect": policy.Free}},
+			"classes":        []object{{"name": "call", "aimMs": 20, "giveUpMs": 200, "credit": 1, "effect": policy.EffectIdempotent}},
 			"failureDomains": zones, "shapes": []string{"m1"}, "membershipMode": p.Membership,
 			"limits": object{"cancelling": true, "maxAttempts": 3, "connectTimeoutMs": 200, "keepaliveMs": 30000, "maxRetryAfterMs": 600},
 			"contract": object{"askWithinMs": p.AskWithin.Milliseconds(), "coldFrom": 0.3, "coldMs": 8000,
--- a/internal/fleet/control/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
--- a/internal/fleet/control/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"time"
 
-	"molepaddle/internal/agent"
-	"molepaddle/internal/fleet"
-	"molepaddle/policy"
+	"ploverreel/internal/agent"
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
 )
 
 const (
@@ -443,7 +443,7 @@
 	if p.Scope == ScopeService {
 		notes = append(notes, "Lists hold one service's servers: an assumption, as discovery's published protocol tells every agent of all. A change elsewhere is told as a list of no servers, to move the version.")
 	}
-	if p.Membership == policy.Pushed {
+	if p.Membership == policy.MembershipPushed {
 		notes = append(notes, "Membership pushed means a discovery on the agent's own machine. Here the stand-ins play it for many agents.")
 	}
 	return notes
--- a/internal/fleet/control/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 // maxEvents bounds what is kept between two reports.
--- a/internal/fleet/control/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -1,4 +1,4 @@
-package control
+package controlplane
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 // heartbeatEvery is how often a watch gets an empty line while nothing changes.
--- a/internal/fleet/path/path.go
+++ b/internal/fleet/datapath/datapath.go
@@ -1,7 +1,7 @@
-// Package path measures the path of a call: real agents as processes between a load
+// Package datapath measures the path of a call: real agents as processes between a load
 // generator and stand-in servers, one hop and many hops deep, beside direct calls to servers
 // of the same kind in the same run.
-package path
+package datapath
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 const (
--- a/internal/fleet/path/load.go
+++ b/internal/fleet/datapath/load.go
@@ -1,4 +1,4 @@
-package path
+package datapath
 
 import (
 	"context"
--- a/internal/fleet/path/play.go
+++ b/internal/fleet/datapath/play.go
@@ -1,4 +1,4 @@
-package path
+package datapath
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/fleet"
+	"ploverreel/internal/fleet"
 )
 
 // testbed is what runs for one scenario: agents, servers and callers.
--- a/internal/fleet/path/process.go
+++ b/internal/fleet/datapath/process.go
@@ -1,4 +1,4 @@
-package path
+package datapath
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 const (
--- a/internal/fleet/path/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -1,4 +1,4 @@
-package path
+package datapath
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"molepaddle/internal/agent"
+	"ploverreel/internal/agent"
 )
 
 const (
--- a/internal/fleet/decide/decide.go
+++ b/internal/fleet/decisions/decisions.go
@@ -1,7 +1,7 @@
-// Package decide measures the decision module alone: one balancer is driven through virtual
+// Package decisions measures the decision module alone: one balancer is driven through virtual
 // time, and what each kind of event costs it is taken down, against the number of servers
 // listed, requests queued, the shares of cold and of unhealthy servers and the number of agents.
-package decide
+package decisions
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"runtime"
 	"slices"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/policy"
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
 )
 
 // Options say how much is played; the command line of 'fleetbench decide' explains each field.
--- a/internal/fleet/decide/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -1,4 +1,4 @@
-package decide
+package decisions
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 // eventKind is what an event's cost is put down to.
--- a/internal/fleet/decide/player.go
+++ b/internal/fleet/decisions/player.go
@@ -1,4 +1,4 @@
-package decide
+package decisions
 
 import (
 	"container/heap"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"molepaddle/policy"
+	"ploverreel/policy"
 )
 
 const (
@@ -39,26 +39,26 @@
 func (l workload) settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{
-			{Name: "read", AimMs: 600, GiveUpMs: 2500, Effect: policy.Free, Credit: 1},
-			{Name: "save", AimMs: 1500, GiveUpMs: 6000, Effect: policy.Guarded, Group: policy.GroupCell,
-				KeyTTLMs: 4000, Credit: 2},
-			{Name: "submit", AimMs: 1500, GiveUpMs: 6000, Effect: policy.SingleShot, Credit: 5},
+			{Name: "read", LatencyObjectiveMs: 600, DeadlineMs: 2500, Effect: policy.EffectIdempotent, PriorityWeight: 1},
+			{Name: "save", LatencyObjectiveMs: 1500, DeadlineMs: 6000, Effect: policy.EffectIdempotentWithKey, Group: policy.GroupCell,
+				IdempotencyWindowMs: 4000, PriorityWeight: 2},
+			{Name: "submit", LatencyObjectiveMs: 1500, DeadlineMs: 6000, Effect: policy.EffectNonIdempotent, PriorityWeight: 5},
 		},
-		Limits: policy.Limits{Cancelling: true, Probing: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
+		Limits: policy.Limits{Cancellation: true, HealthChecks: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
 			ConnectTimeoutMs: 250, KeepaliveMs: 15000},
-		Contract: policy.Contract{AnswerSlackMs: 5, AskWithinMs: 10000, ColdFrom: 0.3, ColdMs: 7000,
-			DrainGraceMs: 1500, FallMultiple: 3, TipAfterMs: 1000},
-		Prices:     policy.Prices{CrossZone: 0.03, Handshake: 0.08, Probe: 0.04, LateFail: 0.03, Waste: 0.1},
+		Contract: policy.Contract{AnswerSlackMs: 5, PollWithinMs: 10000, SlowStartFrom: 0.3, SlowStartMs: 7000,
+			DrainGraceMs: 1500, OverloadMultiple: 3, OverloadWindowMs: 1000},
+		Prices:     policy.Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.04, LateFail: 0.03, Waste: 0.1},
 		Objective:  policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1},
-		Membership: policy.Pushed, Replicas: l.replicas, RoundMs: 1, Weights: "off", WorthBy: "request",
-		OverShareWorth: 0.2,
+		Membership: policy.MembershipPushed, Replicas: l.replicas, RoundMs: 1, Weights: "off", WeightBy: "request",
+		OverQuotaWeight: 0.2,
 	}
 	for i, portion := range tenantShares {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), Portion: portion,
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), QuotaShare: portion,
 			QuotaPerS: portion * l.perAgent * float64(l.replicas)})
 	}
 	if l.cold > 0 {
-		s.Contract.ColdMs = coldFor
+		s.Contract.SlowStartMs = coldFor
 	}
 	return s
 }
@@ -137,7 +137,7 @@
 		}
 	}
 	for i := range int(l.cold * float64(l.servers)) {
-		p.entries[bad+i].SinceMs = began - coldAge
+		p.entries[bad+i].StartedMs = began - coldAge
 	}
 	var err error
 	if p.balancer, err = policy.New(p.set, l.seed); err != nil {
@@ -163,7 +163,7 @@
 	i := p.named
 	p.named++
 	return policy.Entry{Server: policy.Addr{10, byte(i >> 16), byte(i >> 8), byte(i), 0x1f, 0x90},
-		Zone: i % max(p.zones, 1), Cell: i / 8, Health: policy.Ready, Weight: 1}
+		Zone: i % max(p.zones, 1), Cell: i / 8, Health: policy.HealthReady, Weight: 1}
 }
 
 // advance goes on until n more requests came.
@@ -192,7 +192,7 @@
 func (p *player) deliver() {
 	d := heap.Pop(&p.due).(dueEvent)
 	p.now = d.at
-	if d.kind == outcome && d.event.Kind == policy.EvOutcome {
+	if d.kind == outcome && d.event.Kind == policy.EventOutcome {
 		// An answer crosses its cancelling, and may come after its request was given up.
 		if r := p.open[d.event.Request]; r != nil && d.event.Final {
 			p.counts.served++
@@ -211,8 +211,8 @@
 	p.open[p.last] = &request{cameMs: p.now, queued: true}
 	p.waiting++
 	p.counts.requests++
-	p.handle(newRequest, &policy.Event{Kind: policy.EvRequest, Request: p.last, Class: class, Tenant: tenant,
-		Key: 1 + p.rng.Uint64N(keys), LeftMs: p.set.Classes[class].GiveUpMs})
+	p.handle(newRequest, &policy.Event{Kind: policy.EventRequest, Request: p.last, Class: class, Tenant: tenant,
+		Key: 1 + p.rng.Uint64N(keys), TimeLeftMs: p.set.Classes[class].DeadlineMs})
 }
 
 // draw picks by shares that add up to one.
@@ -227,13 +227,13 @@
 }
 
 func (p *player) list(kind policy.ListKind, entries []policy.Entry, as eventKind) {
-	p.handle(as, &policy.Event{Kind: policy.EvList, List: kind, Entries: entries})
+	p.handle(as, &policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
 }
 
 // replace takes the oldest server off the list and adds a new one: two deltas.
 func (p *player) replace() {
 	old := p.entries[0]
-	old.Health = policy.Gone
+	old.Health = policy.HealthGone
 	p.entries = append(slices.Delete(p.entries, 0, 1), p.entry())
 	p.list(policy.ListDelta, []policy.Entry{old}, delta)
 	p.list(policy.ListDelta, p.entries[len(p.entries)-1:], delta)
@@ -250,7 +250,7 @@
 		a := &actions[i]
 		r := p.open[a.Request]
 		switch a.Kind {
-		case policy.ActSend:
+		case policy.ActionSend:
 			p.counts.attempts++
 			if r.attempts++; r.attempts == 1 {
 				p.counts.waits = append(p.counts.waits, p.now-r.cameMs)
@@ -258,7 +258,7 @@
 			r.queued = false
 			p.waiting--
 			p.answer(a, r.attempts-1)
-		case policy.ActRefuse, policy.ActFail:
+		case policy.ActionReject, policy.ActionFail:
 			if r == nil {
 				continue
 			}
@@ -267,15 +267,15 @@
 				p.waiting--
 			}
 			delete(p.open, a.Request)
-		case policy.ActProbe:
-			status := policy.OK
+		case policy.ActionHealthCheck:
+			status := policy.StatusOK
 			if p.refusing[a.Server] {
-				status = policy.ConnectFailed
+				status = policy.StatusConnectFailed
 			}
-			p.after(refusedMs, outcome, policy.Event{Kind: policy.EvProbed, Server: a.Server, Status: status,
+			p.after(refusedMs, outcome, policy.Event{Kind: policy.EventHealthChecked, Server: a.Server, Status: status,
 				LatencyMs: refusedMs})
-		case policy.ActTimer:
-			p.after(a.Ms, tick, policy.Event{Kind: policy.EvTimer, Token: a.Token})
+		case policy.ActionTimer:
+			p.after(a.DelayMs, tick, policy.Event{Kind: policy.EventTimer, Token: a.Token})
 		}
 	}
 }
@@ -283,14 +283,14 @@
 // answer has an attempt end: at once where its server refuses, after answerMs where servers
 // are idle, and as fast as they serve where requests are queued.
 func (p *player) answer(a *policy.Action, attempt int) {
-	ev := policy.Event{Kind: policy.EvOutcome, Request: a.Request, Attempt: attempt, Server: a.Server}
+	ev := policy.Event{Kind: policy.EventOutcome, Request: a.Request, Attempt: attempt, Server: a.Server}
 	if p.refusing[a.Server] {
 		delete(p.untried, a.Server)
-		ev.Status, ev.LatencyMs = policy.ConnectFailed, refusedMs
+		ev.Status, ev.LatencyMs = policy.StatusConnectFailed, refusedMs
 		p.after(refusedMs, outcome, ev)
 		return
 	}
-	ev.Status, ev.Final, ev.LatencyMs = policy.OK, true, answerMs
+	ev.Status, ev.Final, ev.LatencyMs = policy.StatusOK, true, answerMs
 	if p.queued > 0 {
 		p.freeMs = max(p.freeMs+1000/p.perAgent, p.now+answerMs)
 		ev.LatencyMs = p.freeMs - p.now
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -1,8 +1,8 @@
 package model
 
 import (
-	"molepaddle/internal/fleet"
-	"molepaddle/policy"
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
 )
 
 // idle are the times since which an agent's connections to a server rest, the latest last. Each
--- a/internal/fleet/model/days.go
+++ b/internal/fleet/model/days.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"strings"
 
-	"molepaddle/internal/fleet"
-	"molepaddle/policy"
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
 )
 
 // What the days are made of.
@@ -173,7 +173,7 @@
 	}
 	m.after(noticeMs, func() {
 		for _, s := range servers {
-			s.listed = policy.Gone
+			s.listed = policy.HealthGone
 		}
 		m.announce(servers)
 	})
@@ -219,7 +219,7 @@
 func (m *Model) restart(servers []*server) {
 	for _, s := range servers {
 		s.begin()
-		s.listed = policy.Ready
+		s.listed = policy.HealthReady
 	}
 	m.announce(servers)
 }
@@ -249,7 +249,7 @@
 		m.after(m.rng.Float64()*replaceMs, func() {
 			s := m.addServer(old.service, old.zone)
 			s.begin()
-			old.listed = policy.Draining
+			old.listed = policy.HealthDraining
 			m.announce([]*server{s, old})
 			m.after(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
 				old.end()
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -33,8 +33,8 @@
 	open        int // attempts out
 	mayHaveRun  int // attempts that may have run
 	ranAt       float64
-	ranOn       *server
-	near        [keyServers]*server // nearest its key, as of epoch
+	ranOn       *endpoint
+	near        [keyServers]*endpoint // nearest its key, as of epoch
 	epoch       uint64
 	tierWeight  float64 // of the tier at its last pick
 	value       float64
@@ -65,14 +65,14 @@
 	} else if r.hint > 0 {
 		b.meanHint = mean(b.meanHint, r.hint, slowSmooth)
 	}
-	left := finite(ev.LeftMs)
+	left := finite(ev.TimeLeftMs)
 	r.deadline = b.now + left - min(b.set.RoundMs, left/4)
 	retry := b.repeats(r, ev.Retry)
-	r.aimAt = min(r.first+c.AimMs+c.AimStretch*r.hint, r.deadline)
+	r.aimAt = min(r.first+c.LatencyObjectiveMs+c.ObjectiveStretch*r.hint, r.deadline)
 	r.hash = b.split(r.key)
 	b.requests[r.id] = r
 	b.seen++
-	c.counts.Asked++
+	c.counts.Requests++
 	if !retry { // retries swell with trouble, and are foreseen nowhere
 		b.recent = b.recent*math.Exp((b.recentAt-b.now)/b.rateSpan()) + 1
 		b.recentAt = b.now
@@ -83,7 +83,7 @@
 	b.held = append(b.held, r)
 	// A request whose hinted work cannot fit the aim anywhere would only keep
 	// others waiting: the costly few of a heavy tail.
-	if r.hint > 0 && c.LateShare == 0 && hopeless*b.hintedTime(r) > r.aimAt-b.now {
+	if r.hint > 0 && c.LateWeight == 0 && hopeless*b.hintedTime(r) > r.aimAt-b.now {
 		b.end(r)
 	}
 }
@@ -93,17 +93,17 @@
 func (b *Balancer) value(r *request) float64 {
 	c := r.class
 	o := &b.set.Objective
-	v := c.Credit * (o.Whole + o.WorstWindow)
+	v := c.PriorityWeight * (o.Whole + o.WorstWindow)
 	if r.class == b.worst {
 		v += o.WorstClass * b.credit / r.class.asked
 	}
 	if b.now+b.expected(r) > r.aimAt {
-		v *= c.LateShare + b.set.Prices.LateFail
+		v *= c.LateWeight + b.set.Prices.LateFail
 	}
 	if b.overShare(r.tenant) {
-		v *= b.set.OverShareWorth
+		v *= b.set.OverQuotaWeight
 	}
-	if b.set.WorthBy != "work" {
+	if b.set.WeightBy != "work" {
 		v /= c.expected(b.now)
 	}
 	return v
@@ -151,7 +151,7 @@
 	for i := 0; i < len(b.held); {
 		r := b.held[i]
 		last := r.aimAt
-		if r.class.LateShare > 0 {
+		if r.class.LateWeight > 0 {
 			last = r.deadline
 		}
 		if b.now+b.expected(r) > last || b.now >= r.deadline {
@@ -167,7 +167,7 @@
 // attempts waited for slow servers up to their clients' deadlines while it refused requests.
 // What may not be repeated at will is waited for: nobody could tell whether it has run.
 func (b *Balancer) callOffLate() {
-	if !b.set.Limits.Cancelling || len(b.held) == 0 || b.underLimit() && !b.scarce {
+	if !b.set.Limits.Cancellation || len(b.held) == 0 || b.underLimit() && !b.scarce {
 		return
 	}
 	b.countWork(b.busy)
@@ -177,7 +177,7 @@
 		}
 		for _, a := range s.out {
 			r := a.r
-			if b.now >= r.aimAt && r.class.LateShare == 0 && repeatable(r.class) {
+			if b.now >= r.aimAt && r.class.LateWeight == 0 && repeatable(r.class) {
 				b.end(r)
 			}
 		}
@@ -196,7 +196,7 @@
 // tooMany tells whether more requests are held than the agent can bear: past the
 // requests it may have open, clients would wait for a connection with nobody to answer.
 func (b *Balancer) tooMany() bool {
-	most := b.set.Limits.OpenCap
+	most := b.set.Limits.MaxOpenRequests
 	return len(b.held) > maxHeld || len(b.held) > 0 && most > 0 && len(b.held)+b.inflight > most
 }
 
@@ -211,11 +211,11 @@
 	harmless := r.mayHaveRun == 0 || repeatable(c)
 	b.close(r)
 	if harmless {
-		c.counts.Refused++
-		b.do(Action{Kind: ActRefuse, Request: r.id, Ms: b.set.Limits.MaxRetryAfterMs})
+		c.counts.Rejected++
+		b.do(Action{Kind: ActionReject, Request: r.id, DelayMs: b.set.Limits.MaxRetryAfterMs})
 	} else {
 		c.counts.Failed++
-		b.do(Action{Kind: ActFail, Request: r.id})
+		b.do(Action{Kind: ActionFail, Request: r.id})
 	}
 }
 
@@ -226,8 +226,8 @@
 		b.held = slices.Delete(b.held, i, i+1)
 	}
 	for _, a := range r.attempts {
-		if !a.done && b.set.Limits.Cancelling {
-			b.do(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
+		if !a.done && b.set.Limits.Cancellation {
+			b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 		}
 	}
 	if r.open == 0 {
@@ -239,7 +239,7 @@
 // judged by the time that has passed for the client.
 func (b *Balancer) remember(r *request) {
 	b.unserved = slices.DeleteFunc(b.unserved, func(p unservedRequest) bool {
-		return b.now-p.first > p.class.GiveUpMs
+		return b.now-p.first > p.class.DeadlineMs
 	})
 	if len(b.unserved) < maxHeld {
 		b.unserved = append(b.unserved, unservedRequest{r.class, r.key, r.first})
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -17,15 +17,15 @@
 	rng         *rand.Rand
 	now         float64
 	out         []Action
-	servers     ordered
-	ejected     ordered   // those of them in a state after Unknown
-	busy        ordered   // with attempts out
-	cold        []*server // that may not have their whole capacity yet
-	byAddr      map[Addr]*server
+	servers     endpointSet
+	ejected     endpointSet // those of them in a state after Unknown
+	busy        endpointSet // with attempts out
+	cold        []*endpoint // that may not have their whole capacity yet
+	byAddr      map[Addr]*endpoint
 	requests    map[RequestID]*request
 	held        []*request
-	tier        []*server // scratch of pick
-	shares      []float64 // scratch of common
+	tier        []*endpoint // scratch of pick
+	shares      []float64   // scratch of common
 	unserved    []unservedRequest
 	recentKeys  keyCounter
 	warm        float64 // weight of warm servers, as of warmAt and warmEpoch
@@ -90,7 +90,7 @@
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[Addr]*server{},
+	b := &Balancer{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed))), byAddr: map[Addr]*endpoint{},
 		requests: map[RequestID]*request{}, usage: make([]float64, len(set.Tenants)),
 		home: ownZone, retryBudget: retryBurst, limitScale: 1, lookedAt: math.Inf(-1),
 		recentKeys: keyCounter{count: map[uint64]int{}}}
@@ -113,27 +113,27 @@
 func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
 	b.now, b.out = now, out
 	switch ev.Kind {
-	case EvRequest:
+	case EventRequest:
 		b.onRequest(ev)
-	case EvOutcome:
+	case EventOutcome:
 		b.onOutcome(ev)
-	case EvStarted:
+	case EventResponseStarted:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			r.started = true
 			if a := r.attempt(ev.Attempt); a != nil {
 				a.s.heard = now
 			}
 		}
-	case EvDropped:
+	case EventClientGone:
 		if r := b.requests[ev.Request]; r != nil && !r.closed {
 			b.remember(r)
 			b.close(r)
 		}
-	case EvList:
+	case EventEndpointList:
 		b.onList(ev)
-	case EvProbed:
+	case EventHealthChecked:
 		b.onProbed(ev)
-	case EvTimer:
+	case EventTimer:
 		b.onTimer(ev.Token)
 	}
 	b.dispatch()
@@ -151,7 +151,7 @@
 func (b *Balancer) arm() {
 	if !b.ticking && (len(b.held) > 0 || b.inflight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActTimer, Ms: max(2*b.set.RoundMs, 5), Token: tickToken})
+		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, 5), Token: tickToken})
 	}
 }
 
@@ -159,7 +159,7 @@
 	switch token {
 	case followToken:
 		b.askedAt = b.now
-		b.do(Action{Kind: ActFollow})
+		b.do(Action{Kind: ActionWatch})
 	case tickToken:
 		b.ticking = false
 		b.ejectSilent()
@@ -174,4 +174,4 @@
 func (b *Balancer) Work() uint64 { return b.work }
 
 // countWork counts a walk over servers as work.
-func (b *Balancer) countWork(servers []*server) { b.work += uint64(len(servers)) }
+func (b *Balancer) countWork(servers []*endpoint) { b.work += uint64(len(servers)) }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -79,7 +79,7 @@
 // rateSpan is the time over which requests are counted, in ms: that for which a connection
 // is kept, and where none is, that in which a server may be pushed over.
 func (b *Balancer) rateSpan() float64 {
-	return max(b.set.Limits.KeepaliveMs, b.set.Contract.TipAfterMs, 1)
+	return max(b.set.Limits.KeepaliveMs, b.set.Contract.OverloadWindowMs, 1)
 }
 
 // rate is how many requests a ms came of late.
@@ -94,17 +94,18 @@
 // and broken connections tell nothing of queues.
 func (b *Balancer) adapt(a *attempt, st Status, rtt float64) {
 	limit := b.limitFloor() * b.limitScale
-	over := min(max(rtt/a.r.class.AimMs-crowdShare, 0), 1)
-	if st == Full {
+	over := min(max(rtt/a.r.class.LatencyObjectiveMs-crowdShare, 0), 1)
+	if st == StatusRejected {
 		over = 1
 	}
-	if st == OK {
+	if st == StatusOK {
 		b.meanRTT = mean(b.meanRTT, rtt, smooth)
 	}
 	switch {
-	case over > 0 && (st == OK || st == Full || st == Cancelled && !a.called || st == Timeout && !a.s.silent):
+	case over > 0 && (st == StatusOK || st == StatusRejected ||
+		st == StatusCancelled && !a.called || st == StatusTimeout && !a.s.silent):
 		b.limitScale = max(b.limitScale*(1-limitCut*over), leastAttempts/attemptsPerServer)
-	case st == OK:
+	case st == StatusOK:
 		b.retryBudget = min(b.retryBudget+retryRatio, retryBurst)
 		if float64(2*(b.inflight+1)) >= limit {
 			b.growLimit(limit)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -3,7 +3,7 @@
 package policy
 
 // server is what the agent knows of one listed server.
-type server struct {
+type endpoint struct {
 	id        Addr
 	hash      uint64
 	order     uint64 // its place among the servers, in an order of this agent's own
@@ -43,7 +43,7 @@
 // attempt is one send of a request.
 type attempt struct {
 	r      *request
-	s      *server
+	s      *endpoint
 	index  int
 	sentAt float64
 	alone  bool // no other of this agent was out on its server
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -14,7 +14,7 @@
 		b.failures++
 		b.askAgain(b.failures, firstBackoff)
 		return
-	case ListLost:
+	case ListWatchEnded:
 		b.onLost()
 		return
 	}
@@ -35,7 +35,7 @@
 	limit := floor * b.limitScale
 	b.ready, b.capacityAt = 0, math.Inf(-1)
 	b.countWork(b.servers)
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
+	b.servers = slices.DeleteFunc(b.servers, func(s *endpoint) bool {
 		if s.usable {
 			b.ready++
 		}
@@ -53,9 +53,9 @@
 
 func (b *Balancer) update(e *Entry) {
 	b.work++
-	s, since := b.byAddr[e.Server], finite(e.SinceMs)
+	s, since := b.byAddr[e.Server], finite(e.StartedMs)
 	if s == nil {
-		s = &server{id: e.Server, hash: mix(hashAddr(e.Server)), state: Unknown, since: b.now,
+		s = &endpoint{id: e.Server, hash: mix(hashAddr(e.Server)), state: StateUnknown, since: b.now,
 			window: initialWindow, startedAt: since, listedAt: since, credit: b.rng.Float64()}
 		s.order = mix(s.hash ^ mix(uint64(b.set.Index)+1))
 		b.byAddr[s.id] = s
@@ -68,12 +68,12 @@
 		// many send one as the parts add up to; from 0 none would before it is warm.
 		s.listedAt = since
 		b.ejected.remove(s)
-		s.startedAt, s.state, s.since, s.silent = since, Unknown, b.now, false
+		s.startedAt, s.state, s.since, s.silent = since, StateUnknown, b.now, false
 		b.coolDown(s)
 		s.ejections, s.good, s.lat, s.samples, s.window, s.credit = 0, 0, 0, 0, 1, b.rng.Float64()
 		s.fails, s.pace, s.paceAt = 0, b.fleetPace, b.now
 	}
-	s.zone, s.cell, s.kind, s.usable = e.Zone, e.Cell, e.Kind, e.Health == Ready
+	s.zone, s.cell, s.kind, s.usable = e.Zone, e.Cell, e.MachineKind, e.Health == HealthReady
 	s.weight = 1
 	if w := finite(e.Weight); w > 0 {
 		s.weight = w
@@ -81,29 +81,29 @@
 }
 
 // forget drops all that points to a server that is no longer listed, but the list itself.
-func (b *Balancer) forget(s *server) {
+func (b *Balancer) forget(s *endpoint) {
 	delete(b.byAddr, s.id)
 	b.ejected.remove(s)
 	b.busy.remove(s)
 	if s.cold {
-		b.cold = slices.DeleteFunc(b.cold, func(o *server) bool { return o == s })
+		b.cold = slices.DeleteFunc(b.cold, func(o *endpoint) bool { return o == s })
 	}
 }
 
 // ordered is a set of servers in the agent's own order.
-type ordered []*server
+type endpointSet []*endpoint
 
-func (o ordered) find(s *server) (int, bool) {
-	return slices.BinarySearchFunc(o, s, func(x, y *server) int { return cmp.Compare(x.order, y.order) })
+func (o endpointSet) find(s *endpoint) (int, bool) {
+	return slices.BinarySearchFunc(o, s, func(x, y *endpoint) int { return cmp.Compare(x.order, y.order) })
 }
 
-func (o *ordered) add(s *server) {
+func (o *endpointSet) add(s *endpoint) {
 	if i, found := o.find(s); !found {
 		*o = slices.Insert(*o, i, s)
 	}
 }
 
-func (o *ordered) remove(s *server) {
+func (o *endpointSet) remove(s *endpoint) {
 	if i, found := o.find(s); found {
 		*o = slices.Delete(*o, i, i+1)
 	}
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -29,9 +29,9 @@
 // and what it misses may count as told already: all turns are within the drains' grace.
 func (b *Balancer) askForList() {
 	switch b.set.Membership {
-	case Watched:
+	case MembershipWatched:
 		b.follow(b.rng.Float64() * firstWait)
-	case OnRequest:
+	case MembershipOnRequest:
 		turn := (float64(b.set.Index) + b.rng.Float64()) / float64(max(b.set.Replicas, b.set.Index+1))
 		b.follow(turn * b.spread(min(b.set.Contract.DrainGraceMs, toldWithin-callMost-callMargin)))
 	}
@@ -42,7 +42,7 @@
 // last call may have failed at the very moment in which discovery came back, so what it
 // took, the wait and the next call are together less than toldWithin.
 func (b *Balancer) askAgain(failures int, span float64) {
-	if b.set.Membership == Watched {
+	if b.set.Membership == MembershipWatched {
 		b.follow(b.rng.Float64() * min(firstWait*math.Pow(2, float64(failures)), longestWait))
 		return
 	}
@@ -63,7 +63,7 @@
 	switch {
 	case b.losses > 1:
 		b.askAgain(b.losses-1, lostBackoff)
-	case b.set.Membership == Watched:
+	case b.set.Membership == MembershipWatched:
 		b.follow(b.rng.Float64() * firstWait)
 	default:
 		b.follow(b.rng.Float64() * b.spread(lostBackoff))
@@ -75,13 +75,15 @@
 	return min(callGap*float64(b.set.Replicas), most)
 }
 
-func (b *Balancer) follow(in float64) { b.do(Action{Kind: ActTimer, Ms: in, Token: followToken}) }
+func (b *Balancer) follow(in float64) {
+	b.do(Action{Kind: ActionTimer, DelayMs: in, Token: followToken})
+}
 
 // refetch asks for the whole list, seldom: every call loads discovery. Who follows the list
 // has it as new as can be, or waits for its turn to ask.
 func (b *Balancer) refetch() {
-	if b.set.Membership == Pushed && b.now-b.lookedAt >= max(b.set.Contract.AskWithinMs, 1000) {
+	if b.set.Membership == MembershipPushed && b.now-b.lookedAt >= max(b.set.Contract.PollWithinMs, 1000) {
 		b.lookedAt = b.now
-		b.do(Action{Kind: ActFetch})
+		b.do(Action{Kind: ActionFetch})
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -43,7 +43,7 @@
 	c.learn(b.now, rtt)
 	c.counts.Served++
 	if b.now <= r.aimAt {
-		c.counts.InTime++
+		c.counts.WithinObjective++
 		c.inTime += 1.0 / classMemory
 	}
 	x := b.partOfAim(r, rtt)
@@ -60,11 +60,11 @@
 	}
 	b.learn(s, x)
 	limit := b.limit(s)
-	if s.state == Unhealthy && a.sentAt < s.since && !s.silent {
+	if s.state == StateUnhealthy && a.sentAt < s.since && !s.silent {
 		return // sent before the failure: says nothing about what came after
 	}
-	if s.state != Connected {
-		b.enter(s, Connected)
+	if s.state != StateConnected {
+		b.enter(s, StateConnected)
 	}
 	if s.silent {
 		s.silent, s.ejections = false, max(s.ejections-1, 0)
@@ -86,7 +86,7 @@
 
 // pace is a server's answer time as a part of the aim, as far as this agent can tell: what
 // it saw, forgotten in favour of the fleet's over paceFade, and what it is waiting for.
-func (b *Balancer) pace(s *server) float64 {
+func (b *Balancer) pace(s *endpoint) float64 {
 	p := b.fleetPace + (s.pace-b.fleetPace)*math.Exp((s.paceAt-b.now)/paceFade)
 	if len(s.out) > 0 {
 		a := s.out[0]
@@ -95,14 +95,14 @@
 	return p
 }
 
-func (b *Balancer) learn(s *server, x float64) {
+func (b *Balancer) learn(s *endpoint, x float64) {
 	s.samples++
 	s.lat = mean(s.lat, x, max(smooth, 1/float64(s.samples), 1-math.Exp((s.paceAt-b.now)/paceFade)))
 	b.learnPace(s, x)
 	b.weigh(s, x)
 }
 
-func (b *Balancer) learnPace(s *server, x float64) {
+func (b *Balancer) learnPace(s *endpoint, x float64) {
 	if b.fleetPace == 0 {
 		s.pace = x
 	}
@@ -137,7 +137,7 @@
 // partOfAim is an answer time as a part of the aim. Where hints tell the work a costly
 // request counts as one of mean work; a small one's time is mostly the network's.
 func (b *Balancer) partOfAim(r *request, rtt float64) float64 {
-	x := rtt / r.class.AimMs
+	x := rtt / r.class.LatencyObjectiveMs
 	if r.hint > 0 {
 		x *= min(b.meanHint/r.hint, 1)
 	}
@@ -148,7 +148,7 @@
 // a price the own zone gets more in proportion, as long as it answers no slower than the
 // rest: what has more traffic than it can carry gets slower. A kind of machine that
 // answers later than all gets less: equal shares choke the small ones.
-func (b *Balancer) weigh(s *server, x float64) {
+func (b *Balancer) weigh(s *endpoint, x float64) {
 	lat := &b.awayLat
 	if s.zone == b.set.Zone {
 		lat = &b.homeLat
@@ -178,12 +178,12 @@
 // limit is the mean answer time, as a part of the aim, from which a server counts as
 // crowded. A few agents see most of the load and need not fear to crowd a server that
 // answers well within the aim. A cold one is slow before it is crowded.
-func (b *Balancer) limit(s *server) float64 {
+func (b *Balancer) limit(s *endpoint) float64 {
 	least := 2 * crowdShare / (2 + float64(b.set.Replicas))
 	return min(crowdShare, max(crowdFactor*b.calmLat, least)) / b.ramp(s)
 }
 
-func (b *Balancer) cut(s *server, by, least float64) {
+func (b *Balancer) cut(s *endpoint, by, least float64) {
 	s.window, s.cutAt = min(s.window, max(s.window*by, least)), b.now
 }
 
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -39,7 +39,7 @@
 
 // reachResult is how the latest attempt at a server ended while some server was unreachable.
 type reachResult struct {
-	s       *server
+	s       *endpoint
 	at      float64
 	reached bool
 	since   float64 // unreachable: the first result in a row
@@ -117,7 +117,7 @@
 // the servers that were blamed before that was seen are cleared.
 func (b *Balancer) judge(a *attempt, st Status) Status {
 	l := &b.local
-	if st != Unreachable && len(l.reach) == 0 {
+	if st != StatusUnreachable && len(l.reach) == 0 {
 		return st
 	}
 	span := b.set.Limits.ConnectTimeoutMs
@@ -126,9 +126,9 @@
 	}
 	l.reach = slices.DeleteFunc(l.reach, func(x reachResult) bool { return b.now-x.at > span })
 	switch st {
-	case Unreachable:
+	case StatusUnreachable:
 		l.noteReach(reachResult{s: a.s, at: b.now, since: b.now})
-	case OK, Error, Reset:
+	case StatusOK, StatusServerError, StatusReset:
 		if len(l.reach) > 0 && a.sentAt >= l.reach[0].at { // else it tells of the time before
 			l.noteReach(reachResult{s: a.s, at: b.now, reached: true})
 		}
@@ -144,14 +144,14 @@
 	}
 	if lost < 2 || 2*lost <= len(l.reach) {
 		a.unreachable = true
-		return ConnectFailed
+		return StatusConnectFailed
 	}
 	for _, x := range l.reach {
 		if !x.reached && b.byAddr[x.s.id] == x.s {
 			b.clear(x.s, x.since)
 		}
 	}
-	return LocalFailure
+	return StatusLocalFailure
 }
 
 // noteReach keeps the latest result of each server, the oldest first.
@@ -170,12 +170,12 @@
 
 // clear takes back what a server was blamed for since then, as this machine had lost its network.
 // The next attempt validates it.
-func (b *Balancer) clear(s *server, since float64) {
+func (b *Balancer) clear(s *endpoint, since float64) {
 	if s.lostAt >= since {
 		s.lostAt = 0
 	}
-	if s.state == Unhealthy && s.since >= since {
+	if s.state == StateUnhealthy && s.since >= since {
 		s.silent, s.ejections = false, max(s.ejections-1, 0)
-		b.enter(s, UnhealthyPending)
+		b.enter(s, StateUnhealthyPending)
 	}
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -21,10 +21,10 @@
 func (b *Balancer) recordOutcome(a *attempt, st Status, rtt float64) {
 	s := a.s
 	switch st {
-	case OK:
+	case StatusOK:
 		b.earn(s, a.cost)
 		b.served(a, rtt)
-	case Error, Reset:
+	case StatusServerError, StatusReset:
 		s.heard = b.now
 		if b.common(s) {
 			b.recheck(s)
@@ -32,15 +32,15 @@
 			b.demote(s, false)
 		}
 		s.fails += failWeight * (1 - s.fails)
-	case ConnectFailed:
+	case StatusConnectFailed:
 		b.demote(s, true)
 		if s.lostAt == 0 {
 			s.lostAt = b.now
 		}
-	case Timeout:
+	case StatusTimeout:
 		b.abandoned.unanswered(rtt, abandonedMost*b.giveUpMost)
 		a.r.class.unanswered(b.now, rtt)
-		if !b.set.Limits.Cancelling && rtt > 0 {
+		if !b.set.Limits.Cancellation && rtt > 0 {
 			b.abandoned.add(a)
 		}
 		// A server that answered others meanwhile is not to blame for a costly
@@ -51,7 +51,7 @@
 		} else {
 			b.demote(s, true)
 		}
-	case Cancelled:
+	case StatusCancelled:
 		// Its client left, or it was late: so long at least it takes.
 		a.r.class.unanswered(b.now, rtt)
 		if b.now >= a.r.aimAt && s.heard <= a.sentAt && b.unanswered < unansweredMost {
@@ -60,7 +60,7 @@
 		if x := b.partOfAim(a.r, rtt); x > b.pace(s) {
 			b.learnPace(s, x)
 		}
-	case Full:
+	case StatusRejected:
 		s.heard = b.now
 		b.cut(s, 0.7, 1)
 	}
@@ -69,26 +69,26 @@
 // common tells whether the server fails no more than the fleet does, as when a network
 // breaks connections at random: that says nothing of this one server. When each such failure
 // ejected its server, all were out at once and two thirds of the requests were refused.
-func (b *Balancer) common(s *server) bool {
+func (b *Balancer) common(s *endpoint) bool {
 	median := b.medianFails()
 	return median >= failShare && s.fails <= 3*median
 }
 
 // recheck demotes a server and has it validated at once, without an ejection.
-func (b *Balancer) recheck(s *server) {
-	if s.state != Unhealthy {
-		b.enter(s, Unhealthy)
+func (b *Balancer) recheck(s *endpoint) {
+	if s.state != StateUnhealthy {
+		b.enter(s, StateUnhealthy)
 		s.silent, s.good = false, 0
-		b.enter(s, UnhealthyPending)
+		b.enter(s, StateUnhealthyPending)
 	}
 	b.refetch()
 }
 
 // demote makes a server Unhealthy; failures of one moment count as one ejection.
-func (b *Balancer) demote(s *server, silent bool) {
-	if s.state != Unhealthy {
+func (b *Balancer) demote(s *endpoint, silent bool) {
+	if s.state != StateUnhealthy {
 		s.ejections = min(s.ejections+1, maxEjections)
-		b.enter(s, Unhealthy)
+		b.enter(s, StateUnhealthy)
 		s.silent = silent
 		s.good, s.lat, s.samples = 0, 0, 0
 		s.window = max(s.window/2, 1)
@@ -103,7 +103,7 @@
 // come by, failing servers kept an even share for as long as they failed. While the others
 // have no room none is ejected: a server that fails some requests is better than refusing
 // them all. One that answers nothing is not.
-func (b *Balancer) ejectionTime(s *server) float64 {
+func (b *Balancer) ejectionTime(s *endpoint) float64 {
 	if b.scarce && !s.silent {
 		return 0
 	}
@@ -120,11 +120,11 @@
 			return b.now-max(s.heard, a.sentAt) >= b.expected(a.r)*times
 		}
 		soon := 8 / float64(max(min(len(s.out), 3), 1))
-		if len(s.out) > 0 && s.state != Unhealthy && silent(s.out[0], soon) {
+		if len(s.out) > 0 && s.state != StateUnhealthy && silent(s.out[0], soon) {
 			b.demote(s, true)
 		}
 		for _, a := range s.out {
-			if s.silent && s.state == Unhealthy && silent(a, soon) {
+			if s.silent && s.state == StateUnhealthy && silent(a, soon) {
 				b.release(a, silent(a, 8))
 			}
 		}
@@ -143,16 +143,16 @@
 		a.stuck = true
 		b.stuck++
 	}
-	again := c.Effect == Free || c.Effect == Guarded && b.repeatWithin(r) > 0
+	again := c.Effect == EffectIdempotent || c.Effect == EffectIdempotentWithKey && b.repeatWithin(r) > 0
 	switch {
 	case a.called || r.closed || r.started:
-	case c.LateShare == 0 && b.now >= r.aimAt:
+	case c.LateWeight == 0 && b.now >= r.aimAt:
 		a.called = true
 		b.end(r)
-	case again && b.set.Limits.Cancelling && len(r.attempts) < r.maxAttempts && b.retryBudget >= 1 &&
+	case again && b.set.Limits.Cancellation && len(r.attempts) < r.maxAttempts && b.retryBudget >= 1 &&
 		b.now+b.expected(r) < r.aimAt:
 		a.called = true
-		b.do(Action{Kind: ActCancel, Request: r.id, Attempt: a.index})
+		b.do(Action{Kind: ActionCancel, Request: r.id, Attempt: a.index})
 	}
 }
 
@@ -161,15 +161,15 @@
 func (b *Balancer) revalidate() {
 	b.countWork(b.ejected)
 	for _, s := range b.ejected {
-		if s.state == Unhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.ejectionTime(s) {
-			b.enter(s, UnhealthyPending)
+		if s.state == StateUnhealthy && s.usable && len(s.out) == 0 && b.now-s.since >= b.ejectionTime(s) {
+			b.enter(s, StateUnhealthyPending)
 			b.refetch()
 		}
-		pending := s.state == UnhealthyPending && s.usable
-		if pending && b.set.Limits.Probing && !s.probing && b.probes < probeCap {
+		pending := s.state == StateUnhealthyPending && s.usable
+		if pending && b.set.Limits.HealthChecks && !s.probing && b.probes < probeCap {
 			s.probing = true
 			b.probes++
-			b.do(Action{Kind: ActProbe, Server: s.id})
+			b.do(Action{Kind: ActionHealthCheck, Server: s.id})
 		}
 	}
 }
@@ -182,11 +182,11 @@
 	s.probing = false
 	b.probes--
 	switch {
-	case s.state != UnhealthyPending:
-	case ev.Status == OK:
+	case s.state != StateUnhealthyPending:
+	case ev.Status == StatusOK:
 		b.recordAnswer(s)
-		b.enter(s, Connected)
-	case ev.Status != Full:
+		b.enter(s, StateConnected)
+	case ev.Status != StatusRejected:
 		b.demote(s, true)
 	}
 }
@@ -212,7 +212,7 @@
 // answered no later ones either.
 func (b *Balancer) noteAnswered(a *attempt, st Status) {
 	none := 0.0
-	if st == Timeout || st == Cancelled {
+	if st == StatusTimeout || st == StatusCancelled {
 		if b.now < a.r.aimAt {
 			return // its client left early: that tells nothing
 		}
@@ -224,11 +224,11 @@
 }
 
 // enter notes a server's new state and its time; tiers have changed.
-func (b *Balancer) enter(s *server, to State) {
-	if s.state > Unknown || to > Unknown {
+func (b *Balancer) enter(s *endpoint, to State) {
+	if s.state > StateUnknown || to > StateUnknown {
 		b.epoch++
 	}
-	if to > Unknown {
+	if to > StateUnknown {
 		b.ejected.add(s)
 	} else {
 		b.ejected.remove(s)
