--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -45,7 +45,7 @@
 
 // startVariants are all of them.
 func startVariants() []startVariant {
-	heavy := func(cfg *model.Config) { cfg.Heavy = heavySpread }
+	heavy := func(cfg *model.Config) { cfg.WorkSpread = heavySpread }
 	late := func(cfg *model.Config) { cfg.StaleStart = true }
 	restart := func(cfg *model.Config) { cfg.RestartS = restartedWithinS }
 	return []startVariant{
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	cfg.ToldService = p.told == "service"
+	cfg.QuotaOfService = p.told == "service"
 	log = log.With("told", p.told, "agents", p.size.Agents)
 	log.Info("begins", "day", p.day.Name)
 	if f.Mixed {
@@ -176,7 +176,7 @@
 	}
 	c, err := p.day.Play(ctx, cfg, f.Seconds, log)
 	if err == nil && f.Mixed {
-		cfg.LateView = true
+		cfg.DelayedView = true
 		err = p.day.Compare(ctx, cfg, f.Seconds, log.With("policy", "late view"), c)
 	}
 	if err != nil {
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -2,19 +2,19 @@
 
 // event is something that happens at a time; of one time, in the order of their making.
 type event struct {
-	at    float64
-	order uint64
-	what  happening
+	at     float64
+	order  uint64
+	action scheduled
 }
 
 // happening is what an event does. Its types are pointers, so that an event costs no
 // allocation of its own.
-type happening interface{ happen(m *Model) }
+type scheduled interface{ fire(m *Model) }
 
 // call is a happening of the days and tests, of which there are few.
 type call func()
 
-func (c call) happen(*Model) { c() }
+func (c call) fire(*Model) { c() }
 
 func (e *event) before(o *event) bool {
 	return e.at < o.at || e.at == o.at && e.order < o.order
@@ -32,7 +32,7 @@
 func (q *queue) empty() bool { return len(q.heap) == 0 && q.first == len(q.lane) }
 
 // push adds an event.
-func (q *queue) push(at float64, what happening) {
+func (q *queue) push(at float64, what scheduled) {
 	q.order++
 	e := event{at, q.order, what}
 	i := len(q.heap)
@@ -49,7 +49,7 @@
 }
 
 // pushLate adds an event that is likely to be later than those added so before it.
-func (q *queue) pushLate(at float64, what happening) {
+func (q *queue) pushLate(at float64, what scheduled) {
 	if n := len(q.lane); n > q.first && q.lane[n-1].at > at {
 		q.push(at, what)
 		return
@@ -70,7 +70,7 @@
 func (q *queue) pop() event {
 	e := *q.next()
 	if q.first < len(q.lane) && q.lane[q.first].order == e.order {
-		q.lane[q.first].what = nil
+		q.lane[q.first].action = nil
 		if q.first++; 2*q.first > len(q.lane) {
 			q.lane = q.lane[:copy(q.lane, q.lane[q.first:])]
 			q.first = 0
@@ -79,7 +79,7 @@
 	}
 	n := len(q.heap) - 1
 	last := q.heap[n]
-	q.heap[n].what = nil
+	q.heap[n].action = nil
 	q.heap = q.heap[:n]
 	for i := 0; n > 0; {
 		least := 4*i + 1
