--- /dev/null
+++ b/cmd/fleetbench/jobs.go
@@ -0,0 +1,36 @@
+package main
+
+import (
+	"context"
+	"iter"
+	"sync"
+)
+
+// runJobs runs all items, so many at a time, until all are done, one fails or ctx ends. It returns the
+// first error or the cause of ctx's end, after those that were begun have ended.
+func runJobs[T any](ctx context.Context, jobs int, items iter.Seq[T], run func(context.Context, T) error) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	todo := make(chan T)
+	var workers sync.WaitGroup
+	for range jobs {
+		workers.Add(1)
+		go func() {
+			defer workers.Done()
+			for item := range todo {
+				if err := run(ctx, item); err != nil {
+					cancel(err)
+				}
+			}
+		}()
+	}
+	for item := range items {
+		if ctx.Err() != nil {
+			break
+		}
+		todo <- item
+	}
+	close(todo)
+	workers.Wait()
+	return context.Cause(ctx)
+}
