--- /dev/null
+++ b/internal/fleet/controlplane/case.go
@@ -0,0 +1,112 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"ploverreel/internal/agent"
+	"ploverreel/internal/fleet"
+)
+
+// changePause keeps changes apart, so that agents do not get two of them as one.
+const changePause = 300 * time.Millisecond
+
+// caseRun plays one case on a running fleet as a sequence of steps: begin a phase, change the list, wait
+// until the change is in force, record what that took. The first error stays in err; the steps after it
+// do nothing, so that only the end of a case has to look at it.
+type caseRun struct {
+	ctx    context.Context // of all steps
+	fleet  *fleetRun
+	result fleet.Case
+	err    error
+}
+
+// version is a version of the endpoint list. Agents count as having it from the moment since on: what
+// was in force at them before, as before a restart, is another process's.
+type version struct {
+	seq   int64
+	since time.Time
+}
+
+// newCase returns a case without figures, with the parameters of the fleet.
+func (f *fleetRun) newCase(ctx context.Context, name string) *caseRun {
+	p := f.plan
+	params := map[string]float64{"agents": float64(p.Size.Agents), "servers": float64(p.Size.Servers),
+		"standins": float64(p.StandIns * p.Size.Regions), "regions": float64(p.Size.Regions), "zones": float64(p.Size.Zones)}
+	return &caseRun{ctx: ctx, fleet: f, result: fleet.Case{Name: name, Params: params}}
+}
+
+// do runs a step unless one before it failed.
+func (c *caseRun) do(step func(context.Context) error) {
+	if c.err == nil {
+		c.err = step(c.ctx)
+	}
+}
+
+// beginPhase begins a phase, whose costs addCosts adds.
+func (c *caseRun) beginPhase() { c.do(c.fleet.beginPhase) }
+
+// addCosts adds what the phase has cost so far; the figures' names begin with prefix.
+func (c *caseRun) addCosts(prefix string) {
+	c.do(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
+}
+
+// endPhase adds the costs of the phase and begins the next.
+func (c *caseRun) endPhase(prefix string) {
+	c.addCosts(prefix)
+	c.beginPhase()
+}
+
+// sleep waits for a fixed span.
+func (c *caseRun) sleep(d time.Duration) {
+	c.do(func(ctx context.Context) error { return sleep(ctx, d) })
+}
+
+// change makes a version of the list with these hosts changed and sends it to the stand-ins that can be
+// reached.
+func (c *caseRun) change(hosts ...agent.Host) (made version) {
+	c.do(func(ctx context.Context) (err error) {
+		made, err = c.fleet.change(ctx, hosts...)
+		return err
+	})
+	return made
+}
+
+// await waits until a version is in force at the agents, for the plan's limit at most.
+func (c *caseRun) await(agents []int, v version) {
+	c.do(func(ctx context.Context) error { return c.fleet.await(ctx, agents, v) })
+}
+
+// record adds to the delays how long after begin the version was in force at each of the agents.
+func (c *caseRun) record(d *delays, agents []int, v version, begin func(agent int) time.Time) {
+	c.do(func(context.Context) error { return d.add(c.fleet, agents, v, begin) })
+}
+
+// measureChange makes a change and adds to the delays how long it takes to be in force at the agents.
+func (c *caseRun) measureChange(d *delays, agents []int, hosts ...agent.Host) {
+	v := c.change(hosts...)
+	c.await(agents, v)
+	c.record(d, agents, v, since(v.since))
+}
+
+// measureRecovery ends a fault: it adds how long after end a version is in force at agents that could not
+// get it before, and what that cost.
+func (c *caseRun) measureRecovery(prefix string, agents []int, v version, end time.Time) {
+	took := newDelays()
+	c.await(agents, v)
+	c.record(took, agents, v, since(end))
+	took.addTo(&c.result, prefix)
+	c.addCosts(prefix)
+}
+
+// since returns the same moment for every agent.
+func since(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
+
+func sleep(ctx context.Context, d time.Duration) error {
+	select {
+	case <-time.After(d):
+		return nil
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+}
--- a/internal/fleet/controlplane/controlplane_test.go
+++ b/internal/fleet/controlplane/controlplane_test.go
@@ -255,7 +255,7 @@
 	add(caseServers, 2, 8)
 	add(caseTarget, 8, 8)
 	got := map[string]fleet.Fit{}
-	for _, f := range fit(slog.New(slog.DiscardHandler), cases, fleet.Size{Agents: 8, Servers: 8}) {
+	for _, f := range fitSlopes(slog.New(slog.DiscardHandler), cases, fleet.Size{Agents: 8, Servers: 8}) {
 		got[f.Figure] = f
 	}
 	for figure, want := range map[string]struct{ slope, target float64 }{"standin_rss": {1, 18}, "agent_heap": {2, 21}} {
@@ -273,7 +273,7 @@
 func TestFiguresOfUnreachedAgentsAreLeftOut(t *testing.T) {
 	f := &fleetRun{events: [][]event{{{Seq: 2, At: 2_000_000}}, {{Seq: 1, At: 1_000_000}}}}
 	took, c := newDelays(), fleet.Case{}
-	if err := took.add(f, []int{0, 1}, 2, time.Unix(0, 0), since(time.Unix(1, 0))); err != nil {
+	if err := took.add(f, []int{0, 1}, version{2, time.Unix(0, 0)}, since(time.Unix(1, 0))); err != nil {
 		t.Fatal(err)
 	}
 	took.addTo(&c, "x")
--- /dev/null
+++ b/internal/fleet/controlplane/fault_restart.go
@@ -0,0 +1,34 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+)
+
+// restartedShare is the part of the agents that restart at once.
+const restartedShare = 0.1
+
+// agentsRestarted restarts a part of the agents at once, each without a list.
+var agentsRestarted = fault{"a tenth restarted", func(c *caseRun) {
+	f := c.fleet
+	sample := f.sampleAgents(restartedShare)
+	restarting := map[int]bool{}
+	for _, a := range sample {
+		restarting[a] = true
+	}
+	seq, _, _ := f.source.state()
+	now := time.Now()
+	c.do(func(ctx context.Context) error {
+		return forEach(f.workers, func(w *worker) error {
+			cmd := &command{Op: opRestart}
+			for _, a := range w.agents {
+				if restarting[a] {
+					cmd.Agents = append(cmd.Agents, a)
+				}
+			}
+			_, err := w.call(ctx, cmd)
+			return err
+		})
+	})
+	c.measureRecovery("restart", sample, version{seq, now}, now)
+}}
--- /dev/null
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -0,0 +1,38 @@
+package controlplane
+
+import (
+	"time"
+
+	"ploverreel/internal/agent"
+)
+
+// zoneLost takes a zone's servers off the list in one change, and brings them back as new processes in
+// another.
+var zoneLost = fault{"zone lost and back", func(c *caseRun) {
+	every := c.fleet.agents(everywhere)
+	for _, change := range []struct{ prefix, health string }{{"gone", "gone"}, {"back", "ready"}} {
+		hosts := c.fleet.plan.firstZone(change.health)
+		took := newDelays()
+		c.measureChange(took, every, hosts...)
+		took.addTo(&c.result, change.prefix)
+		c.result.Add(change.prefix+"_servers", "count", float64(len(hosts)))
+		c.sleep(changePause)
+		c.endPhase(change.prefix)
+	}
+}}
+
+// firstZone returns the servers of the first zone with this health; ready ones as started just now.
+func (p *Plan) firstZone(health string) []agent.Host {
+	var hosts []agent.Host
+	for i, host := range p.hosts() {
+		if p.zoneOf(i) != 0 {
+			continue
+		}
+		host.Health = health
+		if health == "ready" {
+			host.BornMs = float64(time.Now().UnixMilli())
+		}
+		hosts = append(hosts, host)
+	}
+	return hosts
+}
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -2,20 +2,16 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"ploverreel/internal/agent"
-	"ploverreel/internal/fleet"
 )
 
-// pollEvery is how often agents' processes are asked what has come to be in force.
-const pollEvery = 100 * time.Millisecond
+// firstVersion is the version of the list that the fleet starts with.
+const firstVersion = 1
 
 // fleetRun is one fleet under measurement.
 type fleetRun struct {
@@ -23,107 +19,119 @@
 	log      *slog.Logger
 	spawn    Spawn
 	rng      *rand.Rand
-	source   *directory
+	source   *directory    // of truth
 	ports    []reservation // of all stand-ins, a scope after the other
-	standIns []*machine
+	standIns []*standInHost
 	workers  []*worker
-	events   [][]event // by agent, those since the phase began
-	began    time.Time // the phase
-	lateMs   float64   // the longest that a process waited for a processor in it
-	peak     int64     // the most calls of a second at one stand-in in it
+
+	// Of the phase, which beginPhase begins.
+	phaseBegan time.Time
+	events     [][]event // by agent
+	maxDelayMs float64   // the longest that a process waited for a processor
+	peakCalls  int64     // the most calls of a second at one stand-in
 }
 
-// machine is a stand-in's place: the process there may be killed and replaced.
-type machine struct {
-	*Process
-	ports []int
-	cut   bool  // off from the source of truth
-	seq   int64 // the version it was sent
-	last  reply
-	base  reply // at the beginning of the phase
+// standInHost is where a stand-in runs: the process there may be killed and replaced.
+type standInHost struct {
+	*Process         // nil: none runs
+	ports      []int // one a scope
+	cutOff     bool  // from the source of truth
+	sentSeq    int64 // the version it was sent
+	last, base reply // the last report, and that at the beginning of the phase
 }
 
 // worker is a process with agents.
 type worker struct {
 	*Process
 	agents     []int
-	last, base reply
+	last, base reply // the last report, and that at the beginning of the phase
 }
 
-// start opens the stand-ins and then the agents. The fleet must be ended also where it
-// returns an error.
+// newFleetRun returns a fleet that is not started.
+func newFleetRun(p *Plan, log *slog.Logger, spawn Spawn) *fleetRun {
+	return &fleetRun{plan: p, log: log, spawn: spawn, rng: rand.New(rand.NewPCG(p.Size.Seed, 2))}
+}
+
+// start opens the stand-ins and then the agents, and begins the first phase. The fleet must be stopped also
+// where it returns an error.
 func (f *fleetRun) start(ctx context.Context) error {
-	p := f.plan
 	f.source = newDirectory(nil)
-	f.source.take(&agent.List{Seq: 1, Whole: true, Hosts: p.hosts()})
-	for range p.StandIns * p.Size.Regions {
-		m := &machine{}
-		f.standIns = append(f.standIns, m)
-		for range p.scopes() {
+	f.source.take(&agent.List{Seq: firstVersion, Whole: true, Hosts: f.plan.hosts()})
+	if err := f.startStandIns(ctx); err != nil {
+		return err
+	}
+	if err := f.startWorkers(ctx); err != nil {
+		return err
+	}
+	scopes := f.plan.agentScopes()
+	f.events = make([][]event, f.plan.Size.Agents)
+	f.phaseBegan = time.Now()
+	return forEach(f.workers, func(w *worker) error {
+		cmd := &command{Op: opOpen, Plan: f.plan, Agents: w.agents}
+		for _, a := range w.agents {
+			cmd.Ports = append(cmd.Ports, f.standIns[f.plan.standInOf(a)].ports[scopes[a]])
+		}
+		_, err := w.call(ctx, cmd)
+		return err
+	})
+}
+
+// startStandIns reserves the ports and starts the stand-ins of all regions.
+func (f *fleetRun) startStandIns(ctx context.Context) error {
+	for range f.plan.StandIns * f.plan.Size.Regions {
+		host := &standInHost{}
+		f.standIns = append(f.standIns, host)
+		for range f.plan.scopes() {
 			r, err := reserve()
 			if err != nil {
 				return err
 			}
 			f.ports = append(f.ports, r)
-			m.ports = append(m.ports, r.port)
+			host.ports = append(host.ports, r.port)
 		}
-		if err := f.open(ctx, m); err != nil {
+		if err := f.open(ctx, host); err != nil {
 			return err
 		}
 	}
-	serviceOf := p.services()
-	ports := map[int]int{}
-	f.workers = make([]*worker, p.Processes)
-	for i := range f.workers {
+	return nil
+}
+
+// startWorkers starts the processes of the agents and deals the agents out to them.
+func (f *fleetRun) startWorkers(ctx context.Context) error {
+	for range f.plan.Processes {
 		process, err := f.spawn(ctx, RoleAgents)
 		if err != nil {
-			f.workers = f.workers[:i]
 			return err
 		}
-		f.workers[i] = &worker{Process: process}
+		f.workers = append(f.workers, &worker{Process: process})
 	}
-	for i := range p.Size.Agents {
-		scope := 0
-		if p.Scope == ScopeService {
-			scope = serviceOf[i%p.Size.Servers]
-		}
-		ports[i] = f.standIns[p.standInOf(i)].ports[scope]
-		w := f.workers[i%p.Processes]
+	for i := range f.plan.Size.Agents {
+		w := f.workers[i%f.plan.Processes]
 		w.agents = append(w.agents, i)
 	}
-	f.events = make([][]event, p.Size.Agents)
-	f.began = time.Now()
-	return f.forEach(len(f.workers), func(i int) error {
-		w := f.workers[i]
-		cmd := &command{Op: opOpen, Plan: p, Agents: w.agents}
-		for _, a := range w.agents {
-			cmd.Ports = append(cmd.Ports, ports[a])
-		}
-		_, err := w.call(ctx, cmd)
-		return err
-	})
+	return nil
 }
 
-// open starts a stand-in at a machine's ports, with the list as it is.
-func (f *fleetRun) open(ctx context.Context, m *machine) error {
+// open starts a stand-in at a host's ports, with the list as it is.
+func (f *fleetRun) open(ctx context.Context, host *standInHost) error {
 	text, seq, err := f.source.text(0, 0)
 	if err != nil {
 		return err
 	}
-	if m.Process, err = f.spawn(ctx, RoleStandIn); err != nil {
+	if host.Process, err = f.spawn(ctx, RoleStandIn); err != nil {
 		return err
 	}
-	m.seq, m.last, m.base = seq, reply{}, reply{}
-	_, err = m.call(ctx, &command{Op: opOpen, Plan: f.plan, List: text, Ports: m.ports})
+	host.sentSeq, host.last, host.base = seq, reply{}, reply{}
+	_, err = host.call(ctx, &command{Op: opOpen, Plan: f.plan, List: text, Ports: host.ports})
 	return err
 }
 
-// end ends all processes.
-func (f *fleetRun) end() {
-	_ = f.forEach(len(f.workers), func(i int) error { f.workers[i].close(); return nil })
-	for _, m := range f.standIns {
-		if m.Process != nil {
-			m.close()
+// stop ends all processes.
+func (f *fleetRun) stop() {
+	_ = forEach(f.workers, func(w *worker) error { w.close(); return nil })
+	for _, host := range f.standIns {
+		if host.Process != nil {
+			host.close()
 		}
 	}
 	for _, r := range f.ports {
@@ -131,14 +139,14 @@
 	}
 }
 
-// forEach runs do for 0 to n-1 at once and gives the first error.
-func (f *fleetRun) forEach(n int, do func(int) error) error {
-	errs := make(chan error, n)
-	for i := range n {
-		go func() { errs <- do(i) }()
+// forEach calls do for all items at once, and returns when all calls have, with the first error.
+func forEach[T any](items []T, do func(T) error) error {
+	errs := make(chan error, len(items))
+	for _, item := range items {
+		go func() { errs <- do(item) }()
 	}
 	var first error
-	for range n {
+	for range items {
 		if err := <-errs; err != nil && first == nil {
 			first = err
 		}
@@ -147,27 +155,25 @@
 }
 
 // change makes a new version of the list and sends it to the stand-ins that can be reached.
-// It returns the version and when it was made.
-func (f *fleetRun) change(ctx context.Context, hosts ...agent.Host) (int64, time.Time, error) {
+func (f *fleetRun) change(ctx context.Context, hosts ...agent.Host) (version, error) {
 	seq, _, _ := f.source.state()
-	made := time.Now()
-	f.source.take(&agent.List{Seq: seq + 1, Hosts: hosts})
-	return seq + 1, made, f.send(ctx)
+	made := version{seq: seq + 1, since: time.Now()}
+	f.source.take(&agent.List{Seq: made.seq, Hosts: hosts})
+	return made, f.send(ctx)
 }
 
 // send brings the stand-ins up to date that can be reached.
 func (f *fleetRun) send(ctx context.Context) error {
-	return f.forEach(len(f.standIns), func(i int) error {
-		m := f.standIns[i]
-		if m.Process == nil || m.cut {
+	return forEach(f.standIns, func(host *standInHost) error {
+		if host.Process == nil || host.cutOff {
 			return nil
 		}
-		text, seq, err := f.source.text(0, m.seq)
+		text, seq, err := f.source.text(0, host.sentSeq)
 		if err != nil {
 			return err
 		}
-		m.seq = seq
-		_, err = m.call(ctx, &command{Op: opList, List: text})
+		host.sentSeq = seq
+		_, err = host.call(ctx, &command{Op: opList, List: text})
 		return err
 	})
 }
@@ -177,245 +183,33 @@
 func (f *fleetRun) randomChange() agent.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
-	h := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
-	if h.Health == "ready" {
-		h.Health = "draining"
+	host := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
+	if host.Health == "ready" {
+		host.Health = "draining"
 	} else {
-		h.Health, h.BornMs = "ready", float64(time.Now().UnixMilli())
-	}
-	return h
-}
-
-// poll takes in what the processes report; with heap they collect their garbage first.
-func (f *fleetRun) poll(ctx context.Context, heap bool) error {
-	if err := f.forEach(len(f.workers), func(i int) (err error) {
-		f.workers[i].last, err = f.workers[i].call(ctx, &command{Op: opReport, Heap: heap})
-		return err
-	}); err != nil {
-		return err
-	}
-	for _, w := range f.workers {
-		f.lateMs = max(f.lateMs, w.last.LateMs)
-		for _, e := range w.last.Events {
-			f.events[e.Agent] = append(f.events[e.Agent], e)
-		}
-	}
-	return nil
-}
-
-// pollStandIns takes in what the stand-ins report.
-func (f *fleetRun) pollStandIns(ctx context.Context) error {
-	if err := f.forEach(len(f.standIns), func(i int) error {
-		m := f.standIns[i]
-		if m.Process == nil {
-			return nil
-		}
-		last, err := m.call(ctx, &command{Op: opReport})
-		if err == nil {
-			m.last = last
-		}
-		return err
-	}); err != nil {
-		return err
+		host.Health, host.BornMs = "ready", float64(time.Now().UnixMilli())
 	}
-	for _, m := range f.standIns {
-		if m.Process != nil {
-			f.lateMs = max(f.lateMs, m.last.LateMs)
-			f.peak = max(f.peak, m.last.Counts.CallsPeak)
-		}
-	}
-	return nil
+	return host
 }
 
-// inForceAt is when a version came to be in force at an agent, at the earliest at from.
-func (f *fleetRun) inForceAt(agent int, seq int64, from time.Time) (time.Time, bool) {
-	for _, e := range f.events[agent] {
-		if at := time.UnixMicro(e.At); e.Seq >= seq && !at.Before(from.Truncate(time.Microsecond)) {
-			return at, true
-		}
-	}
-	return time.Time{}, false
-}
-
-// await waits until a version is in force at all of the agents, for the plan's limit at
-// most, and counts those that don't have it then.
-func (f *fleetRun) await(ctx context.Context, agents []int, seq int64, from time.Time) (without int, err error) {
-	end, said := time.Now().Add(f.plan.Limit), time.Now()
-	for {
-		if err := f.poll(ctx, false); err != nil {
-			return 0, err
-		}
-		without = 0
-		for _, a := range agents {
-			if _, ok := f.inForceAt(a, seq, from); !ok {
-				without++
-			}
-		}
-		if without == 0 || time.Now().After(end) {
-			return without, nil
-		}
-		if time.Since(said) > 5*time.Second {
-			said = time.Now()
-			f.log.Info("waiting", "version", seq, "agents", len(agents), "without it", without)
-		}
-		if err := sleep(ctx, pollEvery); err != nil {
-			return 0, err
-		}
-	}
-}
-
-// agents are those of the stand-ins for which at holds.
-func (f *fleetRun) agents(at func(standIn int) bool) []int {
+// agents returns those whose stand-in chosen reports true for.
+func (f *fleetRun) agents(chosen func(standIn int) bool) []int {
 	var list []int
 	for i := range f.plan.Size.Agents {
-		if at(f.plan.standInOf(i)) {
+		if chosen(f.plan.standInOf(i)) {
 			list = append(list, i)
 		}
 	}
 	return list
 }
 
+// everywhere chooses all stand-ins.
 func everywhere(int) bool { return true }
 
-// delays is how long versions took to be in force, over agents and versions.
-type delays struct {
-	histogram *hdrhistogram.Histogram
-	without   int
-}
-
-func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
-
-// add takes in one version. Times count from made, for events since from.
-func (t *delays) add(f *fleetRun, agents []int, seq int64, from time.Time, made func(agent int) time.Time) error {
-	for _, a := range agents {
-		at, ok := f.inForceAt(a, seq, from)
-		if !ok {
-			t.without++
-			continue
-		}
-		if err := t.histogram.RecordValue(max(at.Sub(made(a)).Microseconds(), 1)); err != nil {
-			return fmt.Errorf("time of agent %d: %w", a, err)
-		}
-	}
-	return nil
-}
-
-// addTo adds the figures to a case. A quantile that takes in agents that were not reached is left out.
-func (t *delays) addTo(c *fleet.Case, prefix string) {
-	reached := float64(t.histogram.TotalCount())
-	all := reached + float64(t.without)
-	c.Add(prefix+"_agents", "count", all)
-	c.Add(prefix+"_without", "count", float64(t.without))
-	for _, part := range []struct {
-		name  string
-		share float64
-	}{{"_p50", 0.5}, {"_p99", 0.99}, {"_all", 1}} {
-		if reached >= part.share*all && reached > 0 {
-			c.Add(prefix+part.name, "s", float64(t.histogram.ValueAtQuantile(100*part.share*all/reached))/1e6)
-		}
-	}
-}
-
-// beginPhase begins a phase, a span whose costs are measured: what came to be in force before is
-// forgotten.
-func (f *fleetRun) beginPhase(ctx context.Context) error {
-	if err := f.poll(ctx, false); err != nil {
-		return err
-	}
-	if err := f.pollStandIns(ctx); err != nil {
-		return err
-	}
-	for i := range f.events {
-		f.events[i] = f.events[i][:0]
-	}
-	for _, w := range f.workers {
-		w.base = w.last
-	}
-	for _, m := range f.standIns {
-		m.base = m.last
-	}
-	f.began, f.lateMs, f.peak = time.Now(), 0, 0
-	return nil
-}
-
-// addCosts adds to a case what the phase has taken, an agent and a stand-in. A stand-in that
-// was replaced counts from its start.
-func (f *fleetRun) addCosts(ctx context.Context, c *fleet.Case, prefix string) error {
-	took := time.Since(f.began).Seconds()
-	if err := f.poll(ctx, false); err != nil {
-		return err
-	}
-	if err := f.pollStandIns(ctx); err != nil {
-		return err
-	}
-	agents, standIns := float64(f.plan.Size.Agents), float64(len(f.standIns))
-	var cpu, allocated, standInCPU float64
-	var n counts
-	for _, w := range f.workers {
-		cpu += w.last.Usage.CPUMs - w.base.Usage.CPUMs
-		allocated += w.last.Usage.Allocated - w.base.Usage.Allocated
-	}
-	for _, m := range f.standIns {
-		standInCPU += m.last.Usage.CPUMs - m.base.Usage.CPUMs
-		n.Calls += m.last.Counts.Calls - m.base.Counts.Calls
-		n.Lists += m.last.Counts.Lists - m.base.Counts.Lists
-		n.Heartbeats += m.last.Counts.Heartbeats - m.base.Counts.Heartbeats
-		n.Bytes += m.last.Counts.Bytes - m.base.Counts.Bytes
-		n.BytesRead += m.last.Counts.BytesRead - m.base.Counts.BytesRead
-	}
-	bytes := float64(n.Bytes + n.BytesRead)
-	c.Add(prefix+"_took", "s", took)
-	c.Add(prefix+"_late", "s", f.lateMs/1000)
-	c.Add(prefix+"_agent_bytes", "bytes", bytes/agents)
-	c.Add(prefix+"_agent_bytes_s", "bytes/s", bytes/agents/took)
-	c.Add(prefix+"_agent_lists", "count", float64(n.Lists)/agents)
-	c.Add(prefix+"_agent_lives", "count", float64(n.Heartbeats)/agents)
-	c.Add(prefix+"_agent_calls", "count", float64(n.Calls)/agents)
-	c.Add(prefix+"_agent_cpu", "ms", cpu/agents)
-	c.Add(prefix+"_agent_cpu_share", "share", cpu/1000/agents/took)
-	c.Add(prefix+"_agent_allocated", "bytes", allocated/agents)
-	c.Add(prefix+"_standin_bytes_s", "bytes/s", bytes/standIns/took)
-	c.Add(prefix+"_standin_calls", "count", float64(n.Calls)/standIns)
-	c.Add(prefix+"_standin_calls_peak_s", "count", float64(f.peak))
-	c.Add(prefix+"_standin_cpu", "ms", standInCPU/standIns)
-	c.Add(prefix+"_standin_cpu_share", "share", standInCPU/1000/standIns/took)
-	return nil
-}
-
-// addMemory adds what agents and stand-ins hold.
-func (f *fleetRun) addMemory(ctx context.Context, c *fleet.Case) error {
-	if err := f.poll(ctx, true); err != nil {
-		return err
-	}
-	if err := f.pollStandIns(ctx); err != nil {
-		return err
-	}
-	var heap, rss, standIn float64
-	for _, w := range f.workers {
-		heap, rss = heap+w.last.Usage.Heap, rss+w.last.Usage.RSS
-	}
-	for _, m := range f.standIns {
-		standIn = max(standIn, m.last.Usage.RSS)
-	}
-	c.Add("agent_heap", "bytes", heap/float64(f.plan.Size.Agents))
-	c.Add("agent_rss", "bytes", rss/float64(f.plan.Size.Agents))
-	c.Add("standin_rss", "bytes", standIn)
-	return nil
-}
-
-// agentsSample draws a part of the agents.
-func (f *fleetRun) agentsSample(part float64) []int {
+// sampleAgents draws a part of the agents, one at least.
+func (f *fleetRun) sampleAgents(part float64) []int {
 	n := max(int(part*float64(f.plan.Size.Agents)), 1)
 	list := f.rng.Perm(f.plan.Size.Agents)[:n]
 	slices.Sort(list)
 	return list
 }
-
-func sleep(ctx context.Context, d time.Duration) error {
-	select {
-	case <-time.After(d):
-		return nil
-	case <-ctx.Done():
-		return context.Cause(ctx)
-	}
-}
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -143,6 +143,23 @@
 	return 1
 }
 
+// agentScopes returns the scope of each agent's list: the service of the server that it runs beside.
+func (p *Plan) agentScopes() []int {
+	scopes := make([]int, p.Size.Agents)
+	if p.Scope == ScopeService {
+		serviceOf := p.services()
+		for i := range scopes {
+			scopes[i] = serviceOf[i%p.Size.Servers]
+		}
+	}
+	return scopes
+}
+
+// startDelay returns how long after the fleet's start an agent starts.
+func (p *Plan) startDelay(agent int) time.Duration {
+	return p.Spread * time.Duration(agent) / time.Duration(p.Size.Agents)
+}
+
 func (p *Plan) zoneOf(i int) int      { return i % p.Size.Zones }
 func (p *Plan) regionOf(zone int) int { return zone * p.Size.Regions / p.Size.Zones }
 
--- /dev/null
+++ b/internal/fleet/controlplane/reports.go
@@ -0,0 +1,92 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// pollEvery is how often agents' processes are asked what has come to be in force.
+	pollEvery = 100 * time.Millisecond
+	// progressEvery is how often a wait for a version is logged.
+	progressEvery = 5 * time.Second
+)
+
+// pollAgents takes in what the agents' processes report.
+func (f *fleetRun) pollAgents(ctx context.Context) error { return f.pollWorkers(ctx, false) }
+
+// pollWorkers takes in what the agents' processes report; with collect they collect their garbage first.
+func (f *fleetRun) pollWorkers(ctx context.Context, collect bool) error {
+	if err := forEach(f.workers, func(w *worker) (err error) {
+		w.last, err = w.call(ctx, &command{Op: opReport, Heap: collect})
+		return err
+	}); err != nil {
+		return err
+	}
+	for _, w := range f.workers {
+		f.maxDelayMs = max(f.maxDelayMs, w.last.LateMs)
+		for _, e := range w.last.Events {
+			f.events[e.Agent] = append(f.events[e.Agent], e)
+		}
+	}
+	return nil
+}
+
+// pollStandIns takes in what the stand-ins report.
+func (f *fleetRun) pollStandIns(ctx context.Context) error {
+	if err := forEach(f.standIns, func(host *standInHost) error {
+		if host.Process == nil {
+			return nil
+		}
+		last, err := host.call(ctx, &command{Op: opReport})
+		if err == nil {
+			host.last = last
+		}
+		return err
+	}); err != nil {
+		return err
+	}
+	for _, host := range f.standIns {
+		if host.Process != nil {
+			f.maxDelayMs = max(f.maxDelayMs, host.last.LateMs)
+			f.peakCalls = max(f.peakCalls, host.last.Counts.CallsPeak)
+		}
+	}
+	return nil
+}
+
+// inForceAt returns when a version came to be in force at an agent, and whether it did.
+func (f *fleetRun) inForceAt(agent int, v version) (time.Time, bool) {
+	for _, e := range f.events[agent] {
+		if at := time.UnixMicro(e.At); e.Seq >= v.seq && !at.Before(v.since.Truncate(time.Microsecond)) {
+			return at, true
+		}
+	}
+	return time.Time{}, false
+}
+
+// await waits until a version is in force at all of the agents, for the plan's limit at most.
+func (f *fleetRun) await(ctx context.Context, agents []int, v version) error {
+	deadline, logged := time.Now().Add(f.plan.Limit), time.Now()
+	for {
+		if err := f.pollAgents(ctx); err != nil {
+			return err
+		}
+		without := 0
+		for _, a := range agents {
+			if _, ok := f.inForceAt(a, v); !ok {
+				without++
+			}
+		}
+		if without == 0 || time.Now().After(deadline) {
+			return nil
+		}
+		if time.Since(logged) > progressEvery {
+			logged = time.Now()
+			f.log.Info("waiting", "version", v.seq, "agents", len(agents), "without it", without)
+		}
+		if err := sleep(ctx, pollEvery); err != nil {
+			return err
+		}
+	}
+}
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -48,8 +48,7 @@
 		h.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
 		for i, a := range cmd.Agents {
 			h.ports[a] = cmd.Ports[i]
-			late := h.plan.Spread * time.Duration(a) / time.Duration(h.plan.Size.Agents)
-			if err := h.start(ctx, a, late); err != nil {
+			if err := h.start(ctx, a, h.plan.startDelay(a)); err != nil {
 				return reply{}, err
 			}
 		}
--- /dev/null
+++ b/internal/fleet/controlplane/slopes.go
@@ -0,0 +1,47 @@
+package controlplane
+
+import (
+	"log/slog"
+	"slices"
+
+	"ploverreel/internal/fleet"
+)
+
+// slopeSets are the figures that a line is fitted through: of what grows with the agents, and of what
+// grows with the list.
+var slopeSets = []struct {
+	cases   []string // their names
+	over    string   // the parameter in which they differ
+	target  func(fleet.Size) int
+	figures []string
+}{
+	{[]string{caseAgents, caseTarget}, "agents", func(s fleet.Size) int { return s.Agents },
+		[]string{"first_p99", "change_p99", "change_all", "calm_standin_cpu_share", "calm_standin_bytes_s",
+			"start_standin_cpu", "change_standin_cpu", "standin_rss"}},
+	{[]string{caseServers}, "servers", func(s fleet.Size) int { return s.Servers },
+		[]string{"start_agent_bytes", "start_agent_cpu", "start_agent_allocated", "change_agent_cpu", "agent_heap",
+			"agent_rss"}},
+}
+
+// fitSlopes returns the lines of slopeSets. A figure that too few of the fleets have, as agents were not
+// reached, has none.
+func fitSlopes(log *slog.Logger, cases []fleet.Case, size fleet.Size) []fleet.Fit {
+	var fits []fleet.Fit
+	for _, set := range slopeSets {
+		var chosen []fleet.Case
+		for _, c := range cases {
+			if slices.Contains(set.cases, c.Name) {
+				chosen = append(chosen, c)
+			}
+		}
+		for _, figure := range set.figures {
+			f, err := fleet.FitLine(chosen, figure, set.over, float64(set.target(size)))
+			if err != nil {
+				log.Warn("no slope", "err", err)
+				continue
+			}
+			fits = append(fits, f)
+		}
+	}
+	return fits
+}
