--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,6 +15,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -111,7 +112,7 @@
 	conf["limits"].(map[string]any)["sockets"] = minSockets
 	agent, base, _, _ := start(t, conf)
 	agent.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
-	agent.clients.silentGrace, agent.clients.acquireTimeout = never, never
+	agent.clients.silentGrace, agent.clients.acquireTimeout = agenttest.Never, agenttest.Never
 	agent.clients.mu.Unlock()
 	const over = 20
 	asked := openRequests(minSockets) + over
@@ -260,7 +261,7 @@
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	waits := newAttempt(before, http.MethodPost, never)
+	waits := newAttempt(before, http.MethodPost, agenttest.Never)
 	b.attempts[waits] = struct{}{}
 	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
@@ -288,13 +289,13 @@
 	})
 	loop := quietLoop(t, addr)
 	target := loop.backends[addrOf("s-0")]
-	target.conns.pool.idleTimeout = never
-	first := newAttempt(target.conns, http.MethodPost, never)
+	target.conns.pool.idleTimeout = agenttest.Never
+	first := newAttempt(target.conns, http.MethodPost, agenttest.Never)
 	first.backend = target
 	if res := first.run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(target.conns, http.MethodPost, never)
+	late := newAttempt(target.conns, http.MethodPost, agenttest.Never)
 	late.backend = target
 	late.request.answers = make(chan response, 1)
 	loop.handle(attemptEnded{attempt: late, result: result{status: policy.StatusTimeout}})
@@ -375,7 +376,7 @@
 // A watch ends at a malformed line, after the events of the lines before it.
 func TestMalformedLine(t *testing.T) {
 	disc, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	disc.silence = never
+	disc.silence = agenttest.Never
 	disc.watch(1, false)
 	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
 		t.Fatalf("told %+v", in)
@@ -430,7 +431,7 @@
 					if q != want {
 						t.Fatalf("asked %q, want %q", q, want)
 					}
-				case <-time.After(noAnswer):
+				case <-time.After(agenttest.NoAnswerTimeout):
 					t.Fatalf("never asked %q", want)
 				}
 			}
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -39,7 +40,7 @@
 			backend := testPool().newBackendConns(addr)
 			defer backend.closeIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
-				a := newAttempt(backend, c.method, never)
+				a := newAttempt(backend, c.method, agenttest.Never)
 				a.request.idempotency = c.key
 				if got := a.run().status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
@@ -54,7 +55,7 @@
 
 // An attempt goes out once, and what began is not withdrawn.
 func TestAttemptBeginsOnce(t *testing.T) {
-	a := newAttempt(nil, http.MethodPost, never)
+	a := newAttempt(nil, http.MethodPost, agenttest.Never)
 	defer a.cancel(nil)
 	if !a.begin() || a.begin() || a.withdraw() {
 		t.Fatal("an attempt began twice or was withdrawn after it began")
@@ -100,7 +101,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			backend := testPool().newBackendConns(rawBackend(t, c.serve))
 			defer backend.closeIdle()
-			res := newAttempt(backend, http.MethodPost, never).run()
+			res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
 			if res.status != c.want {
 				t.Fatalf("ended %d, want %d", res.status, c.want)
 			}
@@ -119,7 +120,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	pool := testPool()
-	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 	if n := pool.open; n != 0 {
@@ -141,7 +142,7 @@
 		c, err := plain(ctx, network, addr)
 		return brokenConn{c}, err
 	}
-	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never).run().status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 }
@@ -160,7 +161,7 @@
 		closed <- err
 	})
 	pool := testPool()
-	a := newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
+	a := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-got
@@ -196,7 +197,7 @@
 				close(ended)
 				return nil, ctx.Err()
 			}
-			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
 			done := make(chan result)
 			go func() { done <- a.run() }()
 			<-dialling
@@ -222,7 +223,7 @@
 		}
 		return c, err
 	}
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
 	if got := a.run().status; !got.NeverRan() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
@@ -243,8 +244,8 @@
 		a.beginBy = time.Now().Add(-time.Nanosecond) // it took that long
 		return c, err
 	}
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
-	a.beginBy = time.Now().Add(never)
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
+	a.beginBy = time.Now().Add(agenttest.Never)
 	if got := a.run().status; got != policy.StatusNotSent {
 		t.Fatalf("ended %d, want never begun", got)
 	}
@@ -252,10 +253,10 @@
 		t.Fatalf("the backend got %d bytes", n)
 	}
 	pool.connect = plain
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, never)
-	a.beginBy = time.Now().Add(never)
+	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
+	a.beginBy = time.Now().Add(agenttest.Never)
 	go a.run()
-	eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
+	agenttest.Eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
 	a.cancel(errCancelled)
 	<-read
 }
@@ -264,7 +265,7 @@
 func TestNoSocketLeft(t *testing.T) {
 	pool := testPool()
 	pool.maxConns = 0
-	if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != policy.StatusRejected {
+	if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never).run().status; got != policy.StatusRejected {
 		t.Fatalf("ended %d, want rejected", got)
 	}
 }
@@ -282,7 +283,7 @@
 		got <- req
 		io.WriteString(c, okAnswer)
 	})
-	a := newAttempt(testPool().newBackendConns(addr), http.MethodPost, never)
+	a := newAttempt(testPool().newBackendConns(addr), http.MethodPost, agenttest.Never)
 	a.request.target = "/order/a%2Fb%20c?x=1&y=%2f"
 	a.request.idempotency = "k1"
 	if res := a.run(); res.status != policy.StatusOK {
@@ -353,7 +354,7 @@
 					go func() {
 						defer wg.Done()
 						for range 50 {
-							res := newAttempt(backend, http.MethodPost, never).run()
+							res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
 							if res.status != policy.StatusOK || string(res.body) != "done" {
 								t.Errorf("ended %d %q", res.status, res.body)
 							}
@@ -381,7 +382,7 @@
 	})
 	backend := testPool().newBackendConns(addr)
 	for i := range 20 {
-		if res := newAttempt(backend, http.MethodPost, never).run(); res.status != policy.StatusOK {
+		if res := newAttempt(backend, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
 			t.Fatalf("attempt %d ended %d", i, res.status)
 		}
 		<-closed
@@ -398,7 +399,7 @@
 		groups = append(groups, pool.newBackendConns(addr))
 	}
 	for _, backend := range groups {
-		if res := newAttempt(backend, http.MethodPost, never).run(); res.status != policy.StatusOK {
+		if res := newAttempt(backend, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
 			t.Fatalf("ended %d", res.status)
 		}
 	}
@@ -420,7 +421,7 @@
 func TestAttemptPanic(t *testing.T) {
 	pool := testPool()
 	pool.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
 	if res := a.run(); res.status != policy.StatusReset || res.broken == nil {
 		t.Fatalf("ended %d, %v", res.status, res.broken)
 	}
--- a/internal/agent/backend_conns.go
+++ b/internal/agent/backend_conns.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"runtime/debug"
 	"time"
+
+	"ploverreel/internal/socket"
 )
 
 const (
@@ -54,7 +56,7 @@
 				return fresh, err
 			}
 		}
-		if conn.idleFor = time.Since(conn.since); conn.idleFor <= limit && peekConn(conn.Conn) == 0 {
+		if conn.idleFor = time.Since(conn.since); conn.idleFor <= limit && socket.Peek(conn.Conn) == socket.PeekNothing {
 			return conn, nil
 		}
 		conn.Close() // it has ended or may have, or brings unrequested bytes
@@ -154,7 +156,7 @@
 	b.opening = false
 	switch {
 	case err == nil || givenUp:
-	case isLocalError(err):
+	case socket.IsLocalError(err):
 		b.noExtra = time.Now().Add(extraRetryDelay)
 	default:
 		b.noExtra = time.Now().Add(p.idleTimeout)
--- a/internal/agent/backend_helpers_test.go
+++ b/internal/agent/backend_helpers_test.go
@@ -8,9 +8,9 @@
 	"net/http"
 	"testing"
 	"time"
-)
 
-const never = time.Hour // for what a test does not let run out
+	"ploverreel/internal/agenttest"
+)
 
 // rawBackend hands each connection to serve; it ends with the test.
 func rawBackend(t *testing.T, serve func(c net.Conn, r *bufio.Reader)) string {
@@ -57,7 +57,9 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-func testPool() *pool { return newPool((&net.Dialer{}).DialContext, never, never, 100) }
+func testPool() *pool {
+	return newPool((&net.Dialer{}).DialContext, agenttest.Never, agenttest.Never, 100)
+}
 
 // newAttempt makes an attempt as the loop does.
 func newAttempt(backend *backendConns, method string, timeout time.Duration) *attempt {
--- a/internal/agent/broken_conn_test.go
+++ b/internal/agent/broken_conn_test.go
@@ -11,6 +11,8 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
 
@@ -64,7 +66,7 @@
 func runOn(c *scriptedConn, method string) result {
 	pool := testPool()
 	pool.connect = func(context.Context, string, string) (net.Conn, error) { return c, nil }
-	return newAttempt(pool.newBackendConns("127.0.0.1:1"), method, never).run() // an hour: Request-Timeout keeps its length
+	return newAttempt(pool.newBackendConns("127.0.0.1:1"), method, agenttest.Never).run() // an hour: Request-Timeout keeps its length
 }
 
 // A request of which the last byte was not written never ran; one that was written whole may have
@@ -86,7 +88,7 @@
 					t.Errorf("%s: %v at byte %d of %d written: ended %d", method, errno, at, request, res.status)
 				case at == request && res.status != policy.StatusReset:
 					t.Errorf("%s: %v with all %d bytes written: ended %d", method, errno, request, res.status)
-				case at < request && isLocalError(errno) != (res.status == policy.StatusLocalFailure):
+				case at < request && socket.IsLocalError(errno) != (res.status == policy.StatusLocalFailure):
 					t.Errorf("%s: %v at byte %d written: ended %d", method, errno, at, res.status)
 				case !c.closed:
 					t.Errorf("%s: %v at byte %d written: the connection is kept", method, errno, at)
--- a/internal/agent/client_conn.go
+++ b/internal/agent/client_conn.go
@@ -7,6 +7,8 @@
 	"os"
 	"sync/atomic"
 	"time"
+
+	"ploverreel/internal/socket"
 )
 
 // maxReadAhead is how many bytes are kept of what a client sends while its request is in
@@ -185,13 +187,13 @@
 // isIdle reports whether the connection is between two requests and nothing of the next has
 // arrived. The caller holds table.mu.
 func (c *clientConn) isIdle() bool {
-	return !c.closing && c.stage == stageIdle && !c.head.started && peekConn(c.Conn) <= 0
+	return !c.closing && c.stage == stageIdle && !c.head.started && socket.Peek(c.Conn) != socket.PeekUnread
 }
 
 // isSilent reports whether nothing has arrived on the connection, not even unread. The caller
 // holds table.mu.
 func (c *clientConn) isSilent() bool {
-	return !c.closing && !c.received.Load() && peekConn(c.Conn) == 0
+	return !c.closing && !c.received.Load() && socket.Peek(c.Conn) == socket.PeekNothing
 }
 
 // awaitsHead reports whether the connection waits for the head of a request or reads one. The
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // fault describes how a client's connection fails: it reads and writes a byte at a time, and from a
@@ -94,7 +96,7 @@
 			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
 		}
 		conn.Close()
-		eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
+		agenttest.Eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
 		return string(said)
 	}
 	whole := ask(fault{0, -1, -1}, 1, 1)
@@ -139,29 +141,3 @@
 		}
 	}
 }
-
-// A peek that fails for want of a resource of this machine says nothing of the client.
-func TestFailedLooksAreNoEnds(t *testing.T) {
-	for _, test := range []struct {
-		name string
-		n    int
-		err  error
-		want int
-	}{
-		{"unread byte", 1, nil, peekUnread},
-		{"end of stream", 0, nil, peekClosed},
-		{"nothing to read", -1, syscall.EAGAIN, peekNothing},
-		{"interrupted", -1, syscall.EINTR, peekNothing},
-		{"no buffers", -1, syscall.ENOBUFS, peekUnknown},
-		{"no memory", -1, syscall.ENOMEM, peekUnknown},
-		{"reset", -1, syscall.ECONNRESET, peekClosed},
-		{"timed out", -1, syscall.ETIMEDOUT, peekClosed},
-		{"unreachable", -1, syscall.EHOSTUNREACH, peekClosed},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			if got := peekResult(test.n, test.err); got != test.want {
-				t.Errorf("recvfrom's %d, %v: got %d, want %d", test.n, test.err, got, test.want)
-			}
-		})
-	}
-}
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
 
@@ -66,7 +68,7 @@
 					}
 					conn := dial(t, base)
 					io.WriteString(conn, raw("order", "left"))
-					eventually(t, "its request taken", func() bool { return agent.holds("left") })
+					agenttest.Eventually(t, "its request taken", func() bool { return agent.holds("left") })
 					switch wait {
 					case "connect":
 						<-dialling
@@ -74,18 +76,18 @@
 						<-asked
 						agent.told(2) // no endpoint remains
 						close(turn)
-						eventually(t, "its outcome", func() bool { return agent.unsent("left") })
+						agenttest.Eventually(t, "its outcome", func() bool { return agent.unsent("left") })
 					}
 					io.WriteString(conn, more.text)
 					conn.Close()
 					if wait == "connect" {
 						select {
 						case <-given:
-						case <-time.After(noAnswer):
+						case <-time.After(agenttest.NoAnswerTimeout):
 							t.Fatal("still connects for a client that has left")
 						}
 					}
-					eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
+					agenttest.Eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
 					agent.told(3, readyHost(9, good))
 					if status, _, _ := do(t, call(base, "order")); status != 200 {
 						t.Fatalf("the next client was answered %d", status)
@@ -233,15 +235,15 @@
 	}
 	g = backendPool.newBackendConns(addr)
 	t.Cleanup(g.closeIdle)
-	if res := newAttempt(g, http.MethodPost, never).run(); res.status != policy.StatusOK {
+	if res := newAttempt(g, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 	backendPool.mu.Lock()
 	kept = g.idle[0]
-	kept.since = time.Now().Add(never) // so that it rests however slow the test is
+	kept.since = time.Now().Add(agenttest.Never) // so that it rests however slow the test is
 	backendPool.mu.Unlock()
 	<-came
-	waits = newAttempt(g, http.MethodPost, never)
+	waits = newAttempt(g, http.MethodPost, agenttest.Never)
 	waits.request.wireID = "next"
 	done = make(chan result, 1)
 	go func() { done <- waits.run() }()
@@ -254,7 +256,7 @@
 func TestLateSecondAnswer(t *testing.T) {
 	_, kept, _, done, rested, beyond, _ := resting(t)
 	beyond <- strings.Replace(okAnswer, "done", "gone", 1)
-	eventually(t, "the second answer there", func() bool { return peekConn(kept.Conn) == 1 })
+	agenttest.Eventually(t, "the second answer there", func() bool { return socket.Peek(kept.Conn) == socket.PeekUnread })
 	close(rested)
 	if res := <-done; res.status != policy.StatusOK || string(res.body) != "done" {
 		t.Fatalf("ended %d with the body %q", res.status, res.body)
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -11,6 +11,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 )
 
 // leavings are the ways in which a client can disconnect.
@@ -44,7 +47,7 @@
 func next[T input](t *testing.T, a *Agent) (found T) {
 	t.Helper()
 	var others []input
-	eventually(t, "in the queue", func() bool {
+	agenttest.Eventually(t, "in the queue", func() bool {
 		select {
 		case in := <-a.loop.inputs:
 			var ok bool
@@ -105,7 +108,7 @@
 					agent.loop.post(in)
 				case "room":
 					io.WriteString(conn, raw("order", "left"))
-					eventually(t, "its request taken", func() bool { return agent.holds("left") })
+					agenttest.Eventually(t, "its request taken", func() bool { return agent.holds("left") })
 					agent.look(func(l *loop) {
 						for _, reader = range l.requests {
 						}
@@ -122,7 +125,7 @@
 					out <- n
 				})
 				leave(conn)
-				eventually(t, "the leaving noticed by its handler", reader.clientGone.Load)
+				agenttest.Eventually(t, "the leaving noticed by its handler", reader.clientGone.Load)
 				close(release)
 				if n := <-out; n > 0 {
 					t.Fatal("an attempt made for a client that has left")
@@ -188,11 +191,11 @@
 // clientEnded waits until a client's close has arrived in the agent's kernel.
 func clientEnded(t *testing.T, agent *Agent) {
 	t.Helper()
-	eventually(t, "the client's end", func() bool {
+	agenttest.Eventually(t, "the client's end", func() bool {
 		agent.clients.mu.Lock()
 		defer agent.clients.mu.Unlock()
 		for conn := range agent.clients.conns {
-			return peerClosed(conn.Conn)
+			return socket.PeerClosed(conn.Conn)
 		}
 		return true
 	})
@@ -201,7 +204,7 @@
 // unopened waits until no request is in progress, and fails the test if a backend got one.
 func unopened(t *testing.T, agent *Agent, came chan string) {
 	t.Helper()
-	eventually(t, "no request held", func() (none bool) {
+	agenttest.Eventually(t, "no request held", func() (none bool) {
 		agent.look(func(l *loop) { none = len(l.requests) == 0 })
 		return none
 	})
@@ -259,8 +262,8 @@
 				t.Fatalf("got %q", id)
 			}
 			io.WriteString(conn, "P") // and not the rest of the third
-			eventually(t, "a byte of the third read", func() bool {
-				return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && peekConn(conn.Conn) == 0 })
+			agenttest.Eventually(t, "a byte of the third read", func() bool {
+				return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && socket.Peek(conn.Conn) == socket.PeekNothing })
 			})
 			close(release)
 			<-dialling // the second
@@ -300,7 +303,7 @@
 		t.Fatalf("the next client was answered %d", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	eventually(t, "all connections ended", func() bool { return agent.clients.count() == 0 })
+	agenttest.Eventually(t, "all connections ended", func() bool { return agent.clients.count() == 0 })
 	if id := <-came; strings.HasPrefix(id, "left") {
 		t.Fatalf("sent %q on for a client that has left", id)
 	}
@@ -318,11 +321,13 @@
 			t.Run(part+" "+how, func(t *testing.T) {
 				conn := dial(t, base)
 				io.WriteString(conn, text)
-				eventually(t, "its part read", func() bool {
-					return onlyConnIs(agent, func(conn *clientConn) bool { return conn.received.Load() && peekConn(conn.Conn) == 0 })
+				agenttest.Eventually(t, "its part read", func() bool {
+					return onlyConnIs(agent, func(conn *clientConn) bool {
+						return conn.received.Load() && socket.Peek(conn.Conn) == socket.PeekNothing
+					})
 				})
 				leavings[how](conn)
-				eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
+				agenttest.Eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
 				unopened(t, agent, came)
 			})
 		}
@@ -346,7 +351,7 @@
 			}
 			<-came
 			backendPool.mu.Lock()
-			backendPool.idle.Front().Value.(*backendConn).since = time.Now().Add(never) // rests however slow the test is
+			backendPool.idle.Front().Value.(*backendConn).since = time.Now().Add(agenttest.Never) // rests however slow the test is
 			connect := backendPool.connect
 			backendPool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				<-ctx.Done() // an extra connection that came up first would rightly be sent on
@@ -357,7 +362,7 @@
 			io.WriteString(conn, raw("order", "left"))
 			<-asked
 			leave(conn)
-			eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
+			agenttest.Eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
 			close(rested)
 			unopened(t, agent, came)
 		})
--- a/internal/agent/client_listener.go
+++ b/internal/agent/client_listener.go
@@ -8,6 +8,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"ploverreel/internal/socket"
 )
 
 // Listen opens the clients' listener. Where that fails for want of a resource of this machine it
@@ -33,7 +35,7 @@
 // isTransientListenError reports whether a listen may succeed when it is retried. An address that
 // doesn't belong to this machine is a permanent fault, unlike where a connect reports the same error.
 func isTransientListenError(err error) bool {
-	return isLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
+	return socket.IsLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
 // clientListener enters each connection that it accepts in the client connection table.
@@ -115,7 +117,7 @@
 	l.table.addWaiting(1)
 	defer l.table.addWaiting(-1)
 	for !l.table.acquire(client, time.Now()) {
-		if client.firstSeenAt.IsZero() && peekConn(conn) > 0 {
+		if client.firstSeenAt.IsZero() && socket.Peek(conn) == socket.PeekUnread {
 			client.firstSeenAt = time.Now()
 		}
 		if time.Since(client.stageSince) > l.table.acquirePatience() {
--- a/internal/agent/client_table.go
+++ b/internal/agent/client_table.go
@@ -5,6 +5,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"ploverreel/internal/socket"
 )
 
 // clientTable is the client connection table: it holds the clients' connections, at most maxConns
@@ -141,7 +143,7 @@
 		if oldest[class] != nil && !c.stageSince.Before(oldest[class].stageSince) {
 			continue
 		}
-		if class.requiresNoUnreadBytes() && peekConn(c.Conn) > 0 {
+		if class.requiresNoUnreadBytes() && socket.Peek(c.Conn) == socket.PeekUnread {
 			continue
 		}
 		oldest[class] = c
@@ -200,7 +202,7 @@
 func (t *clientTable) retryAfterTimeout(c *clientConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c.head.peekedAfterTimeout || peekConn(c.Conn) <= 0 {
+	if c.head.peekedAfterTimeout || socket.Peek(c.Conn) != socket.PeekUnread {
 		return false
 	}
 	c.head.peekedAfterTimeout = true
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -12,6 +12,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // Connections that are silent, idle without end, or stuck in an unfinished request must not keep
@@ -37,11 +39,11 @@
 				if kind == "coming" {
 					io.WriteString(conn, "P")
 				}
-				eventually(t, "the place taken", func() bool { return agent.clients.count() == i+1 })
+				agenttest.Eventually(t, "the place taken", func() bool { return agent.clients.count() == i+1 })
 			}
 			if kind != "silent" {
 				// As if all had been at this stage for long.
-				eventually(t, "all "+kind, func() bool {
+				agenttest.Eventually(t, "all "+kind, func() bool {
 					agent.clients.mu.Lock()
 					defer agent.clients.mu.Unlock()
 					for conn := range agent.clients.conns {
@@ -122,7 +124,7 @@
 		if !resp.Close {
 			kept++
 		}
-		eventually(t, "its end", func() bool { return agent.clients.count() <= 3 })
+		agenttest.Eventually(t, "its end", func() bool { return agent.clients.count() <= 3 })
 	}
 	if kept != 3 {
 		t.Fatalf("%d connections kept, want 3", kept)
@@ -134,7 +136,7 @@
 	if n := agent.clients.count(); n != 3 {
 		t.Fatalf("closed what was not idle for long: %d left", n)
 	}
-	eventually(t, "all idle", func() bool {
+	agenttest.Eventually(t, "all idle", func() bool {
 		agent.clients.reapIdle(time.Now().Add(clientIdleGrace))
 		return agent.clients.count() == 0
 	})
@@ -249,7 +251,7 @@
 
 // However many ids arrive, the memory for them is bounded, and the latest are known.
 func TestIDMemoryIsBounded(t *testing.T) {
-	m, now := newSeenIDs(never), time.Now()
+	m, now := newSeenIDs(agenttest.Never), time.Now()
 	for i := range 5 * maxIDs {
 		if !m.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d was taken for known", i)
@@ -272,7 +274,7 @@
 	dial(t, base)
 	half := dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
-	eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
+	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
 	stop()
 	select {
 	case err := <-ended:
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -6,6 +6,7 @@
 import (
 	"time"
 
+	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
 
@@ -61,7 +62,7 @@
 	return settings
 }
 
-// keeps reports, as a FieldError, the first name that doesn't have the same place in other: the zones
+// keeps reports, as a fielderror.Error, the first name that doesn't have the same place in other: the zones
 // and machine kinds of the listed servers are known by their places.
 func (n *nameIndex) keeps(other *nameIndex) error {
 	for _, list := range []struct {
@@ -70,7 +71,7 @@
 	}{{"failureDomains", n.sites, other.sites}, {"shapes", n.kinds, other.kinds}} {
 		for name, place := range list.old {
 			if at, ok := list.new[name]; !ok || at != place {
-				return fieldErrorf("settings: "+list.key, "the place of %q can't change without a restart", name)
+				return fielderror.Errorf("settings: "+list.key, "the place of %q can't change without a restart", name)
 			}
 		}
 	}
--- a/internal/agent/config_errors_test.go
+++ b/internal/agent/config_errors_test.go
@@ -8,6 +8,8 @@
 	"log/slog"
 	"path/filepath"
 	"testing"
+
+	"ploverreel/internal/fielderror"
 )
 
 // setAt sets the value at the end of a path of keys, or takes the key away where it is nil. A
@@ -79,7 +81,7 @@
 			if err == nil || err.Error() != c.want {
 				t.Errorf("said\n%v, want\n%s", err, c.want)
 			}
-			var field *FieldError
+			var field *fielderror.Error
 			if !errors.As(err, &field) || "config: "+field.Field+": "+field.Reason != c.want {
 				t.Errorf("field and reason are %+v, want those of %s", field, c.want)
 			}
@@ -144,21 +146,21 @@
 		err  error
 		want string
 	}{
-		{inField("listen", checkAddress("here")), "listen"},
-		{inField("known", (&List{}).check()), "known: hosts"},
-		{inField("known", fmt.Errorf("json: %w", io.EOF)), "known"},
-		{ofSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
-		{ofSettings(errors.New("settings: no colon behind")), "settings"},
-		{inField("a", fmt.Errorf("b: %w", fieldErrorf("c", "d"))), "a"},
+		{fielderror.In("listen", checkAddress("here")), "listen"},
+		{fielderror.In("known", (&List{}).check()), "known: hosts"},
+		{fielderror.In("known", fmt.Errorf("json: %w", io.EOF)), "known"},
+		{fielderror.OfSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
+		{fielderror.OfSettings(errors.New("settings: no colon behind")), "settings"},
+		{fielderror.In("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
 	} {
 		t.Run(c.want, func(t *testing.T) {
-			var field *FieldError
+			var field *fielderror.Error
 			if !errors.As(c.err, &field) || field.Field != c.want {
 				t.Errorf("%v is of the field %q", c.err, field.Field)
 			}
 		})
 	}
-	if err := inField("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) || inField("x", nil) != nil || ofSettings(nil) != nil {
+	if err := fielderror.In("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) || fielderror.In("x", nil) != nil || fielderror.OfSettings(nil) != nil {
 		t.Error("the cause is lost, or none is an error")
 	}
 }
--- a/internal/agent/config_file.go
+++ b/internal/agent/config_file.go
@@ -8,6 +8,7 @@
 	"os"
 	"strconv"
 
+	"ploverreel/internal/fielderror"
 	"ploverreel/internal/simwire"
 	"ploverreel/policy"
 )
@@ -27,17 +28,17 @@
 // the file can't be read, or else what ParseConfig names.
 func LoadConfig(path string) (*Config, error) {
 	if path == "" {
-		return nil, fieldErrorf("EDGE_CONFIG", "not set")
+		return nil, fielderror.Errorf("EDGE_CONFIG", "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, inField("EDGE_CONFIG", err)
+		return nil, fielderror.In("EDGE_CONFIG", err)
 	}
 	return ParseConfig(text)
 }
 
 // ParseConfig reads and validates the text of a configuration. Its error is one line, "config: field:
-// reason", and wraps a FieldError unless the text is no JSON.
+// reason", and wraps a fielderror.Error unless the text is no JSON.
 func ParseConfig(text []byte) (*Config, error) {
 	config, err := parseConfig(text)
 	if err != nil {
@@ -60,7 +61,7 @@
 	}
 	if len(file.Known) > 0 {
 		if config.Known, err = parseList(file.Known); err != nil {
-			return nil, inField("known", err)
+			return nil, fielderror.In("known", err)
 		}
 	}
 	return config, nil
@@ -71,7 +72,7 @@
 	if err := json.Unmarshal(text, file); err != nil {
 		var mismatch *json.UnmarshalTypeError
 		if errors.As(err, &mismatch) {
-			return nil, &FieldError{Field: mismatch.Field, Reason: "cannot be a " + mismatch.Value, Err: err}
+			return nil, &fielderror.Error{Field: mismatch.Field, Reason: "cannot be a " + mismatch.Value, Err: err}
 		}
 		return nil, fmt.Errorf("no JSON: %w", err)
 	}
@@ -81,25 +82,25 @@
 // check validates all but the settings and the list, and returns the seed.
 func (f *configFile) check() (seed uint64, err error) {
 	if err := checkAddress(f.Listen); err != nil {
-		return 0, inField("listen", err)
+		return 0, fielderror.In("listen", err)
 	}
 	if err := checkAddress(f.Discovery); err != nil {
-		return 0, inField("discovery", err)
+		return 0, fielderror.In("discovery", err)
 	}
 	if seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return 0, fieldErrorf("seed", "not 64 bits in hexadecimal: %q", f.Seed)
+		return 0, fielderror.Errorf("seed", "not 64 bits in hexadecimal: %q", f.Seed)
 	}
 	switch limits := f.Limits; {
 	case f.Name == "":
-		return 0, fieldErrorf("name", "missing")
+		return 0, fielderror.Errorf("name", "missing")
 	case !(limits.Cores > 0) || limits.Cores > 1024:
-		return 0, fieldErrorf("limits.cores", "must be above 0 and at most 1024, is %v", limits.Cores)
+		return 0, fielderror.Errorf("limits.cores", "must be above 0 and at most 1024, is %v", limits.Cores)
 	case !(limits.MemoryMB >= 16) || limits.MemoryMB > 1<<24:
-		return 0, fieldErrorf("limits.memory_mb", "must be 16 or above, is %v", limits.MemoryMB)
+		return 0, fielderror.Errorf("limits.memory_mb", "must be 16 or above, is %v", limits.MemoryMB)
 	case limits.Sockets < minSockets:
-		return 0, fieldErrorf("limits.sockets", "must be %d or above, is %d", minSockets, limits.Sockets)
+		return 0, fielderror.Errorf("limits.sockets", "must be %d or above, is %d", minSockets, limits.Sockets)
 	case len(f.Settings) == 0:
-		return 0, fieldErrorf("settings", "missing")
+		return 0, fielderror.Errorf("settings", "missing")
 	}
 	return seed, nil
 }
@@ -107,24 +108,24 @@
 // parseSettings takes the settings and the names in them.
 func (c *Config) parseSettings(text json.RawMessage) (err error) {
 	if c.Settings, err = simwire.ParseSettings(text); err != nil {
-		return ofSettings(err)
+		return fielderror.OfSettings(err)
 	}
 	var names struct {
 		Sites []string `json:"failureDomains"`
 		Kinds []string `json:"shapes"`
 	}
 	if err := json.Unmarshal(text, &names); err != nil {
-		return inField("settings: failureDomains or shapes", err)
+		return fielderror.In("settings: failureDomains or shapes", err)
 	}
 	// The module validates its settings itself, when one is made.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
-		return ofSettings(err)
+		return fielderror.OfSettings(err)
 	}
 	c.Names = nameIndex{sites: places(names.Sites), kinds: places(names.Kinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
 	for i, class := range c.Settings.Classes {
 		if class.Name == "" {
-			return fieldErrorf(fmt.Sprintf("settings: classes[%d].name", i), "missing")
+			return fielderror.Errorf(fmt.Sprintf("settings: classes[%d].name", i), "missing")
 		}
 		c.Names.classes[class.Name] = i
 	}
--- a/internal/agent/crossing_test.go
+++ b/internal/agent/crossing_test.go
@@ -12,6 +12,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 )
 
 // crossingConn is a client's connection with hooks between the end of a read and its handling by
@@ -86,7 +89,7 @@
 // restingAt waits until the agent's only connection is at a stage and waits for a head.
 func restingAt(t *testing.T, agent *Agent, want connStage) (found *clientConn) {
 	t.Helper()
-	eventually(t, "its connection at rest", func() bool {
+	agenttest.Eventually(t, "its connection at rest", func() bool {
 		agent.clients.mu.Lock()
 		defer agent.clients.mu.Unlock()
 		for conn := range agent.clients.conns {
@@ -136,7 +139,7 @@
 					if strings.HasSuffix(crossing, "unread") {
 						cross := func() {
 							io.WriteString(client, text)
-							eventually(t, "the bytes there", func() bool { return peekConn(conn.Conn) > 0 })
+							agenttest.Eventually(t, "the bytes there", func() bool { return socket.Peek(conn.Conn) == socket.PeekUnread })
 						}
 						hooks.over.Store(&cross)
 						end(agent.clients)
@@ -146,7 +149,7 @@
 						io.WriteString(client, text)
 					}
 					if rest != "" {
-						eventually(t, "the first half read", func() bool {
+						agenttest.Eventually(t, "the first half read", func() bool {
 							agent.clients.mu.Lock()
 							defer agent.clients.mu.Unlock()
 							return conn.head.started || len(agent.clients.conns) == 0
@@ -188,7 +191,7 @@
 			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Fatalf("got %v, want its end", err)
 			}
-			eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
+			agenttest.Eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
 		})
 	}
 }
--- a/internal/agent/descriptors_test.go
+++ b/internal/agent/descriptors_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // A call of discovery that is given up while it connects ends its dial: with a discovery that is
@@ -34,7 +36,7 @@
 			}
 			select {
 			case <-ended:
-			case <-time.After(noAnswer):
+			case <-time.After(agenttest.NoAnswerTimeout):
 				t.Fatal("still dials for a call that was given up")
 			}
 		})
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -8,6 +8,8 @@
 	"net"
 	"net/http"
 	"time"
+
+	"ploverreel/internal/socket"
 )
 
 const (
@@ -176,7 +178,7 @@
 // neverLeft reports whether a call failed on this machine, before anything of it was sent.
 func neverLeft(err error) bool {
 	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial" && (isLocalError(err) || isUnreachable(err))
+	return errors.As(err, &op) && op.Op == "dial" && (socket.IsLocalError(err) || socket.IsUnreachable(err))
 }
 
 // sleep waits, and reports whether the calls go on.
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -66,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := quietLoop(t, "127.0.0.1:1")
 			b := l.backends[addrOf("s-0")]
-			waits := newAttempt(b.conns, http.MethodPost, never)
+			waits := newAttempt(b.conns, http.MethodPost, agenttest.Never)
 			b.attempts[waits] = struct{}{}
 			l.handle(watchEvent{list: list})
 			if waits.begin() {
@@ -111,7 +112,7 @@
 			if want := fmt.Sprint("/v1/endpoints?follow=1&since=", seq); got != want {
 				t.Fatalf("asked %s, want %s", got, want)
 			}
-		case <-time.After(noAnswer):
+		case <-time.After(agenttest.NoAnswerTimeout):
 			t.Fatal("opened no watch")
 		}
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -7,6 +7,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // failingDialer fails the first connects of a discovery and counts all.
@@ -48,7 +50,7 @@
 				d, posted := scripted(t, false, `{"seq":2,"whole":true,"hosts":[]}`)
 				dialer := &failingDialer{failures: 20, err: failedConnect(errno), dial: d.dial}
 				d.dial = dialer.connect
-				d.firstWordTimeout, d.silence = never, never
+				d.firstWordTimeout, d.silence = agenttest.Never, agenttest.Never
 				var pauses []time.Duration
 				d.pause = func(span time.Duration) bool {
 					pauses = append(pauses, span)
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"testing"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -28,7 +29,7 @@
 		t.Run(at, func(t *testing.T) {
 			c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
 			pool := testPool()
-			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never)
+			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
 			b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
 			pool.connect = func(context.Context, string, string) (net.Conn, error) {
 				if at == "connect" {
--- a/internal/agent/endpoint_list.go
+++ b/internal/agent/endpoint_list.go
@@ -6,6 +6,7 @@
 	"hash/fnv"
 	"io"
 
+	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
 
@@ -41,20 +42,20 @@
 	return list, list.check()
 }
 
-// check reports, as a FieldError, the first part of a list that makes no sense.
+// check reports, as a fielderror.Error, the first part of a list that makes no sense.
 func (l *List) check() error {
 	if l.Hosts == nil {
-		return fieldErrorf("hosts", "missing") // other JSON must not pass as a list without backends
+		return fielderror.Errorf("hosts", "missing") // other JSON must not pass as a list without backends
 	}
 	for i, host := range l.Hosts {
 		health, known := healthByName[host.Health]
 		switch {
 		case host.Host == "":
-			return fieldErrorf(fmt.Sprintf("hosts[%d].host", i), "missing")
+			return fielderror.Errorf(fmt.Sprintf("hosts[%d].host", i), "missing")
 		case !known:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", host.Health)
+			return fielderror.Errorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", host.Health)
 		case health != policy.HealthGone && checkAddress(host.Dial) != nil:
-			return fieldErrorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", host.Dial)
+			return fielderror.Errorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", host.Dial)
 		}
 	}
 	return nil
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // stopped is an agent whose loop doesn't run and has its queue full.
@@ -212,7 +214,7 @@
 	first := ask("before")
 	<-told
 	late := dial(t, base)
-	eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
+	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
 	stop()
 	call := <-calls
 	_ = late.SetReadDeadline(time.Now().Add(20 * time.Second))
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -35,7 +36,7 @@
 // between its turns: only the module's has a Retry-After.
 func TestLastWordIsTheModules(t *testing.T) {
 	for left, margin := range map[time.Duration]time.Duration{
-		never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
+		agenttest.Never: guardMargin + wordMargin, 40 * time.Second: guardMargin + wordMargin, 8 * time.Millisecond: 2 * time.Millisecond,
 	} {
 		t.Run(left.String(), func(t *testing.T) {
 			loop := quietLoop(t, "127.0.0.1:1")
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -8,6 +8,9 @@
 	"strings"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 )
 
 // The timeout that a backend is sent counts from when the request's head was read: the time until
@@ -91,7 +94,7 @@
 		t.Fatal(err)
 	}
 	defer accepted.Close()
-	eventually(t, "the bytes there", func() bool { return peekConn(accepted) > 0 })
+	agenttest.Eventually(t, "the bytes there", func() bool { return socket.Peek(accepted) == socket.PeekUnread })
 	listener := &clientListener{Listener: ln, table: table}
 	placed := listener.acquireSlot(accepted)
 	if placed == nil {
--- a/internal/agent/hedged_watch_test.go
+++ b/internal/agent/hedged_watch_test.go
@@ -8,6 +8,8 @@
 	"net/http/httptest"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // hedgedCall is a call as discovery sees it.
@@ -66,7 +68,7 @@
 	t.Helper()
 	select {
 	case item = <-from:
-	case <-time.After(noAnswer):
+	case <-time.After(agenttest.NoAnswerTimeout):
 		t.Fatal("nothing came")
 	}
 	return item
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -14,7 +15,7 @@
 func heldUp(t *testing.T, ago time.Duration) (*loop, *request) {
 	l := quietLoop(t, "127.0.0.1:1")
 	r := &request{id: 1, method: http.MethodPost, target: "/send/u1", host: "b", wireID: "id", answers: make(chan response, 1),
-		deadline: time.Now().Add(never)}
+		deadline: time.Now().Add(agenttest.Never)}
 	l.requests[r.id] = r
 	l.decidedAt = time.Now().Add(-ago)
 	return l, r
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -148,9 +148,6 @@
 	return server.Listener.Addr().String(), came
 }
 
-// noAnswer is how long a test waits for what has to come before it fails.
-const noAnswer = time.Minute
-
 // nowhere is the address of a discovery that refuses connections.
 const nowhere = "127.0.0.1:1"
 
@@ -165,16 +162,6 @@
 	return conn
 }
 
-// eventually waits until done, and fails the test if that takes 20 s.
-func eventually(t *testing.T, what string, done func() bool) {
-	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !done(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("never: ", what)
-		}
-	}
-}
-
 // onlyConnIs reports whether the agent has a client connection that meets a condition, which is
 // called under the table's lock. It is for tests with one connection.
 func onlyConnIs(agent *Agent, condition func(conn *clientConn) bool) bool {
--- a/internal/agent/idle_lifetime_test.go
+++ b/internal/agent/idle_lifetime_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -53,7 +54,7 @@
 	}
 	broken := 0
 	for range 20 {
-		res := newAttempt(backend, http.MethodPost, never).run()
+		res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
 		if res.status != policy.StatusOK {
 			broken++
 		}
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
 
@@ -32,11 +34,11 @@
 	for _, waits := range []string{"connect", "rest", "extra connection"} {
 		for how, leave := range leavings {
 			t.Run(waits+" "+how, func(t *testing.T) {
-				a := newAttempt(nil, http.MethodPost, noAnswer)
+				a := newAttempt(nil, http.MethodPost, agenttest.NoAnswerTimeout)
 				client := clientOf(t, a.request)
 				gone := func() {
 					leave(client)
-					eventually(t, "the leaving at the agent's socket", func() bool { return peerClosed(a.request.client) })
+					agenttest.Eventually(t, "the leaving at the agent's socket", func() bool { return socket.PeerClosed(a.request.client) })
 				}
 				var backend *backendConns
 				var rested chan time.Time
@@ -60,7 +62,7 @@
 					conns.held = make(chan struct{})
 					go func() {
 						if backend.pool.allowExtra {
-							eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
+							agenttest.Eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
 							gone()
 							close(conns.held)
 							return
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -90,7 +91,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			pool := testPool()
 			pool.connect = (&failingConnects{errno: errno, fail: 1}).connect
-			if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, never).run().status; got != want {
+			if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never).run().status; got != want {
 				t.Errorf("%v: ended %d, want %d", errno, got, want)
 			}
 			if pool.open != 0 {
@@ -103,7 +104,7 @@
 // An extra connection that this machine could not open says nothing of its backend.
 func TestExtraConnectionThatThisMachineCouldNotOpen(t *testing.T) {
 	pool := testPool()
-	pool.idleTimeout = never
+	pool.idleTimeout = agenttest.Never
 	pool.connect = (&failingConnects{errno: syscall.ENFILE, fail: 1}).connect
 	backend := pool.newBackendConns("127.0.0.1:1")
 	backend.openExtra(context.Background(), nil, nil)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
 
@@ -197,7 +198,7 @@
 	}
 }
 
-// reload puts another configuration in force, all or nothing. Its error is a FieldError where a
+// reload puts another configuration in force, all or nothing. Its error is a fielderror.Error where a
 // field is not taken. Somebody waits for the result, so a panic is one.
 func (l *loop) reload(config *Config) (err error) {
 	defer func() {
@@ -209,7 +210,7 @@
 		return err
 	}
 	if err := l.balancer.Reconfigure(config.module()); err != nil {
-		return ofSettings(err)
+		return fielderror.OfSettings(err)
 	}
 	l.config = config
 	l.applyLimits()
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -15,7 +16,7 @@
 	var requests []*request
 	for range 3 {
 		r := &request{config: l.config, class: 2, method: http.MethodPost, target: "/order/u1", host: "b",
-			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan response, 2), deadline: time.Now().Add(never)}
+			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan response, 2), deadline: time.Now().Add(agenttest.Never)}
 		requests = append(requests, r)
 	}
 	for _, b := range l.backends {
--- a/internal/agent/no_length_test.go
+++ b/internal/agent/no_length_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -49,7 +50,7 @@
 			defer backend.closeIdle()
 			plain := backend.pool.connect
 			backend.pool.connect = wholeReads(plain, len(test.answer), read)
-			res := newAttempt(backend, http.MethodPost, noAnswer).run()
+			res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run()
 			if res.status != test.want || string(res.body) != test.body {
 				t.Fatalf("ended %d with %d bytes, want %d with %d", res.status, len(res.body), test.want, len(test.body))
 			}
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
 
@@ -67,9 +68,9 @@
 	// The decision module asked for it, whether or not the attempt has begun.
 	{policy.StatusCancelled, func(end *attemptEnd) bool { return errors.Is(end.cause, errCancelled) }},
 	// This machine is at fault for the moment, and the request has not run.
-	{policy.StatusLocalFailure, func(end *attemptEnd) bool { return end.cannotHaveRun() && isLocalError(end.err) }},
+	{policy.StatusLocalFailure, func(end *attemptEnd) bool { return end.cannotHaveRun() && socket.IsLocalError(end.err) }},
 	// There is no way to the backend. After a first byte there was one, so the next row has it.
-	{policy.StatusUnreachable, func(end *attemptEnd) bool { return end.neverBegan && isUnreachable(end.err) }},
+	{policy.StatusUnreachable, func(end *attemptEnd) bool { return end.neverBegan && socket.IsUnreachable(end.err) }},
 	// The backend could not be connected to, or the connection broke before the last byte.
 	{policy.StatusConnectFailed, (*attemptEnd).cannotHaveRun},
 	// The attempt's time was over with the request written whole: it may have run.
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -58,13 +59,13 @@
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	for _, c := range b.idle {
-		c.since = time.Now().Add(never)
+		c.since = time.Now().Add(agenttest.Never)
 	}
 }
 
 func (b *backendConns) served(t *testing.T) {
 	t.Helper()
-	if res := newAttempt(b, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
+	if res := newAttempt(b, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 }
@@ -109,7 +110,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				if res := newAttempt(backend, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK {
+				if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK {
 					t.Errorf("ended %d", res.status)
 				}
 			}()
@@ -117,7 +118,7 @@
 		wg.Wait()
 		backend.rests()
 	}
-	eventually(t, "nothing on its way", func() bool {
+	agenttest.Eventually(t, "nothing on its way", func() bool {
 		idle, open := backend.idleAndOpen()
 		return idle == open
 	})
@@ -166,8 +167,8 @@
 	for range 2 {
 		backend.rests()
 		done := make(chan result, 1)
-		go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
-		eventually(t, "the end of the connect", func() bool {
+		go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+		agenttest.Eventually(t, "the end of the connect", func() bool {
 			_, open := backend.idleAndOpen()
 			return conns.begun.Load() == 2 && open == 1
 		})
@@ -188,14 +189,14 @@
 	backend.served(t)
 	backend.rests()
 	done := make(chan result, 1)
-	go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
-	eventually(t, "a connect", func() bool { return conns.begun.Load() == 2 })
+	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+	agenttest.Eventually(t, "a connect", func() bool { return conns.begun.Load() == 2 })
 	rested <- time.Now()
 	if res := <-done; res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
 	close(conns.held)
-	eventually(t, "both idle", func() bool {
+	agenttest.Eventually(t, "both idle", func() bool {
 		idle, open := backend.idleAndOpen()
 		return idle == 2 && open == 2
 	})
@@ -212,8 +213,8 @@
 		panic("boom")
 	}
 	done := make(chan result, 1)
-	go func() { done <- newAttempt(backend, http.MethodPost, noAnswer).run() }()
-	eventually(t, "the panic", func() bool {
+	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+	agenttest.Eventually(t, "the panic", func() bool {
 		backend.pool.mu.Lock()
 		defer backend.pool.mu.Unlock()
 		return backend.panicked != nil
@@ -227,7 +228,7 @@
 	}
 	backend.rests()
 	close(rested)
-	if res := newAttempt(backend, http.MethodPost, noAnswer).run(); res.status != policy.StatusOK || res.broken != nil {
+	if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK || res.broken != nil {
 		t.Errorf("the next ended %d, broken by %v", res.status, res.broken)
 	}
 	if n := conns.begun.Load(); n != 2 {
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // restarted serves an agent on the listener. What ends its wait for a backend comes to the
@@ -76,7 +78,7 @@
 			}
 			c := dial(t, base)
 			io.WriteString(c, raw("order", "early"))
-			eventually(t, "its request queued", func() bool { return a.holds("early") })
+			agenttest.Eventually(t, "its request queued", func() bool { return a.holds("early") })
 			a.told(2, readyHost(0, good))
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v with a backend known", resp, err)
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
 
@@ -47,7 +48,7 @@
 // connection itself: its end may be there before anybody has had the time to read it, as what waits
 // for the processor or in the loop's queue is done in the order in which it came.
 func (r *request) hasClientLeft() bool {
-	if !r.clientGone.Load() && r.client != nil && peerClosed(r.client) {
+	if !r.clientGone.Load() && r.client != nil && socket.PeerClosed(r.client) {
 		r.clientGone.Store(true)
 	}
 	return r.clientGone.Load()
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -12,6 +12,9 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
 )
 
 // hookConn calls a hook between the read of a client's bytes and their handling.
@@ -58,11 +61,11 @@
 	for i, text := range []string{raw("order", "c1"), raw("order", "c2")} {
 		half := len(text) / 2
 		io.WriteString(conn, text[:half])
-		eventually(t, "half of it read", func() bool {
-			return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && peekConn(conn.Conn) == 0 })
+		agenttest.Eventually(t, "half of it read", func() bool {
+			return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && socket.Peek(conn.Conn) == socket.PeekNothing })
 		})
 		agent.clients.closeIdle(true)
-		agent.clients.reapIdle(time.Now().Add(never))
+		agent.clients.reapIdle(time.Now().Add(agenttest.Never))
 		io.WriteString(conn, text[half:])
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -89,9 +92,9 @@
 	conn := dial(t, base)
 	text := strings.Replace(raw("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
 	stop()
-	eventually(t, "leaving", func() bool { return agent.shutdownAt.Load() != nil })
+	agenttest.Eventually(t, "leaving", func() bool { return agent.shutdownAt.Load() != nil })
 	io.WriteString(conn, text+"half")
-	eventually(t, "no more connections", func() bool { return !listening(base) })
+	agenttest.Eventually(t, "no more connections", func() bool { return !listening(base) })
 	// Far longer than shutdownSettleTime: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -8,6 +8,8 @@
 	"net/http/httptest"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // A simulated agent watches as any does, reports each list that is in force, and ends with its
@@ -37,7 +39,7 @@
 			if got != want {
 				t.Fatalf("reported %+v, want %+v", got, want)
 			}
-		case <-time.After(noAnswer):
+		case <-time.After(agenttest.NoAnswerTimeout):
 			t.Fatal("reported nothing")
 		}
 	}
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"time"
 
+	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
 
@@ -19,7 +20,7 @@
 )
 
 // ParseTrace reads how far apart the module's state is to be logged, such as "1s"; "" means never.
-// Its error is a FieldError of EDGE_TRACE.
+// Its error is a fielderror.Error of EDGE_TRACE.
 func ParseTrace(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -27,9 +28,9 @@
 	every, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
-		return 0, fieldErrorf("EDGE_TRACE", "no duration: %q", text)
+		return 0, fielderror.Errorf("EDGE_TRACE", "no duration: %q", text)
 	case every < minTracePeriod:
-		return 0, fieldErrorf("EDGE_TRACE", "must be at least %v, is %v", minTracePeriod, every)
+		return 0, fielderror.Errorf("EDGE_TRACE", "must be at least %v, is %v", minTracePeriod, every)
 	}
 	return every, nil
 }
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -48,7 +49,7 @@
 	select {
 	case in := <-posted:
 		return contentsOf(in)
-	case <-time.After(noAnswer):
+	case <-time.After(agenttest.NoAnswerTimeout):
 		t.Fatal("posted nothing")
 		panic("unreachable")
 	}
@@ -57,7 +58,7 @@
 // Lists may come indented, over many lines, in any pieces, and several at once.
 func TestListsOverManyLines(t *testing.T) {
 	d, posted, pieces := spoken(t)
-	d.firstWordTimeout, d.silence = never, never
+	d.firstWordTimeout, d.silence = agenttest.Never, agenttest.Never
 	go d.watch(1, false)
 	indented := "{\n  \"seq\": 2,\n\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n" +
 		"      \"dial\": \"127.0.0.1:1\",\n      \"health\": \"draining\"\n    }\n  ]\n}\n"
@@ -104,7 +105,7 @@
 	})
 	t.Run("length", func(t *testing.T) {
 		d, posted, pieces := spoken(t)
-		d.firstWordTimeout, d.silence = never, never
+		d.firstWordTimeout, d.silence = agenttest.Never, agenttest.Never
 		go d.watch(1, false)
 		go func() {
 			pieces <- `{"seq":2,"more":"`
@@ -127,7 +128,7 @@
 func TestOtherJSONIsNoList(t *testing.T) {
 	for _, text := range []string{`{}`, `null`, `{"error":"later"}`, `{"seq":9,"whole":true}`, `[]`, `7`} {
 		d, posted, pieces := spoken(t)
-		d.firstWordTimeout, d.silence = never, never
+		d.firstWordTimeout, d.silence = agenttest.Never, agenttest.Never
 		go d.watch(1, false)
 		go func() { pieces <- text + "\n"; close(pieces) }()
 		if in := await(t, posted); !is[watchEnded](in.input) || in.err == nil || in.endedAfterNotice {
@@ -158,13 +159,13 @@
 	}{
 		{"lived", change + "\n", time.Nanosecond, true},
 		{"lived without a list", "\n", time.Nanosecond, true},
-		{"delivered and ended at once", change + "\n", never, true},
-		{"ended at once without a list", "\n", never, false},
+		{"delivered and ended at once", change + "\n", agenttest.Never, true},
+		{"ended at once without a list", "\n", agenttest.Never, false},
 		{"never spoke", "", time.Nanosecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d, _, pieces := spoken(t)
-			d.firstWordTimeout = never
+			d.firstWordTimeout = agenttest.Never
 			go func() {
 				if c.says != "" {
 					pieces <- c.says
--- a/internal/agent/local_errors.go
+++ b/internal/socket/errors.go
@@ -1,4 +1,4 @@
-package agent
+package socket
 
 import (
 	"errors"
@@ -17,11 +17,11 @@
 // that shows them may be at fault; most peers at once mean that this machine has lost its network.
 var unreachableErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN}
 
-// isLocalError reports whether an error was caused by this machine alone.
-func isLocalError(err error) bool { return isAnyErrno(err, localErrnos) }
+// IsLocalError reports whether an error was caused by this machine alone.
+func IsLocalError(err error) bool { return isAnyErrno(err, localErrnos) }
 
-// isUnreachable reports whether an error says that there is no way to the peer.
-func isUnreachable(err error) bool { return isAnyErrno(err, unreachableErrnos) }
+// IsUnreachable reports whether an error says that there is no way to the peer.
+func IsUnreachable(err error) bool { return isAnyErrno(err, unreachableErrnos) }
 
 // isAnyErrno reports whether an error is or wraps one of these.
 func isAnyErrno(err error, errnos []syscall.Errno) bool {
--- a/internal/agent/local_errors_test.go
+++ b/internal/socket/errors_test.go
@@ -1,4 +1,4 @@
-package agent
+package socket
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Errors that this machine, the way to the peer and the peer cause are distinguished as they come,
-// wrapped by the net package.
-func TestErrorsOfThisMachine(t *testing.T) {
+// The errors that this machine, the network and the peer cause are distinguished, wrapped as the
+// net package returns them.
+func TestErrorsAreClassifiedByTheirCause(t *testing.T) {
 	for _, test := range []struct {
 		errno              syscall.Errno
 		local, unreachable bool
@@ -30,15 +30,15 @@
 	} {
 		t.Run(test.errno.Error(), func(t *testing.T) {
 			err := fmt.Errorf("attempt: %w", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", test.errno)})
-			if got := isLocalError(err); got != test.local {
-				t.Errorf("local: %v, want %v", got, test.local)
+			if got := IsLocalError(err); got != test.local {
+				t.Errorf("IsLocalError = %v, want %v", got, test.local)
 			}
-			if got := isUnreachable(err); got != test.unreachable {
-				t.Errorf("unreachable: %v, want %v", got, test.unreachable)
+			if got := IsUnreachable(err); got != test.unreachable {
+				t.Errorf("IsUnreachable = %v, want %v", got, test.unreachable)
 			}
 		})
 	}
-	if isLocalError(nil) || isLocalError(errors.New("another")) {
-		t.Error("no error, or one of no system call, is taken for this machine's")
+	if IsLocalError(nil) || IsLocalError(errors.New("another")) {
+		t.Error("IsLocalError = true for no error, or for one of no system call")
 	}
 }
--- a/internal/agent/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,7 @@
-package agent
+// Package socket looks at connections and errors below what package net offers: whether bytes wait
+// unread, whether the peer has closed, and which errors are this machine's own. It keeps no state;
+// all functions may be called from any goroutine and none of them blocks.
+package socket
 
 import (
 	"encoding/binary"
@@ -13,29 +16,32 @@
 	tcpCloseWait = 8
 )
 
-// What peekConn finds on a connection.
+// PeekResult is what Peek finds on a connection.
+type PeekResult int8
+
+// The results of Peek.
 const (
-	peekUnknown = -2 // the look failed for want of a resource of this machine
-	peekClosed  = -1 // the peer has closed, or the connection failed
-	peekNothing = 0
-	peekUnread  = 1 // at least one unread byte
+	PeekUnknown PeekResult = iota // the look failed for want of a resource of this machine
+	PeekClosed                    // the peer has closed, or the connection failed
+	PeekNothing                   // nothing is unread, and the connection is up
+	PeekUnread                    // at least one unread byte
 )
 
 // maxPeekAttempts is how often a look that a signal interrupts is made.
 const maxPeekAttempts = 10
 
-// peekConn looks what waits unread on a connection without reading it, and returns one of the
-// peek constants. It doesn't block.
-func peekConn(conn net.Conn) int {
+// Peek reports what waits unread on a connection, without reading it. A connection that is not of
+// the operating system, as in tests, has nothing unread.
+func Peek(conn net.Conn) PeekResult {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return peekNothing
+		return PeekNothing
 	}
 	raw, err := sysConn.SyscallConn()
 	if err != nil {
-		return peekClosed
+		return PeekClosed
 	}
-	found := peekClosed
+	found := PeekClosed
 	// Control, as RawConn.Read would wait for the goroutine that reads from the connection.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
@@ -47,32 +53,32 @@
 		}
 	})
 	if err != nil {
-		return peekClosed
+		return PeekClosed
 	}
 	return found
 }
 
-// peekResult translates the result of a recvfrom that peeks to one of the peek constants. An error
+// peekResult returns the PeekResult of a recvfrom that peeks. An error
 // that is this machine's own says nothing of the connection.
-func peekResult(n int, err error) int {
+func peekResult(n int, err error) PeekResult {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return peekNothing
-	case err != nil && isLocalError(err):
-		return peekUnknown
+		return PeekNothing
+	case err != nil && IsLocalError(err):
+		return PeekUnknown
 	case err == nil && n > 0:
-		return peekUnread
+		return PeekUnread
 	}
-	return peekClosed
+	return PeekClosed
 }
 
-// peerClosed reports whether the peer has shut down its sending side. Bytes from before may wait
-// unread: with these, and where the look failed, the state of the connection is asked for.
-func peerClosed(conn net.Conn) bool {
-	switch peekConn(conn) {
-	case peekClosed:
+// PeerClosed reports whether the peer has shut down its sending side. Bytes from before may wait
+// unread: with these, and where the look failed, the state of the connection decides.
+func PeerClosed(conn net.Conn) bool {
+	switch Peek(conn) {
+	case PeekClosed:
 		return true
-	case peekNothing:
+	case PeekNothing:
 		return false
 	}
 	raw, err := conn.(syscall.Conn).SyscallConn()
--- /dev/null
+++ b/internal/socket/socket_test.go
@@ -0,0 +1,32 @@
+package socket
+
+import (
+	"syscall"
+	"testing"
+)
+
+// A peek that fails for want of a resource of this machine says nothing of the client.
+func TestPeekResultOfLocalErrorIsUnknown(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		n    int
+		err  error
+		want PeekResult
+	}{
+		{"unread byte", 1, nil, PeekUnread},
+		{"end of stream", 0, nil, PeekClosed},
+		{"nothing to read", -1, syscall.EAGAIN, PeekNothing},
+		{"interrupted", -1, syscall.EINTR, PeekNothing},
+		{"no buffers", -1, syscall.ENOBUFS, PeekUnknown},
+		{"no memory", -1, syscall.ENOMEM, PeekUnknown},
+		{"reset", -1, syscall.ECONNRESET, PeekClosed},
+		{"timed out", -1, syscall.ETIMEDOUT, PeekClosed},
+		{"unreachable", -1, syscall.EHOSTUNREACH, PeekClosed},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := peekResult(test.n, test.err); got != test.want {
+				t.Errorf("peekResult(%d, %v) = %d, want %d", test.n, test.err, got, test.want)
+			}
+		})
+	}
+}
