--- /dev/null
+++ b/internal/fleet/datapath/run.go
@@ -0,0 +1,58 @@
+package datapath
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+
+	"ploverreel/internal/fleet"
+)
+
+// Run plays all cases one after the other and adds them, the fitted lines and the notes to the
+// result. All processes that it started have ended when it returns. When a case fails, by an agent
+// that died or did not start or by the context's end, the error names the case, and the cases before
+// it stay in the result.
+func (p *Plan) Run(ctx context.Context, log *slog.Logger, r *fleet.Result) error {
+	r.Notes = append(r.Notes,
+		"added_* is the difference of the same quantile through the agents and direct, in one run; a served call counts from the moment it was sent.",
+		"cpu, memory and connections are the mean of an agent. connections are those to servers; the direct calls have servers of their own.",
+		"*_new are connections opened while measured. late_p99 is how late the load generator sent, which is in neither latency.",
+		"open: the answer time is such that so many requests are open at the rate; each holds a client's and a server's connection.")
+	all := p.scenarios()
+	families := map[string][]fleet.Case{}
+	for i, s := range all {
+		c, err := p.play(ctx, log, s)
+		if err != nil {
+			return fmt.Errorf("%s: %w", s.name, err)
+		}
+		r.Cases = append(r.Cases, c)
+		families[fmt.Sprint(s.family, s.replicas)] = append(families[fmt.Sprint(s.family, s.replicas)], c)
+		log.Info("case", "n", i+1, "of", len(all), "name", c.Name,
+			"served", value(c, "served_share"), "added_p50_ms", value(c, "added_p50"), "added_p99_ms", value(c, "added_p99"),
+			"cpu_ms_per_1000", value(c, "cpu_per_1000"), "rss_mb", value(c, "rss")/(1<<20))
+	}
+	for _, replicas := range p.Replicas {
+		for _, figure := range []string{"rss", "rss_peak", "cpu_per_1000"} {
+			addFit(log, r, families[fmt.Sprint(byList, replicas)], figure, "listed", float64(p.Size.Servers), replicas)
+		}
+	}
+	addFit(log, r, families[fmt.Sprint(byOpen, 1)], "rss_peak", "open", float64(p.Open[len(p.Open)-1]), 1)
+	addFit(log, r, families[fmt.Sprint(byOpen, 1)], "cpu_per_1000", "open", float64(p.Open[len(p.Open)-1]), 1)
+	return nil
+}
+
+// addFit adds the slope of a family's figure, if there are sizes enough for one.
+func addFit(log *slog.Logger, r *fleet.Result, cases []fleet.Case, figure, over string, target float64, replicas int) {
+	f, err := fleet.FitLine(cases, figure, over, target)
+	if err != nil {
+		log.Info("no slope", "why", err)
+		return
+	}
+	f.Figure = fmt.Sprintf("%s, %d replicas", figure, replicas)
+	r.Fits = append(r.Fits, f)
+}
+
+func value(c fleet.Case, name string) float64 {
+	v, _ := c.Figure(name)
+	return v
+}
--- /dev/null
+++ b/internal/fleet/datapath/usage.go
@@ -0,0 +1,73 @@
+package datapath
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// ticksPerS is the unit of the processor times in /proc.
+const ticksPerS = 100
+
+// usage is what an agent has used so far.
+type usage struct {
+	cpu       time.Duration
+	rss, peak float64 // bytes
+}
+
+// usage reads the processor time and the memory of the agent from /proc.
+func (a *process) usage() (usage, error) {
+	dir := filepath.Join("/proc", strconv.Itoa(a.cmd.Process.Pid))
+	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
+	if err != nil {
+		return usage{}, fmt.Errorf("agent's usage: %w", err)
+	}
+	var u usage
+	if u.cpu, err = parseCPU(string(stat)); err != nil {
+		return u, fmt.Errorf("agent's usage: stat: %w", err)
+	}
+	status, err := os.ReadFile(filepath.Join(dir, "status"))
+	if err != nil {
+		return u, fmt.Errorf("agent's usage: %w", err)
+	}
+	for line := range strings.Lines(string(status)) {
+		name, rest, _ := strings.Cut(line, ":")
+		var to *float64
+		switch name {
+		case "VmRSS":
+			to = &u.rss
+		case "VmHWM":
+			to = &u.peak
+		default:
+			continue
+		}
+		kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 64)
+		if err != nil {
+			return u, fmt.Errorf("agent's usage: %s: %w", name, err)
+		}
+		*to = kb * 1024
+	}
+	return u, nil
+}
+
+// parseCPU returns the user and system time in the text of /proc/PID/stat.
+func parseCPU(stat string) (time.Duration, error) {
+	// The second field is the name, in parentheses, and may hold anything.
+	at := strings.LastIndexByte(stat, ')')
+	fields := strings.Fields(stat[at+1:])
+	if at < 0 || len(fields) < 13 {
+		return 0, fmt.Errorf("%q", stat)
+	}
+	ticks := 0
+	for _, f := range fields[11:13] { // utime, stime
+		n, err := strconv.Atoi(f)
+		if err != nil {
+			return 0, err
+		}
+		ticks += n
+	}
+	return time.Duration(ticks) * (time.Second / ticksPerS), nil
+}
