--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -48,7 +48,7 @@
 			if balancer == nil {
 				return nil // dead or never started: nothing more is owed
 			}
-			actions = balancer.Handle(now, &record.Event, actions[:0])
+			actions = balancer.Handle(now, record.Event, actions[:0])
 		}
 		for i := range actions {
 			encoder.Add(record.Instance, &actions[i])
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"reflect"
 	"runtime/debug"
 	"time"
 
@@ -8,7 +9,7 @@
 )
 
 // notify hands the module one event and carries out what it decides.
-func (l *loop) notify(event *policy.Event) {
+func (l *loop) notify(event policy.Event) {
 	l.decidedAt = time.Now()
 	l.actions = l.decide(l.nowMs(), event)
 	l.perform()
@@ -16,16 +17,20 @@
 
 // decide hands the module one event. What it had decided before a panic counts: it waits for the
 // ends of those attempts.
-func (l *loop) decide(nowMs float64, event *policy.Event) (actions []policy.Action) {
+func (l *loop) decide(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("panic in the module", "event", event.Kind, "panic", p, "stack", string(debug.Stack()))
+			l.log.Error("panic in the module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
 			actions = l.balancer.Decided()
 		}
 	}()
 	return l.balancer.Handle(nowMs, event, l.actions[:0])
 }
 
+// eventName returns the name of an event's type. It keeps the event on the caller's stack, which the
+// formatting of package fmt would not.
+func eventName(event policy.Event) string { return reflect.TypeOf(event).Elem().Name() }
+
 // perform carries out the module's actions in their order.
 func (l *loop) perform() {
 	for i := range l.actions {
@@ -38,22 +43,22 @@
 func (l *loop) carryOut(action *policy.Action) {
 	defer l.recovered("action", int(action.Kind))
 	switch action.Kind {
-	case policy.ActionSend, policy.ActionCancel, policy.ActionReject, policy.ActionFail:
+	case policy.ActionSendAttempt, policy.ActionCancelAttempt, policy.ActionRejectRequest, policy.ActionFailRequest:
 		if request := l.requests[action.Request]; request != nil {
 			l.carryOutFor(request, action)
 		}
-	case policy.ActionTimer:
+	case policy.ActionSetTimer:
 		token := action.Token
 		time.AfterFunc(millis(action.DelayMs), func() { l.post(timerFired{token: token}) })
-	case policy.ActionWatch:
+	case policy.ActionOpenWatch:
 		l.openWatch()
-	case policy.ActionFetch:
+	case policy.ActionFetchEndpoints:
 		l.startFetch()
-	case policy.ActionCloseIdle:
+	case policy.ActionCloseIdleConnections:
 		if backend := l.backends[action.Server]; backend != nil {
 			backend.conns.closeIdle()
 		}
-	case policy.ActionLog:
+	case policy.ActionLogText:
 		l.log.Info(action.Text)
 	}
 }
@@ -61,9 +66,9 @@
 // carryOutFor carries out an action that is about an open request.
 func (l *loop) carryOutFor(request *request, action *policy.Action) {
 	switch action.Kind {
-	case policy.ActionSend:
+	case policy.ActionSendAttempt:
 		l.send(request, action)
-	case policy.ActionCancel:
+	case policy.ActionCancelAttempt:
 		if action.Attempt < 0 || action.Attempt >= len(request.attempts) {
 			return
 		}
@@ -71,10 +76,10 @@
 			attempt.withdraw() // else its first byte could still cross this
 			attempt.cancel(errCancelled)
 		}
-	case policy.ActionReject:
-		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.DelayMs)})
+	case policy.ActionRejectRequest:
+		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.RetryAfterMs)})
 		l.forget(request)
-	case policy.ActionFail:
+	case policy.ActionFailRequest:
 		l.answer(request, response{status: policy.StatusServerError})
 		l.forget(request)
 	}
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -38,12 +38,12 @@
 // newAttempt is an attempt with its times, which count from the decision.
 func (l *loop) newAttempt(request *request, target *backend, action *policy.Action) *attempt {
 	created := &attempt{request: request, index: len(request.attempts), backend: target, conns: target.conns, started: time.Now()}
-	if action.WithinMs > 0 {
-		created.beginBy = l.decidedAt.Add(millis(action.WithinMs))
+	if action.BeginWithinMs > 0 {
+		created.beginBy = l.decidedAt.Add(millis(action.BeginWithinMs))
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	var stop context.CancelFunc
-	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(action.DelayMs)))
+	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(action.TimeoutMs)))
 	created.cancel = func(cause error) {
 		cancel(cause)
 		stop()
@@ -70,7 +70,7 @@
 		// The machine may have vanished; its other connections would be as silent.
 		target.conns.closeIdle()
 	}
-	l.notify(&policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: ended.index, Server: target.addr,
+	l.notify(&policy.AttemptEnded{Request: request.id, Attempt: ended.index, Server: target.addr,
 		Status: outcome.status, LatencyMs: float64(outcome.elapsed) / float64(time.Millisecond),
 		Final: request.answered, Report: report(outcome.load, l.config.Settings.Report.Names)})
 	l.forget(request)
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -72,9 +72,9 @@
 			if waits.begin() {
 				t.Fatal("an attempt begins after the list")
 			}
-			l.notify(&policy.Event{Kind: policy.EventRequest, Request: 99, TimeLeftMs: 1000})
+			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
 			for _, a := range l.actions {
-				if a.Kind == policy.ActionSend {
+				if a.Kind == policy.ActionSendAttempt {
 					t.Fatalf("sends %+v", a)
 				}
 			}
@@ -101,7 +101,7 @@
 		seq := int64(5 + i)
 		l.handle(watchEvent{list: listOf(seq, false)})
 		l.handle(watchEnded{err: errWatchSilent, endedAfterNotice: lost})
-		l.actions = append(l.actions[:0], policy.Action{Kind: policy.ActionWatch})
+		l.actions = append(l.actions[:0], policy.OpenWatch())
 		l.perform()
 		if l.watch.fetching || !l.watch.watching {
 			t.Fatal("fetches the whole list, or watches no more")
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -11,7 +11,7 @@
 	switch {
 	case in.err != nil:
 		l.log.Warn("discovery: fetch failed", "err", in.err)
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
+		l.notify(&policy.DiscoveryFailed{})
 	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
 		l.applyEndpointList(policy.ListFull, &in.list)
 		l.watch.startTimes.fetched(l.nowMs())
@@ -26,7 +26,7 @@
 	case list.Seq > l.watch.listVersion:
 		l.applyEndpointList(policy.ListDelta, list)
 	default: // nothing new, and yet a sign that discovery is there
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
+		l.notify(&policy.EndpointsUpdated{Kind: policy.ListDelta})
 	}
 	l.watch.startTimes.watched()
 }
@@ -37,11 +37,11 @@
 	l.watch.watching = false
 	l.watch.startTimes.unwatched(l.nowMs(), float64(l.watch.discovery.silence.Milliseconds()))
 	l.log.Warn("discovery: watch ended", "err", in.err)
-	how := policy.ListFailed
 	if in.endedAfterNotice {
-		how = policy.ListWatchEnded
+		l.notify(&policy.WatchEnded{})
+	} else {
+		l.notify(&policy.DiscoveryFailed{})
 	}
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
 // openWatch opens a watch for what changed after the list in force, unless one is open.
@@ -102,7 +102,7 @@
 		}
 		l.removeBackend(backend)
 	}
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
+	l.notify(&policy.EndpointsUpdated{Kind: kind, Entries: entries})
 	usable := false
 	for _, backend := range l.backends {
 		usable = usable || backend.usable
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -45,7 +45,7 @@
 			loop.handle(requestArrived{request: r})
 			sent := false
 			for _, act := range loop.actions {
-				if act.Kind == policy.ActionSend && act.Request == r.id {
+				if act.Kind == policy.ActionSendAttempt && act.Request == r.id {
 					sent = true
 					if told := millis(act.DelayMs); told > before-margin*9/10 {
 						t.Errorf("an attempt of a request with %v left may take %v", before, told)
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -27,7 +27,8 @@
 	var server policy.Addr
 	for server = range l.backends {
 	}
-	l.send(r, &policy.Action{Kind: policy.ActionSend, Request: 1, Server: server, DelayMs: 90_000, WithinMs: 30_000})
+	sent := policy.SendAttempt(1, server, 90_000, 30_000)
+	l.send(r, &sent)
 	a := r.attempts[0]
 	defer a.cancel(nil)
 	if !a.beginBy.Before(time.Now()) {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -165,7 +165,7 @@
 	case attemptEnded:
 		l.onOutcome(in.attempt, &in.result)
 	case timerFired:
-		l.notify(&policy.Event{Kind: policy.EventTimer, Token: in.token})
+		l.notify(&policy.TimerFired{Token: in.token})
 	case endpointsFetched:
 		if l.watch.isCurrent(in.generation) {
 			l.onEndpointsFetched(&in)
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -53,7 +53,7 @@
 	r := &request{id: 7, answers: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, r
 	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // cancelling it panics
-	l.actions = []policy.Action{{Kind: policy.ActionCancel, Request: 2}, {Kind: policy.ActionReject, Request: 7}}
+	l.actions = []policy.Action{policy.CancelAttempt(2, 0), policy.RejectRequest(7, 0)}
 	func() {
 		defer func() { _ = recover() }()
 		l.perform()
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -105,9 +105,9 @@
 	l.requests[request.id] = request
 	left := time.Until(request.deadline)
 	left -= min(guardMargin+wordMargin, left/4)
-	l.notify(&policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
+	l.notify(&policy.RequestArrived{Request: request.id, Class: request.class, Tenant: request.tenant,
 		Key: request.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
-		HintMs: request.hintMs, HasHint: request.hasHint, Retry: request.retry})
+		WorkHintMs: request.hintMs, HasWorkHint: request.hasHint, Retry: request.retry})
 }
 
 // onClientDisconnected closes a request whose handler waits no longer, unless it has its answer.
@@ -116,7 +116,7 @@
 		return
 	}
 	l.close(request)
-	l.notify(&policy.Event{Kind: policy.EventClientGone, Request: request.id})
+	l.notify(&policy.ClientDisconnected{Request: request.id})
 	l.forget(request)
 }
 
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -30,7 +30,7 @@
 	if err := l.startTrace(time.Second); err == nil {
 		t.Error("a second trace was begun")
 	}
-	l.balancer.Handle(l.nowMs(), &policy.Event{Kind: policy.EventRequest, Request: 1, TimeLeftMs: 1000}, nil)
+	l.balancer.Handle(l.nowMs(), &policy.RequestArrived{Request: 1, TimeLeftMs: 1000}, nil)
 	for range 2 {
 		l.handle(traceDue{})
 	}
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -198,7 +198,7 @@
 		}
 		l.handle(failed)
 		for _, a := range l.actions {
-			if a.Kind == policy.ActionTimer {
+			if a.Kind == policy.ActionSetTimer {
 				return millis(a.DelayMs)
 			}
 		}
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -40,21 +40,21 @@
 )
 
 // handle passes the event on and measures.
-func (m *meter) handle(b *policy.Balancer, now float64, kind eventKind, ev *policy.Event,
+func (m *meter) handle(b *policy.Balancer, now float64, kind eventKind, event policy.Event,
 	out []policy.Action) []policy.Action {
 	k := &m.perKind[kind]
 	k.events++
 	switch m.mode {
 	case timing:
 		from := threadNs()
-		out = b.Handle(now, ev, out)
+		out = b.Handle(now, event, out)
 		k.ns += max(float64(threadNs()-from)-m.readNs, 0)
 	case counting:
 		from := allocated()
-		out = b.Handle(now, ev, out)
+		out = b.Handle(now, event, out)
 		k.bytes += float64(allocated() - from)
 	default:
-		out = b.Handle(now, ev, out)
+		out = b.Handle(now, event, out)
 	}
 	return out
 }
--- a/internal/fleet/decisions/player.go
+++ b/internal/fleet/decisions/player.go
@@ -192,17 +192,17 @@
 func (p *player) deliver() {
 	d := heap.Pop(&p.due).(dueEvent)
 	p.now = d.at
-	if d.kind == outcome && d.event.Kind == policy.EventOutcome {
+	if ended, ok := d.event.(*policy.AttemptEnded); ok {
 		// An answer crosses its cancelling, and may come after its request was given up.
-		if r := p.open[d.event.Request]; r != nil && d.event.Final {
+		if r := p.open[ended.Request]; r != nil && ended.Final {
 			p.counts.served++
-			delete(p.open, d.event.Request)
+			delete(p.open, ended.Request)
 		} else if r != nil {
 			r.queued = true // until the balancer says otherwise
 			p.waiting++
 		}
 	}
-	p.handle(d.kind, &d.event)
+	p.handle(d.kind, d.event)
 }
 
 func (p *player) request() {
@@ -211,7 +211,7 @@
 	p.open[p.last] = &request{cameMs: p.now, queued: true}
 	p.waiting++
 	p.counts.requests++
-	p.handle(newRequest, &policy.Event{Kind: policy.EventRequest, Request: p.last, Class: class, Tenant: tenant,
+	p.handle(newRequest, &policy.RequestArrived{Request: p.last, Class: class, Tenant: tenant,
 		Key: 1 + p.rng.Uint64N(keys), TimeLeftMs: p.set.Classes[class].DeadlineMs})
 }
 
@@ -227,7 +227,7 @@
 }
 
 func (p *player) list(kind policy.ListKind, entries []policy.Entry, as eventKind) {
-	p.handle(as, &policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
+	p.handle(as, &policy.EndpointsUpdated{Kind: kind, Entries: entries})
 }
 
 // replace takes the oldest server off the list and adds a new one: two deltas.
@@ -239,8 +239,8 @@
 	p.list(policy.ListDelta, p.entries[len(p.entries)-1:], delta)
 }
 
-func (p *player) handle(kind eventKind, ev *policy.Event) {
-	p.carryOut(p.meter.handle(p.balancer, p.now, kind, ev, p.actions[:0]))
+func (p *player) handle(kind eventKind, event policy.Event) {
+	p.carryOut(p.meter.handle(p.balancer, p.now, kind, event, p.actions[:0]))
 }
 
 // carryOut does what the balancer asks for.
@@ -250,7 +250,7 @@
 		a := &actions[i]
 		r := p.open[a.Request]
 		switch a.Kind {
-		case policy.ActionSend:
+		case policy.ActionSendAttempt:
 			p.counts.attempts++
 			if r.attempts++; r.attempts == 1 {
 				p.counts.waits = append(p.counts.waits, p.now-r.cameMs)
@@ -258,7 +258,7 @@
 			r.queued = false
 			p.waiting--
 			p.answer(a, r.attempts-1)
-		case policy.ActionReject, policy.ActionFail:
+		case policy.ActionRejectRequest, policy.ActionFailRequest:
 			if r == nil {
 				continue
 			}
@@ -267,15 +267,15 @@
 				p.waiting--
 			}
 			delete(p.open, a.Request)
-		case policy.ActionHealthCheck:
+		case policy.ActionCheckHealth:
 			status := policy.StatusOK
 			if p.refusing[a.Server] {
 				status = policy.StatusConnectFailed
 			}
-			p.after(refusedMs, outcome, policy.Event{Kind: policy.EventHealthChecked, Server: a.Server, Status: status,
+			p.after(refusedMs, outcome, &policy.HealthCheckEnded{Server: a.Server, Status: status,
 				LatencyMs: refusedMs})
-		case policy.ActionTimer:
-			p.after(a.DelayMs, tick, policy.Event{Kind: policy.EventTimer, Token: a.Token})
+		case policy.ActionSetTimer:
+			p.after(a.DelayMs, tick, &policy.TimerFired{Token: a.Token})
 		}
 	}
 }
@@ -283,22 +283,22 @@
 // answer has an attempt end: at once where its server refuses, after answerMs where servers
 // are idle, and as fast as they serve where requests are queued.
 func (p *player) answer(a *policy.Action, attempt int) {
-	ev := policy.Event{Kind: policy.EventOutcome, Request: a.Request, Attempt: attempt, Server: a.Server}
+	ended := &policy.AttemptEnded{Request: a.Request, Attempt: attempt, Server: a.Server}
 	if p.refusing[a.Server] {
 		delete(p.untried, a.Server)
-		ev.Status, ev.LatencyMs = policy.StatusConnectFailed, refusedMs
-		p.after(refusedMs, outcome, ev)
+		ended.Status, ended.LatencyMs = policy.StatusConnectFailed, refusedMs
+		p.after(refusedMs, outcome, ended)
 		return
 	}
-	ev.Status, ev.Final, ev.LatencyMs = policy.StatusOK, true, answerMs
+	ended.Status, ended.Final, ended.LatencyMs = policy.StatusOK, true, answerMs
 	if p.queued > 0 {
 		p.freeMs = max(p.freeMs+1000/p.perAgent, p.now+answerMs)
-		ev.LatencyMs = p.freeMs - p.now
+		ended.LatencyMs = p.freeMs - p.now
 	}
-	p.after(ev.LatencyMs, outcome, ev)
+	p.after(ended.LatencyMs, outcome, ended)
 }
 
-func (p *player) after(ms float64, kind eventKind, ev policy.Event) {
+func (p *player) after(ms float64, kind eventKind, event policy.Event) {
 	p.order++
-	heap.Push(&p.due, dueEvent{p.now + ms, p.order, kind, ev})
+	heap.Push(&p.due, dueEvent{p.now + ms, p.order, kind, event})
 }
--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -21,7 +21,7 @@
 // boot starts the agent with the cached endpoint list.
 func (a *agent) boot() {
 	a.perform(a.decider.Start(a.m.now, nil))
-	a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListCached, Entries: a.client.list()})
+	a.handle(&policy.EndpointsUpdated{Kind: policy.ListCached, Entries: a.client.list()})
 }
 
 // handle gives the decider an event and performs its actions. These may end attempts, and so call
@@ -31,20 +31,27 @@
 		return
 	}
 	model := a.m
-	for i := range event.Entries {
-		if server := model.serverAt(event.Entries[i].Server); server.startedAt > 0 && event.Entries[i].StartedMs == server.startedAt {
-			a.knownStarts[server] = true
-		}
+	if updated, ok := event.(*policy.EndpointsUpdated); ok {
+		a.noteStarts(updated.Entries)
 	}
 	var actions []policy.Action
 	if n := len(model.spareActions); n > 0 {
 		actions, model.spareActions = model.spareActions[n-1], model.spareActions[:n-1]
 	}
-	actions = a.decider.Handle(model.now, &event, actions[:0])
+	actions = a.decider.Handle(model.now, event, actions[:0])
 	a.perform(actions)
 	model.spareActions = append(model.spareActions, actions)
 }
 
+// noteStarts notes the servers whose latest start the agent is notified of.
+func (a *agent) noteStarts(entries []policy.Entry) {
+	for i := range entries {
+		if server := a.m.serverAt(entries[i].Server); server.startedAt > 0 && entries[i].StartedMs == server.startedAt {
+			a.knownStarts[server] = true
+		}
+	}
+}
+
 // perform does what the decider asks for. Actions without a part in the model are skipped.
 func (a *agent) perform(actions []policy.Action) {
 	model := a.m
@@ -52,21 +59,21 @@
 		act := &actions[i]
 		request := a.requests[act.Request]
 		switch act.Kind {
-		case policy.ActionSend:
+		case policy.ActionSendAttempt:
 			a.send(request, act)
-		case policy.ActionCancel:
+		case policy.ActionCancelAttempt:
 			if request != nil && request.inFlight != nil && request.inFlight.index == act.Attempt {
 				request.inFlight.end(policy.StatusCancelled)
 			}
-		case policy.ActionReject, policy.ActionFail:
+		case policy.ActionRejectRequest, policy.ActionFailRequest:
 			if request != nil {
-				request.reject(act.Kind == policy.ActionReject)
+				request.reject(act.Kind == policy.ActionRejectRequest)
 			}
-		case policy.ActionTimer:
+		case policy.ActionSetTimer:
 			model.schedule(model.now+act.DelayMs, a.timer(act.Token))
-		case policy.ActionHealthCheck:
+		case policy.ActionCheckHealth:
 			a.healthCheck(act.Server)
-		case policy.ActionWatch, policy.ActionFetch:
+		case policy.ActionOpenWatch, policy.ActionFetchEndpoints:
 			a.callDiscovery()
 		}
 	}
@@ -82,13 +89,13 @@
 	model.second().DiscoveryCalls++
 	done := max(model.discovery.freeAt, model.now) + model.cfg.CallMs
 	if done-model.now > maxCallMs {
-		model.after(maxCallMs, func() { a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed}) })
+		model.after(maxCallMs, func() { a.handle(&policy.DiscoveryFailed{}) })
 		return
 	}
 	model.discovery.freeAt = done
 	model.schedule(done, call(func() {
 		model.discovery.answered++
-		a.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListFull, Entries: a.client.list()})
+		a.handle(&policy.EndpointsUpdated{Kind: policy.ListFull, Entries: a.client.list()})
 	}))
 }
 
@@ -104,7 +111,7 @@
 	return known
 }
 
-func (t *timer) fire(*Model) { t.agent.handle(policy.Event{Kind: policy.EventTimer, Token: t.token}) }
+func (t *timer) fire(*Model) { t.agent.handle(&policy.TimerFired{Token: t.token}) }
 
 // healthCheck connects to a server and reports the outcome after a round trip, or after the connect
 // timeout.
@@ -116,7 +123,7 @@
 	model.second().HealthChecks++
 	roundTripMs := 2 * model.hop(a.client.zone, server.zone)
 	model.after(roundTripMs, func() {
-		event := policy.Event{Kind: policy.EventHealthChecked, Server: addr, Status: policy.StatusOK, LatencyMs: roundTripMs}
+		event := &policy.HealthCheckEnded{Server: addr, Status: policy.StatusOK, LatencyMs: roundTripMs}
 		switch {
 		case server.silent || !model.linked(a.client.zone, server.zone):
 			untilTimeoutMs := max(model.cfg.Settings.Limits.ConnectTimeoutMs-roundTripMs, 0)
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -58,7 +58,7 @@
 	request.inFlight = sent
 	a.inFlight++
 	model.schedule(model.now+model.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
-	model.queue.pushLate(model.now+act.DelayMs, (*attemptTimedOut)(sent))
+	model.queue.pushLate(model.now+act.TimeoutMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
@@ -93,7 +93,7 @@
 			model.secondOf(request.arrivedAt).Served++
 		}
 	}
-	agent.handle(policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: t.index, Server: t.server.addr,
+	agent.handle(&policy.AttemptEnded{Request: request.id, Attempt: t.index, Server: t.server.addr,
 		Status: status, LatencyMs: model.now - t.sentAt, Final: request.final})
 	request.forget()
 }
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -104,8 +104,8 @@
 		model.shares.addRequest(request)
 	}
 	timeLeftMs := model.clientTimeoutMs(request.class)
-	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
-		Key: request.key, HintMs: request.hintMs, HasHint: request.hintMs > 0, TimeLeftMs: timeLeftMs,
+	agent.handle(&policy.RequestArrived{Request: request.id, Class: request.class, Tenant: request.tenant,
+		Key: request.key, WorkHintMs: request.hintMs, HasWorkHint: request.hintMs > 0, TimeLeftMs: timeLeftMs,
 		Retry: request.retries > 0 && model.cfg.Settings.Clients.MarksRetry})
 	model.maxQueued = max(model.maxQueued, len(agent.requests)-agent.inFlight)
 	model.queue.pushLate(model.now+timeLeftMs, (*requestDeadline)(request))
@@ -138,7 +138,7 @@
 		return
 	}
 	request.final = true
-	request.agent.handle(policy.Event{Kind: policy.EventClientGone, Request: request.id})
+	request.agent.handle(&policy.ClientDisconnected{Request: request.id})
 	if len(request.agent.m.cfg.Traffic) > 0 { // plain clients retry only what was rejected
 		request.agent.client.retry(request)
 	}
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -17,7 +17,7 @@
 // decider decides for an agent: a policy.Balancer or, to compare with, a delayedView.
 type decider interface {
 	Start(now float64, out []policy.Action) []policy.Action
-	Handle(now float64, ev *policy.Event, out []policy.Action) []policy.Action
+	Handle(now float64, event policy.Event, out []policy.Action) []policy.Action
 }
 
 // newDecider is the decider of a new process of the client's agent. Its error is that of policy.New.
@@ -77,21 +77,21 @@
 func (l *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
 
 // Handle sends what comes, and retries what did not run or may be repeated.
-func (l *delayedView) Handle(now float64, event *policy.Event, out []policy.Action) []policy.Action {
-	switch event.Kind {
-	case policy.EventRequest:
+func (l *delayedView) Handle(now float64, event policy.Event, out []policy.Action) []policy.Action {
+	switch event := event.(type) {
+	case *policy.RequestArrived:
 		l.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
 		return l.send(now, event.Request, out)
-	case policy.EventClientGone:
+	case *policy.ClientDisconnected:
 		delete(l.open, event.Request)
-	case policy.EventOutcome:
+	case *policy.AttemptEnded:
 		return l.ended(now, event, out)
 	}
 	return out
 }
 
 // ended retries a request after an attempt that did not answer it, or fails it.
-func (l *delayedView) ended(now float64, event *policy.Event, out []policy.Action) []policy.Action {
+func (l *delayedView) ended(now float64, event *policy.AttemptEnded, out []policy.Action) []policy.Action {
 	request := l.open[event.Request]
 	if request == nil {
 		return out
@@ -103,7 +103,7 @@
 	request.mayHaveRun = request.mayHaveRun || !event.Status.NeverRan()
 	if request.mayHaveRun && l.settings.Classes[request.class].Effect != policy.EffectIdempotent {
 		delete(l.open, event.Request)
-		return append(out, policy.Action{Kind: policy.ActionFail, Request: event.Request})
+		return append(out, policy.FailRequest(event.Request))
 	}
 	return l.send(now, event.Request, out)
 }
@@ -114,10 +114,10 @@
 	if server := l.pick(request); server != nil && request.attempts < l.settings.Limits.MaxAttempts && now < request.deadline {
 		request.attempts++
 		server.view.pending++
-		return append(out, policy.Action{Kind: policy.ActionSend, Request: id, Server: server.addr, DelayMs: request.deadline - now})
+		return append(out, policy.SendAttempt(id, server.addr, request.deadline-now, 0))
 	}
 	delete(l.open, id)
-	return append(out, policy.Action{Kind: policy.ActionReject, Request: id, DelayMs: l.settings.Limits.MaxRetryAfterMs})
+	return append(out, policy.RejectRequest(id, l.settings.Limits.MaxRetryAfterMs))
 }
 
 // pick is the server with the shortest wait of viewDraws that were seen up; nil if the request would
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -193,7 +193,7 @@
 		}
 		for _, client := range service.clients {
 			m.after(client.listMs, func() {
-				client.agent.handle(policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta, Entries: entries})
+				client.agent.handle(&policy.EndpointsUpdated{Kind: policy.ListDelta, Entries: entries})
 			})
 		}
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -66,8 +66,8 @@
 	Event                  // Instance, Event
 )
 
-// Record is one record of a batch, with its list tables resolved. It is valid until the function that
-// Next calls returns; the entries of its event stay valid.
+// Record is one record of a batch, with its list tables resolved. It and its event are valid until the
+// function that Next calls returns; the entries and the report of the event stay valid.
 type Record struct {
 	Kind     Kind
 	Instance uint32       // the balancer that it is for
@@ -82,6 +82,8 @@
 	input io.Reader
 	buf   []byte // the batch behind its header, used again for the next
 	lists [16][]policy.Entry
+	// events holds what the records' events point to.
+	events eventBuffer
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -161,11 +163,14 @@
 	return tail[offset:end], nil
 }
 
+// modeFailed is the mode of a codeTargets that no list came with, as the call has failed. The others are
+// the policy.ListKind of what came.
+const modeFailed = uint8(policy.ListCached) + 1
+
 // decode decodes a record. A list table is kept for the records behind it, and leaves the kind 0.
 func (d *Decoder) decode(raw, tail []byte, record *Record) (err error) {
 	record.Kind = Event
 	record.Instance = binary.BigEndian.Uint32(raw[1:])
-	event := &record.Event
 	switch raw[0] {
 	case codeBoot:
 		record.Kind, record.Seed = Boot, binary.BigEndian.Uint64(raw[5:])
@@ -176,21 +181,23 @@
 		record.Kind = 0
 		err = d.keepList(raw, tail)
 	case codeTargets:
-		err = d.decodeTargets(raw, event)
+		record.Event, err = d.decodeTargets(raw)
 	case codeAsk:
-		decodeAsk(raw, event)
+		record.Event = d.events.decodeAsk(raw)
 	case codeVerdict:
-		err = decodeVerdict(raw, event)
+		record.Event, err = d.events.decodeVerdict(raw)
 	case codeFlowing:
-		decodeFlowing(raw, event)
+		record.Event = d.events.decodeFlowing(raw)
 	case codeDropped:
-		event.Kind, event.Request = policy.EventClientGone, getRequest(raw)
+		d.events.disconnected = policy.ClientDisconnected{Request: getRequest(raw)}
+		record.Event = &d.events.disconnected
 	case codeHealth:
-		err = decodeHealth(raw, event)
+		record.Event, err = d.events.decodeHealth(raw)
 	case codeFired:
-		event.Kind, event.Token = policy.EventTimer, binary.BigEndian.Uint32(raw[5:])
+		d.events.fired = policy.TimerFired{Token: binary.BigEndian.Uint32(raw[5:])}
+		record.Event = &d.events.fired
 	case codePeerData:
-		event.Kind = policy.EventPeerMessage
+		record.Event = &policy.PeerMessageReceived{}
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
 		err = fmt.Errorf("code: unknown event %d", raw[0])
@@ -203,61 +210,99 @@
 	return policy.RequestID(binary.BigEndian.Uint32(raw[5:]))
 }
 
-// decodeTargets decodes an endpoint list, whose entries are in a table that came before.
-func (d *Decoder) decodeTargets(raw []byte, event *policy.Event) error {
-	event.Kind, event.List = policy.EventEndpointList, policy.ListKind(raw[5])
-	if raw[5] > uint8(policy.ListFailed) {
-		return fmt.Errorf("targets: mode: unknown value %d", raw[5])
+// decodeTargets decodes an endpoint list, whose entries are in a table that came before, or the failure
+// of a call for one.
+func (d *Decoder) decodeTargets(raw []byte) (policy.Event, error) {
+	mode := raw[5]
+	if mode > modeFailed {
+		return nil, fmt.Errorf("targets: mode: unknown value %d", mode)
 	}
-	if event.List == policy.ListFailed {
-		return nil
+	if mode == modeFailed {
+		return &policy.DiscoveryFailed{}, nil
 	}
 	table := binary.BigEndian.Uint32(raw[10:])
 	if int64(table) >= int64(len(d.lists)) {
-		return fmt.Errorf("targets: table: %d is out of range", table)
+		return nil, fmt.Errorf("targets: table: %d is out of range", table)
 	}
-	event.Entries = d.lists[table]
-	return nil
+	d.events.updated = policy.EndpointsUpdated{Kind: policy.ListKind(mode), Entries: d.lists[table]}
+	return &d.events.updated, nil
+}
+
+// eventBuffer holds one event of each type that has fields, overwritten by the next of that type, so
+// that decoding a record allocates nothing for its event.
+type eventBuffer struct {
+	arrived      policy.RequestArrived
+	ended        policy.AttemptEnded
+	started      policy.ResponseStarted
+	disconnected policy.ClientDisconnected
+	updated      policy.EndpointsUpdated
+	checked      policy.HealthCheckEnded
+	fired        policy.TimerFired
 }
 
 // decodeAsk decodes a request of a client.
-func decodeAsk(raw []byte, event *policy.Event) {
+func (b *eventBuffer) decodeAsk(raw []byte) policy.Event {
 	be := binary.BigEndian
-	event.Kind, event.Request = policy.EventRequest, getRequest(raw)
-	event.Class, event.Tenant = int(be.Uint16(raw[9:])), int(be.Uint32(raw[11:]))
-	event.Key, event.TimeLeftMs, event.HintMs = be.Uint64(raw[15:]), getFloat64(raw[23:]), getFloat64(raw[31:])
-	event.HasHint, event.Retry = raw[39]&1 != 0, raw[39]&2 != 0
+	b.arrived = policy.RequestArrived{
+		Request:     getRequest(raw),
+		Class:       int(be.Uint16(raw[9:])),
+		Tenant:      int(be.Uint32(raw[11:])),
+		Key:         be.Uint64(raw[15:]),
+		TimeLeftMs:  getFloat64(raw[23:]),
+		WorkHintMs:  getFloat64(raw[31:]),
+		HasWorkHint: raw[39]&1 != 0,
+		Retry:       raw[39]&2 != 0,
+	}
+	return &b.arrived
 }
 
 // decodeVerdict decodes the outcome of an attempt.
-func decodeVerdict(raw []byte, event *policy.Event) (err error) {
+func (b *eventBuffer) decodeVerdict(raw []byte) (policy.Event, error) {
+	values, err := report("verdict: report", raw[28:])
+	if err != nil {
+		return nil, err
+	}
 	be := binary.BigEndian
-	event.Kind, event.Request = policy.EventOutcome, getRequest(raw)
-	event.Attempt, event.Server = int(be.Uint16(raw[9:])), policy.Addr(raw[11:17])
-	event.Status, event.LatencyMs = policy.Status(be.Uint16(raw[17:])), getFloat64(raw[19:])
-	event.Final = raw[27] != 0
-	if event.Report, err = report("verdict: report", raw[28:]); err != nil {
-		return err
+	b.ended = policy.AttemptEnded{
+		Request:   getRequest(raw),
+		Attempt:   int(be.Uint16(raw[9:])),
+		Server:    policy.Addr(raw[11:17]),
+		Status:    policy.Status(be.Uint16(raw[17:])),
+		LatencyMs: getFloat64(raw[19:]),
+		Final:     raw[27] != 0,
+		Report:    values,
 	}
-	if event.Status != policy.StatusOK && (event.Status < policy.StatusServerError || event.Status > policy.StatusNotSent) {
-		return fmt.Errorf("verdict: ending: unknown value %d", event.Status)
+	if status := b.ended.Status; status != policy.StatusOK &&
+		(status < policy.StatusServerError || status > policy.StatusNotSent) {
+		return nil, fmt.Errorf("verdict: ending: unknown value %d", status)
 	}
-	return nil
+	return &b.ended, nil
 }
 
 // decodeFlowing decodes the first byte of an attempt's answer.
-func decodeFlowing(raw []byte, event *policy.Event) {
-	event.Kind, event.Request = policy.EventResponseStarted, getRequest(raw)
-	event.Server, event.LatencyMs = policy.Addr(raw[9:15]), getFloat64(raw[15:])
-	event.Attempt = int(binary.BigEndian.Uint16(raw[23:]))
+func (b *eventBuffer) decodeFlowing(raw []byte) policy.Event {
+	b.started = policy.ResponseStarted{
+		Request:   getRequest(raw),
+		Server:    policy.Addr(raw[9:15]),
+		LatencyMs: getFloat64(raw[15:]),
+		Attempt:   int(binary.BigEndian.Uint16(raw[23:])),
+	}
+	return &b.started
 }
 
 // decodeHealth decodes the outcome of a health check.
-func decodeHealth(raw []byte, event *policy.Event) (err error) {
-	event.Kind, event.Server = policy.EventHealthChecked, policy.Addr(raw[5:11])
-	event.Status, event.LatencyMs = policy.Status(binary.BigEndian.Uint16(raw[11:])), getFloat64(raw[13:])
-	event.Report, err = report("health: report", raw[21:])
-	return err
+func (b *eventBuffer) decodeHealth(raw []byte) (policy.Event, error) {
+	values, err := report("health: report", raw[21:])
+	if err != nil {
+		return nil, err
+	}
+	b.checked = policy.HealthCheckEnded{
+		Server:    policy.Addr(raw[5:11]),
+		Status:    policy.Status(binary.BigEndian.Uint16(raw[11:])),
+		LatencyMs: getFloat64(raw[13:]),
+		Report:    values,
+	}
+	return &b.checked, nil
 }
 
 // keepList decodes a list table and keeps it under its number.
@@ -355,34 +400,34 @@
 func (e *Encoder) Add(instance uint32, action *policy.Action) {
 	be := binary.BigEndian
 	switch action.Kind {
-	case policy.ActionSend:
+	case policy.ActionSendAttempt:
 		raw := e.record(codeCallOut, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		copy(raw[9:15], action.Server[:])
-		putFloat64(raw[15:], action.DelayMs)
-	case policy.ActionCancel:
+		putFloat64(raw[15:], action.TimeoutMs)
+	case policy.ActionCancelAttempt:
 		raw := e.record(codeRetract, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		be.PutUint16(raw[9:], uint16(action.Attempt))
-	case policy.ActionReject:
+	case policy.ActionRejectRequest:
 		raw := e.record(codeNotNow, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
-		putFloat64(raw[9:], action.DelayMs)
-	case policy.ActionFail:
+		putFloat64(raw[9:], action.RetryAfterMs)
+	case policy.ActionFailRequest:
 		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(action.Request))
-	case policy.ActionHealthCheck:
+	case policy.ActionCheckHealth:
 		copy(e.record(codeTouch, instance)[5:11], action.Server[:])
-	case policy.ActionTimer:
+	case policy.ActionSetTimer:
 		raw := e.record(codeNotifyMe, instance)
 		putFloat64(raw[5:], action.DelayMs)
 		be.PutUint32(raw[13:], action.Token)
-	case policy.ActionWatch:
+	case policy.ActionOpenWatch:
 		e.record(codeFollow, instance)[5] = 1
-	case policy.ActionFetch:
+	case policy.ActionFetchEndpoints:
 		e.record(codeReadList, instance)
-	case policy.ActionCloseIdle:
+	case policy.ActionCloseIdleConnections:
 		copy(e.record(codeHangUp, instance)[5:11], action.Server[:])
-	case policy.ActionLog:
+	case policy.ActionLogText:
 		e.text(codeTrace, instance, action.Text)
 	}
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/hex"
 	"io"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -27,6 +28,7 @@
 	for {
 		err := d.Next(func(now float64, r *Record) error {
 			clocks, recs = append(clocks, now), append(recs, *r)
+			recs[len(recs)-1].Event = cloneEvent(r.Event)
 			return nil
 		})
 		if err == io.EOF {
@@ -38,6 +40,26 @@
 	}
 }
 
+// cloneEvent returns a copy of an event, which outlasts the decoder's next record. That of none is none.
+func cloneEvent(event policy.Event) policy.Event {
+	if event == nil {
+		return nil
+	}
+	clone := reflect.New(reflect.TypeOf(event).Elem())
+	clone.Elem().Set(reflect.ValueOf(event).Elem())
+	return clone.Interface().(policy.Event)
+}
+
+// eventOf returns the event of a record as the type that it must have.
+func eventOf[E policy.Event](t *testing.T, record *Record) E {
+	t.Helper()
+	event, ok := record.Event.(E)
+	if record.Kind != Event || !ok {
+		t.Fatalf("record of kind %d with event %T, want kind %d with %T", record.Kind, record.Event, Event, event)
+	}
+	return event
+}
+
 func TestEventsAgainstWorkedOutBytes(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
@@ -50,15 +72,15 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("clock %v, want 8412.25", clocks[0])
 	}
-	ask := recs[0].Event
-	if recs[0].Instance != 3 || ask.Kind != policy.EventRequest || ask.Request != 0x5d3a91c4 || ask.TimeLeftMs != 240 ||
-		ask.HintMs != 12 || !ask.HasHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
+	ask := eventOf[*policy.RequestArrived](t, &recs[0])
+	if recs[0].Instance != 3 || ask.Request != 0x5d3a91c4 || ask.TimeLeftMs != 240 ||
+		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
 		t.Errorf("ask: %+v", recs[0])
 	}
-	if e := recs[1].Event; e.Kind != policy.EventTimer || e.Token != 0x4d {
+	if e := eventOf[*policy.TimerFired](t, &recs[1]); e.Token != 0x4d {
 		t.Errorf("fired: %+v", e)
 	}
-	if e := recs[2].Event; recs[2].Instance != 5 || e.Kind != policy.EventClientGone || e.Request != 0x0e6f2b19 {
+	if e := eventOf[*policy.ClientDisconnected](t, &recs[2]); recs[2].Instance != 5 || e.Request != 0x0e6f2b19 {
 		t.Errorf("dropped: %+v", recs[2])
 	}
 }
@@ -71,12 +93,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := recs[0].Event
-	if v.Kind != policy.EventOutcome || v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+	v := eventOf[*policy.AttemptEnded](t, &recs[0])
+	if v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
 		v.Status != policy.StatusOK || v.LatencyMs != 18.5 || !v.Final || len(v.Report) != 2 || v.Report[1] != 2 {
 		t.Errorf("verdict: %+v", v)
 	}
-	if p := recs[1].Event; p.Kind != policy.EventHealthChecked || p.Status != policy.StatusOK || p.LatencyMs != 1.4 || p.Report != nil {
+	if p := eventOf[*policy.HealthCheckEnded](t, &recs[1]); p.Status != policy.StatusOK || p.LatencyMs != 1.4 || p.Report != nil {
 		t.Errorf("health: %+v", p)
 	}
 }
@@ -95,8 +117,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := recs[0].Event, recs[1].Event
-	if a.List != policy.ListCached || b.List != policy.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
+	a, b := eventOf[*policy.EndpointsUpdated](t, &recs[0]), eventOf[*policy.EndpointsUpdated](t, &recs[1])
+	if a.Kind != policy.ListCached || b.Kind != policy.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
 		t.Errorf("lists: %+v then %+v", a, b)
 	}
 	e := a.Entries[0]
@@ -105,6 +127,55 @@
 	}
 }
 
+func TestDecoderMapsTargetsModes(t *testing.T) {
+	for _, test := range []struct {
+		name, mode string
+		want       policy.Event
+	}{
+		{"delta", "00", &policy.EndpointsUpdated{Kind: policy.ListDelta}},
+		{"full", "01", &policy.EndpointsUpdated{Kind: policy.ListFull}},
+		{"cached", "02", &policy.EndpointsUpdated{Kind: policy.ListCached}},
+		{"call failed", "03", &policy.DiscoveryFailed{}},
+		{"unknown", "04", nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, recs, err := decodeAll(frame(t, "00000001 00000038 40c06e2000000000 16 00000003 "+test.mode+zeros(42)))
+			switch {
+			case test.want == nil && (err == nil || !strings.Contains(err.Error(), "targets: mode")):
+				t.Errorf("got error %v, want one that names targets: mode", err)
+			case test.want != nil && (err != nil || !reflect.DeepEqual(recs[0].Event, test.want)):
+				t.Errorf("got %+v and error %v, want %T %+v", recs, err, test.want, test.want)
+			}
+		})
+	}
+}
+
+// A record's event is overwritten by the next of its type: decoding allocates nothing for events.
+func TestDecoderReusesEvents(t *testing.T) {
+	data := frame(t, `00000003 00000098 40c06e2000000000
+		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
+		1a 00000003 0000004d`+zeros(39)+`
+		10 00000005 0e6f2b19`+zeros(39))
+	input := bytes.NewReader(data)
+	d := NewDecoder(input)
+	var events int
+	count := func(_ float64, r *Record) error {
+		if r.Event != nil {
+			events++
+		}
+		return nil
+	}
+	allocs := testing.AllocsPerRun(100, func() {
+		input.Reset(data)
+		if err := d.Next(count); err != nil {
+			t.Fatal(err)
+		}
+	})
+	if events == 0 || allocs > 2 { // the header and the record, once a batch
+		t.Errorf("got %v allocations for a batch of 3 events, want at most 2", allocs)
+	}
+}
+
 func TestBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
@@ -122,16 +193,16 @@
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
-		{Kind: policy.ActionSend, Request: 0x5d3a91c4, Server: s, DelayMs: 80},
-		{Kind: policy.ActionTimer, DelayMs: 500, Token: 0x4d},
-		{Kind: policy.ActionReject, Request: 0x0e6f2b19, DelayMs: 250},
-		{Kind: policy.ActionFail, Request: 0x0e6f2b19},
-		{Kind: policy.ActionCancel, Request: 0x5d3a91c4, Attempt: 1},
-		{Kind: policy.ActionHealthCheck, Server: s},
-		{Kind: policy.ActionCloseIdle, Server: s},
-		{Kind: policy.ActionWatch},
-		{Kind: policy.ActionFetch},
-		{Kind: policy.ActionLog, Text: "two servers known"},
+		policy.SendAttempt(0x5d3a91c4, s, 80, 0),
+		policy.SetTimer(500, 0x4d),
+		policy.RejectRequest(0x0e6f2b19, 250),
+		policy.FailRequest(0x0e6f2b19),
+		policy.CancelAttempt(0x5d3a91c4, 1),
+		policy.CheckHealth(s),
+		policy.CloseIdleConnections(s),
+		policy.OpenWatch(),
+		policy.FetchEndpoints(),
+		policy.LogText("two servers known"),
 	} {
 		e.Add(3, &a)
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -89,17 +89,17 @@
 		len(q.queued) > 0 && most > 0 && len(q.queued)+inFlight > most
 }
 
-// onRequest queues a new request, or rejects it at once if nothing can serve it in time.
-func (b *Balancer) onRequest(ev *Event) {
-	if b.queue.open[ev.Request] != nil {
+// onRequestArrived queues a new request, or rejects it at once if nothing can serve it in time.
+func (b *Balancer) onRequestArrived(event *RequestArrived) {
+	if b.queue.open[event.Request] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(b.classes.all) {
+	if event.Class < 0 || event.Class >= len(b.classes.all) {
 		// It is still owed an answer, and nothing of it ran.
-		b.finishUnserved(&request{id: ev.Request, class: &class{}})
+		b.finishUnserved(&request{id: event.Request, class: &class{}})
 		return
 	}
-	request, retry := b.newRequest(ev)
+	request, retry := b.newRequest(event)
 	b.queue.open[request.id] = request
 	request.class.counts.Requests++
 	b.traffic.count(retry)
@@ -113,21 +113,21 @@
 }
 
 // newRequest gives the request that an event brings, and tells whether it is a client's retry.
-func (b *Balancer) newRequest(ev *Event) (created *request, retry bool) {
-	class := b.classes.all[ev.Class]
-	created = &request{id: ev.Request, class: class, tenant: ev.Tenant, key: ev.Key,
+func (b *Balancer) newRequest(event *RequestArrived) (created *request, retry bool) {
+	class := b.classes.all[event.Class]
+	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
 		timing: requestTiming{arrived: b.now, firstArrived: b.now},
 		tries:  requestTries{limit: b.set.Limits.MaxAttempts}}
-	if ev.HasHint {
-		created.hint = finite(ev.HintMs)
+	if event.HasWorkHint {
+		created.hint = finite(event.WorkHintMs)
 	}
 	if created.hint > 0 {
 		b.latency.hints.note(created.hint)
 	}
-	leftMs := finite(ev.TimeLeftMs)
+	leftMs := finite(event.TimeLeftMs)
 	timing := &created.timing
 	timing.deadline = b.now + leftMs - min(b.set.RoundMs, leftMs/4)
-	retry = b.queue.isRetry(created, ev.Retry)
+	retry = b.queue.isRetry(created, event.Retry)
 	objectiveAt := timing.firstArrived + class.LatencyObjectiveMs + class.ObjectiveStretch*created.hint
 	timing.objectiveAt = min(objectiveAt, timing.deadline)
 	created.hash = b.selector.hashOf(created.key)
@@ -228,10 +228,10 @@
 	b.close(request)
 	if harmless {
 		class.counts.Rejected++
-		b.do(Action{Kind: ActionReject, Request: request.id, DelayMs: b.set.Limits.MaxRetryAfterMs})
+		b.do(RejectRequest(request.id, b.set.Limits.MaxRetryAfterMs))
 	} else {
 		class.counts.Failed++
-		b.do(Action{Kind: ActionFail, Request: request.id})
+		b.do(FailRequest(request.id))
 	}
 }
 
@@ -241,7 +241,7 @@
 	b.queue.remove(request)
 	for _, attempt := range request.tries.counted {
 		if !attempt.done && b.set.Limits.Cancellation {
-			b.do(Action{Kind: ActionCancel, Request: request.id, Attempt: attempt.index})
+			b.do(CancelAttempt(request.id, attempt.index))
 		}
 	}
 	if request.tries.inFlight == 0 {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -32,11 +32,11 @@
 		_, actions := r.ask(0, 0)
 		for _, action := range actions {
 			switch action.Kind {
-			case ActionSend:
+			case ActionSendAttempt:
 				sent++
-			case ActionReject:
+			case ActionRejectRequest:
 				refused++
-			case ActionFail:
+			case ActionFailRequest:
 				t.Error("failed what never ran")
 			}
 		}
@@ -57,7 +57,7 @@
 	r.now += 290
 	r.b.endpoints.all[0].traffic.heardAt = r.now // else it seems silent
 	held, actions := r.ask(0, 6)
-	if find(actions, ActionSend) != nil {
+	if find(actions, ActionSendAttempt) != nil {
 		t.Fatal("not at its limit")
 	}
 	return r, out, held
@@ -69,13 +69,13 @@
 func TestLateAttemptsAreCancelledInAShortage(t *testing.T) {
 	r, out, held := lateRig(t, testSettings(), 0)
 	actions := r.tick(20)
-	if action := find(actions, ActionReject); action == nil || action.Request != out {
+	if action := find(actions, ActionRejectRequest); action == nil || action.Request != out {
 		t.Fatalf("its request was not answered: %+v", actions)
 	}
-	if action := find(actions, ActionCancel); action == nil || action.Request != out {
+	if action := find(actions, ActionCancelAttempt); action == nil || action.Request != out {
 		t.Fatalf("not called off: %+v", actions)
 	}
-	if action := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].endpoint.id, StatusCancelled, 310), ActionSend); action == nil || action.Request != held {
+	if action := find(r.outcome(out, 0, r.b.queue.open[out].tries.counted[0].endpoint.id, StatusCancelled, 310), ActionSendAttempt); action == nil || action.Request != held {
 		t.Errorf("its place was not taken: %+v", action)
 	}
 	worth := testSettings()
@@ -89,14 +89,14 @@
 		"cancelling not allowed": {forbidden, 0}} {
 		r, out, _ := lateRig(t, c.set, c.class)
 		for _, action := range r.tick(20) {
-			if action.Request == out && action.Kind != ActionTimer {
+			if action.Request == out && action.Kind != ActionSetTimer {
 				t.Errorf("%s: %+v", name, action)
 			}
 		}
 	}
 	r, _, held = lateRig(t, testSettings(), 0)
-	r.do(Event{Kind: EventClientGone, Request: held})
-	if action := find(r.tick(20), ActionCancel); action != nil {
+	r.do(&ClientDisconnected{Request: held})
+	if action := find(r.tick(20), ActionCancelAttempt); action != nil {
 		t.Errorf("called off with nobody waiting: %+v", action)
 	}
 }
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -26,11 +26,11 @@
 		alone: len(endpoint.traffic.inFlight) == 0, sentAt: b.now, cost: b.latency.hints.cost(request)}
 	request.tries.add(sent)
 	b.local.sent(sent)
-	withinMs := 0.0
+	beginWithinMs := 0.0
 	if request.idempotency.mayHaveRun == 0 {
 		request.idempotency.earliestRunAt, request.idempotency.firstEndpoint = b.now, endpoint
 	} else if request.class.Effect == EffectIdempotentWithKey {
-		withinMs = b.retries.idempotencyWindowLeftMs(request)
+		beginWithinMs = b.retries.idempotencyWindowLeftMs(request)
 	}
 	request.idempotency.mayHaveRun++
 	endpoint.traffic.send(sent)
@@ -42,37 +42,36 @@
 		endpoint.slowStart.allowance -= sent.cost
 		sent.charged = true
 	}
-	b.do(Action{Kind: ActionSend, Request: request.id, Server: endpoint.id,
-		DelayMs: request.timing.deadline - b.now, WithinMs: withinMs})
+	b.do(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
 	return true
 }
 
-// onOutcome learns from the end of an attempt, and closes its request or sends it again.
-func (b *Balancer) onOutcome(ev *Event) {
-	request := b.queue.open[ev.Request]
+// onAttemptEnded learns from the end of an attempt, and closes its request or sends it again.
+func (b *Balancer) onAttemptEnded(event *AttemptEnded) {
+	request := b.queue.open[event.Request]
 	if request == nil {
 		return
 	}
-	attempt := request.attempt(ev.Attempt)
+	attempt := request.attempt(event.Attempt)
 	if attempt == nil || attempt.done {
 		return
 	}
-	b.outcomes.add(ev.Status)
-	status := b.local.attribute(attempt, ev.Status)
-	b.settleAttempt(attempt, ev.Status)
+	b.outcomes.add(event.Status)
+	status := b.local.attribute(attempt, event.Status)
+	b.settleAttempt(attempt, event.Status)
 	if status == StatusLocalFailure {
 		b.local.failed(attempt)
 	} else {
 		b.local.succeeded(attempt)
 		b.outliers.countUnanswered(attempt, status)
 		b.closeIdle(attempt.endpoint)
-		if b.limiter.adapt(attempt, status, finite(ev.LatencyMs)) {
+		if b.limiter.adapt(attempt, status, finite(event.LatencyMs)) {
 			b.retries.earn()
 		}
-		b.recordOutcome(attempt, status, finite(ev.LatencyMs))
+		b.recordOutcome(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
-	case request.closed || request.started || ev.Final || status == StatusOK:
+	case request.closed || request.started || event.Final || status == StatusOK:
 		b.close(request)
 	case status == StatusLocalFailure:
 		b.retryLocally(request)
@@ -188,7 +187,7 @@
 	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.set.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
-		b.do(Action{Kind: ActionCloseIdle, Server: endpoint.id})
+		b.do(CloseIdleConnections(endpoint.id))
 	}
 }
 
--- a/policy/attempt_test.go
+++ b/policy/attempt_test.go
@@ -18,7 +18,7 @@
 		for i := range 400 {
 			r.now += 20
 			id, server := r.sent(0, r.b.rng.Uint64())
-			if action := find(r.outcome(id, 0, server, StatusOK, 10), ActionCloseIdle); action != nil && i >= 200 {
+			if action := find(r.outcome(id, 0, server, StatusOK, 10), ActionCloseIdleConnections); action != nil && i >= 200 {
 				if closed++; action.Server != server {
 					t.Fatalf("closed %v, want the idle %v", action.Server, server)
 				}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -94,25 +94,29 @@
 	return b.actions
 }
 
-// Handle takes one event at the time now, in ms, and appends the actions it calls for to out.
+// Handle takes one event at the time nowMs and appends the actions it calls for to out.
 // Events for what is finished or unknown are ignored.
-func (b *Balancer) Handle(now float64, ev *Event, out []Action) []Action {
-	b.now, b.actions = now, out
-	switch ev.Kind {
-	case EventRequest:
-		b.onRequest(ev)
-	case EventOutcome:
-		b.onOutcome(ev)
-	case EventResponseStarted:
-		b.onResponseStarted(ev)
-	case EventClientGone:
-		b.onClientGone(ev)
-	case EventEndpointList:
-		b.onEndpointList(ev)
-	case EventHealthChecked:
-		b.outliers.onHealthChecked(ev)
-	case EventTimer:
-		b.onTimer(ev.Token)
+func (b *Balancer) Handle(nowMs float64, event Event, out []Action) []Action {
+	b.now, b.actions = nowMs, out
+	switch event := event.(type) {
+	case *RequestArrived:
+		b.onRequestArrived(event)
+	case *AttemptEnded:
+		b.onAttemptEnded(event)
+	case *ResponseStarted:
+		b.onResponseStarted(event)
+	case *ClientDisconnected:
+		b.onClientDisconnected(event)
+	case *EndpointsUpdated:
+		b.onEndpointsUpdated(event)
+	case *DiscoveryFailed:
+		b.watch.onFailed()
+	case *WatchEnded:
+		b.watch.onEnded()
+	case *HealthCheckEnded:
+		b.outliers.onHealthCheckEnded(event)
+	case *TimerFired:
+		b.onTimerFired(event)
 	}
 	b.dispatch()
 	b.setTick()
@@ -127,13 +131,13 @@
 func (b *Balancer) setTick() {
 	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.ticking = true
-		b.do(Action{Kind: ActionTimer, DelayMs: max(2*b.set.RoundMs, minTickMs), Token: timerTick})
+		b.do(SetTimer(max(2*b.set.RoundMs, minTickMs), timerTick))
 	}
 }
 
-// onTimer does what a timer of the token was set for.
-func (b *Balancer) onTimer(token uint32) {
-	switch token {
+// onTimerFired does what a timer of the token was set for.
+func (b *Balancer) onTimerFired(event *TimerFired) {
+	switch event.Token {
 	case timerWatch:
 		b.watch.begin()
 	case timerTick:
@@ -145,20 +149,20 @@
 }
 
 // onResponseStarted notes that a streamed answer has begun: its request is not sent again.
-func (b *Balancer) onResponseStarted(ev *Event) {
-	request := b.queue.open[ev.Request]
+func (b *Balancer) onResponseStarted(event *ResponseStarted) {
+	request := b.queue.open[event.Request]
 	if request == nil || request.closed {
 		return
 	}
 	request.started = true
-	if attempt := request.attempt(ev.Attempt); attempt != nil {
+	if attempt := request.attempt(event.Attempt); attempt != nil {
 		attempt.endpoint.traffic.heardAt = b.now
 	}
 }
 
-// onClientGone ends a request whose client has left.
-func (b *Balancer) onClientGone(ev *Event) {
-	if request := b.queue.open[ev.Request]; request != nil && !request.closed {
+// onClientDisconnected ends a request whose client has left.
+func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
+	if request := b.queue.open[event.Request]; request != nil && !request.closed {
 		b.queue.remember(request)
 		b.close(request)
 	}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -20,7 +20,7 @@
 		}()
 		r.ask(1, 0)
 	}()
-	action := find(r.b.Decided(), ActionSend)
+	action := find(r.b.Decided(), ActionSendAttempt)
 	if action == nil || action.Request != r.id || r.b.limiter.inFlight != 1 {
 		t.Fatalf("decided %+v with %d in flight", r.b.Decided(), r.b.limiter.inFlight)
 	}
@@ -46,9 +46,9 @@
 	now := 1000.0
 	b.Start(now, nil)
 	list := []Entry{{Server: Addr{10, 0, 0, 1, 0x1f, 0x90}, Health: HealthReady, Weight: 1}}
-	b.Handle(now, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil)
-	for _, action := range b.Handle(now, &Event{Kind: EventRequest, Request: 1, Key: 7, TimeLeftMs: 800}, nil) {
-		if action.Kind == ActionSend {
+	b.Handle(now, &EndpointsUpdated{Kind: ListFull, Entries: list}, nil)
+	for _, action := range b.Handle(now, &RequestArrived{Request: 1, Key: 7, TimeLeftMs: 800}, nil) {
+		if action.Kind == ActionSendAttempt {
 			fmt.Println("send request", action.Request, "to", action.Server)
 		}
 	}
@@ -63,7 +63,7 @@
 	final := map[RequestID]int{}
 	count := func(actions []Action) {
 		for _, action := range actions {
-			if action.Kind == ActionReject || action.Kind == ActionFail {
+			if action.Kind == ActionRejectRequest || action.Kind == ActionFailRequest {
 				final[action.Request]++
 			}
 		}
@@ -72,9 +72,9 @@
 		r.list(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: x, StartedMs: x})
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
 			r.id++
-			actions := r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Tenant: -i, Key: 5, TimeLeftMs: x, HintMs: x, HasHint: true})
+			actions := r.do(&RequestArrived{Request: r.id, Class: class, Tenant: -i, Key: 5, TimeLeftMs: x, WorkHintMs: x, HasWorkHint: true})
 			count(actions)
-			if action := find(actions, ActionSend); action != nil {
+			if action := find(actions, ActionSendAttempt); action != nil {
 				r.now++
 				status := []Status{StatusOK, StatusServerError, StatusTimeout}[i%3]
 				final[r.id] += map[Status]int{StatusOK: 1}[status]
@@ -86,7 +86,7 @@
 	}
 	for range 300 {
 		r.now += 10
-		count(r.do(Event{Kind: EventTimer, Token: timerTick}))
+		count(r.do(&TimerFired{Token: timerTick}))
 		for id := RequestID(1); id <= r.id; id++ { // what went out again ends too
 			if q := r.b.queue.open[id]; q != nil && q.tries.inFlight > 0 {
 				a := q.tries.counted[len(q.tries.counted)-1]
@@ -117,8 +117,8 @@
 		r.list(ListCached, Entry{Server: addr(0), Health: HealthReady, Weight: 1}, Entry{Server: addr(1), Health: HealthReady, Weight: 1})
 		for _, left := range []float64{0, -5, 600} {
 			r.id++
-			finals, actions := 0, r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 3, TimeLeftMs: left})
-			action := find(actions, ActionSend)
+			finals, actions := 0, r.do(&RequestArrived{Request: r.id, Class: 0, Key: 3, TimeLeftMs: left})
+			action := find(actions, ActionSendAttempt)
 			if (action != nil) != (left > 0) {
 				t.Fatalf("clock %v, %v ms left: sent %v", start, left, action != nil)
 			}
@@ -129,7 +129,7 @@
 			}
 			for range 3 {
 				for _, action := range append(actions, r.tick(10)...) {
-					if action.Request == r.id && (action.Kind == ActionReject || action.Kind == ActionFail) {
+					if action.Request == r.id && (action.Kind == ActionRejectRequest || action.Kind == ActionFailRequest) {
 						finals++
 					}
 				}
@@ -141,3 +141,21 @@
 		}
 	}
 }
+
+func TestHandleKeepsNoEvent(t *testing.T) {
+	r := newRig(t, testSettings(), 2)
+	out := make([]Action, 0, 8)
+	for name, handle := range map[string]func() []Action{
+		"timer":             func() []Action { return r.b.Handle(r.now, &TimerFired{Token: 99}, out) },
+		"unknown attempt":   func() []Action { return r.b.Handle(r.now, &AttemptEnded{Request: 9, Status: StatusOK}, out) },
+		"unknown request":   func() []Action { return r.b.Handle(r.now, &ClientDisconnected{Request: 9}, out) },
+		"unknown response":  func() []Action { return r.b.Handle(r.now, &ResponseStarted{Request: 9}, out) },
+		"unasked check":     func() []Action { return r.b.Handle(r.now, &HealthCheckEnded{Server: addr(9)}, out) },
+		"message of a peer": func() []Action { return r.b.Handle(r.now, &PeerMessageReceived{}, out) },
+	} {
+		var actions []Action
+		if allocs := testing.AllocsPerRun(100, func() { actions = handle() }); allocs != 0 || len(actions) != 0 {
+			t.Errorf("%s: got %v allocations and %d actions, want none", name, allocs, len(actions))
+		}
+	}
+}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -124,19 +124,19 @@
 		for _, action := range actions {
 			counts := now-begin >= warmUp
 			switch action.Kind {
-			case ActionSend:
+			case ActionSendAttempt:
 				if counts && tries[action.Request] == 0 {
 					held = append(held, now-cameAt[action.Request])
 				}
-				heap.Push(&todo, due{now + answer, Event{Kind: EventOutcome, Request: action.Request, Attempt: tries[action.Request],
+				heap.Push(&todo, due{now + answer, &AttemptEnded{Request: action.Request, Attempt: tries[action.Request],
 					Server: action.Server, Status: StatusOK, LatencyMs: answer, Final: true}})
 				tries[action.Request]++
-			case ActionReject, ActionFail:
+			case ActionRejectRequest, ActionFailRequest:
 				if counts {
 					refused++
 				}
-			case ActionTimer:
-				heap.Push(&todo, due{now + action.DelayMs, Event{Kind: EventTimer, Token: action.Token}})
+			case ActionSetTimer:
+				heap.Push(&todo, due{now + action.DelayMs, &TimerFired{Token: action.Token}})
 			}
 		}
 	}
@@ -145,21 +145,21 @@
 		all = append(all, Entry{Server: addr(i), Zone: i % 3, Cell: i % 3, Health: HealthReady, Weight: 1})
 	}
 	do(begin, b.Start(begin, nil))
-	do(begin, b.Handle(begin, &Event{Kind: EventEndpointList, List: ListCached, Entries: all}, nil))
+	do(begin, b.Handle(begin, &EndpointsUpdated{Kind: ListCached, Entries: all}, nil))
 	id := RequestID(0)
 	next := begin
 	for next < begin+length {
 		next += rng.ExpFloat64() / perMs
 		for len(todo) > 0 && todo[0].at <= next {
 			e := heap.Pop(&todo).(due)
-			do(e.at, b.Handle(e.at, &e.ev, nil))
+			do(e.at, b.Handle(e.at, e.ev, nil))
 		}
 		id++
 		cameAt[id] = next
 		if next-begin >= warmUp {
 			asked++
 		}
-		do(next, b.Handle(next, &Event{Kind: EventRequest, Request: id, Key: 1 + rng.Uint64N(5000), TimeLeftMs: 1000}, nil))
+		do(next, b.Handle(next, &RequestArrived{Request: id, Key: 1 + rng.Uint64N(5000), TimeLeftMs: 1000}, nil))
 	}
 	return asked, refused, held
 }
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -23,24 +23,16 @@
 	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
 }
 
-// onEndpointList applies a change of the list, or schedules the next call after one that failed.
-func (b *Balancer) onEndpointList(ev *Event) {
-	switch ev.List {
-	case ListFailed:
-		b.watch.onFailed()
-		return
-	case ListWatchEnded:
-		b.watch.onEnded()
-		return
-	}
+// onEndpointsUpdated applies a change of the list.
+func (b *Balancer) onEndpointsUpdated(event *EndpointsUpdated) {
 	b.watch.onList()
 	b.endpoints.epoch++
 	listed := map[Addr]bool{}
-	for i := range ev.Entries {
-		listed[ev.Entries[i].Server] = true
-		b.updateEndpoint(&ev.Entries[i])
+	for i := range event.Entries {
+		listed[event.Entries[i].Server] = true
+		b.updateEndpoint(&event.Entries[i])
 	}
-	if ev.List != ListDelta {
+	if event.Kind != ListDelta {
 		b.endpoints.keepListed(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -30,7 +30,7 @@
 	r := newRig(t, testSettings(), 0)
 	id, actions := r.ask(1, 1)
 	for range 130 {
-		if action := find(actions, ActionReject); action != nil {
+		if action := find(actions, ActionRejectRequest); action != nil {
 			if action.Request != id {
 				t.Fatalf("refused %d, want %d", action.Request, id)
 			}
@@ -48,10 +48,10 @@
 		t.Fatal(err)
 	}
 	b.Start(0, nil)
-	b.Handle(1, &Event{Kind: EventRequest, Request: 1, Class: 0, Key: 5, TimeLeftMs: 600}, nil)
-	b.Handle(2, &Event{Kind: EventTimer, Token: timerTick}, nil)
+	b.Handle(1, &RequestArrived{Request: 1, Class: 0, Key: 5, TimeLeftMs: 600}, nil)
+	b.Handle(2, &TimerFired{Token: timerTick}, nil)
 	list := []Entry{{Server: addr(1), Health: HealthReady, Weight: 1}}
-	if action := find(b.Handle(3, &Event{Kind: EventEndpointList, List: ListFull, Entries: list}, nil), ActionSend); action == nil || action.Request != 1 {
+	if action := find(b.Handle(3, &EndpointsUpdated{Kind: ListFull, Entries: list}, nil), ActionSendAttempt); action == nil || action.Request != 1 {
 		t.Error("the request was not sent once there was a list")
 	}
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -60,7 +60,7 @@
 // begin starts the call that was due.
 func (w *watchScheduler) begin() {
 	w.startedAt = w.now
-	w.do(Action{Kind: ActionWatch})
+	w.do(OpenWatch())
 }
 
 // onList notes that discovery has answered.
@@ -112,7 +112,7 @@
 
 // watchAfter sets the time of the next call that watches the list.
 func (w *watchScheduler) watchAfter(delayMs float64) {
-	w.do(Action{Kind: ActionTimer, DelayMs: delayMs, Token: timerWatch})
+	w.do(SetTimer(delayMs, timerWatch))
 }
 
 // fetch asks for the whole list, seldom: every call loads discovery. An agent that watches the
@@ -123,6 +123,6 @@
 	}
 	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchGapMs) {
 		w.fetchedAt = w.now
-		w.do(Action{Kind: ActionFetch})
+		w.do(FetchEndpoints())
 	}
 }
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -22,7 +22,7 @@
 					}
 					call(t, b, 0)
 					now := 50 * hour // of quiet; then the watch falls silent
-					wait := after(t, b, now, ListWatchEnded)
+					wait := after(t, b, now, &WatchEnded{})
 					for failure := range 3000 { // hours without discovery
 						if wait > most+1e-6 {
 							t.Fatalf("failure %d waits for %v ms of %v", failure, wait, most)
@@ -30,13 +30,13 @@
 						now += wait
 						call(t, b, now)
 						now += took
-						wait = after(t, b, now, ListFailed)
+						wait = after(t, b, now, &DiscoveryFailed{})
 					}
 					now += wait
 					call(t, b, now)
-					b.Handle(now+200, &Event{Kind: EventEndpointList, List: ListDelta}, nil) // it is back
+					b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // it is back
 					now += 20 * hour
-					if wait := after(t, b, now, ListWatchEnded); wait > watchEndedBackoffMs {
+					if wait := after(t, b, now, &WatchEnded{}); wait > watchEndedBackoffMs {
 						t.Fatalf("a watch that is lost after the outage is opened anew after %v ms", wait)
 					}
 				})
@@ -57,7 +57,7 @@
 			r.now += 100
 			id, actions := r.ask(0, 0)
 			for try, status := range []Status{StatusConnectFailed, StatusOK} { // at first, and then served
-				action := find(actions, ActionSend)
+				action := find(actions, ActionSendAttempt)
 				if action == nil {
 					break
 				}
@@ -65,7 +65,7 @@
 					failed++
 				}
 				actions = r.outcome(id, try, action.Server, status, 1)
-				if find(actions, ActionFetch) != nil {
+				if find(actions, ActionFetchEndpoints) != nil {
 					t.Fatalf("%s: fetches the list", mode)
 				}
 			}
@@ -106,7 +106,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				last = max(last, find(b.Start(0, nil), ActionTimer).DelayMs)
+				last = max(last, find(b.Start(0, nil), ActionSetTimer).DelayMs)
 			}
 			if last > grace || last > 6000-watchCallMaxMs {
 				t.Errorf("%d agents, %v ms of grace: the last call comes after %v ms", agents, grace, last)
@@ -128,7 +128,7 @@
 			}
 			b.Start(fleetStart, nil)
 			for failure := range 8 {
-				action := find(b.Handle(fleetStart, &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
+				action := find(b.Handle(fleetStart, &DiscoveryFailed{}, nil), ActionSetTimer)
 				if action == nil || action.DelayMs < 500 || action.DelayMs > set.Contract.PollWithinMs {
 					t.Fatalf("failure %d: asks again by %+v", failure, action)
 				}
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if action := find(b.Start(fleetStart, nil), ActionTimer); action == nil || action.DelayMs >= set.Contract.PollWithinMs {
+		if action := find(b.Start(fleetStart, nil), ActionSetTimer); action == nil || action.DelayMs >= set.Contract.PollWithinMs {
 			t.Errorf("agent %d of 1000 asks first by %+v", index, action)
 		}
 	}
@@ -172,9 +172,9 @@
 }
 
 // after tells the agent at now how its call went, and gives the wait before the next one.
-func after(t *testing.T, b *Balancer, now float64, how ListKind) float64 {
+func after(t *testing.T, b *Balancer, now float64, how Event) float64 {
 	t.Helper()
-	action := find(b.Handle(now, &Event{Kind: EventEndpointList, List: how}, nil), ActionTimer)
+	action := find(b.Handle(now, how, nil), ActionSetTimer)
 	if action == nil || action.Token != timerWatch {
 		t.Fatalf("no call follows: %+v", action)
 	}
@@ -184,7 +184,7 @@
 // call lets the agent make its next call at now.
 func call(t *testing.T, b *Balancer, now float64) {
 	t.Helper()
-	if find(b.Handle(now, &Event{Kind: EventTimer, Token: timerWatch}, nil), ActionWatch) == nil {
+	if find(b.Handle(now, &TimerFired{Token: timerWatch}, nil), ActionOpenWatch) == nil {
 		t.Fatal("the agent does not call")
 	}
 }
@@ -200,7 +200,7 @@
 			for i := range 200 {
 				now := float64(i) * 5000
 				call(t, b, now)
-				wait := after(t, b, now+3000, ListWatchEnded) // no word but the first
+				wait := after(t, b, now+3000, &WatchEnded{}) // no word but the first
 				if wait > 1000 {
 					t.Fatalf("%s, %d agents: after a lost watch a wait of %v ms", mode, agents, wait)
 				}
@@ -221,14 +221,14 @@
 		b := caller(t, MembershipOnRequest, agents-1, agents)
 		for range 5 { // discovery is down
 			call(t, b, 0)
-			after(t, b, 2000, ListFailed)
+			after(t, b, 2000, &DiscoveryFailed{})
 		}
 		last := 0.0
 		for i := range 6 {
 			now := 10000 * float64(i+1)
 			call(t, b, now)
-			b.Handle(now+200, &Event{Kind: EventEndpointList, List: ListDelta}, nil) // nothing new
-			wait := after(t, b, now+1200, ListWatchEnded)
+			b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // nothing new
+			wait := after(t, b, now+1200, &WatchEnded{})
 			most, least := 1000*math.Pow(2, max(float64(i-1), 0)), last/2
 			if wait > min(most, notifyWithinMs-watchCallMaxMs-1200) || wait < min(least, 500) {
 				t.Fatalf("%d agents: a wait of %v ms after %d watches that ended at once", agents, wait, i+1)
@@ -256,13 +256,13 @@
 					t.Fatal(err)
 				}
 				now := 0.0
-				if action := find(b.Start(now, nil), ActionTimer); action == nil || action.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
+				if action := find(b.Start(now, nil), ActionSetTimer); action == nil || action.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
 					t.Fatalf("agent %d of %d calls first by %+v", index, agents, action)
 				}
 				for failure := range 8 {
 					call(t, b, now)
 					now += took
-					wait := after(t, b, now, ListFailed)
+					wait := after(t, b, now, &DiscoveryFailed{})
 					if took+wait+watchCallMaxMs > 6000-watchCallMarginMs+1e-6 {
 						t.Fatalf("%d agents, calls take %v ms: failure %d waits for %v ms", agents, took, failure, wait)
 					}
@@ -300,7 +300,7 @@
 	}
 	b.Start(0, nil)
 	for i := range 50 {
-		action := find(b.Handle(float64(i), &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
+		action := find(b.Handle(float64(i), &DiscoveryFailed{}, nil), ActionSetTimer)
 		if action == nil || action.Token != timerWatch || action.DelayMs > 500 {
 			t.Fatalf("after %d failed calls %+v", i+1, action)
 		}
@@ -314,15 +314,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := find(b.Start(0, nil), ActionTimer)
+	first := find(b.Start(0, nil), ActionSetTimer)
 	if first == nil || first.DelayMs > set.Contract.PollWithinMs {
 		t.Fatalf("no subscription within the contract's time: %+v", first)
 	}
-	if find(b.Handle(first.DelayMs, &Event{Kind: EventTimer, Token: first.Token}, nil), ActionWatch) == nil {
+	if find(b.Handle(first.DelayMs, &TimerFired{Token: first.Token}, nil), ActionOpenWatch) == nil {
 		t.Fatal("the timer did not subscribe")
 	}
 	for range 8 {
-		again := find(b.Handle(first.DelayMs, &Event{Kind: EventEndpointList, List: ListFailed}, nil), ActionTimer)
+		again := find(b.Handle(first.DelayMs, &DiscoveryFailed{}, nil), ActionSetTimer)
 		if again == nil || again.DelayMs > set.Contract.PollWithinMs {
 			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
 		}
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -45,19 +45,19 @@
 	return r
 }
 
-func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, &ev, nil) }
+func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, ev, nil) }
 
 func (r *rig) list(kind ListKind, entries ...Entry) []Action {
-	return r.do(Event{Kind: EventEndpointList, List: kind, Entries: entries})
+	return r.do(&EndpointsUpdated{Kind: kind, Entries: entries})
 }
 
 func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
 	r.id++
-	return r.id, r.do(Event{Kind: EventRequest, Request: r.id, Class: class, Key: key, TimeLeftMs: 600})
+	return r.id, r.do(&RequestArrived{Request: r.id, Class: class, Key: key, TimeLeftMs: 600})
 }
 
 func (r *rig) outcome(id RequestID, try int, server Addr, status Status, rtt float64) []Action {
-	return r.do(Event{Kind: EventOutcome, Request: id, Attempt: try, Server: server, Status: status, LatencyMs: rtt, Final: status == StatusOK})
+	return r.do(&AttemptEnded{Request: id, Attempt: try, Server: server, Status: status, LatencyMs: rtt, Final: status == StatusOK})
 }
 
 func find(actions []Action, kind ActionKind) *Action {
@@ -73,7 +73,7 @@
 func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
 	r.t.Helper()
 	id, actions := r.ask(class, key)
-	action := find(actions, ActionSend)
+	action := find(actions, ActionSendAttempt)
 	if action == nil {
 		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
 	}
@@ -83,7 +83,7 @@
 // tick fires the running timer after ms.
 func (r *rig) tick(ms float64) []Action {
 	r.now += ms
-	return r.do(Event{Kind: EventTimer, Token: timerTick})
+	return r.do(&TimerFired{Token: timerTick})
 }
 
 func contains(s, part string) bool {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -77,7 +77,7 @@
 	}
 	grown := target.window.size
 	for range 200 {
-		if id, actions := r.ask(0, 1); find(actions, ActionSend) != nil {
+		if id, actions := r.ask(0, 1); find(actions, ActionSendAttempt) != nil {
 			r.now += 140
 			r.outcome(id, 0, target.id, StatusOK, 140)
 		}
@@ -109,8 +109,8 @@
 	for range 40 {
 		ids, tos = ids[:0], tos[:0]
 		for range 3 {
-			if id, actions := r.ask(0, r.b.rng.Uint64()); find(actions, ActionSend) != nil {
-				ids, tos = append(ids, id), append(tos, find(actions, ActionSend).Server)
+			if id, actions := r.ask(0, r.b.rng.Uint64()); find(actions, ActionSendAttempt) != nil {
+				ids, tos = append(ids, id), append(tos, find(actions, ActionSendAttempt).Server)
 			}
 		}
 		r.now += 20
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -19,7 +19,7 @@
 		action := actions[0]
 		actions = actions[1:]
 		switch action.Kind {
-		case ActionSend:
+		case ActionSendAttempt:
 			m.sent++
 			number := m.b.queue.open[action.Request].tries.sent - 1
 			if m.now < m.until {
@@ -29,7 +29,7 @@
 			}
 			m.servers[action.Server]++
 			actions = append(actions, m.outcome(action.Request, number, action.Server, StatusOK, 20)...)
-		case ActionReject, ActionFail:
+		case ActionRejectRequest, ActionFailRequest:
 			m.refused++
 		}
 	}
@@ -38,7 +38,7 @@
 // long asks with much time left.
 func (m *machine) long(class int) (RequestID, []Action) {
 	m.id++
-	return m.id, m.do(Event{Kind: EventRequest, Request: m.id, Class: class, TimeLeftMs: 20000})
+	return m.id, m.do(&RequestArrived{Request: m.id, Class: class, TimeLeftMs: 20000})
 }
 
 // playFailingMachine has requests come at once at an agent of four endpoints whose machine fails
@@ -101,14 +101,14 @@
 		for range 200 {
 			for i := 0; i < len(actions); i++ {
 				switch action := actions[i]; action.Kind {
-				case ActionSend:
+				case ActionSendAttempt:
 					actions = append(actions, r.outcome(id, sends, action.Server, StatusLocalFailure, 0.1)...)
 					sends++
-				case ActionFail:
+				case ActionFailRequest:
 					t.Errorf("class %d: failed", class)
-				case ActionReject:
-					if action.DelayMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
-						t.Errorf("class %d: refused for %v ms after %d attempts", class, action.DelayMs, sends)
+				case ActionRejectRequest:
+					if action.RetryAfterMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
+						t.Errorf("class %d: refused for %v ms after %d attempts", class, action.RetryAfterMs, sends)
 					}
 					id = 0
 				}
@@ -141,7 +141,7 @@
 		t.Errorf("a credit of %v is left of 5", target.slowStart.allowance)
 	}
 	for range 10 {
-		if action := find(r.tick(5), ActionSend); action != nil {
+		if action := find(r.tick(5), ActionSendAttempt); action != nil {
 			if action.Server != target.id || action.Request != id {
 				t.Errorf("sent %+v", action)
 			}
@@ -156,7 +156,7 @@
 	r := newRig(t, testSettings(), 4)
 	id, server := r.sent(0, 0)
 	r.outcome(id, 0, server, StatusLocalFailure, 0.1)
-	r.do(Event{Kind: EventClientGone, Request: id})
+	r.do(&ClientDisconnected{Request: id})
 	r.now += 60000
 	r.sent(0, 0)
 	r.sent(0, 0)
@@ -171,7 +171,7 @@
 		r.now += 3
 		id, actions := r.ask(0, 0)
 		for try := 0; ; try++ {
-			action := find(actions, ActionSend)
+			action := find(actions, ActionSendAttempt)
 			if action == nil {
 				break
 			}
@@ -198,9 +198,9 @@
 			target.window.size = 1e6 // capacity is not at issue
 		}
 		id, actions := m.long(0)
-		m.outcome(id, 0, find(actions, ActionSend).Server, StatusLocalFailure, 0.1)
+		m.outcome(id, 0, find(actions, ActionSendAttempt).Server, StatusLocalFailure, 0.1)
 		for range 100 {
-			if _, actions := m.long(0); find(actions, ActionSend) != nil {
+			if _, actions := m.long(0); find(actions, ActionSendAttempt) != nil {
 				t.Fatal("sent before the backoff is over")
 			}
 		}
@@ -210,7 +210,7 @@
 		for successes := 0; out < 101 && successes < 10; successes++ {
 			sent := 0
 			for _, action := range actions {
-				if action.Kind == ActionSend {
+				if action.Kind == ActionSendAttempt {
 					sent++
 					id = action.Request
 				}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -224,14 +224,14 @@
 		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
 			health.checking = true
 			d.checking++
-			d.do(Action{Kind: ActionHealthCheck, Server: endpoint.id})
+			d.do(CheckHealth(endpoint.id))
 		}
 	}
 }
 
-// onHealthChecked takes the result of a health check.
-func (d *outlierDetector) onHealthChecked(ev *Event) {
-	endpoint := d.endpoints.byAddr[ev.Server]
+// onHealthCheckEnded takes the result of a health check.
+func (d *outlierDetector) onHealthCheckEnded(event *HealthCheckEnded) {
+	endpoint := d.endpoints.byAddr[event.Server]
 	if endpoint == nil || !endpoint.health.checking {
 		return
 	}
@@ -239,10 +239,10 @@
 	d.checking--
 	switch {
 	case endpoint.health.state != StateUnhealthyPending:
-	case ev.Status == StatusOK:
+	case event.Status == StatusOK:
 		d.onAnswer(endpoint)
 		d.enter(endpoint, StateConnected)
-	case ev.Status != StatusRejected:
+	case event.Status != StatusRejected:
 		d.eject(endpoint, true)
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -24,10 +24,10 @@
 	if target.health.state != StateUnhealthy {
 		t.Fatalf("error: state %d, want Unhealthy", target.health.state)
 	}
-	if find(actions, ActionFetch) == nil {
+	if find(actions, ActionFetchEndpoints) == nil {
 		t.Error("a demotion did not force a refresh of the list")
 	}
-	if action := find(actions, ActionSend); action == nil || action.Server == server {
+	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
 		t.Errorf("the free request did not go on to another server: %+v", actions)
 	}
 	// While it is unhealthy its key goes elsewhere; after its hold the next
@@ -54,7 +54,7 @@
 	if got := r.b.endpoints.byAddr[server].health.state; got == StateUnhealthy {
 		t.Error("full demoted the server")
 	}
-	if action := find(actions, ActionSend); action == nil || action.Server == server {
+	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
 		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
 	}
 }
@@ -67,19 +67,19 @@
 	r.outcome(id, 0, server, StatusServerError, 5)
 	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
 	_, actions := r.ask(0, 7)
-	if p := find(actions, ActionHealthCheck); p == nil || p.Server != server {
+	if p := find(actions, ActionCheckHealth); p == nil || p.Server != server {
 		t.Fatalf("no probe of the pending server: %+v", actions)
 	}
-	if action := find(actions, ActionSend); action == nil || action.Server == server {
+	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
 		t.Error("a request went to a pending server before its probe")
 	}
-	r.do(Event{Kind: EventHealthChecked, Server: server, Status: StatusTimeout, LatencyMs: 100})
+	r.do(&HealthCheckEnded{Server: server, Status: StatusTimeout, LatencyMs: 100})
 	if r.b.endpoints.byAddr[server].health.state != StateUnhealthy {
 		t.Error("a failed probe did not demote")
 	}
 	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
 	r.ask(0, 8)
-	r.do(Event{Kind: EventHealthChecked, Server: server, Status: StatusOK, LatencyMs: 5})
+	r.do(&HealthCheckEnded{Server: server, Status: StatusOK, LatencyMs: 5})
 	if r.b.endpoints.byAddr[server].health.state != StateConnected {
 		t.Error("a good probe did not set Connected")
 	}
--- a/policy/property_test.go
+++ b/policy/property_test.go
@@ -73,18 +73,18 @@
 	for _, action := range actions {
 		r := w.reqs[action.Request]
 		switch action.Kind {
-		case ActionSend:
+		case ActionSendAttempt:
 			w.checkSend(r, &action)
 			ends := w.now + 1 + 150*w.rng.Float64()
 			status := []Status{StatusOK, StatusOK, StatusOK, StatusOK, StatusOK, StatusServerError, StatusRejected, StatusTimeout, StatusConnectFailed, StatusReset}[w.rng.IntN(10)]
 			if status == StatusTimeout {
-				ends = w.now + action.DelayMs
+				ends = w.now + action.TimeoutMs
 			}
 			if w.machineFails() {
 				status, ends = []Status{StatusLocalFailure, StatusUnreachable}[len(w.reqs)%2], w.now+0.1
 			}
-			r.tries = append(r.tries, &worldTry{server: action.Server, sentAt: w.now, endsAt: min(ends, w.now+action.DelayMs), status: status})
-		case ActionReject, ActionFail:
+			r.tries = append(r.tries, &worldTry{server: action.Server, sentAt: w.now, endsAt: min(ends, w.now+action.TimeoutMs), status: status})
+		case ActionRejectRequest, ActionFailRequest:
 			if r.final++; r.final > 1 {
 				w.t.Fatalf("request %d: a second final answer", action.Request)
 			}
@@ -92,25 +92,25 @@
 				w.t.Fatalf("request %d answered %.1f ms after its deadline", action.Request, w.now-r.deadline)
 			}
 			c := w.set.Classes[r.class]
-			if action.Kind == ActionReject && r.mayHaveRun() && (c.Effect == EffectNonIdempotent || c.Effect == EffectIdempotentWithKey && c.Group != GroupAll) {
+			if action.Kind == ActionRejectRequest && r.mayHaveRun() && (c.Effect == EffectNonIdempotent || c.Effect == EffectIdempotentWithKey && c.Group != GroupAll) {
 				w.t.Fatalf("request %d of effect %s refused though it may have run", action.Request, c.Effect)
 			}
-		case ActionCancel:
+		case ActionCancelAttempt:
 			if !w.set.Limits.Cancellation {
 				w.t.Fatal("cancelled where it is not allowed")
 			}
 			if try := r.tries[action.Attempt]; !try.ended {
 				try.status, try.endsAt = StatusCancelled, w.now+5
 			}
-		case ActionFetch:
+		case ActionFetchEndpoints:
 			if w.set.Membership != MembershipPushed {
 				w.t.Fatal("fetched the list where it is followed")
 			}
-		case ActionHealthCheck:
+		case ActionCheckHealth:
 			if !w.set.Limits.HealthChecks {
 				w.t.Fatal("probed where it is not allowed")
 			}
-		case ActionTimer:
+		case ActionSetTimer:
 			w.timers = append(w.timers, worldTimer{w.now + action.DelayMs, action.Token})
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 func (w *world) handle(ev Event) {
-	w.apply(w.b.Handle(w.now, &ev, nil))
+	w.apply(w.b.Handle(w.now, ev, nil))
 	w.checkSets()
 }
 
@@ -171,7 +171,7 @@
 		if t := w.timers[i]; t.at <= w.now {
 			w.timers = slices.Delete(w.timers, i, i+1)
 			i--
-			w.handle(Event{Kind: EventTimer, Token: t.token})
+			w.handle(&TimerFired{Token: t.token})
 		}
 	}
 	for id := RequestID(1); id <= w.next; id++ {
@@ -193,7 +193,7 @@
 				r.final++ // a second copy's answer changes nothing
 				r.final = min(r.final, 1)
 			}
-			w.handle(Event{Kind: EventOutcome, Request: id, Attempt: i, Server: t.server, Status: t.status,
+			w.handle(&AttemptEnded{Request: id, Attempt: i, Server: t.server, Status: t.status,
 				LatencyMs: w.now - t.sentAt, Final: r.final > 0})
 		}
 		if r.final == 0 && w.now > r.deadline+w.set.Contract.AnswerSlackMs {
@@ -218,7 +218,7 @@
 	} else if _, told := w.badSince[server]; !told {
 		w.badSince[server] = w.now
 	}
-	w.handle(Event{Kind: EventEndpointList, List: ListDelta, Entries: []Entry{e}})
+	w.handle(&EndpointsUpdated{Kind: ListDelta, Entries: []Entry{e}})
 }
 
 func play(t *testing.T, seed uint64) []Action {
@@ -240,8 +240,8 @@
 			left := 20 + 800*rng.Float64()
 			class := rng.IntN(len(w.set.Classes))
 			w.reqs[w.next] = &worldReq{class: class, deadline: w.now + left}
-			w.handle(Event{Kind: EventRequest, Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
-				TimeLeftMs: left, HasHint: rng.IntN(2) == 0, HintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
+			w.handle(&RequestArrived{Request: w.next, Class: class, Tenant: rng.IntN(2), Key: uint64(rng.IntN(30)),
+				TimeLeftMs: left, HasWorkHint: rng.IntN(2) == 0, WorkHintMs: 100 * rng.Float64(), Retry: rng.IntN(5) == 0})
 		}
 		switch rng.IntN(40) {
 		case 0:
@@ -249,13 +249,13 @@
 		case 1:
 			if r := w.reqs[w.next]; r != nil && r.final == 0 {
 				r.final = 1
-				w.handle(Event{Kind: EventClientGone, Request: w.next})
+				w.handle(&ClientDisconnected{Request: w.next})
 			}
 		case 2: // what is unknown or over is ignored
-			w.handle(Event{Kind: EventOutcome, Request: 1 << 30, Server: addr(1), Status: StatusOK})
-			w.handle(Event{Kind: EventClientGone, Request: 1 << 30})
-			w.handle(Event{Kind: EventTimer, Token: 99})
-			w.handle(Event{Kind: EventEndpointList, List: ListFailed})
+			w.handle(&AttemptEnded{Request: 1 << 30, Server: addr(1), Status: StatusOK})
+			w.handle(&ClientDisconnected{Request: 1 << 30})
+			w.handle(&TimerFired{Token: 99})
+			w.handle(&DiscoveryFailed{})
 		}
 	}
 	if n := len(w.b.queue.open); n != 0 || len(w.b.queue.queued) != 0 || w.b.limiter.inFlight != 0 {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -42,14 +42,14 @@
 	if err := r.b.Reconfigure(set); err != nil {
 		t.Fatal(err)
 	}
-	if action := find(r.outcome(free, 0, server, StatusReset, 5), ActionSend); action == nil || action.Request != free {
+	if action := find(r.outcome(free, 0, server, StatusReset, 5), ActionSendAttempt); action == nil || action.Request != free {
 		t.Errorf("what could be repeated is not: %+v", action)
 	}
-	if actions := r.outcome(once, 0, o, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionFail) == nil {
+	if actions := r.outcome(once, 0, o, StatusReset, 5); find(actions, ActionSendAttempt) != nil || find(actions, ActionFailRequest) == nil {
 		t.Errorf("what could not be repeated: %+v", actions)
 	}
 	next, server := r.sent(0, 3) // class "once" of the new settings: free, and one attempt
-	if actions := r.outcome(next, 0, server, StatusReset, 5); find(actions, ActionSend) != nil || find(actions, ActionReject) == nil {
+	if actions := r.outcome(next, 0, server, StatusReset, 5); find(actions, ActionSendAttempt) != nil || find(actions, ActionRejectRequest) == nil {
 		t.Errorf("a new request: %+v", actions)
 	}
 }
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -16,7 +16,7 @@
 		rate := func(key uint64) float64 {
 			before := r.b.traffic.recent
 			id, _ := r.ask(0, key)
-			r.do(Event{Kind: EventClientGone, Request: id})
+			r.do(&ClientDisconnected{Request: id})
 			return r.b.traffic.recent - before
 		}
 		if got := rate(7); got != 1 {
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -14,16 +14,16 @@
 			set.Classes[2].IdempotencyWindowMs, set.Classes[2].LatencyObjectiveMs, set.Classes[2].DeadlineMs = ttl, 20000, 30000
 			r := newRig(t, set, 6)
 			r.id++
-			first := find(r.do(Event{Kind: EventRequest, Request: r.id, Class: 2, Key: 5, TimeLeftMs: 30000}), ActionSend)
+			first := find(r.do(&RequestArrived{Request: r.id, Class: 2, Key: 5, TimeLeftMs: 30000}), ActionSendAttempt)
 			sent := r.now
 			r.now += after
-			action := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSend)
+			action := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSendAttempt)
 			if action == nil {
 				continue
 			}
 			repeated = true
-			if action.WithinMs <= 0 || r.now+action.WithinMs+heldUp > sent+ttl {
-				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, action.WithinMs)
+			if action.BeginWithinMs <= 0 || r.now+action.BeginWithinMs+heldUp > sent+ttl {
+				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, action.BeginWithinMs)
 			}
 		}
 		if want := ttl > heldUp+2*testSettings().RoundMs+1; repeated != want {
@@ -37,13 +37,13 @@
 		r := newRig(t, testSettings(), 3)
 		id, server := r.sent(1, 5)
 		actions := r.outcome(id, 0, server, status, 50)
-		if find(actions, ActionSend) != nil || find(actions, ActionReject) != nil || find(actions, ActionFail) == nil {
+		if find(actions, ActionSendAttempt) != nil || find(actions, ActionRejectRequest) != nil || find(actions, ActionFailRequest) == nil {
 			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
 		}
 	}
 	r := newRig(t, testSettings(), 3)
 	id, server := r.sent(1, 5)
-	if actions := r.outcome(id, 0, server, StatusConnectFailed, 50); find(actions, ActionSend) == nil {
+	if actions := r.outcome(id, 0, server, StatusConnectFailed, 50); find(actions, ActionSendAttempt) == nil {
 		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
 	}
 }
@@ -51,22 +51,22 @@
 func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
 	r := newRig(t, testSettings(), 6)
 	id, server := r.sent(2, 5)
-	if first := find(r.b.actions, ActionSend); first == nil || first.WithinMs != 0 {
+	if first := find(r.b.actions, ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
 		t.Fatalf("the first attempt may not begin at any time: %+v", first)
 	}
 	actions := r.outcome(id, 0, server, StatusServerError, 20)
-	action := find(actions, ActionSend)
+	action := find(actions, ActionSendAttempt)
 	if action == nil || r.b.endpoints.byAddr[action.Server].cell != r.b.endpoints.byAddr[server].cell {
 		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
 	}
 	// A connection that comes up late must not carry it past that time.
 	ttl := r.b.set.Classes[2].IdempotencyWindowMs
-	if sent := r.b.queue.open[id].idempotency.earliestRunAt; action.WithinMs <= 0 || r.now+action.WithinMs > sent+ttl {
-		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, action.WithinMs, ttl)
+	if sent := r.b.queue.open[id].idempotency.earliestRunAt; action.BeginWithinMs <= 0 || r.now+action.BeginWithinMs > sent+ttl {
+		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, action.BeginWithinMs, ttl)
 	}
 	r.now += 496 // just inside the 500 ms less the margin
 	actions = r.outcome(id, 1, action.Server, StatusServerError, 20)
-	if find(actions, ActionSend) != nil || find(actions, ActionFail) == nil && len(r.b.queue.queued) == 0 {
+	if find(actions, ActionSendAttempt) != nil || find(actions, ActionFailRequest) == nil && len(r.b.queue.queued) == 0 {
 		t.Errorf("a guarded repeat went out after its time: %+v", actions)
 	}
 }
@@ -78,16 +78,16 @@
 	r := newRig(t, set, 4)
 	id, server := r.sent(0, 3)
 	r.now += 30
-	r.do(Event{Kind: EventResponseStarted, Request: id, Attempt: 0, Server: server, LatencyMs: 30})
+	r.do(&ResponseStarted{Request: id, Attempt: 0, Server: server, LatencyMs: 30})
 	for range 200 {
 		for _, action := range r.tick(10) {
-			if action.Request == id && action.Kind != ActionTimer {
+			if action.Request == id && action.Kind != ActionSetTimer {
 				t.Fatalf("action %+v for a request whose answer streams", action)
 			}
 		}
 	}
-	actions := r.do(Event{Kind: EventOutcome, Request: id, Attempt: 0, Server: server, Status: StatusReset, LatencyMs: 2000, Final: true})
-	if find(actions, ActionSend) != nil || find(actions, ActionFail) != nil || len(r.b.queue.open) != 0 {
+	actions := r.do(&AttemptEnded{Request: id, Attempt: 0, Server: server, Status: StatusReset, LatencyMs: 2000, Final: true})
+	if find(actions, ActionSendAttempt) != nil || find(actions, ActionFailRequest) != nil || len(r.b.queue.open) != 0 {
 		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.queue.open))
 	}
 }
@@ -103,7 +103,7 @@
 			r.now += 20
 			id, actions := r.ask(0, r.b.rng.Uint64())
 			for try := 0; ; try++ {
-				action := find(actions, ActionSend)
+				action := find(actions, ActionSendAttempt)
 				if action == nil || action.Request != id {
 					break
 				}
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -48,7 +48,7 @@
 	}
 	free := 0
 	for key := uint64(100); key < 140; key++ {
-		if _, actions := r.ask(0, key); find(actions, ActionSend) != nil {
+		if _, actions := r.ask(0, key); find(actions, ActionSendAttempt) != nil {
 			free++
 		}
 	}
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -36,27 +36,27 @@
 	for i := range servers {
 		all = append(all, Entry{Server: addr(i), Health: HealthReady, Weight: 1})
 	}
-	p.handle(Event{Kind: EventEndpointList, List: ListCached, Entries: all})
+	p.handle(&EndpointsUpdated{Kind: ListCached, Entries: all})
 	return p
 }
 
-func (p *classPlay) handle(ev Event) { p.do(p.b.Handle(p.now, &ev, nil)) }
+func (p *classPlay) handle(ev Event) { p.do(p.b.Handle(p.now, ev, nil)) }
 
 func (p *classPlay) do(actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
-		case ActionSend:
+		case ActionSendAttempt:
 			at := max(p.free[action.Server], p.now) + p.answerMs
 			p.free[action.Server] = at
-			ev := Event{Kind: EventOutcome, Request: action.Request, Attempt: p.tries[action.Request], Server: action.Server, Status: StatusOK,
+			ev := &AttemptEnded{Request: action.Request, Attempt: p.tries[action.Request], Server: action.Server, Status: StatusOK,
 				LatencyMs: at - p.now, Final: true}
-			if at-p.now > action.DelayMs {
-				at, ev.Status, ev.LatencyMs, ev.Final = p.now+action.DelayMs, StatusTimeout, action.DelayMs, false
+			if at-p.now > action.TimeoutMs {
+				at, ev.Status, ev.LatencyMs, ev.Final = p.now+action.TimeoutMs, StatusTimeout, action.TimeoutMs, false
 			}
 			p.tries[action.Request]++
 			heap.Push(&p.todo, due{at, ev})
-		case ActionTimer:
-			heap.Push(&p.todo, due{p.now + action.DelayMs, Event{Kind: EventTimer, Token: action.Token}})
+		case ActionSetTimer:
+			heap.Push(&p.todo, due{p.now + action.DelayMs, &TimerFired{Token: action.Token}})
 		}
 	}
 }
@@ -71,9 +71,10 @@
 		if len(p.todo) > 0 && p.todo[0].at <= next {
 			e := heap.Pop(&p.todo).(due)
 			p.now = e.at
-			if c := p.class[e.ev.Request]; e.ev.Kind == EventOutcome && e.ev.Status == StatusOK &&
-				e.ev.LatencyMs <= p.b.classes.all[c].LatencyObjectiveMs {
-				p.served[c]++
+			if ended, ok := e.ev.(*AttemptEnded); ok && ended.Status == StatusOK {
+				if c := p.class[ended.Request]; ended.LatencyMs <= p.b.classes.all[c].LatencyObjectiveMs {
+					p.served[c]++
+				}
 			}
 			p.handle(e.ev)
 			continue
@@ -84,7 +85,7 @@
 		c := p.rng.IntN(len(p.b.classes.all))
 		p.class[p.next] = c
 		p.asked[c]++
-		p.handle(Event{Kind: EventRequest, Request: p.next, Class: c, Key: 1 + p.rng.Uint64N(400),
+		p.handle(&RequestArrived{Request: p.next, Class: c, Key: 1 + p.rng.Uint64N(400),
 			TimeLeftMs: p.b.classes.all[c].DeadlineMs})
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -110,7 +110,7 @@
 // Report names the values of the servers' load reports.
 type Report struct {
 	How   string   `json:"how"`   // "inline", "on_probe" or "off"
-	Names []string `json:"names"` // in the order of Event.Report
+	Names []string `json:"names"` // in the order of the events' Report
 }
 
 // The values that settings may hold.
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -34,7 +34,7 @@
 		seen[server] = true
 		r.now += 5
 	}
-	if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
+	if _, actions := r.ask(0, 0); find(actions, ActionSendAttempt) != nil {
 		t.Errorf("all servers hold one, and another was sent: %+v", actions)
 	}
 }
@@ -55,7 +55,7 @@
 		ramp := contract.SlowStartFrom + (1-contract.SlowStartFrom)*(r.now-began)/contract.SlowStartMs
 		wait := 600 / min(contract.OverloadMultiple*ramp, 1)
 		turn := r.now >= began+wait
-		if action := find(actions, ActionSend); action != nil {
+		if action := find(actions, ActionSendAttempt); action != nil {
 			if !turn {
 				t.Fatalf("sent again after %.0f ms", r.now-began)
 			}
@@ -228,7 +228,7 @@
 		r.list(ListFull, entries...)
 		began := r.now
 		for r.now < began+3000 {
-			if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
+			if _, actions := r.ask(0, 0); find(actions, ActionSendAttempt) != nil {
 				first[int(r.now-began)/1000]++
 				break
 			}
@@ -262,7 +262,7 @@
 			entries[k] = Entry{Server: addr(k), Health: HealthReady, Weight: 1, StartedMs: r.now - set.Contract.SlowStartMs + 1}
 		}
 		r.list(ListFull, entries...)
-		if _, actions := r.ask(0, 0); find(actions, ActionSend) == nil {
+		if _, actions := r.ask(0, 0); find(actions, ActionSendAttempt) == nil {
 			t.Errorf("of %d agents one had to wait: %+v", replicas, actions)
 		}
 	}
@@ -278,7 +278,7 @@
 		Entry{Server: addr(1), Health: HealthReady, Weight: 1, StartedMs: r.now})
 	for range 15 { // two of ten may have one out in the latency objective of 300 ms
 		r.now += 100
-		if _, actions := r.ask(0, 0); find(actions, ActionSend) != nil {
+		if _, actions := r.ask(0, 0); find(actions, ActionSendAttempt) != nil {
 			return
 		}
 	}
--- a/policy/stalled.go
+++ b/policy/stalled.go
@@ -53,6 +53,6 @@
 		len(request.tries.counted) < request.tries.limit && b.retries.tokens >= 1 &&
 		b.now+b.latency.expectedMs(request) < objectiveAt:
 		attempt.cancelled = true
-		b.do(Action{Kind: ActionCancel, Request: request.id, Attempt: attempt.index})
+		b.do(CancelAttempt(request.id, attempt.index))
 	}
 }
--- a/policy/stalled_test.go
+++ b/policy/stalled_test.go
@@ -28,12 +28,12 @@
 	r.sent(1, 5)
 	stuck, server := r.sent(1, 6)
 	waits, actions := r.ask(0, 7)
-	if action := find(actions, ActionSend); action != nil {
+	if action := find(actions, ActionSendAttempt); action != nil {
 		t.Fatalf("not at its limit: %+v", action)
 	}
 	var sent *Action
 	for waited := 0; sent == nil && waited < 200; waited += 10 {
-		if sent = find(r.tick(10), ActionSend); sent != nil && waited < 50 {
+		if sent = find(r.tick(10), ActionSendAttempt); sent != nil && waited < 50 {
 			t.Fatalf("sent after %d ms: the servers were hardly late", waited)
 		}
 	}
@@ -67,17 +67,17 @@
 	id, server := r.sent(0, 5)
 	var off *Action
 	for waited := 0; off == nil && waited < 200; waited += 10 {
-		off = find(r.tick(10), ActionCancel)
+		off = find(r.tick(10), ActionCancelAttempt)
 	}
 	if off == nil || off.Request != id || off.Attempt != 0 {
 		t.Fatalf("called off: %+v", off)
 	}
 	for range 5 {
-		if again := r.tick(10); find(again, ActionCancel) != nil || find(again, ActionSend) != nil {
+		if again := r.tick(10); find(again, ActionCancelAttempt) != nil || find(again, ActionSendAttempt) != nil {
 			t.Fatalf("before the first has ended: %+v", again)
 		}
 	}
-	if action := find(r.outcome(id, 0, server, StatusCancelled, 150), ActionSend); action == nil || action.Request != id || action.Server == server {
+	if action := find(r.outcome(id, 0, server, StatusCancelled, 150), ActionSendAttempt); action == nil || action.Request != id || action.Server == server {
 		t.Fatalf("sent elsewhere: %+v", action)
 	}
 
@@ -86,16 +86,16 @@
 	asked := r.now
 	for {
 		actions := r.tick(10)
-		if find(actions, ActionSend) != nil || find(actions, ActionReject) != nil {
+		if find(actions, ActionSendAttempt) != nil || find(actions, ActionRejectRequest) != nil {
 			t.Fatalf("what may not run twice: %+v", actions)
 		}
-		if fail := find(actions, ActionFail); fail != nil {
+		if fail := find(actions, ActionFailRequest); fail != nil {
 			if waited := r.now - asked; fail.Request != id || waited < 300 || waited > 320 {
 				t.Fatalf("given up after %v ms", waited)
 			}
 			break
 		}
-		if find(actions, ActionCancel) != nil || r.now-asked > 400 {
+		if find(actions, ActionCancelAttempt) != nil || r.now-asked > 400 {
 			t.Fatalf("after %v ms: %+v", r.now-asked, actions)
 		}
 	}
--- a/policy/types.go
+++ b/policy/types.go
@@ -4,8 +4,9 @@
 // that come back, in order.
 //
 // Balancer is the facade. Each of its components holds the decisions of one concern, in a file of
-// that name; types.go holds the events and actions, settings.go the settings. All times are in
-// milliseconds of the agent's clock, which begins anywhere and never goes back.
+// that name; events.go holds what it is notified of, actions.go what it decides on, types.go what
+// both are about, settings.go the settings. All times are in milliseconds of the agent's clock, which
+// begins anywhere and never goes back.
 package policy
 
 // Addr names a server: four bytes of address and a port. It has no meaning beyond equality and is
@@ -67,18 +68,6 @@
 	Weight      float64 // hint of its capacity, see Settings.Weights; 0 counts as 1
 }
 
-// ListKind tells how a list event changes the endpoint list at hand.
-type ListKind uint8
-
-// The kinds of list events.
-const (
-	ListDelta      ListKind = iota // its entries replace those of the same servers
-	ListFull                       // its entries are the whole list
-	ListCached                     // the whole list as it was kept before the agent started
-	ListFailed                     // a call of discovery has failed
-	ListWatchEnded                 // a watch that had notified has ended
-)
-
 // Status is how an attempt or a health check ended.
 type Status uint16
 
@@ -87,10 +76,10 @@
 	StatusOK            Status = 100
 	StatusServerError   Status = 301 // the server answered with a failure
 	StatusRejected      Status = 302 // the server turned it away before it ran
-	StatusTimeout       Status = 303 // no answer within Action.DelayMs
+	StatusTimeout       Status = 303 // no answer within Action.TimeoutMs
 	StatusConnectFailed Status = 304 // no connection to the server
 	StatusReset         Status = 305 // the connection broke
-	StatusCancelled     Status = 306 // ActionCancel, or the client left
+	StatusCancelled     Status = 306 // CancelAttempt, or the client left
 	StatusNotSent       Status = 307 // beyond a limit, or its request was finished
 	// StatusLocalFailure is an attempt that this machine could not make, as a table or a range of
 	// ports of its own was exhausted: it never ran, and says nothing of its server.
@@ -109,73 +98,3 @@
 	}
 	return false
 }
-
-// EventKind tells which fields of an Event count.
-type EventKind uint8
-
-// The events, with the fields that count. Of EventRequest these are Request, Class, Tenant, Key,
-// TimeLeftMs, HintMs, HasHint and Retry.
-const (
-	EventRequest         EventKind = iota + 1 // a request came
-	EventOutcome                              // Request, Attempt, Server, Status, LatencyMs, Final, Report
-	EventResponseStarted                      // Request, Attempt, Server, LatencyMs: a streamed answer began
-	EventClientGone                           // Request: the client left
-	EventEndpointList                         // List, Entries
-	EventHealthChecked                        // Server, Status, LatencyMs, Report
-	EventTimer                                // Token
-	EventPeerMessage                          // a message of another agent; carries nothing that is used
-)
-
-// Event is something that happened to one agent. What comes from outside may be any number:
-// an index out of range, not a number, negative or infinite times are survived.
-type Event struct {
-	Kind       EventKind
-	Request    RequestID
-	Class      int       // index in Settings.Classes
-	Tenant     int       // index in Settings.Tenants; others: none
-	Key        uint64    // 0: none
-	TimeLeftMs float64   // until the client gives up
-	HintMs     float64   // hint of the request's work, if HasHint
-	HasHint    bool      // a hint was given
-	Retry      bool      // marked by the client as its retry
-	Attempt    int       // number among the request's attempts, from 0
-	Server     Addr      // that the attempt or health check went to
-	Status     Status    // how it ended
-	LatencyMs  float64   // after which it ended
-	Final      bool      // the request is finished
-	Report     []float32 // load report, by Settings.Report; not used
-	List       ListKind
-	Entries    []Entry // not changed and not kept by the Balancer
-	Token      uint32  // of the ActionTimer
-}
-
-// ActionKind tells which fields of an Action count.
-type ActionKind uint8
-
-// The actions, with the fields that count.
-const (
-	ActionSend        ActionKind = iota + 1 // Request, Server, DelayMs: time-out, WithinMs
-	ActionCancel                            // Request, Attempt
-	ActionReject                            // Request, DelayMs: when a retry is welcome
-	ActionFail                              // Request
-	ActionHealthCheck                       // Server
-	ActionTimer                             // DelayMs, Token
-	ActionWatch                             // watch the endpoint list
-	ActionFetch                             // fetch the whole endpoint list once
-	ActionLog                               // Text
-	ActionCloseIdle                         // Server: close idle connections to it
-)
-
-// Action is something the agent is to do, in the order given.
-type Action struct {
-	Kind    ActionKind
-	Request RequestID
-	Server  Addr
-	Attempt int     // number among the request's attempts, from 0
-	DelayMs float64 // time-out, wait of a timer, or advice to the client, by Kind
-	// WithinMs is how soon an attempt must begin: one that can't, as its connection comes up
-	// late, must not begin at all. 0: at any time.
-	WithinMs float64
-	Token    uint32 // comes back with the timer's event
-	Text     string
-}
--- a/policy/unserved_test.go
+++ b/policy/unserved_test.go
@@ -11,15 +11,15 @@
 		r := newRig(t, set, 1)
 		id, server := r.sent(0, 5)
 		r.now += 200
-		r.do(Event{Kind: EventClientGone, Request: id})
+		r.do(&ClientDisconnected{Request: id})
 		r.outcome(id, 0, server, StatusCancelled, 200)
 		r.id++
-		r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 5, TimeLeftMs: 600, Retry: marks})
+		r.do(&RequestArrived{Request: r.id, Class: 0, Key: 5, TimeLeftMs: 600, Retry: marks})
 		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now > 101 {
 			t.Errorf("marked %v: a retry was given the whole aim again", marks)
 		}
 		r.id++
-		r.do(Event{Kind: EventRequest, Request: r.id, Class: 0, Key: 6, TimeLeftMs: 600})
+		r.do(&RequestArrived{Request: r.id, Class: 0, Key: 6, TimeLeftMs: 600})
 		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now < 299 {
 			t.Errorf("marked %v: another request was taken for a retry", marks)
 		}
