--- a/deploy/example/example_test.go
+++ b/deploy/example/example_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -66,7 +67,7 @@
 		delete(shown.Settings, key)
 	}
 	sameKeys(t, "limits", shown.Limits, reflect.TypeFor[agent.Limits]())
-	sameKeys(t, "known", shown.Known, reflect.TypeFor[agent.List]())
+	sameKeys(t, "known", shown.Known, reflect.TypeFor[endpointlist.List]())
 	sameKeys(t, "settings", shown.Settings, reflect.TypeFor[policy.Settings]())
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -196,7 +197,7 @@
 	}()
 	<-dialling
 	text, _ := json.Marshal(map[string]any{"seq": 2, "hosts": []any{host(0, "127.0.0.1:1", "draining"), host(1, good, "ready")}})
-	change, err := parseList(text)
+	change, err := endpointlist.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,15 +220,15 @@
 	return l
 }
 
-func listOf(seq int64, whole bool, hosts ...Host) List {
-	return List{Seq: seq, Whole: whole, Hosts: hosts}
+func listOf(seq int64, whole bool, hosts ...endpointlist.Host) endpointlist.List {
+	return endpointlist.List{Seq: seq, Whole: whole, Hosts: hosts}
 }
 
 // Endpoint lists apply in the order of their versions, whether watched or fetched.
 func TestListOrder(t *testing.T) {
 	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
-	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	usable := func(name string) bool { b := loop.backends[addrOf(name)]; return b != nil && b.usable }
+	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	usable := func(name string) bool { b := loop.backends[endpointlist.AddressOf(name)]; return b != nil && b.usable }
 	loop.handle(watchEvent{list: listOf(5, false, endpoint)})
 	if usable("s-0") || !usable("s-1") {
 		t.Fatal("the change of version 5 was not applied")
@@ -245,7 +246,7 @@
 	if len(loop.backends) != 1 {
 		t.Fatalf("%d backends kept, one is listed", len(loop.backends))
 	}
-	loop.handle(watchEvent{list: listOf(7, false, Host{Host: "s-0", Health: "gone"})})
+	loop.handle(watchEvent{list: listOf(7, false, endpointlist.Host{Host: "s-0", Health: "gone"})})
 	if len(loop.backends) != 0 || loop.ready.hasEndpoint.Load() {
 		t.Fatal("the backend that is gone was kept")
 	}
@@ -254,9 +255,9 @@
 // A new process or address of a backend gets new connections; the backend stays the same.
 func TestNewProcessNewConnections(t *testing.T) {
 	loop := quietLoop(t, "127.0.0.1:1")
-	b := loop.backends[addrOf("s-0")]
+	b := loop.backends[endpointlist.AddressOf("s-0")]
 	before := b.conns
-	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
+	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
 	loop.handle(watchEvent{list: listOf(2, false, endpoint)})
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
@@ -266,7 +267,7 @@
 	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
 		loop.handle(watchEvent{list: listOf(int64(3+i), false, endpoint)})
-		if loop.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != endpoint.Dial {
+		if loop.backends[endpointlist.AddressOf("s-0")] != b || b.conns == before || b.conns.dial != endpoint.Dial {
 			t.Fatal("the old connections were kept")
 		}
 		before = b.conns
@@ -288,7 +289,7 @@
 		}
 	})
 	loop := quietLoop(t, addr)
-	target := loop.backends[addrOf("s-0")]
+	target := loop.backends[endpointlist.AddressOf("s-0")]
 	target.conns.pool.idleTimeout = agenttest.Never
 	first := newAttempt(target.conns, http.MethodPost, agenttest.Never)
 	first.backend = target
@@ -302,13 +303,10 @@
 	<-closed
 }
 
-func TestAddresses(t *testing.T) {
-	first, again := addrOf("s-1"), addrOf("s-1")
-	if first != again || first == addrOf("s-2") {
-		t.Fatal("an address must follow from the name alone")
-	}
+func TestKeyHashDiffersAndIsNeverZero(t *testing.T) {
 	if keyHash("u1") == keyHash("u2") || keyHash("") == 0 {
-		t.Fatal("keys must differ, and none be 0")
+		t.Fatalf("got hashes %d and %d of two keys and %d of none, want three that differ and none that is 0",
+			keyHash("u1"), keyHash("u2"), keyHash(""))
 	}
 }
 
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
@@ -21,13 +22,13 @@
 func (a *Agent) handled() { a.look(func(*loop) {}) }
 
 // told posts a complete endpoint list to the loop and waits until it is applied.
-func (a *Agent) told(seq int64, hosts ...Host) {
+func (a *Agent) told(seq int64, hosts ...endpointlist.Host) {
 	a.loop.post(watchEvent{list: listOf(seq, true, hosts...)})
 	a.handled()
 }
 
-func readyHost(i int, dial string) Host {
-	return Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
+func readyHost(i int, dial string) endpointlist.Host {
+	return endpointlist.Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
 }
 
 // The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 )
 
 // Connections that are silent, idle without end, or stuck in an unfinished request must not keep
@@ -308,22 +309,22 @@
 	t.Cleanup(discoveryServer.Close)
 	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	loop.watch.listVersion = 41
-	before := loop.backends[addrOf("s-0")].conns
+	before := loop.backends[endpointlist.AddressOf("s-0")].conns
 	loop.watch.fetching, loop.watch.watching = true, true
 	reloadTo(t, loop, discoveryServer.Listener.Addr().String())
 	t.Cleanup(loop.watch.discovery.close)
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
-	endpoint := Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
+	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
 	loop.handle(watchEvent{list: listOf(42, false, endpoint)})
 	loop.handle(watchEnded{err: io.EOF})
 	loop.handle(endpointsFetched{list: listOf(42, true, endpoint)})
-	if !loop.watch.watching || !loop.watch.fetching || !loop.backends[addrOf("s-0")].usable || loop.backends[addrOf("s-0")].conns != before {
+	if !loop.watch.watching || !loop.watch.fetching || !loop.backends[endpointlist.AddressOf("s-0")].usable || loop.backends[endpointlist.AddressOf("s-0")].conns != before {
 		t.Fatal("a late word of the old discovery counted")
 	}
 	loop.handle(watchEvent{list: listOf(3, false, endpoint), generation: 1})
-	if b := loop.backends[addrOf("s-0")]; b != nil && b.usable || loop.watch.listVersion != 3 {
+	if b := loop.backends[endpointlist.AddressOf("s-0")]; b != nil && b.usable || loop.watch.listVersion != 3 {
 		t.Fatal("the new discovery was not heard")
 	}
 	disc := loop.watch.discovery
--- a/internal/agent/clock_distance_test.go
+++ b/internal/agent/clock_distance_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"ploverreel/internal/endpointlist"
 )
 
 // The quickest notice of a start gives the distance of the servers' clock from the agent's, whatever
@@ -29,7 +31,7 @@
 			{"s-5", 100 * time.Millisecond, 0},
 		} {
 			f.hear(false, f.born(c.name, c.late))
-			age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[addrOf(c.name)].sinceMs).Round(time.Millisecond)
+			age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[endpointlist.AddressOf(c.name)].sinceMs).Round(time.Millisecond)
 			if age != c.want {
 				t.Errorf("clock off by %v: %s, noticed after %v, counts as %v old, want %v", step, c.name, c.late, age, c.want)
 			}
@@ -51,7 +53,7 @@
 		stepped := f.born("s-1", 0)
 		stepped.BornMs -= float64(back.Milliseconds())
 		f.hear(false, stepped)
-		age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[addrOf("s-1")].sinceMs).Round(time.Millisecond)
+		age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[endpointlist.AddressOf("s-1")].sinceMs).Round(time.Millisecond)
 		want := back
 		if back > millis(f.loop.watch.startTimes.tolerance) {
 			want = 0
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -6,6 +6,7 @@
 import (
 	"time"
 
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
@@ -27,7 +28,7 @@
 	Limits    Limits
 	Settings  policy.Settings
 	Names     nameIndex
-	Known     List // the list at the start; may be empty
+	Known     endpointlist.List // the list at the start; may be empty
 
 	clock machineClock // nil: that of this machine
 }
@@ -77,3 +78,17 @@
 	}
 	return nil
 }
+
+// entry translates a host for the module; its start is still born_ms. A zone or machine kind that
+// the settings don't name is nobody's own: it gets a number that no settings give.
+func (n *nameIndex) entry(host *endpointlist.Host) policy.Entry {
+	place := func(places map[string]int, name string) int {
+		if i, ok := places[name]; ok {
+			return i
+		}
+		return -1
+	}
+	return policy.Entry{Server: endpointlist.AddressOf(host.Host), Zone: place(n.sites, host.Site), Cell: host.Block,
+		MachineKind: place(n.kinds, host.Class), StartedMs: host.BornMs, Health: endpointlist.HealthOf(host),
+		Weight: host.Share}
+}
--- a/internal/agent/config_errors_test.go
+++ b/internal/agent/config_errors_test.go
@@ -9,6 +9,7 @@
 	"path/filepath"
 	"testing"
 
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fielderror"
 )
 
@@ -63,7 +64,7 @@
 		{"no classes", nil, []any{"settings", "classes"}, `config: settings: classes: none given`},
 		{"membership", "?", []any{"settings", "membershipMode"}, `config: settings: membershipMode: unknown mode "?"`},
 		{"contract", -1, []any{"settings", "contract", "coldMs"}, `config: settings: contract.coldMs: must be 0 or above and at most 1e+11, is -1`},
-		{"known of another type", 1, []any{"known"}, `config: known: json: cannot unmarshal number into Go value of type agent.List`},
+		{"known of another type", 1, []any{"known"}, `config: known: json: cannot unmarshal number into Go value of type endpointlist.List`},
 		{"known without hosts", nil, []any{"known", "hosts"}, `config: known: hosts: missing`},
 		{"known host without a name", nil, []any{"known", "hosts", 0, "host"}, `config: known: hosts[0].host: missing`},
 		{"known host without a port", "x", []any{"known", "hosts", 0, "dial"}, `config: known: hosts[0].dial: no address with a port: "x"`},
@@ -146,8 +147,8 @@
 		err  error
 		want string
 	}{
-		{fielderror.In("listen", checkAddress("here")), "listen"},
-		{fielderror.In("known", (&List{}).check()), "known: hosts"},
+		{fielderror.In("listen", endpointlist.CheckAddress("here")), "listen"},
+		{fielderror.In("known", (&endpointlist.List{}).Validate()), "known: hosts"},
 		{fielderror.In("known", fmt.Errorf("json: %w", io.EOF)), "known"},
 		{fielderror.OfSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
 		{fielderror.OfSettings(errors.New("settings: no colon behind")), "settings"},
--- a/internal/agent/config_file.go
+++ b/internal/agent/config_file.go
@@ -4,10 +4,10 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"strconv"
 
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fielderror"
 	"ploverreel/internal/simwire"
 	"ploverreel/policy"
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if config.Known, err = parseList(file.Known); err != nil {
+		if config.Known, err = endpointlist.Parse(file.Known); err != nil {
 			return nil, fielderror.In("known", err)
 		}
 	}
@@ -81,10 +81,10 @@
 
 // check validates all but the settings and the list, and returns the seed.
 func (f *configFile) check() (seed uint64, err error) {
-	if err := checkAddress(f.Listen); err != nil {
+	if err := endpointlist.CheckAddress(f.Listen); err != nil {
 		return 0, fielderror.In("listen", err)
 	}
-	if err := checkAddress(f.Discovery); err != nil {
+	if err := endpointlist.CheckAddress(f.Discovery); err != nil {
 		return 0, fielderror.In("discovery", err)
 	}
 	if seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
@@ -135,18 +135,6 @@
 	return nil
 }
 
-// checkAddress reports why an address has no host and numeric port.
-func checkAddress(addr string) error {
-	_, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return fmt.Errorf("no address with a port: %q", addr)
-	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("no port number: %q", addr)
-	}
-	return nil
-}
-
 // places maps each name to its place; of one that stands twice, the last.
 func places(names []string) map[string]int {
 	byName := make(map[string]int, len(names))
--- a/internal/agent/discovery.go
+++ b/internal/agent/discovery.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"time"
 
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/socket"
 )
 
@@ -107,7 +108,7 @@
 	if isNew {
 		timeout = newDiscoveryCallTimeout
 	}
-	var list List
+	var list endpointlist.List
 	err := d.retryWhileNew(isNew, func() (err error) {
 		list, err = d.fetchOnce(timeout)
 		return err
@@ -116,19 +117,19 @@
 }
 
 // fetchOnce gets the whole list within the timeout.
-func (d *discovery) fetchOnce(timeout time.Duration) (List, error) {
+func (d *discovery) fetchOnce(timeout time.Duration) (endpointlist.List, error) {
 	ctx, cancel := context.WithTimeout(d.ctx, timeout)
 	defer cancel()
 	body, err := d.get(ctx, d.base)
 	if err != nil {
-		return List{}, err
+		return endpointlist.List{}, err
 	}
 	defer body.Close()
 	text, err := io.ReadAll(io.LimitReader(body, maxList))
 	if err != nil {
-		return List{}, err
+		return endpointlist.List{}, err
 	}
-	list, err := parseList(text)
+	list, err := endpointlist.Parse(text)
 	if err == nil && !list.Whole {
 		err = errors.New("list: not the whole one")
 	}
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -21,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.handle(watchEvent{list: listOf(7, true, Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
+	l.handle(watchEvent{list: listOf(7, true, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
 	var former []*discovery
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
 		former = append(former, l.watch.discovery)
@@ -29,7 +30,7 @@
 			t.Fatal(err)
 		}
 	}
-	draining := Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
+	draining := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
 	for _, d := range former {
 		if d.ctx.Err() == nil {
 			t.Fatalf("the calls of %s go on", d.addr)
@@ -41,7 +42,7 @@
 		} {
 			l.handle(in)
 		}
-		if b := l.backends[addrOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
+		if b := l.backends[endpointlist.AddressOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
 			t.Fatalf("what %s delivers counts, though discovery has moved", d.addr)
 		}
 	}
@@ -50,7 +51,7 @@
 	}
 	// A lower version than the first time, as it may have begun anew.
 	l.handle(watchEvent{generation: l.watch.discovery.generation, list: listOf(3, true, draining)})
-	if b := l.backends[addrOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
+	if b := l.backends[endpointlist.AddressOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
 		t.Fatal("what the discovery now called delivers does not count")
 	}
 	l.watch.discovery.close()
@@ -59,14 +60,14 @@
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
 // was suspended before: what has not begun never does, and all that begins later goes elsewhere.
 func TestHeldUpListWithdraws(t *testing.T) {
-	for name, list := range map[string]List{
-		"draining":     listOf(2, false, Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
-		"gone":         listOf(2, false, Host{Host: "s-0", Health: "gone"}),
+	for name, list := range map[string]endpointlist.List{
+		"draining":     listOf(2, false, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
+		"gone":         listOf(2, false, endpointlist.Host{Host: "s-0", Health: "gone"}),
 		"not in whole": listOf(2, true),
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := quietLoop(t, "127.0.0.1:1")
-			b := l.backends[addrOf("s-0")]
+			b := l.backends[endpointlist.AddressOf("s-0")]
 			waits := newAttempt(b.conns, http.MethodPost, agenttest.Never)
 			b.attempts[waits] = struct{}{}
 			l.handle(watchEvent{list: list})
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -19,7 +20,7 @@
 }
 
 // onWatchEvent applies a list that a watch delivered.
-func (l *loop) onWatchEvent(list *List) {
+func (l *loop) onWatchEvent(list *endpointlist.List) {
 	switch {
 	case list.Whole:
 		l.applyEndpointList(policy.ListFull, list)
@@ -82,7 +83,7 @@
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
 // what is no longer ready, then for the module.
-func (l *loop) applyEndpointList(kind policy.ListKind, list *List) {
+func (l *loop) applyEndpointList(kind policy.ListKind, list *endpointlist.List) {
 	l.watch.listVersion = list.Seq
 	entries := make([]policy.Entry, len(list.Hosts))
 	listed := map[policy.Addr]bool{}
@@ -114,7 +115,7 @@
 }
 
 // updateBackend brings the backend of one entry up to date, and adds it if it is new.
-func (l *loop) updateBackend(entry *policy.Entry, host *Host) {
+func (l *loop) updateBackend(entry *policy.Entry, host *endpointlist.Host) {
 	gone := entry.Health == policy.HealthGone
 	current := l.backends[entry.Server]
 	if current == nil {
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -1,6 +1,10 @@
 package agent
 
-import "time"
+import (
+	"time"
+
+	"ploverreel/internal/endpointlist"
+)
 
 // input is one thing that happened, on its way to the loop. Its types are listed in this file;
 // loop.handle says what is done with each. Whoever posts an input hands over what it points to.
@@ -32,14 +36,14 @@
 	// endpointsFetched ends a fetch: with a whole list or an error.
 	endpointsFetched struct {
 		generation int
-		list       List
+		list       endpointlist.List
 		err        error
 	}
 
 	// watchEvent is one list that a watch delivered.
 	watchEvent struct {
 		generation int
-		list       List
+		list       endpointlist.List
 	}
 
 	// watchEnded ends a watch.
--- a/internal/agent/inputs_test.go
+++ b/internal/agent/inputs_test.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"testing"
+
+	"ploverreel/internal/endpointlist"
 )
 
 // inputContents is an input with what one of discovery's calls brings in it; the zero values
@@ -10,7 +12,7 @@
 type inputContents struct {
 	input
 	generation       int
-	list             List
+	list             endpointlist.List
 	err              error
 	endedAfterNotice bool
 }
@@ -47,7 +49,7 @@
 		{"a client's end", func() { l.post(clientDisconnected{request: sent}) }, 0},
 		{"an attempt's end", func() { l.post(attemptEnded{attempt: ended}) }, 1},
 		{"a timer", func() { l.post(timerFired{token: 1 << 20}) }, 1},
-		{"a list", func() { l.post(watchEvent{list: List{Seq: 1}}) }, 1},
+		{"a list", func() { l.post(watchEvent{list: endpointlist.List{Seq: 1}}) }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := testing.AllocsPerRun(100, func() { c.post(); <-l.inputs }); got > c.most {
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -33,7 +34,7 @@
 	seq     int64
 	began   map[string]time.Time // in real time
 	noticed time.Time            // when the agent last heard of a start
-	hosts   []Host
+	hosts   []endpointlist.Host
 }
 
 var coldTime = millis(8000) // of the settings of config
@@ -41,15 +42,15 @@
 func newWatchedFleet(t *testing.T) *watchedFleet {
 	real := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	f := &watchedFleet{t: t, machine: &steppedMachine{real: real, ran: time.Minute}, seq: 1, began: map[string]time.Time{}}
-	f.hosts = append(f.hosts, Host{Host: "s-old", Dial: "127.0.0.1:1", Health: "ready", Share: 1})
+	f.hosts = append(f.hosts, endpointlist.Host{Host: "s-old", Dial: "127.0.0.1:1", Health: "ready", Share: 1})
 	return f
 }
 
 // born starts a server, or starts it anew, so long ago.
-func (f *watchedFleet) born(name string, ago time.Duration) Host {
+func (f *watchedFleet) born(name string, ago time.Duration) endpointlist.Host {
 	at := f.machine.real.Add(-ago)
 	f.began[name] = at
-	h := Host{Host: name, Dial: "127.0.0.1:1", Health: "ready", Share: 1, BornMs: float64(at.UnixMilli())}
+	h := endpointlist.Host{Host: name, Dial: "127.0.0.1:1", Health: "ready", Share: 1, BornMs: float64(at.UnixMilli())}
 	for i := range f.hosts {
 		if f.hosts[i].Host == name {
 			f.hosts[i] = h
@@ -73,7 +74,7 @@
 }
 
 // hear hands the agent a list that a watch delivered.
-func (f *watchedFleet) hear(whole bool, hosts ...Host) {
+func (f *watchedFleet) hear(whole bool, hosts ...endpointlist.Host) {
 	f.seq++
 	f.loop.handle(watchEvent{list: listOf(f.seq, whole, hosts...)})
 	f.noticed = f.machine.real
@@ -99,7 +100,7 @@
 			continue
 		}
 		cold++
-		if known, ok := f.loop.watch.startTimes.known[addrOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
+		if known, ok := f.loop.watch.startTimes.known[endpointlist.AddressOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
 			f.t.Fatalf("%s is %v old and counts as %v old", name, age, millis(f.loop.nowMs()-known.sinceMs))
 		}
 	}
@@ -208,7 +209,7 @@
 		stepped.BornMs -= 3600e3
 		f.hear(false, f.hosts[1], f.hosts[2], stepped)
 		for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
-			if age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
+			if age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[endpointlist.AddressOf(name)].sinceMs).Round(time.Millisecond); age != want {
 				t.Errorf("clock off by %v: %s counts as %v old, want %v", step, name, age, want)
 			}
 		}
@@ -269,7 +270,7 @@
 		t.Fatalf("the module's clock stands at %v", now)
 	}
 	f.hold(20 * time.Second)
-	entries := []policy.Entry{{Server: addrOf("s-1"), StartedMs: 1e300}}
+	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
 	if f.loop.watch.startTimes.translate(entries, f.loop.nowMs()); entries[0].StartedMs > f.loop.nowMs() {
 		t.Errorf("a start in the future: %v", entries[0].StartedMs)
 	}
--- a/internal/agent/watch.go
+++ b/internal/agent/watch.go
@@ -10,6 +10,8 @@
 	"io"
 	"strconv"
 	"time"
+
+	"ploverreel/internal/endpointlist"
 )
 
 // maxList bounds one list, in bytes.
@@ -85,12 +87,12 @@
 	}}
 	lists := json.NewDecoder(reader)
 	for {
-		var list List
+		var list endpointlist.List
 		if err := lists.Decode(&list); err != nil {
 			result.err = cmp.Or(context.Cause(ctx), err)
 			return result
 		}
-		if err := list.check(); err != nil {
+		if err := list.Validate(); err != nil {
 			result.err = fmt.Errorf("list: %w", err)
 			return result
 		}
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -195,7 +196,7 @@
 			l.handle(failed)
 		}
 		if posted {
-			l.handle(watchEvent{list: List{Seq: l.watch.listVersion, Hosts: []Host{}}})
+			l.handle(watchEvent{list: endpointlist.List{Seq: l.watch.listVersion, Hosts: []endpointlist.Host{}}})
 		}
 		l.handle(failed)
 		for _, a := range l.actions {
--- a/internal/agent/endpoint_list.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,16 +1,22 @@
-package agent
+// Package endpointlist is the list of backends in discovery's form: its JSON, its validation, and
+// how the decision module names a backend. A configuration brings such a list as the one known at
+// the start, and discovery delivers whole lists and changes. The functions may be called from any
+// goroutine; errors that name a field are or wrap a *fielderror.Error.
+package endpointlist
 
 import (
 	"encoding/json"
 	"fmt"
 	"hash/fnv"
 	"io"
+	"net"
+	"strconv"
 
 	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
 
-// List is a list of backends, or a change of it, in discovery's form.
+// List is a list of backends, or a change of it.
 type List struct {
 	Seq   int64  `json:"seq"`   // version; grows with each change
 	Whole bool   `json:"whole"` // whether Hosts are all backends, or only those that changed
@@ -33,17 +39,17 @@
 	"ready": policy.HealthReady, "draining": policy.HealthDraining, "gone": policy.HealthGone,
 }
 
-// parseList reads one list. Its error is that of the JSON or of check.
-func parseList(text []byte) (List, error) {
+// Parse reads and validates one list. Its error is that of the JSON or of Validate.
+func Parse(text []byte) (List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
 		return list, err
 	}
-	return list, list.check()
+	return list, list.Validate()
 }
 
-// check reports, as a fielderror.Error, the first part of a list that makes no sense.
-func (l *List) check() error {
+// Validate returns, as a *fielderror.Error, what is wrong with the first invalid field of a list.
+func (l *List) Validate() error {
 	if l.Hosts == nil {
 		return fielderror.Errorf("hosts", "missing") // other JSON must not pass as a list without backends
 	}
@@ -54,30 +60,19 @@
 			return fielderror.Errorf(fmt.Sprintf("hosts[%d].host", i), "missing")
 		case !known:
 			return fielderror.Errorf(fmt.Sprintf("hosts[%d].health", i), "unknown word %q", host.Health)
-		case health != policy.HealthGone && checkAddress(host.Dial) != nil:
+		case health != policy.HealthGone && CheckAddress(host.Dial) != nil:
 			return fielderror.Errorf(fmt.Sprintf("hosts[%d].dial", i), "no address with a port: %q", host.Dial)
 		}
 	}
 	return nil
 }
 
-// entry translates a host for the module; its start is still born_ms. A zone or machine kind that
-// the settings don't name is nobody's own: it gets a number that no settings give.
-func (n *nameIndex) entry(host *Host) policy.Entry {
-	place := func(places map[string]int, name string) int {
-		if i, ok := places[name]; ok {
-			return i
-		}
-		return -1
-	}
-	return policy.Entry{Server: addrOf(host.Host), Zone: place(n.sites, host.Site), Cell: host.Block,
-		MachineKind: place(n.kinds, host.Class), StartedMs: host.BornMs, Health: healthByName[host.Health],
-		Weight: host.Share}
-}
+// HealthOf returns the health of a host of a validated list, as the decision module knows it.
+func HealthOf(host *Host) policy.Health { return healthByName[host.Health] }
 
-// addrOf gives a backend its address in the module: from its name alone, so that it is the same at
-// every agent and stays when the address to dial changes.
-func addrOf(host string) policy.Addr {
+// AddressOf returns the address that a backend has in the decision module. It depends on the
+// backend's name alone, so it is the same at every agent and stays when the address to dial changes.
+func AddressOf(host string) policy.Addr {
 	hash := fnv.New64a()
 	io.WriteString(hash, host)
 	sum := hash.Sum(nil)
@@ -86,3 +81,16 @@
 	}
 	return policy.Addr(sum[2:])
 }
+
+// CheckAddress reports why an address has no host and numeric port, or nil. Addresses of a
+// configuration have the same form as those of a list.
+func CheckAddress(addr string) error {
+	_, port, err := net.SplitHostPort(addr)
+	if err != nil {
+		return fmt.Errorf("no address with a port: %q", addr)
+	}
+	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
+		return fmt.Errorf("no port number: %q", addr)
+	}
+	return nil
+}
--- a/internal/fleet/controlplane/controlplane_test.go
+++ b/internal/fleet/controlplane/controlplane_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fleet"
 	"ploverreel/policy"
 )
@@ -177,11 +177,13 @@
 
 // A directory tells changes after a version that it had, and else the whole list.
 func TestDirectoryTellsChanges(t *testing.T) {
-	host := func(i int, health string) agent.Host { return agent.Host{Host: serverName(i), Health: health} }
+	host := func(i int, health string) endpointlist.Host {
+		return endpointlist.Host{Host: serverName(i), Health: health}
+	}
 	d := newDirectory(nil)
-	d.take(&agent.List{Seq: 5, Whole: true, Hosts: []agent.Host{host(0, "ready"), host(1, "ready")}})
-	d.take(&agent.List{Seq: 6, Hosts: []agent.Host{host(0, "gone")}})
-	d.take(&agent.List{Seq: 7, Hosts: []agent.Host{host(2, "ready")}})
+	d.take(&endpointlist.List{Seq: 5, Whole: true, Hosts: []endpointlist.Host{host(0, "ready"), host(1, "ready")}})
+	d.take(&endpointlist.List{Seq: 6, Hosts: []endpointlist.Host{host(0, "gone")}})
+	d.take(&endpointlist.List{Seq: 7, Hosts: []endpointlist.Host{host(2, "ready")}})
 	for _, c := range []struct {
 		since int64
 		whole bool
@@ -191,7 +193,7 @@
 	} {
 		for range 2 { // the second is the kept text
 			text, seq, err := d.text(0, c.since)
-			var l agent.List
+			var l endpointlist.List
 			if err == nil {
 				err = json.Unmarshal(text, &l)
 			}
--- a/internal/fleet/controlplane/directory.go
+++ b/internal/fleet/controlplane/directory.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 // errSilent says that a directory tells nothing now.
@@ -32,7 +32,7 @@
 }
 
 type versionedHost struct {
-	agent.Host
+	endpointlist.Host
 	seq int64 // of its last change
 }
 
@@ -48,7 +48,7 @@
 }
 
 // take applies a list, whole or a change, and wakes who waits.
-func (d *directory) take(l *agent.List) {
+func (d *directory) take(l *endpointlist.List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastUpdate, d.seq = time.Now(), l.Seq
@@ -112,7 +112,7 @@
 	if text := d.texts[at]; text != nil {
 		return text, d.seq, nil
 	}
-	l := agent.List{Seq: d.seq, Whole: whole, Hosts: []agent.Host{}}
+	l := endpointlist.List{Seq: d.seq, Whole: whole, Hosts: []endpointlist.Host{}}
 	for _, name := range d.names {
 		v := d.hosts[name]
 		mine := d.scope == nil || d.scope(name) == scope
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fleet"
 )
 
@@ -55,7 +55,7 @@
 func (f *fleetRun) start(ctx context.Context) error {
 	p := f.plan
 	f.source = newDirectory(nil)
-	f.source.take(&agent.List{Seq: 1, Whole: true, Hosts: p.hosts()})
+	f.source.take(&endpointlist.List{Seq: 1, Whole: true, Hosts: p.hosts()})
 	for range p.StandIns * p.Size.Regions {
 		m := &machine{}
 		f.standIns = append(f.standIns, m)
@@ -148,10 +148,10 @@
 
 // change makes a new version of the list and sends it to the stand-ins that can be reached.
 // It returns the version and when it was made.
-func (f *fleetRun) change(ctx context.Context, hosts ...agent.Host) (int64, time.Time, error) {
+func (f *fleetRun) change(ctx context.Context, hosts ...endpointlist.Host) (int64, time.Time, error) {
 	seq, _, _ := f.source.state()
 	made := time.Now()
-	f.source.take(&agent.List{Seq: seq + 1, Hosts: hosts})
+	f.source.take(&endpointlist.List{Seq: seq + 1, Hosts: hosts})
 	return seq + 1, made, f.send(ctx)
 }
 
@@ -174,7 +174,7 @@
 
 // randomChange returns a server of the list with its health changed: a ready one drains, another
 // is ready again as a new process.
-func (f *fleetRun) randomChange() agent.Host {
+func (f *fleetRun) randomChange() endpointlist.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
 	h := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fleet"
 	"ploverreel/policy"
 )
@@ -185,10 +185,10 @@
 func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*2654435761) }
 
 // hosts is the list at the start. Nobody dials its addresses.
-func (p *Plan) hosts() []agent.Host {
-	hosts := make([]agent.Host, p.Size.Servers)
+func (p *Plan) hosts() []endpointlist.Host {
+	hosts := make([]endpointlist.Host, p.Size.Servers)
 	for i := range hosts {
-		hosts[i] = agent.Host{Host: serverName(i), Dial: fmt.Sprintf("127.%d.%d.%d:8081", p.zoneOf(i)+1, i>>8&255, i&255),
+		hosts[i] = endpointlist.Host{Host: serverName(i), Dial: fmt.Sprintf("127.%d.%d.%d:8081", p.zoneOf(i)+1, i>>8&255, i&255),
 			Site: zoneName(p.zoneOf(i)), Class: "m1", Block: i / 40, Health: "ready", Share: 1}
 	}
 	return hosts
--- a/internal/fleet/controlplane/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fleet"
 	"ploverreel/policy"
 )
@@ -184,7 +184,7 @@
 }
 
 // measured makes a change and adds the delays until it is in force at the agents.
-func (f *fleetRun) measured(ctx context.Context, t *delays, agents []int, hosts ...agent.Host) error {
+func (f *fleetRun) measured(ctx context.Context, t *delays, agents []int, hosts ...endpointlist.Host) error {
 	seq, made, err := f.change(ctx, hosts...)
 	if err != nil {
 		return err
@@ -356,7 +356,7 @@
 func (f *fleetRun) zone(ctx context.Context, c *fleet.Case) error {
 	every := f.agents(everywhere)
 	for _, half := range []struct{ prefix, health string }{{"gone", "gone"}, {"back", "ready"}} {
-		var hosts []agent.Host
+		var hosts []endpointlist.Host
 		for i, h := range f.plan.hosts() {
 			if f.plan.zoneOf(i) == 0 {
 				h.Health = half.health
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 // heartbeatEvery is how often a watch gets an empty line while nothing changes.
@@ -115,7 +115,7 @@
 }
 
 func (s *standIn) take(text []byte) error {
-	var l agent.List
+	var l endpointlist.List
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
--- a/internal/fleet/datapath/process.go
+++ b/internal/fleet/datapath/process.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 const (
@@ -64,10 +64,10 @@
 func zone(i int) string { return fmt.Sprint("z", i) }
 
 // list is the list of a hop's servers, dealt out over the zones.
-func (p *Plan) list(addrs []string) agent.List {
-	l := agent.List{Seq: 1, Whole: true}
+func (p *Plan) list(addrs []string) endpointlist.List {
+	l := endpointlist.List{Seq: 1, Whole: true}
 	for i, addr := range addrs {
-		l.Hosts = append(l.Hosts, agent.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zone(i % p.Size.Zones),
+		l.Hosts = append(l.Hosts, endpointlist.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zone(i % p.Size.Zones),
 			Class: "k", Block: i % 64, Health: "ready", Share: 1})
 	}
 	return l
@@ -84,7 +84,7 @@
 
 // start starts an agent and waits until it is ready. The port is free when it is chosen; an
 // agent that finds it taken is started again with another.
-func (p *Plan) start(ctx context.Context, dir string, s scenario, index int, discovery string, list agent.List) (*process, error) {
+func (p *Plan) start(ctx context.Context, dir string, s scenario, index int, discovery string, list endpointlist.List) (*process, error) {
 	var err error
 	for range startTries {
 		var a *process
@@ -103,7 +103,7 @@
 	return nil, err
 }
 
-func (p *Plan) startOn(dir string, s scenario, index int, discovery string, list agent.List) (*process, error) {
+func (p *Plan) startOn(dir string, s scenario, index int, discovery string, list endpointlist.List) (*process, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
--- a/internal/fleet/datapath/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 const (
@@ -122,7 +122,7 @@
 
 // newDiscovery starts a stand-in of discovery that serves one list, which never changes, and
 // gives its address. It ends with the context.
-func newDiscovery(ctx context.Context, list agent.List) (addr string, err error) {
+func newDiscovery(ctx context.Context, list endpointlist.List) (addr string, err error) {
 	text, err := json.Marshal(list)
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
