--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -6,6 +6,9 @@
 	"testing"
 	"time"
 
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/config"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -17,8 +20,8 @@
 	ran  time.Duration
 }
 
-func (m *steppedMachine) wall() time.Time          { return m.real.Add(m.off).Round(0) }
-func (m *steppedMachine) monotonic() time.Duration { return m.ran }
+func (m *steppedMachine) Wall() time.Time          { return m.real.Add(m.off).Round(0) }
+func (m *steppedMachine) Monotonic() time.Duration { return m.ran }
 
 func (m *steppedMachine) pass(d time.Duration) {
 	m.real = m.real.Add(d)
@@ -33,23 +36,23 @@
 	seq     int64
 	began   map[string]time.Time // in real time
 	noticed time.Time            // when the agent last heard of a start
-	hosts   []Host
+	hosts   []endpointlist.Host
 }
 
-var coldTime = millis(8000) // of the settings of config
+var coldTime = config.Milliseconds(8000) // of the settings of config
 
 func newWatchedFleet(t *testing.T) *watchedFleet {
 	real := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	f := &watchedFleet{t: t, machine: &steppedMachine{real: real, ran: time.Minute}, seq: 1, began: map[string]time.Time{}}
-	f.hosts = append(f.hosts, Host{Host: "s-old", Dial: "127.0.0.1:1", Health: "ready", Share: 1})
+	f.hosts = append(f.hosts, endpointlist.Host{Host: "s-old", Dial: "127.0.0.1:1", Health: "ready", Share: 1})
 	return f
 }
 
 // born starts a server, or starts it anew, so long ago.
-func (f *watchedFleet) born(name string, ago time.Duration) Host {
+func (f *watchedFleet) born(name string, ago time.Duration) endpointlist.Host {
 	at := f.machine.real.Add(-ago)
 	f.began[name] = at
-	h := Host{Host: name, Dial: "127.0.0.1:1", Health: "ready", Share: 1, BornMs: float64(at.UnixMilli())}
+	h := endpointlist.Host{Host: name, Dial: "127.0.0.1:1", Health: "ready", Share: 1, BornMs: float64(at.UnixMilli())}
 	for i := range f.hosts {
 		if f.hosts[i].Host == name {
 			f.hosts[i] = h
@@ -62,9 +65,9 @@
 
 // boot starts the agent's process with the list as it is.
 func (f *watchedFleet) boot() {
-	c := parse(f.t, config(nowhere))
+	c := parse(f.t, agenttest.Config(nowhere))
 	c.Known = listOf(f.seq, true, f.hosts...)
-	c.clock = f.machine
+	c.Clock = f.machine
 	l, err := newLoop(f.t.Context(), c, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.t.Fatal(err)
@@ -73,7 +76,7 @@
 }
 
 // hear hands the agent a list that a watch delivered.
-func (f *watchedFleet) hear(whole bool, hosts ...Host) {
+func (f *watchedFleet) hear(whole bool, hosts ...endpointlist.Host) {
 	f.seq++
 	f.loop.handle(watchEvent{list: listOf(f.seq, whole, hosts...)})
 	f.noticed = f.machine.real
@@ -99,8 +102,8 @@
 			continue
 		}
 		cold++
-		if known, ok := f.loop.watch.startTimes.known[addrOf(name)]; ok && millis(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
-			f.t.Fatalf("%s is %v old and counts as %v old", name, age, millis(f.loop.nowMs()-known.sinceMs))
+		if known, ok := f.loop.watch.startTimes.known[endpointlist.AddressOf(name)]; ok && config.Milliseconds(f.loop.nowMs()-known.sinceMs) > age+time.Microsecond {
+			f.t.Fatalf("%s is %v old and counts as %v old", name, age, config.Milliseconds(f.loop.nowMs()-known.sinceMs))
 		}
 	}
 	counted := 0
@@ -208,7 +211,7 @@
 		stepped.BornMs -= 3600e3
 		f.hear(false, f.hosts[1], f.hosts[2], stepped)
 		for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
-			if age := millis(f.loop.nowMs() - f.loop.watch.startTimes.known[addrOf(name)].sinceMs).Round(time.Millisecond); age != want {
+			if age := config.Milliseconds(f.loop.nowMs() - f.loop.watch.startTimes.known[endpointlist.AddressOf(name)].sinceMs).Round(time.Millisecond); age != want {
 				t.Errorf("clock off by %v: %s counts as %v old, want %v", step, name, age, want)
 			}
 		}
@@ -220,7 +223,7 @@
 // warm; so too what is listed again as before.
 func TestLongStartedServersAreWarm(t *testing.T) {
 	f := newWatchedFleet(t)
-	f.born("s-0", millis(maxClockDistance)+coldTime)
+	f.born("s-0", config.Milliseconds(maxClockDistance)+coldTime)
 	f.boot()
 	f.hear(true, f.hosts...)
 	cold := func() (n int) {
@@ -269,7 +272,7 @@
 		t.Fatalf("the module's clock stands at %v", now)
 	}
 	f.hold(20 * time.Second)
-	entries := []policy.Entry{{Server: addrOf("s-1"), StartedMs: 1e300}}
+	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
 	if f.loop.watch.startTimes.translate(entries, f.loop.nowMs()); entries[0].StartedMs > f.loop.nowMs() {
 		t.Errorf("a start in the future: %v", entries[0].StartedMs)
 	}
