--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -148,26 +148,6 @@
 	}
 }
 
-// onResponseStarted notes that a streamed answer has begun: its request is not sent again.
-func (b *Balancer) onResponseStarted(event *ResponseStarted) {
-	request := b.queue.open[event.Request]
-	if request == nil || request.closed {
-		return
-	}
-	request.started = true
-	if attempt := request.attempt(event.Attempt); attempt != nil {
-		attempt.endpoint.traffic.heardAt = b.now
-	}
-}
-
-// onClientDisconnected ends a request whose client has left.
-func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
-	if request := b.queue.open[event.Request]; request != nil && !request.closed {
-		b.queue.remember(request)
-		b.close(request)
-	}
-}
-
 // Work is how many listed endpoints, entries of lists and queued requests the decisions have
 // looked at so far: what a decision costs, without a clock. Its growth with the size of the
 // list can be tested where times can't.
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,6 +22,16 @@
 	started     bool    // a streamed answer has begun and belongs to the client
 }
 
+// attempt is the request's attempt of that number, or nil.
+func (r *request) attempt(index int) *attempt {
+	for _, attempt := range r.tries.counted {
+		if attempt.index == index {
+			return attempt
+		}
+	}
+	return nil
+}
+
 // requestTiming holds the times of a request, in ms of the agent's clock.
 type requestTiming struct {
 	firstArrived float64 // when the client's first try came, as far as known
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -98,27 +98,6 @@
 	return true
 }
 
-// retry queues an unanswered request for another endpoint where class, time and the retry budget
-// allow, or ends it. It competes with first attempts, so that failures do not multiply the load:
-// with a request or two in flight at each of a thousand agents no window holds back what all send
-// on together.
-func (b *Balancer) retry(request *request, reason Status) {
-	if !b.retries.charge(request, reason) {
-		b.finishUnserved(request)
-		return
-	}
-	b.queue.push(request)
-}
-
-// retryLocally queues a request again of which an attempt failed on this machine.
-func (b *Balancer) retryLocally(request *request) {
-	if b.now >= request.timing.deadline {
-		b.finishUnserved(request)
-		return
-	}
-	b.queue.push(request)
-}
-
 // isRepeatable tells whether a client may repeat a request of the class that may have run.
 func isRepeatable(class *class) bool {
 	return class.Effect == EffectIdempotent ||
