--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fleet"
 )
 
@@ -64,7 +64,7 @@
 
 // change makes a version of the list with these hosts changed and sends it to the stand-ins that can be
 // reached.
-func (c *caseRun) change(hosts ...agent.Host) (made version) {
+func (c *caseRun) change(hosts ...endpointlist.Host) (made version) {
 	c.do(func(ctx context.Context) (err error) {
 		made, err = c.fleet.change(ctx, hosts...)
 		return err
@@ -83,7 +83,7 @@
 }
 
 // measureChange makes a change and adds to the delays how long it takes to be in force at the agents.
-func (c *caseRun) measureChange(d *delays, agents []int, hosts ...agent.Host) {
+func (c *caseRun) measureChange(d *delays, agents []int, hosts ...endpointlist.Host) {
 	v := c.change(hosts...)
 	c.await(agents, v)
 	c.record(d, agents, v, since(v.since))
--- a/internal/fleet/controlplane/fault_zone.go
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 // zoneLost takes a zone's servers off the list in one change, and brings them back as new processes in
@@ -22,8 +22,8 @@
 }}
 
 // firstZone returns the servers of the first zone with this health; ready ones as started just now.
-func (p *Plan) firstZone(health string) []agent.Host {
-	var hosts []agent.Host
+func (p *Plan) firstZone(health string) []endpointlist.Host {
+	var hosts []endpointlist.Host
 	for i, host := range p.hosts() {
 		if p.zoneOf(i) != 0 {
 			continue
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 // firstVersion is the version of the list that the fleet starts with.
@@ -56,7 +56,7 @@
 // where it returns an error.
 func (f *fleetRun) start(ctx context.Context) error {
 	f.source = newDirectory(nil)
-	f.source.take(&agent.List{Seq: firstVersion, Whole: true, Hosts: f.plan.hosts()})
+	f.source.take(&endpointlist.List{Seq: firstVersion, Whole: true, Hosts: f.plan.hosts()})
 	if err := f.startStandIns(ctx); err != nil {
 		return err
 	}
@@ -155,10 +155,10 @@
 }
 
 // change makes a new version of the list and sends it to the stand-ins that can be reached.
-func (f *fleetRun) change(ctx context.Context, hosts ...agent.Host) (version, error) {
+func (f *fleetRun) change(ctx context.Context, hosts ...endpointlist.Host) (version, error) {
 	seq, _, _ := f.source.state()
 	made := version{seq: seq + 1, since: time.Now()}
-	f.source.take(&agent.List{Seq: made.seq, Hosts: hosts})
+	f.source.take(&endpointlist.List{Seq: made.seq, Hosts: hosts})
 	return made, f.send(ctx)
 }
 
@@ -180,7 +180,7 @@
 
 // randomChange returns a server of the list with its health changed: a ready one drains, another
 // is ready again as a new process.
-func (f *fleetRun) randomChange() agent.Host {
+func (f *fleetRun) randomChange() endpointlist.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
 	host := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"ploverreel/internal/agent"
+	"ploverreel/internal/config"
 )
 
 // maxEvents bounds the events that are kept between two reports.
@@ -80,7 +81,7 @@
 	if err != nil {
 		return fmt.Errorf("agent %d: %w", index, err)
 	}
-	conf, err := agent.ParseConfig(text)
+	conf, err := config.Parse(text)
 	if err != nil {
 		return fmt.Errorf("agent %d: %w", index, err)
 	}
--- a/internal/fleet/datapath/agent_config.go
+++ b/internal/fleet/datapath/agent_config.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 const (
@@ -18,7 +18,7 @@
 )
 
 // agentConfig returns the configuration of an agent that listens there.
-func (p *Plan) agentConfig(s scenario, index int, listen, discovery string, list agent.List) ([]byte, error) {
+func (p *Plan) agentConfig(s scenario, index int, listen, discovery string, list endpointlist.List) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", index), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", p.Size.Seed+uint64(index)),
 		"limits":   map[string]any{"cores": agentCores, "memory_mb": agentMemoryMB, "sockets": agentSockets},
@@ -53,10 +53,10 @@
 func zone(i int) string { return fmt.Sprint("z", i) }
 
 // list returns the endpoint list of a hop's servers, dealt out over the zones.
-func (p *Plan) list(addrs []string) agent.List {
-	l := agent.List{Seq: 1, Whole: true}
+func (p *Plan) list(addrs []string) endpointlist.List {
+	l := endpointlist.List{Seq: 1, Whole: true}
 	for i, addr := range addrs {
-		l.Hosts = append(l.Hosts, agent.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zone(i % p.Size.Zones),
+		l.Hosts = append(l.Hosts, endpointlist.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zone(i % p.Size.Zones),
 			Class: "k", Block: i % 64, Health: "ready", Share: 1})
 	}
 	return l
--- a/internal/fleet/datapath/datapath_test.go
+++ b/internal/fleet/datapath/datapath_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/config"
 	"ploverreel/internal/fleet"
 )
 
@@ -41,7 +41,7 @@
 
 // dieAtFirstCall is the program of an agent that is ready and exits at its first request.
 func dieAtFirstCall() {
-	conf, err := agent.LoadConfig(os.Getenv("EDGE_CONFIG"))
+	conf, err := config.Load(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/fleet/datapath/process.go
+++ b/internal/fleet/datapath/process.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"ploverreel/internal/agent"
+	"ploverreel/internal/endpointlist"
 )
 
 const (
@@ -38,7 +38,7 @@
 
 // start starts an agent and waits until it is ready. The port is free when it is chosen; an
 // agent that finds it taken is started again with another.
-func (p *Plan) start(ctx context.Context, dir string, s scenario, index int, discovery string, list agent.List) (*process, error) {
+func (p *Plan) start(ctx context.Context, dir string, s scenario, index int, discovery string, list endpointlist.List) (*process, error) {
 	var err error
 	for range startTries {
 		var a *process
@@ -58,7 +58,7 @@
 }
 
 // startOn starts an agent on a port that is free.
-func (p *Plan) startOn(dir string, s scenario, index int, discovery string, list agent.List) (*process, error) {
+func (p *Plan) startOn(dir string, s scenario, index int, discovery string, list endpointlist.List) (*process, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("agent: %w", err)
