--- /dev/null
+++ b/internal/simwire/decode_event.go
@@ -0,0 +1,107 @@
+package simwire
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+
+	"ploverreel/policy"
+)
+
+// eventBuffer holds one event of each type that has fields, overwritten by the next of that type, so
+// that decoding a record allocates nothing for its event.
+type eventBuffer struct {
+	arrived      policy.RequestArrived
+	ended        policy.AttemptEnded
+	started      policy.ResponseStarted
+	disconnected policy.ClientDisconnected
+	updated      policy.EndpointsUpdated
+	checked      policy.HealthCheckEnded
+	fired        policy.TimerFired
+}
+
+// decodeAsk decodes a request of a client.
+func (b *eventBuffer) decodeAsk(raw []byte) policy.Event {
+	be := binary.BigEndian
+	b.arrived = policy.RequestArrived{
+		Request:     getRequest(raw),
+		Class:       int(be.Uint16(raw[9:])),
+		Tenant:      int(be.Uint32(raw[11:])),
+		Key:         be.Uint64(raw[15:]),
+		TimeLeftMs:  getFloat64(raw[23:]),
+		WorkHintMs:  getFloat64(raw[31:]),
+		HasWorkHint: raw[39]&1 != 0,
+		Retry:       raw[39]&2 != 0,
+	}
+	return &b.arrived
+}
+
+// decodeVerdict decodes the outcome of an attempt.
+func (b *eventBuffer) decodeVerdict(raw []byte) (policy.Event, error) {
+	values, err := report("verdict: report", raw[28:])
+	if err != nil {
+		return nil, err
+	}
+	be := binary.BigEndian
+	b.ended = policy.AttemptEnded{
+		Request:   getRequest(raw),
+		Attempt:   int(be.Uint16(raw[9:])),
+		Server:    policy.Addr(raw[11:17]),
+		Status:    policy.Status(be.Uint16(raw[17:])),
+		LatencyMs: getFloat64(raw[19:]),
+		Final:     raw[27] != 0,
+		Report:    values,
+	}
+	if status := b.ended.Status; status != policy.StatusOK &&
+		(status < policy.StatusServerError || status > policy.StatusNotSent) {
+		return nil, fmt.Errorf("verdict: ending: unknown value %d", status)
+	}
+	return &b.ended, nil
+}
+
+// decodeFlowing decodes the first byte of an attempt's answer.
+func (b *eventBuffer) decodeFlowing(raw []byte) policy.Event {
+	b.started = policy.ResponseStarted{
+		Request:   getRequest(raw),
+		Server:    policy.Addr(raw[9:15]),
+		LatencyMs: getFloat64(raw[15:]),
+		Attempt:   int(binary.BigEndian.Uint16(raw[23:])),
+	}
+	return &b.started
+}
+
+// decodeHealth decodes the outcome of a health check.
+func (b *eventBuffer) decodeHealth(raw []byte) (policy.Event, error) {
+	values, err := report("health: report", raw[21:])
+	if err != nil {
+		return nil, err
+	}
+	b.checked = policy.HealthCheckEnded{
+		Server:    policy.Addr(raw[5:11]),
+		Status:    policy.Status(binary.BigEndian.Uint16(raw[11:])),
+		LatencyMs: getFloat64(raw[13:]),
+		Report:    values,
+	}
+	return &b.checked, nil
+}
+
+// getRequest returns the request that a record is about.
+func getRequest(raw []byte) policy.RequestID {
+	return policy.RequestID(binary.BigEndian.Uint32(raw[5:]))
+}
+
+// report reads the values of a load report: their number, at most 4, and 32-bit floats. It returns nil for none,
+// and an error that names the field for more than 4.
+func report(field string, raw []byte) ([]float32, error) {
+	if raw[0] == 0 {
+		return nil, nil
+	}
+	if raw[0] > 4 {
+		return nil, fmt.Errorf("%s: %d values, at most 4", field, raw[0])
+	}
+	values := make([]float32, raw[0])
+	for i := range values {
+		values[i] = math.Float32frombits(binary.BigEndian.Uint32(raw[1+4*i:]))
+	}
+	return values, nil
+}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/decoder_test.go
@@ -21,8 +21,10 @@
 	return b
 }
 
+// zeros returns so many zero bytes as hex text.
 func zeros(n int) string { return strings.Repeat("00", n) }
 
+// decodeAll returns the clock and a copy of each record of a stream of batches.
 func decodeAll(data []byte) (clocks []float64, recs []Record, err error) {
 	d := NewDecoder(bytes.NewReader(data))
 	for {
@@ -40,7 +42,7 @@
 	}
 }
 
-// cloneEvent returns a copy of an event, which outlasts the decoder's next record. That of none is none.
+// cloneEvent returns a copy of an event that stays valid after the decoder's next record, nil for nil.
 func cloneEvent(event policy.Event) policy.Event {
 	if event == nil {
 		return nil
@@ -60,32 +62,34 @@
 	return event
 }
 
-func TestEventsAgainstWorkedOutBytes(t *testing.T) {
+// A request, a timer and a disconnected client are read from bytes that were worked out by hand.
+func TestDecoderDecodesWorkedOutBytes(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
 		10 00000005 0e6f2b19`+zeros(39))
 	clocks, recs, err := decodeAll(data)
 	if err != nil || len(recs) != 3 {
-		t.Fatalf("%d records, error %v", len(recs), err)
+		t.Fatalf("got %d records and error %v, want 3", len(recs), err)
 	}
 	if clocks[0] != 8412.25 {
-		t.Errorf("clock %v, want 8412.25", clocks[0])
+		t.Errorf("got clock %v, want 8412.25", clocks[0])
 	}
 	ask := eventOf[*policy.RequestArrived](t, &recs[0])
 	if recs[0].Instance != 3 || ask.Request != 0x5d3a91c4 || ask.TimeLeftMs != 240 ||
 		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
-		t.Errorf("ask: %+v", recs[0])
+		t.Errorf("ask: got instance %d, %+v, want the request of the bytes", recs[0].Instance, ask)
 	}
 	if e := eventOf[*policy.TimerFired](t, &recs[1]); e.Token != 0x4d {
-		t.Errorf("fired: %+v", e)
+		t.Errorf("fired: got %+v, want token 0x4d", e)
 	}
 	if e := eventOf[*policy.ClientDisconnected](t, &recs[2]); recs[2].Instance != 5 || e.Request != 0x0e6f2b19 {
-		t.Errorf("dropped: %+v", recs[2])
+		t.Errorf("dropped: got instance %d, %+v, want 5 and request 0x0e6f2b19", recs[2].Instance, e)
 	}
 }
 
-func TestOutcomeAndProbe(t *testing.T) {
+// The outcomes of an attempt and of a health check are read with their load reports.
+func TestDecoderDecodesOutcomeAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
 		18 00000003 0a9011f2 13b4 0064 3ff6666666666666 00`+zeros(16)+zeros(10))
@@ -96,15 +100,15 @@
 	v := eventOf[*policy.AttemptEnded](t, &recs[0])
 	if v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
 		v.Status != policy.StatusOK || v.LatencyMs != 18.5 || !v.Final || len(v.Report) != 2 || v.Report[1] != 2 {
-		t.Errorf("verdict: %+v", v)
+		t.Errorf("verdict: got %+v, want the outcome of the bytes", v)
 	}
 	if p := eventOf[*policy.HealthCheckEnded](t, &recs[1]); p.Status != policy.StatusOK || p.LatencyMs != 1.4 || p.Report != nil {
-		t.Errorf("health: %+v", p)
+		t.Errorf("health: got %+v, want OK after 1.4 ms without a report", p)
 	}
 }
 
-// A list number may be used again within a batch: each event means the list of its moment.
-func TestPoolNumbersAreReusedInOrder(t *testing.T) {
+// A list number may be used again within a batch: each event has the list that was last kept before it.
+func TestDecoderResolvesReusedListNumbersInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -119,14 +123,15 @@
 	}
 	a, b := eventOf[*policy.EndpointsUpdated](t, &recs[0]), eventOf[*policy.EndpointsUpdated](t, &recs[1])
 	if a.Kind != policy.ListCached || b.Kind != policy.ListFull || a.Entries[0].Server[5] != 0xb4 || b.Entries[0].Server[5] != 0xb5 {
-		t.Errorf("lists: %+v then %+v", a, b)
+		t.Errorf("got lists %+v and %+v, want a cached one of port b4 and a full one of b5", a, b)
 	}
 	e := a.Entries[0]
 	if e.Zone != 1 || e.StartedMs != 6100 || e.Health != policy.HealthReady || e.Weight != 1.5 || e.Cell != 2 || e.MachineKind != 1 {
-		t.Errorf("entry: %+v", e)
+		t.Errorf("got entry %+v, want that of the bytes", e)
 	}
 }
 
+// Each mode of a list has its event.
 func TestDecoderMapsTargetsModes(t *testing.T) {
 	for _, test := range []struct {
 		name, mode string
@@ -176,7 +181,8 @@
 	}
 }
 
-func TestBootAndKilled(t *testing.T) {
+// The end and the start of an instance are records without an event.
+func TestDecoderDecodesBootAndKilled(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
 		19 00000003 0000000000000007 00000000 00000002`+zeros(27)+`7b7d`)
@@ -185,51 +191,12 @@
 		t.Fatal(err)
 	}
 	if recs[0].Kind != Killed || recs[1].Kind != Boot || recs[1].Seed != 7 || string(recs[1].Settings) != "{}" {
-		t.Errorf("records: %+v", recs)
+		t.Errorf("got %+v, want a Killed and a Boot with seed 7 and its settings", recs)
 	}
 }
 
-func TestReplyAgainstWorkedOutBytes(t *testing.T) {
-	var e Encoder
-	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
-	for _, a := range []policy.Action{
-		policy.SendAttempt(0x5d3a91c4, s, 80, 0),
-		policy.SetTimer(500, 0x4d),
-		policy.RejectRequest(0x0e6f2b19, 250),
-		policy.FailRequest(0x0e6f2b19),
-		policy.CancelAttempt(0x5d3a91c4, 1),
-		policy.CheckHealth(s),
-		policy.CloseIdleConnections(s),
-		policy.OpenWatch(),
-		policy.FetchEndpoints(),
-		policy.LogText("two servers known"),
-	} {
-		e.Add(3, &a)
-	}
-	e.Crash(4, "no")
-	var out bytes.Buffer
-	if _, err := e.WriteTo(&out); err != nil {
-		t.Fatal(err)
-	}
-	want := frame(t, `0000000b 0000011b
-		54 00000003 5d3a91c4 0a124a07 138b 4054000000000000 00
-		58 00000003 407f400000000000 0000004d`+zeros(7)+`
-		51 00000003 0e6f2b19 406f400000000000`+zeros(7)+`
-		5a 00000003 0e6f2b19`+zeros(15)+`
-		59 00000003 5d3a91c4 0001`+zeros(13)+`
-		52 00000003 0a124a07 138b`+zeros(13)+`
-		50 00000003 0a124a07 138b`+zeros(13)+`
-		53 00000003 01`+zeros(18)+`
-		55 00000003`+zeros(19)+`
-		5b 00000003 00000000 00000011`+zeros(11)+`
-		57 00000004 00000011 00000002`+zeros(11)+`
-		74776f2073657276657273206b6e6f776e 6e6f`)
-	if !bytes.Equal(out.Bytes(), want) {
-		t.Errorf("reply\n%x\nwant\n%x", out.Bytes(), want)
-	}
-}
-
-func TestMalformedFramesNameTheField(t *testing.T) {
+// The error of a malformed frame names the field.
+func TestDecoderNamesFieldOfMalformedFrame(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
 		"short length":   {"00000000 00000004 00000000", "length"},
@@ -246,25 +213,13 @@
 		t.Run(name, func(t *testing.T) {
 			_, _, err := decodeAll(frame(t, c.text))
 			if err == nil || !strings.Contains(err.Error(), c.field) {
-				t.Errorf("error %v does not name %q", err, c.field)
+				t.Errorf("got error %v, want one that names %q", err, c.field)
 			}
 		})
 	}
 }
 
-func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
-	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyObjectiveMs != 5 || s.RoundMs != 5 {
-		t.Errorf("%+v, %v", s, err)
-	}
-	if _, err := ParseSettings([]byte("classes:")); err == nil {
-		t.Error("no JSON, and no error")
-	}
-	if _, err := ParseSettings([]byte(`{"roundMs": "five"}`)); err == nil || !strings.Contains(err.Error(), "roundMs") {
-		t.Errorf("error %v does not name roundMs", err)
-	}
-}
-
+// On any input the decoder returns, and keeps not much more memory than the input has bytes.
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(f, "00000000 00000008 40c06e2000000000"))
 	f.Add(frame(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
@@ -277,7 +232,7 @@
 			}
 		}
 		if cap(d.buf) > 2*len(data)+4<<20 {
-			t.Errorf("%d bytes of input made it hold %d", len(data), cap(d.buf))
+			t.Errorf("got a buffer of %d bytes for %d bytes of input, want twice the input and 4 MB at most", cap(d.buf), len(data))
 		}
 	})
 }
