--- a/internal/fleet/decisions/decisions_test.go
+++ b/internal/fleet/decisions/decisions_test.go
@@ -72,7 +72,7 @@
 
 // A play is the same for the same seed, and another for another seed.
 func TestPlayerRepeatsPlayOfSameSeed(t *testing.T) {
-	l := workload{servers: 60, replicas: 2000, perAgent: 110, unhealthy: 0.1, cold: 0.1, zones: 3, seed: 7}
+	l := workload{servers: 60, replicas: 2000, perAgent: 110, unhealthy: 0.1, warming: 0.1, zones: 3, seed: 7}
 	a, b := started(t, l), started(t, l)
 	if a.balancer.Work() != b.balancer.Work() || a.now != b.now || !slices.Equal(a.counts.waits, b.counts.waits) {
 		t.Error("got two plays of one seed that differ, want the same")
@@ -99,9 +99,9 @@
 	p = started(t, easyLoad(200))
 	p.counts = requestCounts{}
 	p.advance(400)
-	if r := p.counts; r.requests != 400 || r.refused != 0 || r.attempts < 399 || r.served < 398 {
+	if r := p.counts; r.requests != 400 || r.rejected != 0 || r.attempts < 399 || r.served < 398 {
 		t.Errorf("easy load: got %d requests, %d rejected, %d attempts, %d served, want 400, none, and all but a few",
-			r.requests, r.refused, r.attempts, r.served)
+			r.requests, r.rejected, r.attempts, r.served)
 	}
 	if p.waiting+p.counts.attempts < 400 || len(p.open) > 5 {
 		t.Errorf("easy load: got %d queued and %d open, want 400 queued or sent and 5 open at most", p.waiting, len(p.open))
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -10,13 +10,13 @@
 	"ploverreel/policy"
 )
 
-// eventKind is what an event's cost is put down to.
+// eventKind is a kind of events whose cost is measured together.
 type eventKind uint8
 
 const (
 	newRequest eventKind = iota
-	outcome              // of an attempt or a probe
-	tick
+	outcome              // of an attempt or a health check
+	timerFired
 	delta // a change of one entry of the list
 	wholeList
 	eventKinds
@@ -31,6 +31,7 @@
 	workBefore uint64
 }
 
+// meterMode is what a meter measures.
 type meterMode uint8
 
 const (
@@ -39,7 +40,7 @@
 	counting // of bytes; too slow for times
 )
 
-// handle passes the event on and measures.
+// handle gives the balancer the event and measures what that costs.
 func (m *meter) handle(b *policy.Balancer, now float64, kind eventKind, event policy.Event,
 	out []policy.Action) []policy.Action {
 	k := &m.perKind[kind]
@@ -59,24 +60,24 @@
 	return out
 }
 
-// begin empties the meter; what it measures from here on counts.
+// begin empties the meter, which measures from here on.
 func (m *meter) begin(mode meterMode, readNs float64, b *policy.Balancer) {
 	*m = meter{mode: mode, readNs: readNs, workBefore: b.Work()}
 }
 
-// us is the mean processor time of an event of the kind.
+// us returns the mean processor time of an event of the kind.
 func (m *meter) us(kind eventKind) float64 {
 	k := m.perKind[kind]
 	return k.ns / 1000 / max(k.events, 1)
 }
 
-// bytes is what an event of the kind allocates on the mean.
+// bytes returns the mean number of bytes that an event of the kind allocates.
 func (m *meter) bytes(kind eventKind) float64 {
 	k := m.perKind[kind]
 	return k.bytes / max(k.events, 1)
 }
 
-// threadNs is the processor time of the thread. The caller has locked its goroutine to it.
+// threadNs returns the processor time of the thread. The caller has locked its goroutine to it.
 func threadNs() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -85,7 +86,8 @@
 	return t.Nano()
 }
 
-// clockCost is how long the clock takes to read, in ns: the middle one of many.
+// clockCost returns how long the clock takes to read, in ns: the median of many. Its error is that the clock can't be
+// read.
 func clockCost() (float64, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -99,14 +101,14 @@
 	return median(costs), nil
 }
 
-// allocated is how many bytes the program has allocated so far.
+// allocated returns how many bytes the program has allocated so far.
 func allocated() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.TotalAlloc
 }
 
-// inUse is how many bytes are in use after a collection.
+// inUse returns how many bytes are in use after a collection.
 func inUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -114,7 +116,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// median is the middle one of the values.
+// median returns the middle one of the values, 0 if there is none.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
--- a/internal/fleet/decisions/player.go
+++ b/internal/fleet/decisions/player.go
@@ -1,7 +1,6 @@
 package decisions
 
 import (
-	"container/heap"
 	"fmt"
 	"math/rand/v2"
 	"slices"
@@ -10,64 +9,17 @@
 )
 
 const (
-	began     = 1e6 // virtual time at which a play begins, in ms
+	startMs   = 1e6 // virtual time at which a play begins
 	answerMs  = 5.0 // until an answer
-	refusedMs = 1.0 // until a probe's answer, or a connect that is refused
+	refusedMs = 1.0 // until the outcome of a health check or of a connect that is refused
 	keys      = 1000
-	coldAge   = 1000.0 // of cold servers as they are listed, in ms
-	// coldFor is the cold time where some servers are cold: they stay so while they are measured.
-	coldFor = 3.6e6
 )
 
-// Shares of the requests by class and by tenant.
-var classShares, tenantShares = []float64{0.7, 0.2, 0.1}, []float64{0.6, 0.25, 0.15}
-
-// workload is what one balancer is played with.
-type workload struct {
-	servers   int     // listed
-	replicas  int     // agents of the fleet
-	perAgent  float64 // requests a second of each
-	queued    int     // requests kept queued, where answers come no faster than perAgent; 0: an easy load
-	cold      float64 // share of the servers that started just now
-	unhealthy float64 // share that refuses connections
-	zones     int
-	seed      uint64
-}
-
-// settings are those of a deployment with a class of each effect and three tenants, whose
-// quotas are what all agents send.
-func (l workload) settings() policy.Settings {
-	s := policy.Settings{
-		Classes: []policy.Class{
-			{Name: "read", LatencyObjectiveMs: 600, DeadlineMs: 2500, Effect: policy.EffectIdempotent, PriorityWeight: 1},
-			{Name: "save", LatencyObjectiveMs: 1500, DeadlineMs: 6000, Effect: policy.EffectIdempotentWithKey, Group: policy.GroupCell,
-				IdempotencyWindowMs: 4000, PriorityWeight: 2},
-			{Name: "submit", LatencyObjectiveMs: 1500, DeadlineMs: 6000, Effect: policy.EffectNonIdempotent, PriorityWeight: 5},
-		},
-		Limits: policy.Limits{Cancellation: true, HealthChecks: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
-			ConnectTimeoutMs: 250, KeepaliveMs: 15000},
-		Contract: policy.Contract{AnswerSlackMs: 5, PollWithinMs: 10000, SlowStartFrom: 0.3, SlowStartMs: 7000,
-			DrainGraceMs: 1500, OverloadMultiple: 3, OverloadWindowMs: 1000},
-		Prices:     policy.Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.04, LateFail: 0.03, Waste: 0.1},
-		Objective:  policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1},
-		Membership: policy.MembershipPushed, Replicas: l.replicas, RoundMs: 1, Weights: "off", WeightBy: "request",
-		OverQuotaWeight: 0.2,
-	}
-	for i, portion := range tenantShares {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), QuotaShare: portion,
-			QuotaPerS: portion * l.perAgent * float64(l.replicas)})
-	}
-	if l.cold > 0 {
-		s.Contract.SlowStartMs = coldFor
-	}
-	return s
-}
-
-// player drives one balancer through virtual time: it sends requests, answers attempts and
-// probes, and fires timers. All that is random comes from the seed.
+// player drives one balancer through virtual time: it sends requests, answers attempts and health checks, and fires
+// timers. All random draws come from the seed.
 type player struct {
 	workload
-	set      policy.Settings
+	settings policy.Settings
 	balancer *policy.Balancer
 	rng      *rand.Rand
 	now      float64
@@ -77,7 +29,7 @@
 	order    int
 	actions  []policy.Action
 	entries  []policy.Entry
-	named    int // servers named so far
+	named    int // addresses given so far
 	refusing map[policy.Addr]bool
 	untried  map[policy.Addr]bool // of these
 	open     map[policy.RequestID]*request
@@ -87,47 +39,24 @@
 	counts   requestCounts
 }
 
-// request is one that is not yet answered.
+// request is a request without an answer.
 type request struct {
-	cameMs   float64
-	attempts int
-	queued   bool
+	arrivedAtMs float64
+	attempts    int
+	queued      bool
 }
 
-// requestCounts counts what became of the requests.
+// requestCounts counts how the requests ended.
 type requestCounts struct {
-	requests, served, refused, attempts int
-	waits                               []float64 // from a request to its first attempt, in ms
+	requests, served, rejected, attempts int
+	waits                                []float64 // from a request to its first attempt, in ms
 }
 
-// dueEvent is an event that is to come.
-type dueEvent struct {
-	at    float64
-	order int
-	kind  eventKind
-	event policy.Event
-}
-
-type dueEvents []dueEvent
-
-func (d dueEvents) Len() int { return len(d) }
-func (d dueEvents) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].order < d[j].order
-}
-func (d dueEvents) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *dueEvents) Push(x any)   { *d = append(*d, x.(dueEvent)) }
-func (d *dueEvents) Pop() any {
-	old := *d
-	x := old[len(old)-1]
-	*d = old[:len(old)-1]
-	return x
-}
-
-// newPlayer starts a balancer and hands it the list. Servers that refuse are listed alone
-// first, until all of them have been tried: their share is known before anything is measured.
+// newPlayer starts a balancer and gives it the endpoint list. Servers that refuse connections are listed alone first,
+// until all of them have been tried: the balancer knows them before anything is measured.
 func newPlayer(l workload) (*player, error) {
-	p := &player{workload: l, rng: rand.New(rand.NewPCG(l.seed, uint64(l.servers))), now: began, nextMs: began,
-		set: l.settings(), meter: &meter{}, refusing: map[policy.Addr]bool{},
+	p := &player{workload: l, rng: rand.New(rand.NewPCG(l.seed, uint64(l.servers))), now: startMs, nextMs: startMs,
+		settings: l.settings(), meter: &meter{}, refusing: map[policy.Addr]bool{},
 		untried: map[policy.Addr]bool{}, open: map[policy.RequestID]*request{}}
 	bad := int(l.unhealthy * float64(l.servers))
 	for i := range l.servers {
@@ -136,14 +65,14 @@
 			p.refusing[p.entries[i].Server], p.untried[p.entries[i].Server] = true, true
 		}
 	}
-	for i := range int(l.cold * float64(l.servers)) {
-		p.entries[bad+i].StartedMs = began - coldAge
+	for i := range int(l.warming * float64(l.servers)) {
+		p.entries[bad+i].StartedMs = startMs - warmingAgeMs
 	}
 	var err error
-	if p.balancer, err = policy.New(p.set, l.seed); err != nil {
+	if p.balancer, err = policy.New(p.settings, l.seed); err != nil {
 		return nil, fmt.Errorf("decide: %w", err)
 	}
-	p.carryOut(p.balancer.Start(p.now, nil))
+	p.perform(p.balancer.Start(p.now, nil))
 	if bad > 0 {
 		p.list(policy.ListFull, p.entries[:bad], wholeList)
 		for i := 0; len(p.untried) > 0 && i < 20*bad; i++ {
@@ -158,7 +87,7 @@
 	return p, nil
 }
 
-// entry is one of a server that is not named yet.
+// entry returns the list entry of a server with a new address.
 func (p *player) entry() policy.Entry {
 	i := p.named
 	p.named++
@@ -166,14 +95,14 @@
 		Zone: i % max(p.zones, 1), Cell: i / 8, Health: policy.HealthReady, Weight: 1}
 }
 
-// advance goes on until n more requests came.
+// advance plays until n more requests have come.
 func (p *player) advance(n int) {
 	for end := p.last + policy.RequestID(n); p.last < end; {
 		p.step()
 	}
 }
 
-// step plays what comes next.
+// step plays the next event.
 func (p *player) step() {
 	if p.queued > 0 && p.waiting < p.queued {
 		p.request()
@@ -188,34 +117,35 @@
 	p.deliver()
 }
 
-// deliver plays the first of the events that are due.
+// deliver plays the first scheduled event.
 func (p *player) deliver() {
-	d := heap.Pop(&p.due).(dueEvent)
+	d := p.due.next()
 	p.now = d.at
 	if ended, ok := d.event.(*policy.AttemptEnded); ok {
-		// An answer crosses its cancelling, and may come after its request was given up.
+		// An outcome crosses its cancellation, and may come after its request was given up.
 		if r := p.open[ended.Request]; r != nil && ended.Final {
 			p.counts.served++
 			delete(p.open, ended.Request)
 		} else if r != nil {
-			r.queued = true // until the balancer says otherwise
+			r.queued = true // unless the balancer sends or ends it now
 			p.waiting++
 		}
 	}
 	p.handle(d.kind, d.event)
 }
 
+// request sends the next request.
 func (p *player) request() {
 	p.last++
 	class, tenant := p.draw(classShares), p.draw(tenantShares)
-	p.open[p.last] = &request{cameMs: p.now, queued: true}
+	p.open[p.last] = &request{arrivedAtMs: p.now, queued: true}
 	p.waiting++
 	p.counts.requests++
 	p.handle(newRequest, &policy.RequestArrived{Request: p.last, Class: class, Tenant: tenant,
-		Key: 1 + p.rng.Uint64N(keys), TimeLeftMs: p.set.Classes[class].DeadlineMs})
+		Key: 1 + p.rng.Uint64N(keys), TimeLeftMs: p.settings.Classes[class].DeadlineMs})
 }
 
-// draw picks by shares that add up to one.
+// draw draws an index by shares that add up to one.
 func (p *player) draw(shares []float64) int {
 	x := p.rng.Float64()
 	for i, share := range shares {
@@ -226,6 +156,7 @@
 	return len(shares) - 1
 }
 
+// list gives the balancer an endpoint list.
 func (p *player) list(kind policy.ListKind, entries []policy.Entry, as eventKind) {
 	p.handle(as, &policy.EndpointsUpdated{Kind: kind, Entries: entries})
 }
@@ -239,12 +170,13 @@
 	p.list(policy.ListDelta, p.entries[len(p.entries)-1:], delta)
 }
 
+// handle gives the balancer an event, measures that, and performs the actions.
 func (p *player) handle(kind eventKind, event policy.Event) {
-	p.carryOut(p.meter.handle(p.balancer, p.now, kind, event, p.actions[:0]))
+	p.perform(p.meter.handle(p.balancer, p.now, kind, event, p.actions[:0]))
 }
 
-// carryOut does what the balancer asks for.
-func (p *player) carryOut(actions []policy.Action) {
+// perform performs the actions of the balancer.
+func (p *player) perform(actions []policy.Action) {
 	p.actions = actions
 	for i := range actions {
 		a := &actions[i]
@@ -253,7 +185,7 @@
 		case policy.ActionSendAttempt:
 			p.counts.attempts++
 			if r.attempts++; r.attempts == 1 {
-				p.counts.waits = append(p.counts.waits, p.now-r.cameMs)
+				p.counts.waits = append(p.counts.waits, p.now-r.arrivedAtMs)
 			}
 			r.queued = false
 			p.waiting--
@@ -262,7 +194,7 @@
 			if r == nil {
 				continue
 			}
-			p.counts.refused++
+			p.counts.rejected++
 			if r.queued {
 				p.waiting--
 			}
@@ -275,13 +207,13 @@
 			p.after(refusedMs, outcome, &policy.HealthCheckEnded{Server: a.Server, Status: status,
 				LatencyMs: refusedMs})
 		case policy.ActionSetTimer:
-			p.after(a.DelayMs, tick, &policy.TimerFired{Token: a.Token})
+			p.after(a.DelayMs, timerFired, &policy.TimerFired{Token: a.Token})
 		}
 	}
 }
 
-// answer has an attempt end: at once where its server refuses, after answerMs where servers
-// are idle, and as fast as they serve where requests are queued.
+// answer schedules the outcome of an attempt: at once where its server refuses, after answerMs where servers are idle,
+// and as fast as they serve where requests are queued.
 func (p *player) answer(a *policy.Action, attempt int) {
 	ended := &policy.AttemptEnded{Request: a.Request, Attempt: attempt, Server: a.Server}
 	if p.refusing[a.Server] {
@@ -297,8 +229,3 @@
 	}
 	p.after(ended.LatencyMs, outcome, ended)
 }
-
-func (p *player) after(ms float64, kind eventKind, event policy.Event) {
-	p.order++
-	heap.Push(&p.due, dueEvent{p.now + ms, p.order, kind, event})
-}
