--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// perform does what the decider asks for. Actions without a part in the model are skipped.
+// perform performs the actions of the decider. Kinds that the model has nothing for are skipped.
 func (a *agent) perform(actions []policy.Action) {
 	model := a.m
 	for i := range actions {
@@ -99,7 +99,7 @@
 	}))
 }
 
-// timer is the agent's timer of that token; it is made once, so that setting it again allocates nothing.
+// timer returns the agent's timer of that token. It is made once, so that setting it again allocates nothing.
 func (a *agent) timer(token uint32) *timer {
 	for _, known := range a.timers {
 		if known.token == token {
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -18,7 +18,7 @@
 	quota      float64 // requests a ms of all of them
 	rate       float64 // requests a ms of this one
 	listMs     float64 // after which its agent is notified of a change of the list
-	notifiedAt float64 // when its agent is notified of the start day's start, in ms
+	notifiedAt float64 // when its agent is notified of the start scenario's start, in ms
 	starts     uint64  // of its agent, so far
 	lost       bool    // with its machine: it sends nothing
 }
@@ -39,8 +39,8 @@
 	inFlight   *attempt // nil: none
 }
 
-// start gives the client a new process of the agent, which has learnt nothing yet. Its error is that
-// of policy.New.
+// start gives the client a new process of the agent, which has no state yet. Its error is that of
+// policy.New.
 func (c *client) start() error {
 	model := c.m
 	settings := model.cfg.Settings
@@ -78,8 +78,8 @@
 	c.agent.boot()
 }
 
-// nextDelay is the time in ms to the client's next request: a Poisson process. Where there may be
-// bursts it has their rate, and fire leaves out what is too much at other times (thinning).
+// nextDelay returns the time in ms to the client's next request: a Poisson process. Where there may be bursts
+// it has their rate, and fire leaves out the excess at other times (thinning).
 func (c *client) nextDelay() float64 { return c.m.rng.ExpFloat64() / (c.rate * max(c.m.cfg.Peak, 1)) }
 
 // fire sends the client's next request and schedules the one after it.
@@ -93,7 +93,7 @@
 	model.schedule(model.now+c.nextDelay(), c)
 }
 
-// sendRequest gives the client's agent a request.
+// sendRequest sends a request to the client's agent.
 func (c *client) sendRequest(request *request) {
 	model, agent := c.m, c.agent
 	model.lastRequest++
@@ -111,7 +111,7 @@
 	model.queue.pushLate(model.now+timeLeftMs, (*requestDeadline)(request))
 }
 
-// list is the endpoint list that discovery gives the client's agent now.
+// list returns the endpoint list that discovery gives the client's agent now.
 func (c *client) list() []policy.Entry {
 	if c.m.now < c.notifiedAt && c.service.before != nil {
 		return c.service.before
@@ -119,7 +119,7 @@
 	return c.service.list()
 }
 
-// retry is a client's retry of an unserved request, after 30 to 230 ms and within the class's deadline.
+// retry has the client retry an unserved request, after 30 to 230 ms and within the class's deadline.
 func (c *client) retry(unserved *request) {
 	model := c.m
 	waitMs := 30 + 200*model.rng.Float64()
@@ -152,8 +152,8 @@
 	}
 }
 
-// reject is the decider's answer to a request that it does not serve; mayRetry says that it was
-// rejected, which a client retries, and not failed.
+// reject ends a request that the decider does not serve. mayRetry is set if it was rejected, which a client
+// retries, and not failed.
 func (r *request) reject(mayRetry bool) {
 	model := r.agent.m
 	r.final = true
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -20,7 +20,7 @@
 	Handle(now float64, event policy.Event, out []policy.Action) []policy.Action
 }
 
-// newDecider is the decider of a new process of the client's agent. Its error is that of policy.New.
+// newDecider returns the decider of a new process of the client's agent. Its error is that of policy.New.
 func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
 	if c.m.cfg.DelayedView {
 		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
@@ -36,10 +36,10 @@
 	msPerRequest float64 // that it needs at the speed it had then
 }
 
-// waitMs is the time until one more request would be answered.
+// waitMs returns the time until one more request would be answered.
 func (v *serverView) waitMs() float64 { return float64(v.pending+1) * v.msPerRequest }
 
-// refreshViews renews what agents see of the servers, if it is too old.
+// refreshViews refreshes the view of all servers if it is older than viewIntervalMs.
 func (m *Model) refreshViews() {
 	if m.now-m.viewsAt < viewIntervalMs {
 		return
@@ -54,9 +54,9 @@
 }
 
 // delayedView is the baseline with a delayed view of the servers' true state. It sends each request
-// at once to the server with the shortest wait of a few, drawn among those that are up, by what was
-// last seen of them and was sent to them since. It rejects what would miss its latency objective
-// there or overload the server. It knows what no agent can, but with a delay, and so isn't optimal.
+// at once to the server with the shortest wait of a few, drawn among those that are up, by their
+// last view and what was sent to them since. It rejects a request that would miss its latency objective
+// there or overload the server. It sees what no agent can, but with a delay, and so is not optimal.
 type delayedView struct {
 	m        *Model
 	servers  *service
@@ -73,62 +73,62 @@
 	mayHaveRun bool    // some attempt
 }
 
-// Start has no actions: the baseline needs no endpoint list.
-func (l *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
+// Start returns no actions: the baseline needs no endpoint list.
+func (d *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
 
-// Handle sends what comes, and retries what did not run or may be repeated.
-func (l *delayedView) Handle(now float64, event policy.Event, out []policy.Action) []policy.Action {
+// Handle sends the requests that arrive, and retries those that did not run or may run again.
+func (d *delayedView) Handle(now float64, event policy.Event, out []policy.Action) []policy.Action {
 	switch event := event.(type) {
 	case *policy.RequestArrived:
-		l.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
-		return l.send(now, event.Request, out)
+		d.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
+		return d.send(now, event.Request, out)
 	case *policy.ClientDisconnected:
-		delete(l.open, event.Request)
+		delete(d.open, event.Request)
 	case *policy.AttemptEnded:
-		return l.ended(now, event, out)
+		return d.ended(now, event, out)
 	}
 	return out
 }
 
 // ended retries a request after an attempt that did not answer it, or fails it.
-func (l *delayedView) ended(now float64, event *policy.AttemptEnded, out []policy.Action) []policy.Action {
-	request := l.open[event.Request]
+func (d *delayedView) ended(now float64, event *policy.AttemptEnded, out []policy.Action) []policy.Action {
+	request := d.open[event.Request]
 	if request == nil {
 		return out
 	}
 	if event.Final {
-		delete(l.open, event.Request)
+		delete(d.open, event.Request)
 		return out
 	}
 	request.mayHaveRun = request.mayHaveRun || !event.Status.NeverRan()
-	if request.mayHaveRun && l.settings.Classes[request.class].Effect != policy.EffectIdempotent {
-		delete(l.open, event.Request)
+	if request.mayHaveRun && d.settings.Classes[request.class].Effect != policy.EffectIdempotent {
+		delete(d.open, event.Request)
 		return append(out, policy.FailRequest(event.Request))
 	}
-	return l.send(now, event.Request, out)
+	return d.send(now, event.Request, out)
 }
 
 // send sends a request to the server of pick, or rejects it.
-func (l *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
-	request := l.open[id]
-	if server := l.pick(request); server != nil && request.attempts < l.settings.Limits.MaxAttempts && now < request.deadline {
+func (d *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
+	request := d.open[id]
+	if server := d.pick(request); server != nil && request.attempts < d.settings.Limits.MaxAttempts && now < request.deadline {
 		request.attempts++
 		server.view.pending++
 		return append(out, policy.SendAttempt(id, server.addr, request.deadline-now, 0))
 	}
-	delete(l.open, id)
-	return append(out, policy.RejectRequest(id, l.settings.Limits.MaxRetryAfterMs))
+	delete(d.open, id)
+	return append(out, policy.RejectRequest(id, d.settings.Limits.MaxRetryAfterMs))
 }
 
-// pick is the server with the shortest wait of viewDraws that were seen up; nil if the request would
-// be too late there or overload it.
-func (l *delayedView) pick(request *openRequest) *server {
-	l.m.refreshViews()
+// pick returns the server with the shortest wait of viewDraws that were seen up, nil if the request would be too
+// late there or overload it.
+func (d *delayedView) pick(request *openRequest) *server {
+	d.m.refreshViews()
 	var best *server
 	least := math.Inf(1)
-	all := l.servers.servers
+	all := d.servers.servers
 	for drawn, tries := 0, 0; drawn < viewDraws && tries < 4*len(all); tries++ {
-		server := all[l.rng.IntN(len(all))]
+		server := all[d.rng.IntN(len(all))]
 		if !server.view.up {
 			continue
 		}
@@ -136,7 +136,7 @@
 			best, least = server, server.view.waitMs()
 		}
 	}
-	if least > l.settings.Classes[request.class].LatencyObjectiveMs || best.view.pending >= maxPendingPerCore*l.m.cfg.Cores {
+	if least > d.settings.Classes[request.class].LatencyObjectiveMs || best.view.pending >= maxPendingPerCore*d.m.cfg.Cores {
 		return nil
 	}
 	return best
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -6,7 +6,7 @@
 // dealt to the services in proportion to the services' servers, and so is the traffic; within
 // a service the agents' parts of it may differ. A service's servers and its callers are spread
 // evenly over the zones. Connections cost nothing, but an open one hides for a while that its
-// server has gone silent. All times are in ms of virtual time, unless a name says otherwise.
+// server has failed silently. All times are in ms of virtual time, unless a name says otherwise.
 package model
 
 import (
@@ -25,7 +25,7 @@
 type service struct {
 	servers []*server
 	clients []*client
-	before  []policy.Entry // its endpoint list of before the start day's start, if agents may still have that
+	before  []policy.Entry // its endpoint list before the start scenario's start, if agents may still use that
 }
 
 // discovery is the service that has the endpoint lists. It takes calls in turn.
@@ -34,7 +34,7 @@
 	answered int     // calls that it has answered
 }
 
-// Model is one fleet. It is used by one goroutine.
+// Model is one fleet. It may be used by one goroutine at a time.
 type Model struct {
 	cfg          Config
 	rng          *rand.Rand
@@ -122,10 +122,10 @@
 	return parts
 }
 
-// region is the region of a zone.
+// region returns the region of a zone.
 func (m *Model) region(zone int) int { return zone * m.cfg.Regions / m.cfg.Zones }
 
-// hop is the time in ms one way between two zones.
+// hop returns the time in ms one way between two zones.
 func (m *Model) hop(from, to int) float64 {
 	switch {
 	case from == to:
@@ -149,12 +149,13 @@
 	return server
 }
 
-// addr is the address of the server of that number, which serverAt takes back.
+// addr returns the address of the server of that number, which serverAt takes back.
 func addr(i int) policy.Addr {
 	return policy.Addr{10, byte(i >> 16), byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
-// serverAt is the server at an address. Where there is none it is nil, and the play ends with an error.
+// serverAt returns the server at an address. Where there is none it returns nil, and the play ends with
+// an error.
 func (m *Model) serverAt(at policy.Addr) *server {
 	if number := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); number < len(m.servers) {
 		return m.servers[number]
@@ -169,7 +170,7 @@
 // after calls do so many ms from now.
 func (m *Model) after(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
 
-// list is the service's endpoint list now.
+// list returns the service's endpoint list now.
 func (v *service) list() []policy.Entry {
 	all := make([]policy.Entry, len(v.servers))
 	for i, s := range v.servers {
