--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -36,7 +36,7 @@
 // add notes an abandoned attempt.
 func (l *abandonedAttempts) add(attempt *attempt) {
 	l.all = append(l.all, attempt)
-	attempt.endpoint.traffic.abandoned++
+	attempt.endpoint.traffic.abandon()
 }
 
 // settle drops those that are over at the time now.
@@ -46,7 +46,7 @@
 		passedAt := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
 		over := !endpoint.usable || attempt.sentAt < passedAt || now-attempt.sentAt >= l.sojourn
 		if over {
-			endpoint.traffic.abandoned--
+			endpoint.traffic.settleAbandoned()
 		}
 		return over
 	})
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -23,13 +23,19 @@
 	unserved []unservedRequest
 }
 
-// newAdmissionQueue gives an empty queue that asks the components given.
+// newAdmissionQueue returns an empty queue that asks the components given.
 func newAdmissionQueue(env *environment, classes *classStats, quotas *quotaTracker,
 	latency *latencyTracker) admissionQueue {
 	return admissionQueue{environment: env, classes: classes, quotas: quotas, latency: latency,
 		open: map[RequestID]*request{}}
 }
 
+// add takes in a request that is not open yet.
+func (q *admissionQueue) add(added *request) { q.open[added.id] = added }
+
+// forget drops a request that is closed and has no attempt in flight.
+func (q *admissionQueue) forget(closed *request) { delete(q.open, closed.id) }
+
 // push queues a request.
 func (q *admissionQueue) push(request *request) { q.queued = append(q.queued, request) }
 
@@ -40,7 +46,16 @@
 	}
 }
 
-// priorityOf is what a unit of an endpoint's time spent on the request earns, by the objective's
+// removeAt takes the request at the index from the queue.
+func (q *admissionQueue) removeAt(index int) { q.queued = slices.Delete(q.queued, index, index+1) }
+
+// last returns the queued request with the least priority as of the last sort.
+func (q *admissionQueue) last() *request { return q.queued[len(q.queued)-1] }
+
+// setScarce notes whether requests that would go to any endpoint find no capacity.
+func (q *admissionQueue) setScarce(scarce bool) { q.scarce = scarce }
+
+// priorityOf returns what a unit of an endpoint's time spent on the request earns, by the objective's
 // weights: its class's priority weight counts as a part of the whole, and in full of the worst
 // class if it is of it.
 func (q *admissionQueue) priorityOf(request *request) float64 {
@@ -74,7 +89,7 @@
 	})
 }
 
-// full tells whether more requests are queued than the agent can bear beside those in flight:
+// full reports whether more requests are queued than the agent can bear beside those in flight:
 // past the requests it may have open, clients would wait for a connection with nobody to answer.
 func (q *admissionQueue) full(inFlight int) bool {
 	most := q.set.Limits.MaxOpenRequests
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -1,42 +1,28 @@
 // This file holds the way of an attempt: it is sent, its response may start, and it ends, after which
-// what its end says is learnt; and what follows where an endpoint falls silent under it.
+// what its end says is learnt.
 
 package policy
 
-// silentAfter is after how many expected answer times without an answer an endpoint is taken to be
-// silent, divided by its attempts in flight up to silentAttempts.
-const silentAfter, silentAttempts = 8, 3
-
-// send sends a request to an endpoint, and tells whether that is allowed.
+// send sends a request to an endpoint, and reports whether that is allowed.
 func (b *Balancer) send(request *request, endpoint *endpoint) bool {
 	if !b.retries.maySend(request, endpoint) {
 		return false
 	}
 	sent := &attempt{request: request, endpoint: endpoint, index: request.tries.sent,
 		alone: len(endpoint.traffic.inFlight) == 0, sentAt: b.now, cost: b.latency.hints.cost(request)}
+	beginWithinMs := b.retries.beginWithinMs(request)
 	request.tries.add(sent)
+	request.idempotency.attemptSent(sent)
+	request.class.countAttempt()
 	b.local.sent(sent)
-	beginWithinMs := 0.0
-	if request.idempotency.mayHaveRun == 0 {
-		request.idempotency.earliestRunAt, request.idempotency.firstEndpoint = b.now, endpoint
-	} else if request.class.Effect == EffectIdempotentWithKey {
-		beginWithinMs = b.retries.idempotencyWindowLeftMs(request)
-	}
-	request.idempotency.mayHaveRun++
-	endpoint.traffic.send(sent)
-	b.endpoints.busy.insert(endpoint)
-	b.limiter.lastAttemptAt = b.now
-	b.limiter.inFlight++
-	request.class.counts.Attempts++
-	if b.capacityFraction(endpoint) < 1 {
-		endpoint.slowStart.allowance -= sent.cost
-		sent.charged = true
-	}
+	b.endpoints.attemptSent(sent)
+	b.limiter.attemptSent()
+	b.slowStart.charge(sent)
 	b.do(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
 	return true
 }
 
-// onResponseStarted notes that a streamed answer has begun: its request is not sent again.
+// onResponseStarted notes that a streamed response has begun: its request is not sent again.
 func (b *Balancer) onResponseStarted(event *ResponseStarted) {
 	request := b.queue.open[event.Request]
 	if request == nil || request.closed {
@@ -44,7 +30,7 @@
 	}
 	request.started = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
-		attempt.endpoint.traffic.heardAt = b.now
+		attempt.endpoint.traffic.heard(b.now)
 	}
 }
 
@@ -62,15 +48,10 @@
 	status := b.local.attribute(attempt, event.Status)
 	b.settleAttempt(attempt, event.Status)
 	if status == StatusLocalFailure {
-		b.local.failed(attempt)
+		b.takeBackAttempt(attempt)
 	} else {
 		b.local.succeeded(attempt)
-		b.outliers.countUnanswered(attempt, status)
-		b.closeIdle(attempt.endpoint)
-		if b.limiter.adapt(attempt, status, finite(event.LatencyMs)) {
-			b.retries.earn()
-		}
-		b.recordOutcome(attempt, status, finite(event.LatencyMs))
+		b.learn(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
 	case request.closed || request.started || event.Final || status == StatusOK:
@@ -84,28 +65,40 @@
 
 // settleAttempt takes an attempt that has ended from all that counts it as in flight.
 func (b *Balancer) settleAttempt(attempt *attempt, status Status) {
-	endpoint, request := attempt.endpoint, attempt.request
+	request := attempt.request
 	attempt.done = true
-	request.tries.inFlight--
-	b.limiter.inFlight--
-	if attempt.stalled {
-		b.limiter.stalled--
-	}
-	endpoint.traffic.remove(attempt)
-	if len(endpoint.traffic.inFlight) == 0 {
-		b.endpoints.busy.remove(endpoint)
-	}
+	request.tries.attemptEnded()
+	b.limiter.attemptEnded(attempt)
+	b.endpoints.attemptEnded(attempt)
 	if status.NeverRan() {
-		request.idempotency.mayHaveRun--
+		request.idempotency.attemptNeverRan()
 	}
 }
 
+// takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
+// anything of it.
+func (b *Balancer) takeBackAttempt(attempt *attempt) {
+	b.local.failed(attempt)
+	b.slowStart.refund(attempt)
+	attempt.request.tries.uncount(attempt)
+}
+
+// learn takes what an attempt's end after rttMs says into all that learns from attempts.
+func (b *Balancer) learn(attempt *attempt, status Status, rttMs float64) {
+	b.outliers.countUnanswered(attempt, status)
+	b.closeIdle(attempt.endpoint)
+	if b.limiter.adapt(attempt, status, rttMs) {
+		b.retries.earn()
+	}
+	b.recordOutcome(attempt, status, rttMs)
+}
+
 // recordOutcome takes what an attempt's end after rttMs says about its endpoint and class.
 func (b *Balancer) recordOutcome(attempt *attempt, status Status, rttMs float64) {
 	endpoint := attempt.endpoint
 	switch status {
 	case StatusOK:
-		b.slowStart.earn(endpoint, attempt.cost, b.selector.subset())
+		b.slowStart.earn(endpoint, attempt.cost, b.subset.size())
 		b.recordServed(attempt, rttMs)
 	case StatusServerError, StatusReset:
 		b.outliers.onError(endpoint)
@@ -116,7 +109,7 @@
 	case StatusCancelled:
 		b.recordCancelled(attempt, rttMs)
 	case StatusRejected:
-		endpoint.traffic.heardAt = b.now
+		endpoint.traffic.heard(b.now)
 		endpoint.window.cut(b.now, rejectedWindowCut, 1)
 	}
 }
@@ -124,12 +117,12 @@
 // recordServed learns from an answer that came after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	endpoint.health.failureRate -= outcomeWeight * endpoint.health.failureRate
+	endpoint.health.countServed()
 	b.latency.hints.learn(request, rttMs)
-	b.outliers.onAnswer(endpoint)
+	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.answered(rttMs)
-	endpoint.traffic.answeredSentAt = max(endpoint.traffic.answeredSentAt, attempt.sentAt)
-	endpoint.latency.lastMs = rttMs
+	endpoint.traffic.answered(attempt)
+	endpoint.latency.answered(rttMs)
 	request.class.served(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
 	b.latency.observe(fraction, attempt.alone)
@@ -148,7 +141,7 @@
 	if !b.set.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
-	if endpoint.traffic.heardAt > attempt.sentAt {
+	if endpoint.traffic.heardSince(attempt) {
 		b.latency.hints.learn(request, rttMs)
 		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
 	} else {
@@ -156,12 +149,12 @@
 	}
 }
 
-// recordCancelled learns from an attempt that was cancelled after rttMs, as its client left or it
-// was late: so long at least it would have taken.
+// recordCancelled learns from an attempt that was cancelled after rttMs, as its client disconnected
+// or it was late: so long at least it would have taken.
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.unanswered(b.now, rttMs)
-	if b.now >= request.timing.objectiveAt && endpoint.traffic.heardAt <= attempt.sentAt &&
+	if b.now >= request.timing.objectiveAt && !endpoint.traffic.heardSince(attempt) &&
 		!b.outliers.mostUnanswered() {
 		b.outliers.eject(endpoint, true)
 	}
@@ -192,54 +185,3 @@
 		b.do(CloseIdleConnections(endpoint.id))
 	}
 }
-
-// ejectSilent ejects endpoints that took attempts and have answered nothing for several answer
-// times: hung or gone silent, they would stay connected.
-func (b *Balancer) ejectSilent() {
-	b.countWork(b.endpoints.busy)
-	for _, endpoint := range b.endpoints.busy {
-		inFlight, health := endpoint.traffic.inFlight, &endpoint.health
-		soon := silentAfter / float64(max(min(len(inFlight), silentAttempts), 1))
-		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], soon) {
-			b.outliers.eject(endpoint, true)
-		}
-		for _, attempt := range endpoint.traffic.inFlight {
-			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, soon) {
-				b.releaseStalled(attempt, b.unansweredFor(attempt, silentAfter))
-			}
-		}
-	}
-}
-
-// unansweredFor tells whether neither an attempt nor its endpoint has answered for so many times
-// the expected answer time.
-func (b *Balancer) unansweredFor(attempt *attempt, times float64) bool {
-	quietMs := b.now - max(attempt.endpoint.traffic.heardAt, attempt.sentAt)
-	return quietMs >= b.latency.expectedMs(attempt.request)*times
-}
-
-// releaseStalled lets go of an attempt at an endpoint that fell silent under it. It stands in no
-// queue that the agent's limit is to keep short: held by the limit up to deadlines of a minute and
-// more, such attempts would take all of it, and nothing would be sent to the endpoints that live.
-// Where the request may go elsewhere in time the attempt is cancelled, and else the request ends
-// when it can no longer earn anything, as queued ones do. The limit lets go only when it is sure:
-// crowded endpoints seem silent for a while too, and need the limit most.
-func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
-	request := attempt.request
-	if sure && !attempt.stalled {
-		attempt.stalled = true
-		b.limiter.stalled++
-	}
-	objectiveAt := request.timing.objectiveAt
-	switch {
-	case attempt.cancelled || request.closed || request.started:
-	case request.class.LateWeight == 0 && b.now >= objectiveAt:
-		attempt.cancelled = true
-		b.finishUnserved(request)
-	case b.set.Limits.Cancellation && b.retries.mayRepeatNow(request) &&
-		len(request.tries.counted) < request.tries.limit && b.retries.tokens >= 1 &&
-		b.now+b.latency.expectedMs(request) < objectiveAt:
-		attempt.cancelled = true
-		b.do(CancelAttempt(request.id, attempt.index))
-	}
-}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -38,6 +38,8 @@
 	selector  selector
 	retries   retryPolicy
 	limiter   concurrencyLimiter
+	subset    endpointSubset
+	eligible  eligibility
 	slowStart slowStart
 	outliers  outlierDetector
 	latency   latencyTracker
@@ -61,35 +63,31 @@
 	return b, nil
 }
 
-// connect makes the components and gives each the others that it asks.
+// connect makes the components, each after those that it asks.
 func (b *Balancer) connect() {
 	env := &b.environment
 	b.endpoints = newEndpointSet(env)
 	b.classes = newClassStats(env)
 	b.quotas = newQuotaTracker(env)
-	b.traffic = requestRate{environment: env}
-	b.latency = latencyTracker{environment: env}
+	b.traffic = newRequestRate(env)
+	b.latency = newLatencyTracker(env)
 	b.watch = newWatchScheduler(env)
-	b.slowStart = slowStart{environment: env, endpoints: &b.endpoints}
-	b.limiter = concurrencyLimiter{environment: env, scale: 1, endpoints: &b.endpoints,
-		slowStart: &b.slowStart, traffic: &b.traffic, latency: &b.latency, classes: &b.classes}
-	b.retries = retryPolicy{environment: env, endpoints: &b.endpoints, tokens: retryBurst}
+	b.slowStart = newSlowStart(env, &b.endpoints)
+	b.limiter = newConcurrencyLimiter(env, &b.endpoints, &b.slowStart, &b.traffic, &b.latency, &b.classes)
+	b.retries = newRetryPolicy(env, &b.endpoints)
 	b.queue = newAdmissionQueue(env, &b.classes, &b.quotas, &b.latency)
-	b.selector = newSelector(env)
-	b.selector.endpoints, b.selector.classes, b.selector.traffic = &b.endpoints, &b.classes, &b.traffic
-	b.selector.limiter, b.selector.slowStart = &b.limiter, &b.slowStart
-	b.selector.latency, b.selector.retries = &b.latency, &b.retries
-	b.outliers = outlierDetector{environment: env, endpoints: &b.endpoints, queue: &b.queue,
-		selector: &b.selector, slowStart: &b.slowStart, limiter: &b.limiter, classes: &b.classes,
-		traffic: &b.traffic, watch: &b.watch}
-	b.local = localFailure{environment: env, endpoints: &b.endpoints, outliers: &b.outliers}
+	b.subset = newEndpointSubset(env, &b.endpoints, &b.traffic)
+	b.eligible = newEligibility(env, &b.classes, &b.slowStart, &b.limiter, &b.latency, &b.retries)
+	b.selector = newSelector(env, &b.endpoints, &b.subset, &b.eligible, &b.slowStart, &b.latency)
+	b.outliers = newOutlierDetector(env, &b.endpoints, &b.subset, &b.classes, &b.watch)
+	b.local = newLocalFailure(env, &b.endpoints, &b.outliers)
 }
 
-// Start gives the first actions of a new agent at the time now, in ms, and appends them to out.
-func (b *Balancer) Start(now float64, out []Action) []Action {
-	b.now, b.actions = now, out
+// Start returns the first actions of a new agent at the time nowMs, appended to out.
+func (b *Balancer) Start(nowMs float64, out []Action) []Action {
+	b.now, b.actions = nowMs, out
 	b.traffic.start()
-	b.slowStart.flowAt = now
+	b.slowStart.start()
 	b.watch.start()
 	return b.actions
 }
@@ -114,7 +112,7 @@
 	case *WatchEnded:
 		b.watch.onEnded()
 	case *HealthCheckEnded:
-		b.outliers.onHealthCheckEnded(event)
+		b.onHealthCheckEnded(event)
 	case *TimerFired:
 		b.onTimerFired(event)
 	}
@@ -123,7 +121,7 @@
 	return b.actions
 }
 
-// Decided gives the actions that the latest call of Handle has decided on so far: after a panic
+// Decided returns the actions that the latest call of Handle has decided on so far: after a panic
 // in it they have to be carried out, as the Balancer counts on them.
 func (b *Balancer) Decided() []Action { return b.actions }
 
@@ -148,7 +146,7 @@
 	}
 }
 
-// Work is how many listed endpoints, entries of lists and queued requests the decisions have
+// Work returns how many listed endpoints, entries of lists and queued requests the decisions have
 // looked at so far: what a decision costs, without a clock. Its growth with the size of the
 // list can be tested where times can't.
 func (b *Balancer) Work() uint64 { return b.work }
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -39,17 +39,56 @@
 	lastAttemptAt float64 // ms
 }
 
-// limit is how many attempts may be in flight. A limit under 1 is kept by pausing.
+// newConcurrencyLimiter returns a limiter at its floor that asks the components given.
+func newConcurrencyLimiter(env *environment, endpoints *endpointSet, slowStart *slowStart,
+	traffic *requestRate, latency *latencyTracker, classes *classStats) concurrencyLimiter {
+	return concurrencyLimiter{environment: env, endpoints: endpoints, slowStart: slowStart,
+		traffic: traffic, latency: latency, classes: classes, scale: 1}
+}
+
+// attemptSent notes an attempt that is sent now.
+func (l *concurrencyLimiter) attemptSent() {
+	l.lastAttemptAt = l.now
+	l.inFlight++
+}
+
+// attemptEnded notes that an attempt is no longer in flight.
+func (l *concurrencyLimiter) attemptEnded(attempt *attempt) {
+	l.inFlight--
+	if attempt.stalled {
+		l.stalled--
+	}
+}
+
+// releaseStalled lets go of an attempt at an endpoint that fell silent under it.
+func (l *concurrencyLimiter) releaseStalled(attempt *attempt) {
+	if !attempt.stalled {
+		attempt.stalled = true
+		l.stalled++
+	}
+}
+
+// restoreStalled bounds the stalled attempts again of an endpoint that has answered.
+func (l *concurrencyLimiter) restoreStalled(endpoint *endpoint) {
+	for _, attempt := range endpoint.traffic.inFlight {
+		if attempt.stalled {
+			attempt.stalled = false
+			l.stalled--
+		}
+	}
+}
+
+// limit returns how many attempts may be in flight. A limit under 1 is kept by pausing.
 func (l *concurrencyLimiter) limit() float64 { return l.floor() * l.scale }
 
-// allows tells whether another attempt may be sent now.
+// allows reports whether another attempt may be sent now.
 func (l *concurrencyLimiter) allows() bool {
 	inFlight := float64(l.inFlight - l.stalled + len(l.abandoned.all))
 	limit := l.limit()
 	return inFlight < max(limit, 1) && (limit >= 1 || l.now-l.lastAttemptAt >= l.meanRTTMs/limit)
 }
 
-// floor is the agent's part of attemptsPerEndpoint attempts an endpoint; the limit is scale times
+// floor returns the agent's part of attemptsPerEndpoint attempts an endpoint; the limit is scale times
 // that, and less only while answers are late. Its part is that of the traffic that the settings
 // foresee for all agents, an even one where they foresee none. One in flight at a time does no
 // harm as long as all agents may have one.
@@ -118,7 +157,7 @@
 	return false
 }
 
-// tellsOfQueues tells whether a late end of an attempt is a sign of queues at its endpoint.
+// tellsOfQueues reports whether a late end of an attempt is a sign of queues at its endpoint.
 func tellsOfQueues(attempt *attempt, status Status) bool {
 	switch status {
 	case StatusOK, StatusRejected:
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,4 +1,5 @@
-// This file holds what is known of one endpoint.
+// This file holds what is known of one endpoint. Each part of it belongs to the component that
+// decides by it, and changes by the methods here.
 
 package policy
 
@@ -23,10 +24,21 @@
 	score       float64 // for the request that is being placed; lower is better
 }
 
-// load is the number of attempts that the endpoint may be working on for this agent.
+// update takes over what the endpoint list says of the server. When its process started is for
+// slowStart to take over.
+func (e *endpoint) update(entry *Entry) {
+	e.zone, e.cell, e.machineKind = entry.Zone, entry.Cell, entry.MachineKind
+	e.usable = entry.Health == HealthReady
+	e.weight = 1
+	if weight := finite(entry.Weight); weight > 0 {
+		e.weight = weight
+	}
+}
+
+// load returns the number of attempts that the endpoint may be working on for this agent.
 func (e *endpoint) load() int { return len(e.traffic.inFlight) + e.traffic.abandoned }
 
-// windowOpen tells whether the endpoint's window lets another attempt in. A window under one is
+// windowOpen reports whether the endpoint's window lets another attempt in. A window under one is
 // kept by pausing: with many agents even one attempt of each can be too much, and an endpoint that
 // was overloaded needs rest to recover.
 func (e *endpoint) windowOpen(now float64) bool {
@@ -36,7 +48,7 @@
 	return e.window.size >= 1 || now-e.traffic.sentAt >= e.latency.lastMs/e.window.size
 }
 
-// endpointSlowStart is how far an endpoint's process has warmed up.
+// endpointSlowStart is how far an endpoint's process has warmed up. It belongs to slowStart.
 type endpointSlowStart struct {
 	listedAt  float64 // start of its process by the endpoint list
 	startedAt float64 // the same, or later where a restart is assumed
@@ -44,7 +56,7 @@
 	allowance float64 // work it may still be sent while it is warming up, in mean requests
 }
 
-// endpointHealth is an endpoint's state and what led to it.
+// endpointHealth is an endpoint's state and what led to it. It belongs to outlierDetector.
 type endpointHealth struct {
 	state                State
 	since                float64 // when the state was entered
@@ -56,6 +68,17 @@
 	checking             bool    // a health check is under way
 }
 
+// countServed takes an answer into the failure rate.
+func (h *endpointHealth) countServed() { h.failureRate -= outcomeWeight * h.failureRate }
+
+// countFailed takes a failure into the failure rate.
+func (h *endpointHealth) countFailed() { h.failureRate += outcomeWeight * (1 - h.failureRate) }
+
+// takeBackEjection counts one ejection less.
+func (h *endpointHealth) takeBackEjection() {
+	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
+}
+
 // endpointTraffic is what this agent has sent to an endpoint and what came back.
 type endpointTraffic struct {
 	inFlight       []*attempt // oldest first
@@ -82,8 +105,25 @@
 	}
 }
 
+// heard notes a sign of life at the time now.
+func (t *endpointTraffic) heard(now float64) { t.heardAt = now }
+
+// heardSince reports whether the endpoint has answered anything after the attempt was sent.
+func (t *endpointTraffic) heardSince(attempt *attempt) bool { return t.heardAt > attempt.sentAt }
+
+// answered notes that the endpoint has answered an attempt, and so has passed those sent before it.
+func (t *endpointTraffic) answered(attempt *attempt) {
+	t.answeredSentAt = max(t.answeredSentAt, attempt.sentAt)
+}
+
+// abandon notes an attempt that nobody waits for any more and that may still run.
+func (t *endpointTraffic) abandon() { t.abandoned++ }
+
+// settleAbandoned notes that an abandoned attempt is over.
+func (t *endpointTraffic) settleAbandoned() { t.abandoned-- }
+
 // endpointLatency is an endpoint's answer times. mean and recent are parts of the latency
-// objective.
+// objective. It belongs to latencyTracker.
 type endpointLatency struct {
 	mean     float64
 	samples  int     // answers that mean was learnt from
@@ -92,6 +132,12 @@
 	lastMs   float64 // last answer time
 }
 
+// forgetMean forgets the mean answer time.
+func (l *endpointLatency) forgetMean() { l.mean, l.samples = 0, 0 }
+
+// answered notes the last answer time.
+func (l *endpointLatency) answered(rttMs float64) { l.lastMs = rttMs }
+
 // endpointWindow bounds the attempts that an endpoint may hold of this agent.
 type endpointWindow struct {
 	size  float64
@@ -102,3 +148,12 @@
 func (w *endpointWindow) cut(now, factor, least float64) {
 	w.size, w.cutAt = min(w.size, max(w.size*factor, least)), now
 }
+
+// grow opens the window after an answer in good time: by about one attempt a round trip.
+func (w *endpointWindow) grow() { w.size += min(1/w.size, w.size) }
+
+// halve reduces the window of an endpoint that was ejected, not under one attempt.
+func (w *endpointWindow) halve() { w.size = max(w.size/2, 1) }
+
+// restart sets the window of a process of which nothing is known.
+func (w *endpointWindow) restart() { w.size = 1 }
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -1,4 +1,4 @@
-// This file holds the list of endpoints and how it changes.
+// This file holds the set of listed endpoints.
 
 package policy
 
@@ -18,11 +18,15 @@
 	ready   int    // endpoints listed as ready
 }
 
-// newEndpointSet gives an empty set.
+// newEndpointSet returns an empty set.
 func newEndpointSet(env *environment) endpointSet {
 	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
 }
 
+// contains reports whether the endpoint is listed; a process that was listed again under its address
+// is another one.
+func (s *endpointSet) contains(endpoint *endpoint) bool { return s.byAddr[endpoint.id] == endpoint }
+
 // add takes an endpoint into the list of which nothing is known but when its process started, in
 // ms.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
@@ -36,6 +40,9 @@
 	return endpoint
 }
 
+// listChanged notes that the list is about to change.
+func (s *endpointSet) listChanged() { s.epoch++ }
+
 // keepListed takes all endpoints that a whole list doesn't name for not usable.
 func (s *endpointSet) keepListed(listed map[Addr]bool) {
 	s.countWork(s.all)
@@ -64,10 +71,39 @@
 	})
 }
 
+// attemptSent notes an attempt that is sent to its endpoint.
+func (s *endpointSet) attemptSent(sent *attempt) {
+	sent.endpoint.traffic.send(sent)
+	s.busy.insert(sent.endpoint)
+}
+
+// attemptEnded notes that an attempt is no longer in flight.
+func (s *endpointSet) attemptEnded(ended *attempt) {
+	ended.endpoint.traffic.remove(ended)
+	if len(ended.endpoint.traffic.inFlight) == 0 {
+		s.busy.remove(ended.endpoint)
+	}
+}
+
+// setEjected moves an endpoint among the ejected ones or from them; tiers change with that, and from
+// one state of an ejected endpoint to another.
+func (s *endpointSet) setEjected(endpoint *endpoint, ejected bool) {
+	_, was := s.ejected.find(endpoint)
+	if was || ejected {
+		s.epoch++
+	}
+	switch {
+	case ejected && !was:
+		s.ejected.insert(endpoint)
+	case was && !ejected:
+		s.ejected.remove(endpoint)
+	}
+}
+
 // orderedEndpoints is a set of endpoints in the agent's own order.
 type orderedEndpoints []*endpoint
 
-// find gives the index at which an endpoint is or belongs, and whether it is there.
+// find returns the index at which an endpoint is or belongs, and whether it is there.
 func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
 	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
 		return cmp.Compare(x.order, y.order)
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -26,5 +26,5 @@
 // hasRoomAt tells whether an endpoint takes one more request of the first class.
 func (b *Balancer) hasRoomAt(now float64, target *endpoint) bool {
 	b.now = now
-	return b.selector.hasCapacity(target, &request{class: b.classes.all[0]})
+	return b.eligible.hasCapacity(target, &request{class: b.classes.all[0]})
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -36,7 +36,7 @@
 	shortWatches int     // watches in a row that ended as soon as they had notified
 }
 
-// newWatchScheduler gives a scheduler that has never fetched the list.
+// newWatchScheduler returns a scheduler that has never fetched the list.
 func newWatchScheduler(env *environment) watchScheduler {
 	return watchScheduler{environment: env, fetchedAt: never}
 }
@@ -63,8 +63,8 @@
 	w.do(OpenWatch())
 }
 
-// onList notes that discovery has answered.
-func (w *watchScheduler) onList() { w.failures = 0 }
+// onDelivered notes that discovery has delivered a list.
+func (w *watchScheduler) onDelivered() { w.failures = 0 }
 
 // onFailed sets the time of the next call after one that failed.
 func (w *watchScheduler) onFailed() {
@@ -105,7 +105,7 @@
 	w.watchAfter(spanMs * (0.5 + w.rng.Float64()/2))
 }
 
-// spreadMs is the time over which all agents' calls are spread, at most mostMs.
+// spreadMs returns the time over which all agents' calls are spread, at most mostMs.
 func (w *watchScheduler) spreadMs(mostMs float64) float64 {
 	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -53,7 +53,10 @@
 	hints       hintRegression
 }
 
-// objectiveFraction is an answer time as a part of the latency objective. Where hints tell the
+// newLatencyTracker returns a tracker that has seen no answer.
+func newLatencyTracker(env *environment) latencyTracker { return latencyTracker{environment: env} }
+
+// objectiveFraction returns an answer time as a part of the latency objective. Where hints tell the
 // work a costly request counts as one of mean work; a small one's time is mostly the network's.
 func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
 	fraction := rttMs / request.class.LatencyObjectiveMs
@@ -63,7 +66,7 @@
 	return min(fraction, maxObjectiveFraction)
 }
 
-// expectedMs is how long an answer to the request takes, on the mean.
+// expectedMs returns how long an answer to the request takes, on the mean.
 func (l *latencyTracker) expectedMs(request *request) float64 {
 	expected := request.class.expectedMs(l.now)
 	if hinted := l.hints.expectedMs(request); hinted > 0 {
@@ -72,7 +75,7 @@
 	return expected
 }
 
-// observe takes an answer into the fleet's mean and into the uncontended one. alone tells that no
+// observe takes an answer into the fleet's mean and into the uncontended one. alone says that no
 // other attempt of this agent was in flight at its endpoint.
 func (l *latencyTracker) observe(fraction float64, alone bool) {
 	l.answers++
@@ -88,7 +91,7 @@
 	}
 }
 
-// uncontendedRise is how fast the uncontended answer time follows longer ones: hardly, or a crowd
+// uncontendedRise returns how fast the uncontended answer time follows longer ones: hardly, or a crowd
 // would become the measure. An attempt that was alone of its agent tells more the fewer agents
 // there are: a lone agent that took quick first answers for uncontended would leave its endpoints
 // idle.
@@ -99,6 +102,12 @@
 	return fleetSmoothing / uncontendedInertia
 }
 
+// restart forgets the answer times of an endpoint's former process.
+func (l *latencyTracker) restart(endpoint *endpoint) {
+	endpoint.latency.forgetMean()
+	endpoint.latency.recent, endpoint.latency.recentAt = l.recent, l.now
+}
+
 // observeEndpoint takes an answer time, as a part of the objective, into its endpoint's means.
 func (l *latencyTracker) observeEndpoint(endpoint *endpoint, fraction float64) {
 	latency := &endpoint.latency
@@ -119,7 +128,7 @@
 	l.recent = ewma(l.recent, fraction, recentFleetStep)
 }
 
-// recentOf is an endpoint's recent answer time as a part of the objective, as far as this agent
+// recentOf returns an endpoint's recent answer time as a part of the objective, as far as this agent
 // can tell: what it saw, forgotten in favour of the fleet's over recentMemoryMs, and what it is
 // waiting for.
 func (l *latencyTracker) recentOf(endpoint *endpoint) float64 {
@@ -132,7 +141,7 @@
 	return recent
 }
 
-// crowdedThreshold is the mean answer time, as a part of the objective, from which an endpoint
+// crowdedThreshold returns the mean answer time, as a part of the objective, from which an endpoint
 // counts as crowded. A few agents see most of the load and need not fear to crowd an endpoint that
 // answers well within the objective. One that is warming up is slow before it is crowded.
 func (l *latencyTracker) crowdedThreshold(endpoint *endpoint) float64 {
@@ -152,7 +161,7 @@
 		window.cut(l.now, windowCut, least)
 	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
 		l.answers > uncontendedSamples:
-		window.size += min(1/window.size, window.size)
+		window.grow()
 	}
 }
 
@@ -184,7 +193,7 @@
 	h.covariance += weight * (hintDelta*timeDelta*(1-weight) - h.covariance)
 }
 
-// expectedMs is the answer time that the line gives for the request; 0 while little is known.
+// expectedMs returns the answer time that the line gives for the request; 0 while little is known.
 func (h *hintRegression) expectedMs(request *request) float64 {
 	if request.hint <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
 		return 0
@@ -192,7 +201,7 @@
 	return max(h.meanTimeMs+h.covariance/h.variance*(request.hint-h.answeredMean), 0)
 }
 
-// cost is the work of a request in units of the mean one, and never less: hints are rough, and
+// cost returns the work of a request in units of the mean one, and never less: hints are rough, and
 // an endpoint that is warming up would be sent the small ones that are not.
 func (h *hintRegression) cost(request *request) float64 {
 	if request.hint > h.mean {
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -50,7 +50,12 @@
 	since    float64 // if not reached: time of the first such result in a row, in ms
 }
 
-// mayTry tells whether this machine's failures let another attempt be sent.
+// newLocalFailure returns a localFailure that bounds nothing yet.
+func newLocalFailure(env *environment, endpoints *endpointSet, outliers *outlierDetector) localFailure {
+	return localFailure{environment: env, endpoints: endpoints, outliers: outliers}
+}
+
+// mayTry reports whether this machine's failures let another attempt be sent.
 func (l *localFailure) mayTry() bool {
 	if l.row == 0 {
 		return true
@@ -89,7 +94,7 @@
 	}
 }
 
-// removeTrial takes an attempt from the trials and tells whether it was one.
+// removeTrial takes an attempt from the trials and reports whether it was one.
 func (l *localFailure) removeTrial(attempt *attempt) bool {
 	i := slices.Index(l.trials, attempt)
 	if i >= 0 {
@@ -98,8 +103,7 @@
 	return i >= 0
 }
 
-// failed takes back an attempt that this machine could not make: no endpoint has seen anything of
-// it.
+// failed notes an attempt that this machine could not make.
 func (l *localFailure) failed(attempt *attempt) {
 	l.removeTrial(attempt)
 	if l.row == 0 || attempt.sentAt >= l.failedAt { // else it was sent before the failure that is known
@@ -107,16 +111,12 @@
 		backoff := min(firstLocalBackoffMs*float64(l.row), lastLocalBackoffMs)
 		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
-	if attempt.charged {
-		attempt.endpoint.slowStart.allowance += attempt.cost
-	}
-	attempt.request.tries.uncount(attempt)
 }
 
-// attribute tells whose failure an attempt's end was. One endpoint that can't be reached is at
-// fault itself: its machine or its part of the network is gone. When of the endpoints tried
-// recently at least two and more than half can't be reached, it is this machine that has lost its
-// network; the endpoints that were blamed before that was seen are cleared.
+// attribute returns the status of an attempt's end by whose failure it was. One endpoint that can't
+// be reached is at fault itself: its machine or its part of the network is gone. When of the
+// endpoints tried recently at least two and more than half can't be reached, it is this machine that
+// has lost its network; the endpoints that were blamed before that was seen are cleared.
 func (l *localFailure) attribute(attempt *attempt, status Status) Status {
 	if status != StatusUnreachable && len(l.reach) == 0 {
 		return status
@@ -138,7 +138,7 @@
 		return StatusConnectFailed
 	}
 	for _, result := range l.reach {
-		if !result.reached && l.endpoints.byAddr[result.endpoint.id] == result.endpoint {
+		if !result.reached && l.endpoints.contains(result.endpoint) {
 			l.outliers.clear(result.endpoint, result.since)
 		}
 	}
@@ -154,7 +154,7 @@
 	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
 }
 
-// mostUnreachable tells whether at least two and more than half of the endpoints tried recently
+// mostUnreachable reports whether at least two and more than half of the endpoints tried recently
 // could not be reached.
 func (l *localFailure) mostUnreachable() bool {
 	lost := 0
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -28,33 +28,49 @@
 	rejectedWindowCut = 0.7
 )
 
+// listFetcher fetches the endpoint list, seldom: what seems to be an endpoint's failure may be its end.
+type listFetcher interface {
+	fetch()
+}
+
 // outlierDetector moves endpoints between the states, and tells failures of one endpoint from
 // those of all.
 type outlierDetector struct {
 	*environment
 	endpoints *endpointSet
-	queue     *admissionQueue
-	selector  *selector
-	slowStart *slowStart
-	limiter   *concurrencyLimiter
+	subset    *endpointSubset
 	classes   *classStats
-	traffic   *requestRate
-	watch     *watchScheduler
+	list      listFetcher
 
 	failureRates []float64 // scratch space of medianFailureRate
 	unanswered   float64   // recent share of attempts that their endpoints left unanswered
 	checking     int       // health checks under way
 }
 
+// newOutlierDetector returns a detector without any failure that asks the components given.
+func newOutlierDetector(env *environment, endpoints *endpointSet, subset *endpointSubset,
+	classes *classStats, list listFetcher) outlierDetector {
+	return outlierDetector{environment: env, endpoints: endpoints, subset: subset, classes: classes,
+		list: list}
+}
+
+// restart takes an endpoint for a new process, of which nothing is known.
+func (d *outlierDetector) restart(endpoint *endpoint) {
+	d.endpoints.setEjected(endpoint, false)
+	health := &endpoint.health
+	health.state, health.since, health.silent = StateUnknown, d.now, false
+	health.consecutiveEjections, health.served, health.failureRate = 0, 0, 0
+}
+
 // onError takes an endpoint's answer of failure, or a connection that it broke.
 func (d *outlierDetector) onError(endpoint *endpoint) {
-	endpoint.traffic.heardAt = d.now
+	endpoint.traffic.heard(d.now)
 	if d.isCommonFailure(endpoint) {
 		d.recheck(endpoint)
 	} else {
 		d.eject(endpoint, false)
 	}
-	endpoint.health.failureRate += outcomeWeight * (1 - endpoint.health.failureRate)
+	endpoint.health.countFailed()
 }
 
 // onConnectFailed takes a connect that failed.
@@ -65,23 +81,13 @@
 	}
 }
 
-// onAnswer notes that an endpoint lives. One that no connect reached for long may be a new
-// process, warming up and not yet listed: it is taken to have started now. Time-outs alone don't
-// tell: crowded endpoints would be left to idle.
-func (d *outlierDetector) onAnswer(endpoint *endpoint) {
+// onAnswer notes that an endpoint lives, and reports whether no connect had reached it for so long
+// that it may be a new process.
+func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayBeNew bool) {
 	unreachableAt := endpoint.health.unreachableAt
-	if unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs {
-		endpoint.slowStart.startedAt, endpoint.slowStart.allowance = d.now, d.rng.Float64()
-		endpoint.window.size = 1
-		d.slowStart.begin(endpoint)
-	}
-	endpoint.traffic.heardAt, endpoint.health.unreachableAt = d.now, 0
-	for _, attempt := range endpoint.traffic.inFlight {
-		if attempt.stalled {
-			attempt.stalled = false
-			d.limiter.stalled--
-		}
-	}
+	endpoint.traffic.heard(d.now)
+	endpoint.health.unreachableAt = 0
+	return unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs
 }
 
 // onServed takes a request that an endpoint has served: it is healthy, and after enough of them
@@ -106,12 +112,7 @@
 	return true
 }
 
-// takeBackEjection counts one ejection less.
-func (h *endpointHealth) takeBackEjection() {
-	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
-}
-
-// isCommonFailure tells whether the endpoint fails no more than the fleet does, as when a network
+// isCommonFailure reports whether the endpoint fails no more than the fleet does, as when a network
 // breaks connections at random: that says nothing of this one endpoint, and an ejection for each
 // such failure would eject all at once.
 func (d *outlierDetector) isCommonFailure(endpoint *endpoint) bool {
@@ -119,7 +120,7 @@
 	return median >= minCommonFailureRate && endpoint.health.failureRate <= maxCommonFailureFactor*median
 }
 
-// medianFailureRate is the middle one of the usable endpoints' failure rates; of one or two
+// medianFailureRate returns the middle one of the usable endpoints' failure rates; of one or two
 // endpoints it tells nothing.
 func (d *outlierDetector) medianFailureRate() float64 {
 	rates := d.failureRates[:0]
@@ -143,16 +144,16 @@
 	unanswered := 0.0
 	if status == StatusTimeout || status == StatusCancelled {
 		if d.now < attempt.request.timing.objectiveAt {
-			return // its client left early: that tells nothing
+			return // its client disconnected early: that tells nothing
 		}
-		if attempt.endpoint.traffic.heardAt <= attempt.sentAt {
+		if !attempt.endpoint.traffic.heardSince(attempt) {
 			unanswered = 1
 		}
 	}
 	d.unanswered += outcomeWeight * (unanswered - d.unanswered)
 }
 
-// mostUnanswered tells whether so many attempts go unanswered that it is not an endpoint's fault.
+// mostUnanswered reports whether so many attempts go unanswered that it is not an endpoint's fault.
 func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
 
 // recheck has an endpoint validated at once, without an ejection.
@@ -162,10 +163,10 @@
 		endpoint.health.silent, endpoint.health.served = false, 0
 		d.enter(endpoint, StateUnhealthyPending)
 	}
-	d.watch.fetch()
+	d.list.fetch()
 }
 
-// eject takes an endpoint for unhealthy; silent tells that it gave no answer, not a bad one.
+// eject takes an endpoint for unhealthy; silent says that it gave no answer, not a bad one.
 // Failures of one moment count as one ejection.
 func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
 	health := &endpoint.health
@@ -173,10 +174,10 @@
 		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
 		d.enter(endpoint, StateUnhealthy)
 		health.silent, health.served = silent, 0
-		endpoint.latency.mean, endpoint.latency.samples = 0, 0
-		endpoint.window.size = max(endpoint.window.size/2, 1)
+		endpoint.latency.forgetMean()
+		endpoint.window.halve()
 	}
-	d.watch.fetch()
+	d.list.fetch()
 }
 
 // clear takes back what an endpoint was blamed for since then, as this machine had lost its
@@ -193,32 +194,33 @@
 	}
 }
 
-// ejectionTime is how long, in ms, an endpoint stays unhealthy before it is validated again: one
+// ejectionTime returns how long, in ms, an endpoint stays unhealthy before it is validated again: one
 // latency objective for a stray failure, or the time in which the agent comes by each endpoint if
 // that is longer, doubled with each further ejection up to a minute. A health check is answered
 // beside the requests and clears an endpoint that fails them: ejected for less than an agent takes
-// to come by, failing endpoints would keep an even share for as long as they fail. While the
-// others have no capacity none is ejected: an endpoint that fails some requests is better than
-// rejecting them all. One that answers nothing is not.
-func (d *outlierDetector) ejectionTime(endpoint *endpoint) float64 {
-	if d.queue.scarce && !endpoint.health.silent {
+// to come by, failing endpoints would keep an even share for as long as they fail. While the others
+// have no capacity, which scarce says, none is ejected: an endpoint that fails some requests is
+// better than rejecting them all. One that answers nothing is not.
+func (d *outlierDetector) ejectionTime(endpoint *endpoint, scarce bool) float64 {
+	if scarce && !endpoint.health.silent {
 		return 0
 	}
-	meetMs := d.set.Limits.KeepaliveMs * float64(d.selector.subset()) / max(d.traffic.recent, 1)
 	doublings := max(endpoint.health.consecutiveEjections-1, 0)
-	return min(max(d.classes.shortestObjectiveMs, meetMs)*float64(int(1)<<doublings), maxEjectionMs)
+	once := max(d.classes.shortestObjectiveMs, d.subset.meetMs())
+	return min(once*float64(int(1)<<doublings), maxEjectionMs)
 }
 
 // revalidate, on each request, lets endpoints that were unhealthy long enough be validated, and
-// checks their health in the background where the settings allow it.
-func (d *outlierDetector) revalidate() {
+// checks their health in the background where the settings allow it. scarce says that requests that
+// would go to any endpoint find no capacity.
+func (d *outlierDetector) revalidate(scarce bool) {
 	d.countWork(d.endpoints.ejected)
 	for _, endpoint := range d.endpoints.ejected {
 		health := &endpoint.health
 		if health.state == StateUnhealthy && endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
-			d.now-health.since >= d.ejectionTime(endpoint) {
+			d.now-health.since >= d.ejectionTime(endpoint, scarce) {
 			d.enter(endpoint, StateUnhealthyPending)
-			d.watch.fetch()
+			d.list.fetch()
 		}
 		pending := health.state == StateUnhealthyPending && endpoint.usable
 		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
@@ -229,33 +231,27 @@
 	}
 }
 
-// onHealthCheckEnded takes the result of a health check.
-func (d *outlierDetector) onHealthCheckEnded(event *HealthCheckEnded) {
-	endpoint := d.endpoints.byAddr[event.Server]
-	if endpoint == nil || !endpoint.health.checking {
-		return
+// onHealthCheckEnded takes the result of a health check, and reports whether the endpoint has answered
+// it and is healthy by that.
+func (d *outlierDetector) onHealthCheckEnded(endpoint *endpoint, status Status) (answered bool) {
+	if !endpoint.health.checking {
+		return false
 	}
 	endpoint.health.checking = false
 	d.checking--
 	switch {
 	case endpoint.health.state != StateUnhealthyPending:
-	case event.Status == StatusOK:
-		d.onAnswer(endpoint)
+	case status == StatusOK:
 		d.enter(endpoint, StateConnected)
-	case event.Status != StatusRejected:
+		return true
+	case status != StatusRejected:
 		d.eject(endpoint, true)
 	}
+	return false
 }
 
 // enter puts an endpoint in a new state; tiers have changed.
 func (d *outlierDetector) enter(endpoint *endpoint, state State) {
-	if endpoint.health.state > StateUnknown || state > StateUnknown {
-		d.endpoints.epoch++
-	}
-	if state > StateUnknown {
-		d.endpoints.ejected.insert(endpoint)
-	} else {
-		d.endpoints.ejected.remove(endpoint)
-	}
+	d.endpoints.setEjected(endpoint, state > StateUnknown)
 	endpoint.health.state, endpoint.health.since = state, d.now
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -35,7 +35,7 @@
 	if _, s3 := r.sent(0, 7); s3 == server {
 		t.Error("an Unhealthy server was chosen before the better tier")
 	}
-	r.now += r.b.outliers.ejectionTime(target) + 1
+	r.now += r.b.outliers.ejectionTime(target, r.b.queue.scarce) + 1
 	id, s4 := r.sent(0, 7)
 	if target.health.state != StateUnhealthyPending || s4 != server {
 		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", target.health.state, s4)
@@ -65,7 +65,7 @@
 	r := newRig(t, set, 3)
 	id, server := r.sent(0, 7)
 	r.outcome(id, 0, server, StatusServerError, 5)
-	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
+	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce)
 	_, actions := r.ask(0, 7)
 	if p := find(actions, ActionCheckHealth); p == nil || p.Server != server {
 		t.Fatalf("no probe of the pending server: %+v", actions)
@@ -77,7 +77,7 @@
 	if r.b.endpoints.byAddr[server].health.state != StateUnhealthy {
 		t.Error("a failed probe did not demote")
 	}
-	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server])
+	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce)
 	r.ask(0, 8)
 	r.do(&HealthCheckEnded{Server: server, Status: StatusOK, LatencyMs: 5})
 	if r.b.endpoints.byAddr[server].health.state != StateConnected {
@@ -160,12 +160,12 @@
 			r.outcome(id, 0, server, StatusOK, 20)
 		}
 		r.b.outliers.eject(r.b.endpoints.byAddr[server], true)
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server]); hold < 1000 {
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce); hold < 1000 {
 			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
 		}
 		r.b.endpoints.byAddr[server].health.consecutiveEjections = maxConsecutiveEjections
 		r.b.traffic.recent = 0.1
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server]); hold > maxEjectionMs {
+		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce); hold > maxEjectionMs {
 			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
 		}
 	}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -36,10 +36,8 @@
 		b.slowStart.begin(endpoint)
 	}
 	// Counts that fade over a time stand for as much as before.
-	b.traffic.recent *= b.traffic.spanMs() / oldSpanMs
-	if oldSlowStartMs > 0 {
-		b.slowStart.flow *= b.set.Contract.SlowStartMs / oldSlowStartMs
-	}
+	b.traffic.rescale(oldSpanMs)
+	b.slowStart.rescale(oldSlowStartMs)
 	return nil
 }
 
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,7 +22,7 @@
 	started     bool    // a streamed answer has begun and belongs to the client
 }
 
-// attempt is the request's attempt of that number, or nil.
+// attempt returns the request's attempt of that number, or nil.
 func (r *request) attempt(index int) *attempt {
 	for _, attempt := range r.tries.counted {
 		if attempt.index == index {
@@ -55,6 +55,9 @@
 	t.inFlight++
 }
 
+// attemptEnded notes that an attempt is no longer in flight.
+func (t *requestTries) attemptEnded() { t.inFlight-- }
+
 // uncount takes out an attempt that this machine could not make, and those whose endpoints were
 // held responsible before that was seen.
 func (t *requestTries) uncount(failed *attempt) {
@@ -70,6 +73,17 @@
 	firstEndpoint *endpoint // where that one was sent
 }
 
+// attemptSent notes an attempt that is sent.
+func (i *requestIdempotency) attemptSent(sent *attempt) {
+	if i.mayHaveRun == 0 {
+		i.earliestRunAt, i.firstEndpoint = sent.sentAt, sent.endpoint
+	}
+	i.mayHaveRun++
+}
+
+// attemptNeverRan notes that an attempt ended in a way that proves that it never ran.
+func (i *requestIdempotency) attemptNeverRan() { i.mayHaveRun-- }
+
 // requestPlacement is what the last selection for a request found.
 type requestPlacement struct {
 	nearest    [keyEndpoints]*endpoint // endpoints nearest its key, as of epoch
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -3,8 +3,6 @@
 
 package policy
 
-import "slices"
-
 const (
 	// infeasibleFraction is the least part of its expected time that a hinted request needs.
 	infeasibleFraction = 0.7
@@ -24,19 +22,18 @@
 		return
 	}
 	request, retry := b.newRequest(event)
-	b.queue.open[request.id] = request
-	request.class.counts.Requests++
+	b.queue.add(request)
 	b.traffic.count(retry)
 	b.quotas.count(request.tenant)
 	b.classes.count(request.class)
-	b.outliers.revalidate()
+	b.outliers.revalidate(b.queue.scarce)
 	b.queue.push(request)
 	if b.isInfeasible(request) {
 		b.finishUnserved(request)
 	}
 }
 
-// newRequest gives the request that an event brings, and tells whether it is a client's retry.
+// newRequest returns the request that an event brings, and whether it is a client's retry.
 func (b *Balancer) newRequest(event *RequestArrived) (created *request, retry bool) {
 	class := b.classes.all[event.Class]
 	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
@@ -58,7 +55,7 @@
 	return created, retry
 }
 
-// isInfeasible tells whether a request's hinted work cannot fit its objective anywhere: the costly
+// isInfeasible reports whether a request's hinted work cannot fit its objective anywhere: the costly
 // few of a heavy tail would only keep others waiting.
 func (b *Balancer) isInfeasible(request *request) bool {
 	return request.hint > 0 && request.class.LateWeight == 0 &&
@@ -72,32 +69,32 @@
 	b.queue.sort()
 	b.sendQueued()
 	for b.queue.full(b.limiter.inFlight) {
-		b.finishUnserved(b.queue.queued[len(b.queue.queued)-1])
+		b.finishUnserved(b.queue.last())
 	}
 }
 
 // sendQueued sends queued requests while the limits allow it. A request that waits for its key's
 // endpoints is passed over.
 func (b *Balancer) sendQueued() {
-	queue := &b.queue
-	queue.scarce = false
-	for i, failures := 0, 0; i < len(queue.queued) && failures < maxPlacementFailures &&
+	failures := 0
+	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
 		b.limiter.allows() && b.local.mayTry(); {
-		request := queue.queued[i]
-		if b.selector.keyEndpointsFull(request) {
+		request, inFlight := b.queue.queued[i], b.limiter.inFlight
+		if b.selector.keyEndpointsFull(request, inFlight) {
 			i++
 			continue
 		}
-		if endpoint := b.selector.selectEndpoint(request); endpoint != nil && b.send(request, endpoint) {
-			queue.queued = slices.Delete(queue.queued, i, i+1)
+		if endpoint := b.selector.selectEndpoint(request, inFlight); endpoint != nil &&
+			b.send(request, endpoint) {
+			b.queue.removeAt(i)
 			continue
 		}
 		i++
 		if !b.selector.waitsForKey(request) {
 			failures++
 		}
-		queue.scarce = failures > 0
 	}
+	b.queue.setScarce(failures > 0)
 }
 
 // retry queues an unanswered request for another endpoint where class, time and the retry budget
@@ -176,14 +173,12 @@
 		return
 	}
 	b.queue.remember(request)
-	class := request.class
-	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(class)
+	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(request.class)
 	b.close(request)
+	request.class.countUnserved(harmless)
 	if harmless {
-		class.counts.Rejected++
 		b.do(RejectRequest(request.id, b.set.Limits.MaxRetryAfterMs))
 	} else {
-		class.counts.Failed++
 		b.do(FailRequest(request.id))
 	}
 }
@@ -198,6 +193,6 @@
 		}
 	}
 	if request.tries.inFlight == 0 {
-		delete(b.queue.open, request.id)
+		b.queue.forget(request)
 	}
 }
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -17,10 +17,13 @@
 	total     float64 // requests since the start, retries included
 }
 
+// newRequestRate returns a measure that has not been started.
+func newRequestRate(env *environment) requestRate { return requestRate{environment: env} }
+
 // start begins to measure.
 func (r *requestRate) start() { r.startedAt, r.recentAt = r.now, r.now }
 
-// spanMs is the time over which requests are counted: that for which a connection is kept, and
+// spanMs returns the time over which requests are counted: that for which a connection is kept, and
 // where none is, that in which an endpoint may be overloaded.
 func (r *requestRate) spanMs() float64 {
 	return max(r.set.Limits.KeepaliveMs, r.set.Contract.OverloadWindowMs, 1)
@@ -36,12 +39,16 @@
 	}
 }
 
-// perMs is the recent rate, in requests a ms.
+// rescale has the recent count, which fades over a time, stand for as much as before the settings
+// changed that time from oldSpanMs.
+func (r *requestRate) rescale(oldSpanMs float64) { r.recent *= r.spanMs() / oldSpanMs }
+
+// perMs returns the recent rate, in requests a ms.
 func (r *requestRate) perMs() float64 {
 	span := r.spanMs()
 	decay := math.Exp((r.recentAt - r.now) / span)
 	return r.recent * decay / span / max(1-math.Exp((r.startedAt-r.now)/span), minRateHistory)
 }
 
-// lifetimePerMs is the rate since the start, in requests a ms.
+// lifetimePerMs returns the rate since the start, in requests a ms.
 func (r *requestRate) lifetimePerMs() float64 { return r.total / max(r.now-r.startedAt, 1) }
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -41,7 +41,7 @@
 // count for the lifetime alone.
 func TestRequestRateMeasuresAnEvenRate(t *testing.T) {
 	env := &environment{now: 1000, set: Settings{Limits: Limits{KeepaliveMs: 10000}}}
-	rate := requestRate{environment: env}
+	rate := newRequestRate(env)
 	rate.start()
 	for i := range 60000 {
 		env.now += 0.5
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -19,9 +19,14 @@
 	tokens    float64 // attempts after a first that may still be made
 }
 
+// newRetryPolicy returns a policy with the whole retry budget.
+func newRetryPolicy(env *environment, endpoints *endpointSet) retryPolicy {
+	return retryPolicy{environment: env, endpoints: endpoints, tokens: retryBurst}
+}
+
 // maySend is the guard of all attempts: no attempt beyond the limits, none after the deadline or
 // beside another one, and none of what may have run where that is not safe. The allowance of an
-// endpoint that is warming up is not its concern: see selector.hasCapacity.
+// endpoint that is warming up is not its concern: see eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
 	tries := &request.tries
 	if !endpoint.usable || request.closed || request.started || tries.inFlight > 0 ||
@@ -36,7 +41,7 @@
 	return request.idempotency.mayHaveRun == 0 || p.mayRepeatAt(request, endpoint)
 }
 
-// mayRepeatAt tells whether a request that may have run may be sent to the endpoint.
+// mayRepeatAt reports whether a request that may have run may be sent to the endpoint.
 func (p *retryPolicy) mayRepeatAt(request *request, endpoint *endpoint) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -58,7 +63,7 @@
 	return false
 }
 
-// idempotencyWindowLeftMs is for how long a request with an idempotency key that may have run may
+// idempotencyWindowLeftMs returns for how long a request with an idempotency key that may have run may
 // still be sent again. The window counts from the earliest time at which it may have run, and a
 // retry may be held up just before its first byte, so a window shorter than that allows none.
 func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
@@ -66,7 +71,21 @@
 		writeDelayMarginMs - 2*p.set.RoundMs - p.now
 }
 
-// mayRepeatNow tells whether a request that may have run may still be sent again somewhere.
+// beginWithinMs returns how soon the next attempt of a request must begin, in ms; 0: at any time.
+func (p *retryPolicy) beginWithinMs(request *request) float64 {
+	if request.idempotency.mayHaveRun > 0 && request.class.Effect == EffectIdempotentWithKey {
+		return p.idempotencyWindowLeftMs(request)
+	}
+	return 0
+}
+
+// mayRetryNow reports whether class, attempts and the retry budget allow another attempt somewhere of
+// a request that may have run.
+func (p *retryPolicy) mayRetryNow(request *request) bool {
+	return p.mayRepeatNow(request) && len(request.tries.counted) < request.tries.limit && p.tokens >= 1
+}
+
+// mayRepeatNow reports whether a request that may have run may still be sent again somewhere.
 func (p *retryPolicy) mayRepeatNow(request *request) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -98,7 +117,7 @@
 	return true
 }
 
-// isRepeatable tells whether a client may repeat a request of the class that may have run.
+// isRepeatable reports whether a client may repeat a request of the class that may have run.
 func isRepeatable(class *class) bool {
 	return class.Effect == EffectIdempotent ||
 		class.Effect == EffectIdempotentWithKey && class.Group == GroupAll
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -20,7 +20,7 @@
 	counts       ClassCounts
 }
 
-// uncontendedMs is the answer time that a class of which nothing is known is taken to have.
+// uncontendedMs returns the answer time that a class of which nothing is known is taken to have.
 func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * crowdedFraction / 2 }
 
 // learn takes an answer time into the class's mean, which follows the answers of the time
@@ -35,6 +35,18 @@
 	c.meanAt = now
 }
 
+// countAttempt counts an attempt that is sent.
+func (c *class) countAttempt() { c.counts.Attempts++ }
+
+// countUnserved counts a request that was rejected or failed.
+func (c *class) countUnserved(rejected bool) {
+	if rejected {
+		c.counts.Rejected++
+	} else {
+		c.counts.Failed++
+	}
+}
+
 // served counts a request that was answered, after rttMs, and had its objective's end at
 // objectiveAt.
 func (c *class) served(now, rttMs, objectiveAt float64) {
@@ -55,7 +67,7 @@
 	}
 }
 
-// expectedMs is the class's mean answer time. Late answers are forgotten over the time after
+// expectedMs returns the class's mean answer time. Late answers are forgotten over the time after
 // which clients give up: nobody waits any more for what was in the queues then. A class taken
 // to be late for good would be sent only when no other is queued, and then no answer of it
 // would show that the endpoints have become quick.
@@ -78,7 +90,7 @@
 	longestDeadlineMs   float64
 }
 
-// newClassStats gives the classes of the settings.
+// newClassStats returns the classes of the settings.
 func newClassStats(env *environment) classStats {
 	c := classStats{environment: env}
 	c.reset()
@@ -126,6 +138,7 @@
 
 // count notes a request of a class, and that it was not served in time so far.
 func (c *classStats) count(counted *class) {
+	counted.counts.Requests++
 	c.meanPriority = 0
 	objectives, shares := 0.0, 0.0
 	for _, class := range c.all {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -20,7 +20,7 @@
 	ageErrorFactor = 1.5
 )
 
-// StartToleranceMs is how much older than it is an endpoint that is warming up may be taken for,
+// StartToleranceMs returns how much older than it is an endpoint that is warming up may be taken for,
 // in ms: at its start, where that means most, it then counts as ageErrorFactor times what it can
 // do.
 func (c *Contract) StartToleranceMs() float64 {
@@ -30,7 +30,7 @@
 	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
 }
 
-// capacityFraction is the part of its capacity that an endpoint has by the contract: it grows
+// capacityFraction returns the part of its capacity that an endpoint has by the contract: it grows
 // evenly with the age of its process, from SlowStartFrom to 1.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
 	contract, start := &env.set.Contract, &endpoint.slowStart
@@ -57,6 +57,55 @@
 	capacityAt float64 // ms
 }
 
+// newSlowStart returns a slowStart of the endpoints, of which none is warming up yet.
+func newSlowStart(env *environment, endpoints *endpointSet) slowStart {
+	return slowStart{environment: env, endpoints: endpoints}
+}
+
+// start begins to measure the work that warm endpoints are sent.
+func (w *slowStart) start() { w.flowAt = w.now }
+
+// listChanged notes that the list has changed, and with it the fleet's capacity.
+func (w *slowStart) listChanged() { w.capacityAt = never }
+
+// rescale has the flow, which fades over the slow start time, stand for as much as before the settings
+// changed that time from oldSlowStartMs.
+func (w *slowStart) rescale(oldSlowStartMs float64) {
+	if oldSlowStartMs > 0 {
+		w.flow *= w.set.Contract.SlowStartMs / oldSlowStartMs
+	}
+}
+
+// restart notes that an endpoint is a new process that started at startedAt by the list. Its allowance
+// starts at random: of many agents that each earn it a part of one request, as many send one as the
+// parts add up to; from 0 none would before it is warm.
+func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
+	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
+	w.begin(endpoint)
+	endpoint.slowStart.allowance = w.rng.Float64()
+}
+
+// assumeRestart takes an endpoint for a process that started now, until the list says otherwise.
+func (w *slowStart) assumeRestart(endpoint *endpoint) {
+	endpoint.slowStart.startedAt, endpoint.slowStart.allowance = w.now, w.rng.Float64()
+	w.begin(endpoint)
+}
+
+// charge takes an attempt that is sent from its endpoint's allowance, if that is warming up.
+func (w *slowStart) charge(sent *attempt) {
+	if w.capacityFraction(sent.endpoint) < 1 {
+		sent.endpoint.slowStart.allowance -= sent.cost
+		sent.charged = true
+	}
+}
+
+// refund gives back what an attempt was charged that never went out.
+func (w *slowStart) refund(attempt *attempt) {
+	if attempt.charged {
+		attempt.endpoint.slowStart.allowance += attempt.cost
+	}
+}
+
 // begin notes that an endpoint's start has changed: it may be warming up.
 func (w *slowStart) begin(endpoint *endpoint) {
 	w.stale = true
@@ -83,7 +132,7 @@
 	})
 }
 
-// warmWeight is the weight of the endpoints of the top tier that are not warming up, counted
+// warmWeight returns the weight of the endpoints of the top tier that are not warming up, counted
 // anew only where a tier, the list or who is warming up has changed.
 func (w *slowStart) warmWeight() float64 {
 	if w.warmAt == w.now && w.warmEpoch == w.endpoints.epoch {
@@ -104,7 +153,7 @@
 	return w.warm
 }
 
-// fleetCapacity is what the usable endpoints can do, in warm ones. Those that are warming up
+// fleetCapacity returns what the usable endpoints can do, in warm ones. Those that are warming up
 // count in part beside warm ones: their allowance bounds what they are sent, and the rest of an
 // even share would be sent to the warm ones. Alone they count as whole.
 func (w *slowStart) fleetCapacity() float64 {
@@ -124,7 +173,7 @@
 	return w.capacity
 }
 
-// share is the part of an even share that an endpoint may be sent of which only the fraction given
+// share returns the part of an even share that an endpoint may be sent of which only the fraction given
 // of the capacity is there: of one that is warming up what keeps the contract, so that its keys
 // move to it as it warms up.
 func (w *slowStart) share(fraction float64) float64 {
@@ -157,7 +206,7 @@
 	}
 }
 
-// rested tells whether an endpoint has rested long enough for another request of the cost
+// rested reports whether an endpoint has rested long enough for another request of the cost
 // given where no endpoint is warm: as long as its share of what a warm one was sent before takes.
 func (w *slowStart) rested(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -200,7 +200,7 @@
 		r.list(ListDelta, Entry{Server: addr(99), Health: HealthReady, Weight: 1, StartedMs: r.now})
 		cold := r.b.endpoints.byAddr[addr(99)]
 		cold.slowStart.allowance = 0
-		r.b.slowStart.earn(r.b.endpoints.byAddr[addr(0)], 1, r.b.selector.subset())
+		r.b.slowStart.earn(r.b.endpoints.byAddr[addr(0)], 1, r.b.subset.size())
 		return cold.slowStart.allowance
 	}
 	if whole, part := earned(0), earned(10000); part < 3.5*whole || whole <= 0 {
