--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -5,6 +5,7 @@
 	"runtime/debug"
 	"time"
 
+	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
 
@@ -49,7 +50,7 @@
 		}
 	case policy.ActionSetTimer:
 		token := action.Token
-		time.AfterFunc(millis(action.DelayMs), func() { l.post(timerFired{token: token}) })
+		time.AfterFunc(config.Milliseconds(action.DelayMs), func() { l.post(timerFired{token: token}) })
 	case policy.ActionOpenWatch:
 		l.openWatch()
 	case policy.ActionFetchEndpoints:
@@ -77,7 +78,7 @@
 			attempt.cancel(errCancelled)
 		}
 	case policy.ActionRejectRequest:
-		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.RetryAfterMs)})
+		l.answer(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
 		l.forget(request)
 	case policy.ActionFailRequest:
 		l.answer(request, response{status: policy.StatusServerError})
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
 
@@ -39,11 +40,11 @@
 func (l *loop) newAttempt(request *request, target *backend, action *policy.Action) *attempt {
 	created := &attempt{request: request, index: len(request.attempts), backend: target, conns: target.conns, started: time.Now()}
 	if action.BeginWithinMs > 0 {
-		created.beginBy = l.decidedAt.Add(millis(action.BeginWithinMs))
+		created.beginBy = l.decidedAt.Add(config.Milliseconds(action.BeginWithinMs))
 	}
 	ctx, cancel := context.WithCancelCause(l.ctx)
 	var stop context.CancelFunc
-	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(action.TimeoutMs)))
+	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(config.Milliseconds(action.TimeoutMs)))
 	created.cancel = func(cause error) {
 		cancel(cause)
 		stop()
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
@@ -21,13 +22,13 @@
 func (a *Agent) handled() { a.look(func(*loop) {}) }
 
 // told posts a complete endpoint list to the loop and waits until it is applied.
-func (a *Agent) told(seq int64, hosts ...Host) {
+func (a *Agent) told(seq int64, hosts ...endpointlist.Host) {
 	a.loop.post(watchEvent{list: listOf(seq, true, hosts...)})
 	a.handled()
 }
 
-func readyHost(i int, dial string) Host {
-	return Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
+func readyHost(i int, dial string) endpointlist.Host {
+	return endpointlist.Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
 }
 
 // The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
@@ -52,7 +53,7 @@
 						}
 					})
 					known := map[string][]string{"room": nil, "connect": {"127.0.0.1:1"}, "retry": {turns}}[wait]
-					conf := config(nowhere, known...)
+					conf := agenttest.Config(nowhere, known...)
 					conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
 					agent, base, _, _ := start(t, conf)
 					dialling, given := make(chan struct{}), make(chan struct{})
@@ -159,7 +160,7 @@
 			reader.ReadByte() // until it is given up
 		}
 	})
-	_, base, _, _ := start(t, config(nowhere, addr))
+	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	conn := dial(t, base)
 	io.WriteString(conn, raw("order", "half"))
 	<-got
@@ -183,7 +184,7 @@
 			io.WriteString(conn, okAnswer)
 		}
 	})
-	_, base, _, _ := start(t, config(nowhere, addr))
+	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	conn := dial(t, base)
 	io.WriteString(conn, raw("order", "p1"))
 	if id := <-got; id != "p1" {
