--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -10,7 +10,6 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -311,64 +310,6 @@
 	}
 }
 
-// scripted is a discovery whose watch sends lines and then stays open or ends.
-func scripted(t *testing.T, stay bool, lines ...string) (*discovery, chan input) {
-	release := make(chan struct{})
-	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		for _, line := range lines {
-			fmt.Fprintln(w, line)
-		}
-		w.(http.Flusher).Flush()
-		if stay {
-			select {
-			case <-release:
-			case <-r.Context().Done():
-			}
-		}
-	}))
-	t.Cleanup(func() { close(release); discoveryServer.Close() })
-	told := make(chan input, 100)
-	return newDiscovery(context.Background(), discoveryServer.Listener.Addr().String(), 0, func(in input) { told <- in }), told
-}
-
-const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
-
-// A watch ends at a malformed line, after the events of the lines before it.
-func TestMalformedLine(t *testing.T) {
-	disc, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	disc.silence = agenttest.Never
-	disc.watch(1, false)
-	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
-		t.Fatalf("told %+v", in)
-	}
-	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
-// A watch without any line for too long is ended.
-func TestSilentWatch(t *testing.T) {
-	disc, told := scripted(t, true)
-	disc.silence = time.Millisecond
-	disc.watch(1, false)
-	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
-func TestFetch(t *testing.T) {
-	disc, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
-	disc.fetch(false)
-	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
-		t.Fatalf("told %+v", in)
-	}
-	disc, told = scripted(t, false, "no list")
-	disc.fetch(false)
-	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
 // The module hears that a watch ended, and its next call goes out: in either mode, as on
 // sockets only who watches is told of a drain.
 func TestWatchIsAskedAgain(t *testing.T) {
@@ -377,7 +318,7 @@
 			asked := make(chan string, 10)
 			discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				asked <- r.URL.RawQuery
-				fmt.Fprintln(w, change)
+				fmt.Fprintln(w, agenttest.EndpointChange)
 			}))
 			t.Cleanup(discoveryServer.Close)
 			conf := agenttest.Config(discoveryServer.Listener.Addr().String(), "127.0.0.1:1")
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -313,7 +313,7 @@
 	before := loop.backends[endpointlist.AddressOf("s-0")].conns
 	loop.watch.fetching, loop.watch.watching = true, true
 	reloadTo(t, loop, discoveryServer.Listener.Addr().String())
-	t.Cleanup(loop.watch.discovery.close)
+	t.Cleanup(loop.watch.discovery.Close)
 	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
 		t.Fatalf("asked %v", got)
 	}
@@ -329,34 +329,11 @@
 		t.Fatal("the new discovery was not heard")
 	}
 	disc := loop.watch.discovery
-	if reloadTo(t, loop, disc.addr); loop.watch.discovery != disc {
+	if reloadTo(t, loop, disc.Addr()); loop.watch.discovery != disc {
 		t.Fatal("the same discovery was taken for a new one")
 	}
 }
 
-// The first calls to a new discovery are retried without the decision module's backoff.
-func TestReloadTriesAgain(t *testing.T) {
-	tries := make(chan struct{}, 100)
-	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		tries <- struct{}{}
-		if len(tries) < 3 {
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		fmt.Fprintln(w, change)
-	}))
-	t.Cleanup(discoveryServer.Close)
-	told := make(chan input, 10)
-	disc := newDiscovery(t.Context(), discoveryServer.Listener.Addr().String(), 1, func(in input) { told <- in })
-	disc.watch(0, true)
-	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.generation != 1 {
-		t.Fatalf("told %+v", in)
-	}
-	if in := contentsOf(<-told); !is[watchEnded](in.input) {
-		t.Fatalf("told %+v", in)
-	}
-}
-
 // Each connection is in the eviction class that its stage, its age and what was read of it put it
 // in, and lower classes are evicted first.
 func TestEvictionClasses(t *testing.T) {
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -1,16 +1,15 @@
 package agent
 
 import (
-	"bufio"
-	"context"
 	"fmt"
+	"io"
 	"log/slog"
-	"net"
 	"net/http"
+	"net/http/httptest"
 	"testing"
-	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/discovery"
 	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
@@ -23,7 +22,7 @@
 		t.Fatal(err)
 	}
 	l.handle(watchEvent{list: listOf(7, true, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
-	var former []*discovery
+	var former []*discovery.Client
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
 		former = append(former, l.watch.discovery)
 		if err := l.reload(parse(t, agenttest.Config(addr, "127.0.0.1:9"))); err != nil {
@@ -31,30 +30,32 @@
 		}
 	}
 	draining := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
-	for _, d := range former {
-		if d.ctx.Err() == nil {
-			t.Fatalf("the calls of %s go on", d.addr)
+	for generation, client := range former {
+		select {
+		case <-client.Done():
+		default:
+			t.Fatalf("the calls of %s go on", client.Addr())
 		}
 		for _, in := range []input{
-			watchEvent{generation: d.generation, list: listOf(100, true, draining)},
-			endpointsFetched{generation: d.generation, list: listOf(100, true, draining)},
-			watchEnded{generation: d.generation},
+			watchEvent{generation: generation, list: listOf(100, true, draining)},
+			endpointsFetched{generation: generation, list: listOf(100, true, draining)},
+			watchEnded{generation: generation},
 		} {
 			l.handle(in)
 		}
 		if b := l.backends[endpointlist.AddressOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
-			t.Fatalf("what %s delivers counts, though discovery has moved", d.addr)
+			t.Fatalf("what %s delivers counts, though discovery has moved", client.Addr())
 		}
 	}
-	if l.watch.discovery.addr != "127.0.0.1:1" || l.watch.discovery.hedgeAfter != localHedgeDelay {
-		t.Fatalf("asks %s within %v", l.watch.discovery.addr, l.watch.discovery.hedgeAfter)
+	if now := l.watch.discovery; now.Addr() != "127.0.0.1:1" || now.Placement() != discovery.Local {
+		t.Fatalf("got a discovery at %s of placement %v, want 127.0.0.1:1 and %v", now.Addr(), now.Placement(), discovery.Local)
 	}
 	// A lower version than the first time, as it may have begun anew.
-	l.handle(watchEvent{generation: l.watch.discovery.generation, list: listOf(3, true, draining)})
+	l.handle(watchEvent{generation: l.watch.generation, list: listOf(3, true, draining)})
 	if b := l.backends[endpointlist.AddressOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
 		t.Fatal("what the discovery now called delivers does not count")
 	}
-	l.watch.discovery.close()
+	l.watch.discovery.Close()
 }
 
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
@@ -87,34 +88,27 @@
 // A watch that is opened anew asks for what changed since the list at hand, whatever ended it, and
 // so does the first one of a process: the whole list is asked for only of a discovery that is new.
 func TestWatchesAskForChangesAlone(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
-	asked := make(chan string, 10)
-	l.watch.discovery.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
-		go func() {
-			defer theirs.Close()
-			if r, err := http.ReadRequest(bufio.NewReader(theirs)); err == nil {
-				asked <- r.URL.RequestURI()
-			}
-		}()
-		return ours, nil
+	calls := make(chan string, 10)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- r.URL.RequestURI() // and the watch ends
+	}))
+	t.Cleanup(server.Close)
+	l, err := newLoop(t.Context(), parse(t, agenttest.Config(server.Listener.Addr().String(), "127.0.0.1:1")), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
 	}
 	for i, lost := range []bool{true, false, true, false} {
 		seq := int64(5 + i)
 		l.handle(watchEvent{list: listOf(seq, false)})
-		l.handle(watchEnded{err: errWatchSilent, endedAfterNotice: lost})
+		l.handle(watchEnded{err: io.EOF, endedAfterNotice: lost})
 		l.actions = append(l.actions[:0], policy.Action{Kind: policy.ActionWatch})
 		l.perform()
 		if l.watch.fetching || !l.watch.watching {
 			t.Fatal("fetches the whole list, or watches no more")
 		}
-		select {
-		case got := <-asked:
-			if want := fmt.Sprint("/v1/endpoints?follow=1&since=", seq); got != want {
-				t.Fatalf("asked %s, want %s", got, want)
-			}
-		case <-time.After(agenttest.NoAnswerTimeout):
-			t.Fatal("opened no watch")
+		got, want := agenttest.Receive(t, calls, "a watch"), fmt.Sprint("/v1/endpoints?follow=1&since=", seq)
+		if got != want {
+			t.Fatalf("got call %s, want %s", got, want)
 		}
 	}
 }
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,10 +1,25 @@
 package agent
 
 import (
+	"ploverreel/internal/discovery"
 	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
+// discoveryResults returns the function that posts the results of one discovery's calls to the loop.
+func (l *loop) discoveryResults(generation int) func(discovery.Result) {
+	return func(result discovery.Result) {
+		switch result := result.(type) {
+		case discovery.Fetched:
+			l.post(endpointsFetched{generation: generation, list: result.List, err: result.Err})
+		case discovery.WatchEvent:
+			l.post(watchEvent{generation: generation, list: result.List})
+		case discovery.WatchEnded:
+			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.EndedAfterNotice})
+		}
+	}
+}
+
 // onEndpointsFetched applies a whole list that was fetched, or notifies the module that the fetch
 // failed.
 func (l *loop) onEndpointsFetched(in *endpointsFetched) {
@@ -36,7 +51,7 @@
 // opened.
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
-	l.watch.startTimes.unwatched(l.nowMs(), float64(l.watch.discovery.silence.Milliseconds()))
+	l.watch.startTimes.unwatched(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
 	l.log.Warn("discovery: watch ended", "err", in.err)
 	how := policy.ListFailed
 	if in.endedAfterNotice {
@@ -49,7 +64,7 @@
 func (l *loop) openWatch() {
 	if !l.watch.watching {
 		l.watch.watching = true
-		go l.watch.discovery.watch(l.watch.listVersion, false)
+		go l.watch.discovery.Watch(l.watch.listVersion, false)
 	}
 }
 
@@ -57,7 +72,7 @@
 func (l *loop) startFetch() {
 	if !l.watch.fetching {
 		l.watch.fetching = true
-		go l.watch.discovery.fetch(false)
+		go l.watch.discovery.Fetch(false)
 	}
 }
 
@@ -67,18 +82,18 @@
 // those of the one before.
 func (l *loop) switchDiscovery(addr string) {
 	former := l.watch.discovery
-	if addr == former.addr {
+	if addr == former.Addr() {
 		return
 	}
-	l.log.Info("discovery: changed", "from", former.addr, "to", addr)
-	former.close()
-	current := newDiscovery(l.ctx, addr, former.generation+1, l.post)
-	current.firstWordTimeout, current.hedgeAfter = former.firstWordTimeout, former.hedgeAfter
+	l.log.Info("discovery: changed", "from", former.Addr(), "to", addr)
+	former.Close()
+	l.watch.generation++
+	current := discovery.New(l.ctx, addr, former.Placement(), l.discoveryResults(l.watch.generation))
 	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.watch.startTimes.unwatched(l.nowMs(), 0)
-	go current.fetch(true)
-	go current.watch(0, true)
+	go current.Fetch(true)
+	go current.Watch(0, true)
 }
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -51,7 +51,7 @@
 	watchEnded struct {
 		generation       int
 		err              error // why it ended
-		endedAfterNotice bool  // it had worked until then, see watchResult.endedAfterNotice
+		endedAfterNotice bool  // it had worked until then, see discovery.WatchEnded
 	}
 )
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"ploverreel/internal/config"
+	"ploverreel/internal/discovery"
 	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
@@ -57,16 +58,17 @@
 
 // watchState is what the loop knows of discovery and of the endpoint list in force.
 type watchState struct {
-	discovery   *discovery // the one that is called now
-	watching    bool       // a watch is open or being opened
-	fetching    bool       // a fetch is under way
-	listVersion int64      // version of the list in force; 0 after a change of discovery
+	discovery   *discovery.Client // the one that is called now
+	generation  int               // number of discoveries before it, which tells its results from theirs
+	watching    bool              // a watch is open or being opened
+	fetching    bool              // a fetch is under way
+	listVersion int64             // version of the list in force; 0 after a change of discovery
 	startTimes  *startTimes
 	onApplied   func(seq int64, whole bool) // is notified of each list in force; may be nil
 }
 
 // isCurrent reports whether the discovery of this generation is the one that is called now.
-func (w *watchState) isCurrent(generation int) bool { return generation == w.discovery.generation }
+func (w *watchState) isCurrent(generation int) bool { return generation == w.generation }
 
 // readyState is what /ready answers by.
 type readyState struct {
@@ -99,11 +101,11 @@
 		log:      log,
 	}
 	l.applyLimits()
-	l.watch.discovery = newDiscovery(ctx, conf.Discovery, 0, l.post)
-	l.watch.discovery.firstWordTimeout = firstWordTimeout
+	placement := discovery.Shared
 	if settings.Membership == policy.MembershipWatched {
-		l.watch.discovery.hedgeAfter = localHedgeDelay // elsewhere each call is work for it
+		placement = discovery.Local
 	}
+	l.watch.discovery = discovery.New(ctx, conf.Discovery, placement, l.discoveryResults(0))
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
 	l.applyEndpointList(policy.ListCached, &conf.Known)
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -117,7 +117,7 @@
 			t.Errorf("%s: the class at hand is answered %d", key, status)
 		}
 		a.look(func(l *loop) {
-			if l.watch.discovery.addr != nowhere {
+			if l.watch.discovery.Addr() != nowhere {
 				t.Errorf("%s: another discovery is asked", key)
 			}
 		})
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"log/slog"
 	"testing"
 	"time"
@@ -202,7 +203,7 @@
 		f.boot()
 		f.hear(true, f.hosts...)
 		f.machine.pass(time.Minute)
-		f.loop.handle(watchEnded{err: errWatchSilent, endedAfterNotice: true})
+		f.loop.handle(watchEnded{err: io.EOF, endedAfterNotice: true})
 		f.born("s-0", 0)
 		f.machine.pass(4 * time.Second)
 		f.born("s-1", 0)
--- /dev/null
+++ b/internal/discovery/client_test.go
@@ -0,0 +1,141 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+func TestFetchDeliversOnlyAWholeList(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		fails      bool
+	}{
+		{"whole list", strings.Replace(agenttest.EndpointChange, "false", "true", 1), false},
+		{"change of a list", agenttest.EndpointChange, true},
+		{"no JSON", "no list", true},
+		{"empty object", `{}`, true},
+		{"null", `null`, true},
+		{"object of another kind", `{"error":"later"}`, true},
+		{"list without hosts", `{"seq":9,"whole":true}`, true},
+		{"empty array", `[]`, true},
+		{"number", `7`, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			client, results := newClient(t, agenttest.ServeLines(t, false, c.text), Shared)
+			client.Fetch(false)
+			got := next[Fetched](t, results)
+			if failed := got.Err != nil; failed != c.fails {
+				t.Fatalf("got error %v, want one: %v", got.Err, c.fails)
+			}
+			if !c.fails && (!got.List.Whole || got.List.Seq != 2) {
+				t.Fatalf("got list %+v, want whole list 2", got.List)
+			}
+		})
+	}
+}
+
+// Discovery is where the configuration says, not where a response points.
+func TestWatchDoesNotFollowRedirects(t *testing.T) {
+	elsewhere := agenttest.NewDiscovery(t)
+	server := httptest.NewServer(http.RedirectHandler("http://"+elsewhere.Addr, http.StatusFound))
+	defer server.Close()
+	client, results := newClient(t, server.Listener.Addr().String(), Shared)
+	client.Watch(1, false)
+	if got := next[WatchEnded](t, results); got.Err == nil || len(elsewhere.Calls) > 0 {
+		t.Fatalf("got error %v and %d calls elsewhere, want an error and none", got.Err, len(elsewhere.Calls))
+	}
+}
+
+// The first calls to a new discovery are retried without the decision module's backoff.
+func TestWatchOfNewDiscoveryIsRetried(t *testing.T) {
+	calls := make(chan struct{}, 100)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		calls <- struct{}{}
+		if len(calls) < 3 {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		w.Write([]byte(agenttest.EndpointChange))
+	}))
+	t.Cleanup(server.Close)
+	client, results := newClient(t, server.Listener.Addr().String(), Shared)
+	client.Watch(0, true)
+	if got := next[WatchEvent](t, results).List.Seq; got != 2 {
+		t.Fatalf("got list %d, want 2", got)
+	}
+	next[WatchEnded](t, results)
+}
+
+// With a discovery that is cut off from the network each call would otherwise hold a descriptor for
+// minutes.
+func TestCallThatIsGivenUpStopsDialling(t *testing.T) {
+	for _, call := range []string{"watch", "fetch"} {
+		t.Run(call, func(t *testing.T) {
+			client, results := newClient(t, refusing, Shared)
+			dialling, ended := make(chan struct{}), make(chan struct{})
+			client.dial = func(ctx context.Context, _, _ string) (net.Conn, error) {
+				close(dialling)
+				<-ctx.Done()
+				close(ended)
+				return nil, ctx.Err()
+			}
+			var err error
+			if call == "watch" {
+				client.firstWordTimeout = time.Millisecond
+				go client.Watch(1, false)
+				err = next[WatchEnded](t, results).Err
+			} else {
+				go client.Fetch(false)
+				<-dialling
+				client.Close()
+				err = next[Fetched](t, results).Err
+			}
+			if err == nil {
+				t.Fatal("got no error, want that of a call that was given up")
+			}
+			agenttest.Receive(t, ended, "the end of the dial")
+		})
+	}
+}
+
+func TestNewTimesCallsByPlacement(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		placement Placement
+		hedge     time.Duration
+	}{{"local", Local, localHedgeDelay}, {"shared", Shared, 0}} {
+		t.Run(c.name, func(t *testing.T) {
+			client := New(t.Context(), refusing, c.placement, nil)
+			if client.hedgeDelay != c.hedge || client.firstWordTimeout != firstWordTimeout || client.silence != WatchSilence {
+				t.Errorf("got waits of %v, %v and %v, want %v, %v and %v", client.hedgeDelay, client.firstWordTimeout, client.silence,
+					c.hedge, firstWordTimeout, WatchSilence)
+			}
+		})
+	}
+}
+
+func TestCloseEndsCalls(t *testing.T) {
+	standIn := agenttest.NewDiscovery(t)
+	client, results := newClient(t, standIn.Addr, Shared)
+	go client.Watch(1, false)
+	call := agenttest.Receive(t, standIn.Calls, "the call of the watch")
+	select {
+	case <-client.Done():
+		t.Fatal("got a client whose calls have ended, want one that is open")
+	default:
+	}
+	client.Close()
+	if got := next[WatchEnded](t, results).Err; !errors.Is(got, context.Canceled) {
+		t.Errorf("got error %v, want %v", got, context.Canceled)
+	}
+	agenttest.Receive(t, call.Ended, "the end of the call")
+	agenttest.Receive(t, client.Done(), "the end of all calls")
+}
--- a/internal/agent/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -1,8 +1,7 @@
-package agent
+package discovery
 
 import (
 	"context"
-	"errors"
 	"sync/atomic"
 	"time"
 )
@@ -10,15 +9,12 @@
 // maxHedgedCalls bounds the calls of one watch that wait for their first word at the same time.
 const maxHedgedCalls = 4
 
-// errWatchSuperseded ends a call of a watch after another one of it was answered first.
-var errWatchSuperseded = errors.New("another call of the watch was answered first")
-
 // hedgedWatch opens one watch by several calls. A discovery on the agent's own machine answers at
-// once and at no cost, so a call on which nothing has come for hedgeAfter may have been made while
+// once and at no cost, so a call on which nothing has come for hedgeDelay may have been made while
 // discovery was down, and will never be answered; or discovery is slow. So the call stays, and
 // another is made beside it. The first call that is answered is the watch; the others end.
 type hedgedWatch struct {
-	discovery *discovery
+	client    *Client
 	since     int64
 	firstWord time.Duration // how long each call waits for its first word
 	answered  atomic.Bool   // a call was answered, or the watch has failed: no other call counts
@@ -29,20 +25,20 @@
 
 // run follows the watch until it ends. It fails as soon as one of its calls does before any was
 // answered. No call is left when it returns but for those that are about to see that they ended.
-func (h *hedgedWatch) run(hedgeAfter time.Duration) watchResult {
-	ctx, cancel := context.WithCancel(h.discovery.ctx)
+func (h *hedgedWatch) run(hedgeDelay time.Duration) watchResult {
+	ctx, cancel := context.WithCancel(h.client.ctx)
 	defer cancel()
 	results := make(chan watchResult, maxHedgedCalls)
 	calls := 0
 	call := func() {
 		calls++
-		go func() { results <- h.discovery.watchOnce(ctx, h.since, h.firstWord, h.claim) }()
+		go func() { results <- h.client.watchOnce(ctx, h.since, h.firstWord, h.claim) }()
 	}
 	call()
 	for {
 		var hedge <-chan time.Time
-		if hedgeAfter > 0 && calls < maxHedgedCalls && !h.answered.Load() {
-			hedge = h.discovery.after(hedgeAfter)
+		if hedgeDelay > 0 && calls < maxHedgedCalls && !h.answered.Load() {
+			hedge = h.client.after(hedgeDelay)
 		}
 		select {
 		case <-hedge:
--- /dev/null
+++ b/internal/discovery/list_reader_test.go
@@ -0,0 +1,46 @@
+package discovery
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// A list that has begun and does not come to its end counts as silence, however much white space
+// comes.
+func TestListReaderHearsNothingWithinAList(t *testing.T) {
+	heard := 0
+	reader := &listReader{heard: func() { heard++ }}
+	for _, text := range []string{"\n", "\n", "{\n", " \n", "\n", "\"seq\":2", "\n"} {
+		reader.from = strings.NewReader(text)
+		if _, err := reader.Read(make([]byte, 100)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if heard != 3 { // the last one begins the list
+		t.Fatalf("got %d signs of life, want 3", heard)
+	}
+	if reader.next(strings.NewReader("\n")); reader.begun != 0 || heard != 4 {
+		t.Fatalf("got %d signs of life and %d bytes after a list, want 4 and 0", heard, reader.begun)
+	}
+	if reader.next(strings.NewReader(" {")); reader.begun == 0 {
+		t.Fatal("got no byte of a list that has begun, want some")
+	}
+}
+
+func TestWatchEndsAtAListThatIsTooLong(t *testing.T) {
+	call, results := startWatch(t)
+	go func() {
+		call.Write <- `{"seq":2,"more":"`
+		for {
+			select {
+			case call.Write <- strings.Repeat("x", 1<<16):
+			case <-call.Ended:
+				return
+			}
+		}
+	}()
+	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errListTooLong) {
+		t.Fatalf("got error %v, want %v", got, errListTooLong)
+	}
+}
--- /dev/null
+++ b/internal/discovery/local_failure_test.go
@@ -0,0 +1,133 @@
+package discovery
+
+import (
+	"context"
+	"net"
+	"os"
+	"syscall"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+// failingDialer fails the first connects of a client and counts all.
+type failingDialer struct {
+	failures int
+	err      error
+	connects int
+	open     int // connects under way
+	maxOpen  int
+	dial     func(context.Context, string, string) (net.Conn, error)
+}
+
+func (f *failingDialer) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+	f.open++
+	f.maxOpen = max(f.maxOpen, f.open)
+	defer func() { f.open-- }()
+	if f.connects++; f.connects <= f.failures {
+		return nil, f.err
+	}
+	return f.dial(ctx, network, addr)
+}
+
+// A moment in which this machine has no descriptor, port or route is no failed call of discovery: the
+// call is made as soon as the moment has passed, and until then seldom enough.
+func TestCallThatThisMachineCannotMakeIsRetried(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN} {
+		for name, call := range map[string]func(*Client){
+			"watch":                      func(c *Client) { c.Watch(1, false) },
+			"watch of a new discovery":   func(c *Client) { c.Watch(1, true) },
+			"fetch":                      func(c *Client) { c.Fetch(false) },
+			"fetch from a new discovery": func(c *Client) { c.Fetch(true) },
+		} {
+			t.Run(errno.Error()+" "+name, func(t *testing.T) {
+				client, results := newClient(t, agenttest.ServeLines(t, false, `{"seq":2,"whole":true,"hosts":[]}`), Shared)
+				dialer := &failingDialer{failures: 20, err: failedConnect(errno), dial: client.dial}
+				client.dial = dialer.connect
+				var pauses []time.Duration
+				client.pause = func(span time.Duration) bool {
+					pauses = append(pauses, span)
+					return true
+				}
+				call(client)
+				checkFirstList(t, results)
+				if len(pauses) != dialer.failures || dialer.connects != dialer.failures+1 || dialer.maxOpen != 1 {
+					t.Fatalf("got %d pauses and %d connects, %d at once, want %d, %d and 1", len(pauses), dialer.connects, dialer.maxOpen,
+						dialer.failures, dialer.failures+1)
+				}
+				checkBackoff(t, pauses)
+			})
+		}
+	}
+}
+
+// checkFirstList checks that the first result is list 2, whatever call brings it.
+func checkFirstList(t *testing.T, results chan Result) {
+	t.Helper()
+	seq, err := int64(0), error(nil)
+	switch result := agenttest.Receive(t, results, "a result").(type) {
+	case Fetched:
+		seq, err = result.List.Seq, result.Err
+	case WatchEvent:
+		seq = result.List.Seq
+	case WatchEnded:
+		err = result.Err
+	}
+	if err != nil || seq != 2 {
+		t.Fatalf("got list %d and error %v first, want list 2 and none", seq, err)
+	}
+}
+
+// checkBackoff checks that pauses grow to maxLocalBackoff, with jitter.
+func checkBackoff(t *testing.T, pauses []time.Duration) {
+	t.Helper()
+	differ := false
+	for i, span := range pauses {
+		if least := min(minLocalBackoff<<i, maxLocalBackoff) / 2; i < 10 && span < least || span > maxLocalBackoff {
+			t.Fatalf("got pause %d of %v, want %v to %v", i, span, least, maxLocalBackoff)
+		}
+		differ = differ || span != pauses[len(pauses)-1]
+	}
+	if !differ {
+		t.Error("got equal pauses, want some jitter")
+	}
+}
+
+// What came from discovery, or from the way to it once a connection was up, is a failed call.
+func TestCallThatFailsElsewhereIsNotRetried(t *testing.T) {
+	for name, err := range map[string]error{
+		"refused":   failedConnect(syscall.ECONNREFUSED),
+		"timed out": failedConnect(syscall.ETIMEDOUT),
+		"read":      &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.EHOSTUNREACH)},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, results := newClient(t, refusing, Shared)
+			dialer := &failingDialer{failures: 1, err: err}
+			client.dial = dialer.connect
+			client.pause = func(time.Duration) bool { t.Error("got a pause, want none"); return false }
+			client.Watch(1, false)
+			if got := next[WatchEnded](t, results); got.Err == nil || got.EndedAfterNotice || dialer.connects != 1 {
+				t.Fatalf("got %+v after %d connects, want a failure after 1", got, dialer.connects)
+			}
+		})
+	}
+}
+
+// So it ends with the agent, and when discovery moves.
+func TestCallThatWaitsToBeRetriedEndsWithItsClient(t *testing.T) {
+	client, results := newClient(t, refusing, Shared)
+	failing := make(chan struct{}, 1)
+	client.dial = func(context.Context, string, string) (net.Conn, error) {
+		select {
+		case failing <- struct{}{}:
+		default:
+		}
+		return nil, failedConnect(syscall.ENFILE)
+	}
+	go client.Watch(1, false)
+	<-failing
+	client.Close()
+	next[WatchEnded](t, results)
+}
--- /dev/null
+++ b/internal/discovery/retry.go
@@ -0,0 +1,51 @@
+package discovery
+
+import (
+	"errors"
+	"math/rand/v2"
+	"net"
+	"time"
+
+	"ploverreel/internal/socket"
+)
+
+// retryWhileNew makes a call until it succeeds: for newRetryTime if the discovery is new, else once.
+// It returns the last error.
+func (c *Client) retryWhileNew(isNew bool, call func() error) error {
+	end := time.Now().Add(newRetryTime)
+	for {
+		err := c.untilSent(call)
+		if err == nil || !isNew || time.Now().After(end) || !c.pause(newRetryInterval) {
+			return err
+		}
+	}
+}
+
+// untilSent makes a call until it has left this machine: what fails before is no failed call of
+// discovery, after which the next one would have to wait.
+func (c *Client) untilSent(call func() error) error {
+	for backoff := minLocalBackoff; ; backoff = min(2*backoff, maxLocalBackoff) {
+		err := call()
+		if !neverSent(err) || !c.pause(backoff/2+rand.N(backoff/2)) {
+			return err
+		}
+	}
+}
+
+// neverSent reports whether a call failed on this machine, before anything of it was sent.
+func neverSent(err error) bool {
+	var op *net.OpError
+	return errors.As(err, &op) && op.Op == "dial" && (socket.IsLocalError(err) || socket.IsUnreachable(err))
+}
+
+// sleep waits, and reports whether the calls go on.
+func (c *Client) sleep(span time.Duration) bool {
+	timer := time.NewTimer(span)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-c.ctx.Done():
+		return false
+	}
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,124 @@
+package discovery
+
+import (
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+// startWatch starts a watch of a stand-in, and returns the call and the results.
+func startWatch(t *testing.T) (*agenttest.DiscoveryCall, chan Result) {
+	t.Helper()
+	standIn := agenttest.NewDiscovery(t)
+	client, results := newClient(t, standIn.Addr, Shared)
+	go client.Watch(1, false)
+	return agenttest.Receive(t, standIn.Calls, "the call of the watch"), results
+}
+
+// Lists may come indented, over many lines, in any pieces, and several at once.
+func TestWatchReadsListsOverManyLines(t *testing.T) {
+	call, results := startWatch(t)
+	indented := "{\n  \"seq\": 2,\n\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n" +
+		"      \"dial\": \"127.0.0.1:1\",\n      \"health\": \"draining\"\n    }\n  ]\n}\n"
+	for _, r := range "\n\n" + indented {
+		call.Write <- string(r)
+	}
+	if got := next[WatchEvent](t, results).List; got.Seq != 2 || got.Hosts[0].Health != "draining" {
+		t.Fatalf("got list %+v, want list 2 with a draining host", got)
+	}
+	two := strings.Replace(agenttest.EndpointChange, `"seq":2`, `"seq":3`, 1) + strings.Replace(indented, `"seq": 2`, `"seq": 4`, 1)
+	call.Write <- two + "\n\r\n \t\n"
+	for _, want := range []int64{3, 4} {
+		if got := next[WatchEvent](t, results).List.Seq; got != want {
+			t.Fatalf("got list %d, want %d", got, want)
+		}
+	}
+	close(call.Write)
+	if got := next[WatchEnded](t, results).Err; !errors.Is(got, io.EOF) {
+		t.Fatalf("got error %v, want %v", got, io.EOF)
+	}
+}
+
+func TestWatchEndsAtInvalidListAfterTheListsBefore(t *testing.T) {
+	client, results := newClient(t, agenttest.ServeLines(t, true, "", agenttest.EndpointChange,
+		`{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`), Shared)
+	client.Watch(1, false)
+	if got := next[WatchEvent](t, results).List; got.Seq != 2 || got.Hosts[0].Health != "draining" {
+		t.Fatalf("got list %+v, want list 2 with a draining host", got)
+	}
+	if got := next[WatchEnded](t, results); got.Err == nil {
+		t.Fatal("got no error, want that of the invalid list")
+	}
+}
+
+func TestWatchEndsWhenSilent(t *testing.T) {
+	client, results := newClient(t, agenttest.ServeLines(t, true, ""), Shared)
+	client.silence = time.Millisecond
+	client.Watch(1, false)
+	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errWatchSilent) {
+		t.Fatalf("got error %v, want %v", got, errWatchSilent)
+	}
+}
+
+func TestWatchEndsWithoutFirstWord(t *testing.T) {
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	client, results := newClient(t, silent.Addr().String(), Shared)
+	client.firstWordTimeout = time.Millisecond
+	go client.Watch(1, false)
+	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.EndedAfterNotice {
+		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
+	}
+}
+
+func TestWatchTakesOtherJSONForNoList(t *testing.T) {
+	for _, text := range []string{`{}`, `null`, `{"error":"later"}`, `{"seq":9,"whole":true}`, `[]`, `7`} {
+		t.Run(text, func(t *testing.T) {
+			call, results := startWatch(t)
+			go func() { call.Write <- text + "\n"; close(call.Write) }()
+			if got := next[WatchEnded](t, results); got.Err == nil || got.EndedAfterNotice {
+				t.Fatalf("got %+v, want an error and no end after a notice", got)
+			}
+		})
+	}
+}
+
+// Only a watch that had worked ends after a notice: the module opens the next one without a backoff.
+// One that delivered a list has worked, however soon it ended.
+func TestWatchEndsAfterNoticeIfItHadWorked(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		text    string
+		silence time.Duration
+		want    bool
+	}{
+		{"a list, open for long", agenttest.EndpointChange + "\n", time.Nanosecond, true},
+		{"no list, open for long", "\n", time.Nanosecond, true},
+		{"a list, ended at once", agenttest.EndpointChange + "\n", agenttest.Never, true},
+		{"no list, ended at once", "\n", agenttest.Never, false},
+		{"nothing", "", time.Nanosecond, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			standIn := agenttest.NewDiscovery(t)
+			client, _ := newClient(t, standIn.Addr, Shared)
+			go func() {
+				call := <-standIn.Calls
+				if c.text != "" {
+					call.Write <- c.text
+				}
+				close(call.Write)
+			}()
+			if result := client.watchHedged(1, false); result.endedAfterNotice(c.silence) != c.want {
+				t.Fatalf("got the opposite, want ended after a notice %v of %+v", c.want, result)
+			}
+		})
+	}
+}
