--- a/cmd/ploverreel/descriptors_test.go
+++ b/cmd/ploverreel/descriptors_test.go
@@ -189,7 +189,7 @@
 					t.Fatal(err)
 				}
 				eventually(t, "another discovery", out, func() bool {
-					return strings.Count(out.String(), "discovery: changed") == i+1
+					return strings.Count(out.String(), "discovery address changed") == i+1
 				})
 			}
 			ready("while discovery moves")
--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -60,14 +60,14 @@
 	if tracePeriod > 0 {
 		go func() {
 			if err := balancer.Trace(tracePeriod); err != nil {
-				log.Error("trace: not on", "err", err)
+				log.Error("trace not started", "err", err)
 			}
 		}()
 	}
 	if err := balancer.Serve(ctx, listener); err != nil {
 		return err
 	}
-	log.Info("ended")
+	log.Info("stopped")
 	return nil
 }
 
@@ -80,11 +80,11 @@
 			err = balancer.Reload(conf)
 		}
 		if err != nil {
-			log.Error("reload: the configuration at hand is kept", "err", err)
+			log.Error("reload rejected", "err", err)
 			continue
 		}
 		limit(conf.Limits)
-		log.Info("reload: the configuration is in force", "discovery", conf.Discovery)
+		log.Info("reload applied", "discovery", conf.Discovery)
 	}
 }
 
--- a/cmd/ploverreel/main_test.go
+++ b/cmd/ploverreel/main_test.go
@@ -148,6 +148,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("after SIGTERM: %v; it said %s", err, out)
 	}
+	checkMessages(t, out, "started", "stopped")
 }
 
 // SIGHUP reads the configuration anew: a bad one changes nothing and is told of in one
@@ -204,6 +205,21 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("after SIGTERM: %v; it said %s", err, out)
 	}
+	checkMessages(t, out, "started", `"reload rejected"`, `"reload applied"`, `"reload rejected"`, `"reload applied"`, "stopped")
+}
+
+// checkMessages checks that the program, which has ended, logged these messages of its own in order.
+// The loop's messages may stand between them.
+func checkMessages(t *testing.T, out *output, want ...string) {
+	t.Helper()
+	rest := out.String()
+	for _, message := range want {
+		_, after, found := strings.Cut(rest, "msg="+message+" ")
+		if !found {
+			t.Fatalf("got no message %s in its place, want %s in order; it said %s", message, want, out)
+		}
+		rest = after
+	}
 }
 
 // While it leaves the program answers what it holds, whatever further signals come and
@@ -244,7 +260,7 @@
 	signal(syscall.SIGTERM)
 	write(t, path, config[:len(config)/2]) // half written
 	signal(syscall.SIGHUP)
-	eventually(t, "a word of the half file", out, func() bool { return strings.Contains(out.String(), "kept") })
+	eventually(t, "a word of the half file", out, func() bool { return strings.Contains(out.String(), "reload rejected") })
 	signal(syscall.SIGTERM)
 	signal(syscall.SIGINT)
 	close(release)
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -112,7 +112,7 @@
 func (looker) Enabled(context.Context, slog.Level) bool { return true }
 
 func (h looker) Handle(_ context.Context, r slog.Record) error {
-	if r.Message == "discovery: fetch failed" {
+	if r.Message == "endpoint list fetch failed" {
 		select {
 		case see := <-h.see:
 			see()
--- /dev/null
+++ b/internal/agent/discovery_log_test.go
@@ -0,0 +1,60 @@
+package agent
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"ploverreel/internal/agenttest"
+)
+
+// loggingLoop is a loop whose inputs a test handles itself, and what it logs, without times.
+func loggingLoop(t *testing.T, discovery string) (*loop, *bytes.Buffer) {
+	t.Helper()
+	text := &bytes.Buffer{}
+	withoutTime := func(_ []string, attr slog.Attr) slog.Attr {
+		if attr.Key == slog.TimeKey {
+			return slog.Attr{}
+		}
+		return attr
+	}
+	log := slog.New(slog.NewTextHandler(text, &slog.HandlerOptions{ReplaceAttr: withoutTime}))
+	l, err := newLoop(t.Context(), parse(t, agenttest.Config(discovery, "127.0.0.1:9")), log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, text
+}
+
+func TestLoopLogsHowCallsToDiscoveryEnd(t *testing.T) {
+	notifies := agenttest.ServeLines(t, false, agenttest.EndpointChange)
+	refused := fmt.Sprintf(`"Get \"http://%s/v1/endpoints%%s\": dial tcp %s: connect: connection refused"`, nowhere, nowhere)
+	for _, c := range []struct {
+		name, discovery string
+		call            func(*loop)
+		inputs          int // that the call gives rise to
+		want            string
+	}{
+		{"fetch refused", nowhere, (*loop).startFetch, 1,
+			`level=WARN msg="endpoint list fetch failed" err=` + fmt.Sprintf(refused, "") + " discovery=" + nowhere},
+		{"watch refused", nowhere, (*loop).openWatch, 1,
+			`level=WARN msg="endpoint list watch failed" err=` + fmt.Sprintf(refused, "?follow=1&since=1") + " discovery=" + nowhere},
+		{"watch ended after a list", notifies, (*loop).openWatch, 2,
+			`level=WARN msg="endpoint list watch ended" err=EOF discovery=` + notifies},
+		{"address changed", nowhere, func(l *loop) { l.switchDiscovery("127.0.0.1:2") }, 0,
+			`level=INFO msg="discovery address changed" previous=` + nowhere + " discovery=127.0.0.1:2"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, text := loggingLoop(t, c.discovery)
+			c.call(l)
+			for range c.inputs {
+				l.handle(agenttest.Receive(t, l.inputs, "an input of the call"))
+			}
+			if got := strings.TrimSpace(text.String()); got != c.want {
+				t.Errorf("got line\n%s, want\n%s", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -26,7 +26,7 @@
 	l.watch.fetching = false
 	switch {
 	case in.err != nil:
-		l.log.Warn("discovery: fetch failed", "err", in.err)
+		l.log.Warn("endpoint list fetch failed", "err", in.err, "discovery", l.watch.discovery.Addr())
 		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
 	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
 		l.applyEndpointList(policy.ListFull, &in.list)
@@ -52,11 +52,11 @@
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
 	l.watch.startTimes.unwatched(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
-	l.log.Warn("discovery: watch ended", "err", in.err)
-	how := policy.ListFailed
+	message, how := "endpoint list watch failed", policy.ListFailed
 	if in.endedAfterNotice {
-		how = policy.ListWatchEnded
+		message, how = "endpoint list watch ended", policy.ListWatchEnded
 	}
+	l.log.Warn(message, "err", in.err, "discovery", l.watch.discovery.Addr())
 	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
@@ -85,7 +85,7 @@
 	if addr == former.Addr() {
 		return
 	}
-	l.log.Info("discovery: changed", "from", former.Addr(), "to", addr)
+	l.log.Info("discovery address changed", "previous", former.Addr(), "discovery", addr)
 	former.Close()
 	l.watch.generation++
 	current := discovery.New(l.ctx, addr, former.Placement(), l.discoveryResults(l.watch.generation))
