--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -27,7 +27,7 @@
 	switch {
 	case in.err != nil:
 		l.log.Warn("endpoint list fetch failed", "err", in.err, "discovery", l.watch.discovery.Addr())
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
+		l.notify(&policy.DiscoveryFailed{})
 	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
 		l.applyEndpointList(policy.ListFull, &in.list)
 		l.watch.startTimes.fetched(l.nowMs())
@@ -42,7 +42,7 @@
 	case list.Seq > l.watch.listVersion:
 		l.applyEndpointList(policy.ListDelta, list)
 	default: // nothing new, and yet a sign that discovery is there
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
+		l.notify(&policy.EndpointsUpdated{Kind: policy.ListDelta})
 	}
 	l.watch.startTimes.watched()
 }
@@ -52,12 +52,13 @@
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
 	l.watch.startTimes.unwatched(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
-	message, how := "endpoint list watch failed", policy.ListFailed
 	if in.endedAfterNotice {
-		message, how = "endpoint list watch ended", policy.ListWatchEnded
+		l.log.Warn("endpoint list watch ended", "err", in.err, "discovery", l.watch.discovery.Addr())
+		l.notify(&policy.WatchEnded{})
+	} else {
+		l.log.Warn("endpoint list watch failed", "err", in.err, "discovery", l.watch.discovery.Addr())
+		l.notify(&policy.DiscoveryFailed{})
 	}
-	l.log.Warn(message, "err", in.err, "discovery", l.watch.discovery.Addr())
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
 // openWatch opens a watch for what changed after the list in force, unless one is open.
@@ -118,7 +119,7 @@
 		}
 		l.removeBackend(backend)
 	}
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
+	l.notify(&policy.EndpointsUpdated{Kind: kind, Entries: entries})
 	usable := false
 	for _, backend := range l.backends {
 		usable = usable || backend.usable
--- a/internal/agent/watch_test.go
+++ b/internal/agent/watch_test.go
@@ -35,7 +35,7 @@
 		}
 		l.handle(failed)
 		for _, a := range l.actions {
-			if a.Kind == policy.ActionTimer {
+			if a.Kind == policy.ActionSetTimer {
 				return config.Milliseconds(a.DelayMs)
 			}
 		}
