--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -16,7 +16,7 @@
 
 // New configurations in quick succession, each of which moves discovery, the last one back to the
 // first address: the calls of each end with it, and only what the last one delivers counts.
-func TestDiscoveryMovesInQuickSuccession(t *testing.T) {
+func TestReloadsThatMoveDiscoveryEndItsCallsAndResults(t *testing.T) {
 	l, err := newLoop(t.Context(), parse(t, agenttest.Config("127.0.0.1:1", "127.0.0.1:9")), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		select {
 		case <-client.Done():
 		default:
-			t.Fatalf("the calls of %s go on", client.Addr())
+			t.Fatalf("got calls of %s that go on, want them ended", client.Addr())
 		}
 		for _, in := range []input{
 			watchEvent{generation: generation, list: listOf(100, true, draining)},
@@ -44,7 +44,7 @@
 			l.handle(in)
 		}
 		if b := l.backends[endpointlist.AddressOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
-			t.Fatalf("what %s delivers counts, though discovery has moved", client.Addr())
+			t.Fatalf("got a change by what %s delivers, want none once discovery has moved", client.Addr())
 		}
 	}
 	if now := l.watch.discovery; now.Addr() != "127.0.0.1:1" || now.Placement() != discovery.Local {
@@ -53,14 +53,14 @@
 	// A lower version than the first time, as it may have begun anew.
 	l.handle(watchEvent{generation: l.watch.generation, list: listOf(3, true, draining)})
 	if b := l.backends[endpointlist.AddressOf("s-0")]; l.watch.listVersion != 3 || b != nil && b.usable {
-		t.Fatal("what the discovery now called delivers does not count")
+		t.Fatalf("got list version %d and backend %+v, want 3 and none that is usable", l.watch.listVersion, b)
 	}
 	l.watch.discovery.Close()
 }
 
 // What a list takes from use gets nothing from the moment that it is applied, however long the agent
 // was suspended before: what has not begun never does, and all that begins later goes elsewhere.
-func TestHeldUpListWithdraws(t *testing.T) {
+func TestEndpointListWithdrawsAttemptsNotBegun(t *testing.T) {
 	for name, list := range map[string]endpointlist.List{
 		"draining":     listOf(2, false, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
 		"gone":         listOf(2, false, endpointlist.Host{Host: "s-0", Health: "gone"}),
@@ -73,12 +73,12 @@
 			b.attempts[waits] = struct{}{}
 			l.handle(watchEvent{list: list})
 			if waits.begin() {
-				t.Fatal("an attempt begins after the list")
+				t.Fatal("got an attempt that begins after the list, want it withdrawn")
 			}
 			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
 			for _, a := range l.actions {
 				if a.Kind == policy.ActionSendAttempt {
-					t.Fatalf("sends %+v", a)
+					t.Fatalf("got action %+v, want nothing sent", a)
 				}
 			}
 		})
@@ -87,7 +87,7 @@
 
 // A watch that is opened anew asks for what changed since the list at hand, whatever ended it, and
 // so does the first one of a process: the whole list is asked for only of a discovery that is new.
-func TestWatchesAskForChangesAlone(t *testing.T) {
+func TestWatchResumesFromTheListInForce(t *testing.T) {
 	calls := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RequestURI() // and the watch ends
@@ -97,14 +97,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, lost := range []bool{true, false, true, false} {
+	for i, endedAfterNotice := range []bool{true, false, true, false} {
 		seq := int64(5 + i)
 		l.handle(watchEvent{list: listOf(seq, false)})
-		l.handle(watchEnded{err: io.EOF, endedAfterNotice: lost})
+		l.handle(watchEnded{err: io.EOF, endedAfterNotice: endedAfterNotice})
 		l.actions = append(l.actions[:0], policy.OpenWatch())
 		l.perform()
 		if l.watch.fetching || !l.watch.watching {
-			t.Fatal("fetches the whole list, or watches no more")
+			t.Fatalf("got fetching %v and watching %v, want a watch alone", l.watch.fetching, l.watch.watching)
 		}
 		got, want := agenttest.Receive(t, calls, "a watch"), fmt.Sprint("/v1/endpoints?follow=1&since=", seq)
 		if got != want {
--- a/internal/agent/watch_test.go
+++ b/internal/agent/endpoints_test.go
@@ -17,34 +17,38 @@
 
 // A list that brings nothing new still notifies the module that discovery is there: else the failures
 // of a discovery that was down go on counting, and a watch that ends is opened again seconds later.
-func TestNothingNewEndsTheFailures(t *testing.T) {
+func TestListWithoutNewsEndsTheBackoff(t *testing.T) {
 	conf := agenttest.Config(nowhere)
-	conf["settings"].(map[string]any)["membershipMode"] = "on_request"
-	c := parse(t, conf)
-	wait := func(posted bool) time.Duration {
-		l, err := newLoop(t.Context(), c, slog.New(slog.DiscardHandler))
-		if err != nil {
-			t.Fatal(err)
-		}
-		failed := watchEnded{err: io.EOF}
-		for range 6 {
-			l.handle(failed)
-		}
-		if posted {
-			l.handle(watchEvent{list: endpointlist.List{Seq: l.watch.listVersion, Hosts: []endpointlist.Host{}}})
-		}
+	conf["settings"].(map[string]any)["membershipMode"] = policy.MembershipOnRequest
+	silent, heard := backoffAfterFailures(t, conf, false), backoffAfterFailures(t, conf, true)
+	if silent < time.Second || heard > time.Second {
+		t.Fatalf("got a backoff of %v, and %v after a list without news, want at least and at most a second", silent, heard)
+	}
+}
+
+// backoffAfterFailures returns how long the module waits for its next call after seven failed ones,
+// before the last of which a list without news came, or none did.
+func backoffAfterFailures(t *testing.T, conf map[string]any, listBeforeLast bool) time.Duration {
+	t.Helper()
+	l, err := newLoop(t.Context(), parse(t, conf), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	failed := watchEnded{err: io.EOF}
+	for range 6 {
 		l.handle(failed)
-		for _, a := range l.actions {
-			if a.Kind == policy.ActionSetTimer {
-				return config.Milliseconds(a.DelayMs)
-			}
-		}
-		t.Fatalf("no call follows: %+v", l.actions)
-		return 0
 	}
-	if before, now := wait(false), wait(true); before < time.Second || now > time.Second {
-		t.Fatalf("a failed call waits for %v, and %v once discovery spoke", before, now)
+	if listBeforeLast {
+		l.handle(watchEvent{list: endpointlist.List{Seq: l.watch.listVersion, Hosts: []endpointlist.Host{}}})
+	}
+	l.handle(failed)
+	for _, action := range l.actions {
+		if action.Kind == policy.ActionSetTimer {
+			return config.Milliseconds(action.DelayMs)
+		}
 	}
+	t.Fatalf("got actions %+v, want a timer among them", l.actions)
+	return 0
 }
 
 // A discovery on the agent's own machine answers at once, so a call to which nothing comes is given up
--- a/internal/agent/reload_errors_test.go
+++ b/internal/agent/reload_errors_test.go
@@ -7,8 +7,8 @@
 	"ploverreel/internal/agenttest"
 )
 
-// The errors of a reload name the field too, word for word.
-func TestReloadErrorTexts(t *testing.T) {
+// The texts are an interface: they are pinned word for word.
+func TestReloadErrorIsOneLineWithTheField(t *testing.T) {
 	a, _, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
 	for _, c := range []struct {
 		name  string
@@ -27,16 +27,19 @@
 			conf := agenttest.Config(nowhere, "127.0.0.1:1")
 			agenttest.Set(conf, c.value, c.path...)
 			if err := a.Reload(parse(t, conf)); err == nil || err.Error() != c.want {
-				t.Errorf("said\n%v, want\n%s", err, c.want)
+				t.Errorf("got error\n%v, want\n%s", err, c.want)
 			}
 		})
 	}
+}
+
+func TestReloadOfAStoppedAgentFails(t *testing.T) {
 	ended, err := New(parse(t, agenttest.Config(nowhere)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended.stop()
 	if err := ended.Reload(parse(t, agenttest.Config(nowhere))); err == nil || err.Error() != "config: the agent has ended" {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("got error %v, want config: the agent has ended", err)
 	}
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -1,22 +1,18 @@
 package config_test
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
-	"io"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"ploverreel/internal/agenttest"
 	"ploverreel/internal/config"
-	"ploverreel/internal/endpointlist"
 	"ploverreel/internal/fielderror"
 )
 
-// Each error of a configuration is one line with the path of its field, word for word.
-func TestConfigErrorTexts(t *testing.T) {
+// The texts are an interface: they are pinned word for word.
+func TestParseErrorIsOneLineWithTheField(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
@@ -53,102 +49,71 @@
 		{"known host's health", "well", []any{"known", "hosts", 0, "health"}, `config: known: hosts[0].health: unknown word "well"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conf := agenttest.Config("127.0.0.1:1", "127.0.0.1:1")
-			text, _ := json.Marshal(conf)
-			if err := json.Unmarshal(text, &conf); err != nil {
-				t.Fatal(err)
-			}
-			agenttest.Set(conf, c.value, c.path...)
-			text, _ = json.Marshal(conf)
-			_, err := config.Parse(text)
+			object := agenttest.Config("127.0.0.1:1", "127.0.0.1:1")
+			agenttest.Set(object, c.value, c.path...)
+			_, err := config.Parse(marshal(t, object))
 			if err == nil || err.Error() != c.want {
-				t.Errorf("said\n%v, want\n%s", err, c.want)
+				t.Errorf("got error\n%v, want\n%s", err, c.want)
 			}
 			var field *fielderror.Error
 			if !errors.As(err, &field) || "config: "+field.Field+": "+field.Reason != c.want {
-				t.Errorf("field and reason are %+v, want those of %s", field, c.want)
+				t.Errorf("got field and reason %+v, want those of %s", field, c.want)
 			}
 		})
 	}
 }
 
-// So is each error of a text that is no configuration, and of a file that can't be read.
-func TestUnreadableConfigErrorTexts(t *testing.T) {
-	if _, err := config.Parse([]byte("{")); err == nil || err.Error() != "config: no JSON: unexpected end of JSON input" {
-		t.Errorf("half a configuration: %v", err)
-	}
-	if _, err := config.Parse([]byte("[]")); err == nil || err.Error() != "config: : cannot be a array" {
-		t.Errorf("a list: %v", err)
-	}
-	if _, err := config.Load(""); err == nil || err.Error() != "EDGE_CONFIG: not set" {
-		t.Errorf("no path: %v", err)
-	}
-	path := filepath.Join(t.TempDir(), "none")
-	if _, err := config.Load(path); err == nil || err.Error() != "EDGE_CONFIG: open "+path+": no such file or directory" {
-		t.Errorf("no file: %v", err)
-	}
-}
-
-// The field of an error is the path, also below a part that is checked by itself.
-func TestFieldsOfConfigErrors(t *testing.T) {
+func TestParseAndLoadErrorsOfUnreadableText(t *testing.T) {
+	missing := filepath.Join(t.TempDir(), "none")
+	parse := func(text string) error { _, err := config.Parse([]byte(text)); return err }
+	load := func(path string) error { _, err := config.Load(path); return err }
 	for _, c := range []struct {
+		name string
 		err  error
 		want string
 	}{
-		{fielderror.In("listen", endpointlist.CheckAddress("here")), "listen"},
-		{fielderror.In("known", (&endpointlist.List{}).Validate()), "known: hosts"},
-		{fielderror.In("known", fmt.Errorf("json: %w", io.EOF)), "known"},
-		{fielderror.OfSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
-		{fielderror.OfSettings(errors.New("settings: no colon behind")), "settings"},
-		{fielderror.In("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
+		{"half a text", parse("{"), "config: no JSON: unexpected end of JSON input"},
+		{"JSON of another kind", parse("[]"), "config: : cannot be a array"},
+		{"no path", load(""), "EDGE_CONFIG: not set"},
+		{"no file at the path", load(missing), "EDGE_CONFIG: open " + missing + ": no such file or directory"},
 	} {
-		t.Run(c.want, func(t *testing.T) {
-			var field *fielderror.Error
-			if !errors.As(c.err, &field) || field.Field != c.want {
-				t.Errorf("%v is of the field %q", c.err, field.Field)
+		t.Run(c.name, func(t *testing.T) {
+			if c.err == nil || c.err.Error() != c.want {
+				t.Errorf("got error %v, want %s", c.err, c.want)
 			}
 		})
 	}
-	if err := fielderror.In("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) || fielderror.In("x", nil) != nil || fielderror.OfSettings(nil) != nil {
-		t.Error("the cause is lost, or none is an error")
-	}
 }
 
-// Errors of a configuration name the field.
-func TestConfigErrors(t *testing.T) {
-	for key, change := range map[string]func(c map[string]any){
-		"name":             func(c map[string]any) { delete(c, "name") },
-		"listen":           func(c map[string]any) { c["listen"] = "here" },
-		"discovery":        func(c map[string]any) { c["discovery"] = "127.0.0.1:http" },
-		"seed":             func(c map[string]any) { c["seed"] = "xyz" },
-		"limits.cores":     func(c map[string]any) { c["limits"].(map[string]any)["cores"] = 0 },
-		"limits.memory_mb": func(c map[string]any) { c["limits"].(map[string]any)["memory_mb"] = -1 },
-		"limits.sockets":   func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = "many" },
-		"settings":         func(c map[string]any) { delete(c, "settings") },
-		"failureDomains":   func(c map[string]any) { c["settings"].(map[string]any)["failureDomains"] = 1 },
-		"classes[0].effect": func(c map[string]any) {
-			c["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any)["effect"] = "?"
-		},
-		"classes[0].name": func(c map[string]any) {
-			delete(c["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any), "name")
-		},
-		"membershipMode":       func(c map[string]any) { c["settings"].(map[string]any)["membershipMode"] = "?" },
-		"contract.coldMs":      func(c map[string]any) { c["settings"].(map[string]any)["contract"].(map[string]any)["coldMs"] = -1 },
-		"known: hosts[0].dial": func(c map[string]any) { c["known"].(map[string]any)["hosts"] = []any{agenttest.Host(0, "x", "ready")} },
-		"known: hosts[0].health": func(c map[string]any) {
-			c["known"].(map[string]any)["hosts"] = []any{agenttest.Host(0, "127.0.0.1:1", "well")}
-		},
+func TestParseErrorNamesTheInvalidKey(t *testing.T) {
+	for _, c := range []struct {
+		key   string
+		value any
+		path  []any
+	}{
+		{"name", nil, []any{"name"}},
+		{"listen", "here", []any{"listen"}},
+		{"discovery", "127.0.0.1:http", []any{"discovery"}},
+		{"seed", "xyz", []any{"seed"}},
+		{"limits.cores", 0, []any{"limits", "cores"}},
+		{"limits.memory_mb", -1, []any{"limits", "memory_mb"}},
+		{"limits.sockets", "many", []any{"limits", "sockets"}},
+		{"settings", nil, []any{"settings"}},
+		{"failureDomains", 1, []any{"settings", "failureDomains"}},
+		{"classes[0].effect", "?", []any{"settings", "classes", 0, "effect"}},
+		{"classes[0].name", nil, []any{"settings", "classes", 0, "name"}},
+		{"membershipMode", "?", []any{"settings", "membershipMode"}},
+		{"contract.coldMs", -1, []any{"settings", "contract", "coldMs"}},
+		{"known: hosts[0].dial", []any{agenttest.Host(0, "x", "ready")}, []any{"known", "hosts"}},
+		{"known: hosts[0].health", []any{agenttest.Host(0, "127.0.0.1:1", "well")}, []any{"known", "hosts"}},
 	} {
-		t.Run(key, func(t *testing.T) {
-			conf := agenttest.Config("127.0.0.1:1")
-			change(conf)
-			text, _ := json.Marshal(conf)
-			if _, err := config.Parse(text); err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("said %v", err)
+		t.Run(c.key, func(t *testing.T) {
+			object := agenttest.Config("127.0.0.1:1")
+			agenttest.Set(object, c.value, c.path...)
+			_, err := config.Parse(marshal(t, object))
+			if err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got error %v, want one line that names %s", err, c.key)
 			}
 		})
 	}
-	if _, err := config.Parse([]byte("{")); err == nil {
-		t.Error("half a configuration was taken")
-	}
 }
--- /dev/null
+++ b/internal/fielderror/fielderror_test.go
@@ -0,0 +1,42 @@
+package fielderror_test
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"testing"
+
+	"ploverreel/internal/fielderror"
+)
+
+// The field of an error is the whole path, also below a part that is checked by itself.
+func TestErrorNamesFieldByItsPath(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		err  error
+		want string
+	}{
+		{"plain error", fielderror.In("listen", errors.New(`no address with a port: "here"`)), "listen"},
+		{"error of a field within", fielderror.In("known", fielderror.Errorf("hosts", "missing")), "known: hosts"},
+		{"error that wraps another", fielderror.In("known", fmt.Errorf("json: %w", io.EOF)), "known"},
+		{"error of settings with a field", fielderror.OfSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
+		{"error of settings without a field", fielderror.OfSettings(errors.New("settings: no colon behind")), "settings"},
+		{"error with a field behind other text", fielderror.In("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var field *fielderror.Error
+			if !errors.As(c.err, &field) || field.Field != c.want {
+				t.Errorf("got field %q of %v, want %q", field.Field, c.err, c.want)
+			}
+		})
+	}
+}
+
+func TestErrorKeepsItsCause(t *testing.T) {
+	if err := fielderror.In("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) {
+		t.Errorf("got %v, want an error that wraps %v", err, io.EOF)
+	}
+	if in, settings := fielderror.In("x", nil), fielderror.OfSettings(nil); in != nil || settings != nil {
+		t.Errorf("got errors %v and %v of none, want none", in, settings)
+	}
+}
