--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -65,7 +65,7 @@
 func (l *loop) openWatch() {
 	if !l.watch.watching {
 		l.watch.watching = true
-		go l.watch.discovery.Watch(l.watch.listVersion, false)
+		go l.watch.discovery.Watch(l.watch.listVersion, discovery.NoRetry)
 	}
 }
 
@@ -73,7 +73,7 @@
 func (l *loop) startFetch() {
 	if !l.watch.fetching {
 		l.watch.fetching = true
-		go l.watch.discovery.Fetch(false)
+		go l.watch.discovery.Fetch(discovery.NoRetry)
 	}
 }
 
@@ -93,8 +93,8 @@
 	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.watch.startTimes.unwatched(l.nowMs(), 0)
-	go current.Fetch(true)
-	go current.Watch(0, true)
+	go current.Fetch(discovery.RetryNew)
+	go current.Watch(0, discovery.RetryNew)
 }
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -36,6 +36,17 @@
 	Local
 )
 
+// Retry says what follows a call that fails.
+type Retry bool
+
+const (
+	// NoRetry leaves the next call to the caller.
+	NoRetry Retry = false
+	// RetryNew is for a discovery that is new: a call is retried for some seconds, and may be given up
+	// earlier than others, as what a new discovery has to say soon counts as known.
+	RetryNew Retry = true
+)
+
 // Client calls one discovery.
 //
 // Fetch and Watch block, and each is to be called in a goroutine of its own. Any method may be called
@@ -105,15 +116,14 @@
 // Done returns a channel that is closed once all calls end: by Close, or with the client's context.
 func (c *Client) Done() <-chan struct{} { return c.ctx.Done() }
 
-// Fetch gets the whole list and delivers one Fetched. With isNew, a fetch that fails is retried for
-// some seconds.
-func (c *Client) Fetch(isNew bool) {
+// Fetch gets the whole list and delivers one Fetched, after the last retry.
+func (c *Client) Fetch(retry Retry) {
 	timeout := fetchTimeout
-	if isNew {
+	if retry == RetryNew {
 		timeout = newCallTimeout
 	}
 	var list endpointlist.List
-	err := c.retryWhileNew(isNew, func() (err error) {
+	err := c.withRetry(retry, func() (err error) {
 		list, err = c.fetchOnce(timeout)
 		return err
 	})
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client, results := newClient(t, agenttest.ServeLines(t, false, c.text), Shared)
-			client.Fetch(false)
+			client.Fetch(NoRetry)
 			got := next[Fetched](t, results)
 			if failed := got.Err != nil; failed != c.fails {
 				t.Fatalf("got error %v, want one: %v", got.Err, c.fails)
@@ -48,7 +48,7 @@
 	server := httptest.NewServer(http.RedirectHandler("http://"+elsewhere.Addr, http.StatusFound))
 	defer server.Close()
 	client, results := newClient(t, server.Listener.Addr().String(), Shared)
-	client.Watch(1, false)
+	client.Watch(1, NoRetry)
 	if got := next[WatchEnded](t, results); got.Err == nil || len(elsewhere.Calls) > 0 {
 		t.Fatalf("got error %v and %d calls elsewhere, want an error and none", got.Err, len(elsewhere.Calls))
 	}
@@ -67,7 +67,7 @@
 	}))
 	t.Cleanup(server.Close)
 	client, results := newClient(t, server.Listener.Addr().String(), Shared)
-	client.Watch(0, true)
+	client.Watch(0, RetryNew)
 	if got := next[WatchEvent](t, results).List.Seq; got != 2 {
 		t.Fatalf("got list %d, want 2", got)
 	}
@@ -90,10 +90,10 @@
 			var err error
 			if call == "watch" {
 				client.firstWordTimeout = time.Millisecond
-				go client.Watch(1, false)
+				go client.Watch(1, NoRetry)
 				err = next[WatchEnded](t, results).Err
 			} else {
-				go client.Fetch(false)
+				go client.Fetch(NoRetry)
 				<-dialling
 				client.Close()
 				err = next[Fetched](t, results).Err
@@ -125,7 +125,7 @@
 func TestCloseEndsCalls(t *testing.T) {
 	standIn := agenttest.NewDiscovery(t)
 	client, results := newClient(t, standIn.Addr, Shared)
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	call := agenttest.Receive(t, standIn.Calls, "the call of the watch")
 	select {
 	case <-client.Done():
--- a/internal/discovery/hedged_watch_test.go
+++ b/internal/discovery/hedged_watch_test.go
@@ -46,7 +46,7 @@
 	for _, answered := range []int{0, 1, 2, 3} {
 		t.Run(fmt.Sprint("call ", answered, " is answered"), func(t *testing.T) {
 			client, standIn := newHedgedClient(t, 750*time.Millisecond)
-			go client.Watch(1, false)
+			go client.Watch(1, NoRetry)
 			calls := []*agenttest.DiscoveryCall{agenttest.Receive(t, standIn.Calls, "the first call")}
 			for range 3 {
 				if got, want := agenttest.Receive(t, client.delays, "a wait"), 750*time.Millisecond; got != want {
@@ -93,7 +93,7 @@
 	defer silent.Close()
 	client, results := newClient(t, silent.Addr().String(), Local)
 	client.firstWordTimeout, client.hedgeDelay = 50*time.Millisecond, time.Millisecond
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.EndedAfterNotice {
 		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
 	}
@@ -101,7 +101,7 @@
 
 func TestHedgedWatchFailsWithOneOfItsCalls(t *testing.T) {
 	client, standIn := newHedgedClient(t, time.Second)
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	first := agenttest.Receive(t, standIn.Calls, "the first call")
 	client.hedge <- time.Time{}
 	second := agenttest.Receive(t, standIn.Calls, "the second call")
@@ -115,7 +115,7 @@
 // Where each call is work for discovery, there is one at a time.
 func TestSharedDiscoveryIsCalledOnceAtATime(t *testing.T) {
 	client, standIn := newHedgedClient(t, 0)
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	call := agenttest.Receive(t, standIn.Calls, "the call")
 	call.Write <- emptyList
 	client.nextVersion(t)
--- a/internal/discovery/local_failure_test.go
+++ b/internal/discovery/local_failure_test.go
@@ -37,10 +37,10 @@
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN} {
 		for name, call := range map[string]func(*Client){
-			"watch":                      func(c *Client) { c.Watch(1, false) },
-			"watch of a new discovery":   func(c *Client) { c.Watch(1, true) },
-			"fetch":                      func(c *Client) { c.Fetch(false) },
-			"fetch from a new discovery": func(c *Client) { c.Fetch(true) },
+			"watch":                      func(c *Client) { c.Watch(1, NoRetry) },
+			"watch of a new discovery":   func(c *Client) { c.Watch(1, RetryNew) },
+			"fetch":                      func(c *Client) { c.Fetch(NoRetry) },
+			"fetch from a new discovery": func(c *Client) { c.Fetch(RetryNew) },
 		} {
 			t.Run(errno.Error()+" "+name, func(t *testing.T) {
 				client, results := newClient(t, agenttest.ServeLines(t, false, `{"seq":2,"whole":true,"hosts":[]}`), Shared)
@@ -107,7 +107,7 @@
 			dialer := &failingDialer{failures: 1, err: err}
 			client.dial = dialer.connect
 			client.pause = func(time.Duration) bool { t.Error("got a pause, want none"); return false }
-			client.Watch(1, false)
+			client.Watch(1, NoRetry)
 			if got := next[WatchEnded](t, results); got.Err == nil || got.EndedAfterNotice || dialer.connects != 1 {
 				t.Fatalf("got %+v after %d connects, want a failure after 1", got, dialer.connects)
 			}
@@ -126,7 +126,7 @@
 		}
 		return nil, failedConnect(syscall.ENFILE)
 	}
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	<-failing
 	client.Close()
 	next[WatchEnded](t, results)
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -9,13 +9,13 @@
 	"ploverreel/internal/socket"
 )
 
-// retryWhileNew makes a call until it succeeds: for newRetryTime if the discovery is new, else once.
-// It returns the last error.
-func (c *Client) retryWhileNew(isNew bool, call func() error) error {
+// withRetry makes a call until it succeeds: for newRetryTime with RetryNew, else once. It returns the
+// last error.
+func (c *Client) withRetry(retry Retry, call func() error) error {
 	end := time.Now().Add(newRetryTime)
 	for {
 		err := c.untilSent(call)
-		if err == nil || !isNew || time.Now().After(end) || !c.pause(newRetryInterval) {
+		if err == nil || retry == NoRetry || time.Now().After(end) || !c.pause(newRetryInterval) {
 			return err
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,11 +19,11 @@
 
 // Watch follows the changes after the version since until the connection ends, falls silent or
 // delivers a line that is no list. It delivers a WatchEvent for each list as it comes, then one
-// WatchEnded. With isNew, a watch that fails before it delivers a list is retried for some seconds.
-func (c *Client) Watch(since int64, isNew bool) {
+// WatchEnded. Only a watch that fails before it delivers a list is retried.
+func (c *Client) Watch(since int64, retry Retry) {
 	var result watchResult
-	_ = c.retryWhileNew(isNew, func() error {
-		result = c.watchHedged(since, isNew)
+	_ = c.withRetry(retry, func() error {
+		result = c.watchHedged(since, retry)
 		if result.notified {
 			return nil
 		}
@@ -47,9 +47,9 @@
 
 // watchHedged is one watch, whatever the number of its calls. A new discovery that is shared is not
 // waited for longer than newCallTimeout before it is called again.
-func (c *Client) watchHedged(since int64, isNew bool) watchResult {
+func (c *Client) watchHedged(since int64, retry Retry) watchResult {
 	hedged := &hedgedWatch{client: c, since: since, firstWord: c.firstWordTimeout}
-	if isNew && c.hedgeDelay == 0 {
+	if retry == RetryNew && c.hedgeDelay == 0 {
 		hedged.firstWord = min(hedged.firstWord, newCallTimeout)
 	}
 	return hedged.run(c.hedgeDelay)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	standIn := agenttest.NewDiscovery(t)
 	client, results := newClient(t, standIn.Addr, Shared)
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	return agenttest.Receive(t, standIn.Calls, "the call of the watch"), results
 }
 
@@ -47,7 +47,7 @@
 func TestWatchEndsAtInvalidListAfterTheListsBefore(t *testing.T) {
 	client, results := newClient(t, agenttest.ServeLines(t, true, "", agenttest.EndpointChange,
 		`{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`), Shared)
-	client.Watch(1, false)
+	client.Watch(1, NoRetry)
 	if got := next[WatchEvent](t, results).List; got.Seq != 2 || got.Hosts[0].Health != "draining" {
 		t.Fatalf("got list %+v, want list 2 with a draining host", got)
 	}
@@ -59,7 +59,7 @@
 func TestWatchEndsWhenSilent(t *testing.T) {
 	client, results := newClient(t, agenttest.ServeLines(t, true, ""), Shared)
 	client.silence = time.Millisecond
-	client.Watch(1, false)
+	client.Watch(1, NoRetry)
 	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errWatchSilent) {
 		t.Fatalf("got error %v, want %v", got, errWatchSilent)
 	}
@@ -73,7 +73,7 @@
 	defer silent.Close()
 	client, results := newClient(t, silent.Addr().String(), Shared)
 	client.firstWordTimeout = time.Millisecond
-	go client.Watch(1, false)
+	go client.Watch(1, NoRetry)
 	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.EndedAfterNotice {
 		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
 	}
@@ -116,7 +116,7 @@
 				}
 				close(call.Write)
 			}()
-			if result := client.watchHedged(1, false); result.endedAfterNotice(c.silence) != c.want {
+			if result := client.watchHedged(1, NoRetry); result.endedAfterNotice(c.silence) != c.want {
 				t.Fatalf("got the opposite, want ended after a notice %v of %+v", c.want, result)
 			}
 		})
