--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -16,6 +16,7 @@
 	"syscall"
 
 	"ploverreel/internal/agent"
+	"ploverreel/internal/clientconn"
 )
 
 func main() {
@@ -50,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	listener, err := agent.Listen(ctx, config.Listen)
+	listener, err := clientconn.Listen(ctx, config.Listen)
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -111,9 +111,8 @@
 	conf := config(nowhere, stub.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = minSockets
 	agent, base, _, _ := start(t, conf)
-	agent.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
-	agent.clients.silentGrace, agent.clients.acquireTimeout = agenttest.Never, agenttest.Never
-	agent.clients.mu.Unlock()
+	// However slow the machine: its clients may write late, its handlers answer late.
+	agent.clients.SetPatience(agenttest.Never, agenttest.Never)
 	const over = 20
 	asked := openRequests(minSockets) + over
 	if asked <= clientSockets(minSockets) {
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -1,9 +1,11 @@
 package agent
 
 import (
+	"bufio"
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"strings"
 	"sync/atomic"
@@ -96,7 +98,7 @@
 			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
 		}
 		conn.Close()
-		agenttest.Eventually(t, "its place free", func() bool { return a.clients.count() == 0 })
+		agenttest.Eventually(t, "its place free", func() bool { return a.clients.Count() == 0 })
 		return string(said)
 	}
 	whole := ask(fault{0, -1, -1}, 1, 1)
@@ -141,3 +143,37 @@
 		}
 	}
 }
+
+// acceptErrnos are errors of accept that say nothing against the listener.
+var acceptErrnos = []syscall.Errno{
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.EPERM, syscall.ENFILE, syscall.EMFILE, syscall.ETIMEDOUT,
+	syscall.EINTR, syscall.ECONNABORTED, syscall.EAGAIN, syscall.EINVAL,
+}
+
+// However accept fails and however often, the agent serves the next connection.
+func TestFailedAcceptsEndNothing(t *testing.T) {
+	addr, _ := counted(t, 200, false)
+	for _, errno := range acceptErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			left := &atomic.Int32{}
+			left.Store(8)
+			_, base, _, ended := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
+			})
+			conn := dial(t, base)
+			io.WriteString(conn, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
+			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+			if err != nil || resp.StatusCode != 200 {
+				t.Fatalf("got %v, %v", resp, err)
+			}
+			select {
+			case err := <-ended:
+				t.Fatalf("the agent ended: %v", err)
+			default:
+			}
+		})
+	}
+}
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/socket"
 )
 
 // leavings are the ways in which a client can disconnect.
@@ -146,7 +145,7 @@
 // stalledConn is a client's connection of which no more than the first bytes are read until it is
 // released.
 type stalledConn struct {
-	*net.TCPConn
+	*trackedConn
 	got     atomic.Bool
 	release chan struct{}
 }
@@ -155,7 +154,7 @@
 	if c.got.Load() {
 		<-c.release
 	}
-	n, err := c.TCPConn.Read(p)
+	n, err := c.trackedConn.Read(p)
 	if n > 0 {
 		c.got.Store(true)
 	}
@@ -163,16 +162,16 @@
 }
 
 type stalledListener struct {
-	net.Listener
+	*trackingListener
 	release chan struct{}
 }
 
 func (l stalledListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	c, err := l.trackingListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &stalledConn{TCPConn: c.(*net.TCPConn), release: l.release}, nil
+	return &stalledConn{trackedConn: c.(*trackedConn), release: l.release}, nil
 }
 
 // lateConnect holds up connects to backends until the test releases them. Only the client's
@@ -188,19 +187,6 @@
 	return dialling, up
 }
 
-// clientEnded waits until a client's close has arrived in the agent's kernel.
-func clientEnded(t *testing.T, agent *Agent) {
-	t.Helper()
-	agenttest.Eventually(t, "the client's end", func() bool {
-		agent.clients.mu.Lock()
-		defer agent.clients.mu.Unlock()
-		for conn := range agent.clients.conns {
-			return socket.PeerClosed(conn.Conn)
-		}
-		return true
-	})
-}
-
 // unopened waits until no request is in progress, and fails the test if a backend got one.
 func unopened(t *testing.T, agent *Agent, came chan string) {
 	t.Helper()
@@ -219,16 +205,17 @@
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
-			read := make(chan struct{})
+			read, clients := make(chan struct{}), &trackingListener{}
 			agent, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
-				return stalledListener{ln, read}
+				clients.Listener = ln
+				return stalledListener{clients, read}
 			})
 			dialling, up := lateConnect(agent)
 			conn := dial(t, base)
 			io.WriteString(conn, raw("order", "left"))
 			<-dialling
 			leave(conn)
-			clientEnded(t, agent)
+			awaitClientClose(t, clients)
 			close(up)
 			unopened(t, agent, came)
 			close(read)
@@ -252,23 +239,22 @@
 					io.WriteString(conn, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
-			agent, base, _, _ := start(t, config(nowhere, addr))
+			agent, base, clients := startTracked(t, config(nowhere, addr))
 			dialling, up := lateConnect(agent)
 			conn := dial(t, base)
-			io.WriteString(conn, raw("order", "p1")+raw("order", "p2"))
+			both := raw("order", "p1") + raw("order", "p2")
+			io.WriteString(conn, both)
 			<-dialling
 			up <- struct{}{}
 			if id := <-got; id != "p1" {
 				t.Fatalf("got %q", id)
 			}
 			io.WriteString(conn, "P") // and not the rest of the third
-			agenttest.Eventually(t, "a byte of the third read", func() bool {
-				return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && socket.Peek(conn.Conn) == socket.PeekNothing })
-			})
+			awaitRead(t, clients, len(both)+1)
 			close(release)
 			<-dialling // the second
 			leave(conn)
-			clientEnded(t, agent)
+			awaitClientClose(t, clients)
 			close(up)
 			unopened(t, agent, got)
 		})
@@ -303,7 +289,7 @@
 		t.Fatalf("the next client was answered %d", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	agenttest.Eventually(t, "all connections ended", func() bool { return agent.clients.count() == 0 })
+	agenttest.Eventually(t, "all connections ended", func() bool { return agent.clients.Count() == 0 })
 	if id := <-came; strings.HasPrefix(id, "left") {
 		t.Fatalf("sent %q on for a client that has left", id)
 	}
@@ -315,19 +301,15 @@
 func TestNothingIsSentForWhoLeftItsRequest(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, came := counted(t, 200, false)
-	agent, base, _, _ := start(t, config(nowhere, addr))
+	agent, base, clients := startTracked(t, config(nowhere, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
 			t.Run(part+" "+how, func(t *testing.T) {
 				conn := dial(t, base)
 				io.WriteString(conn, text)
-				agenttest.Eventually(t, "its part read", func() bool {
-					return onlyConnIs(agent, func(conn *clientConn) bool {
-						return conn.received.Load() && socket.Peek(conn.Conn) == socket.PeekNothing
-					})
-				})
+				awaitRead(t, clients, len(text))
 				leavings[how](conn)
-				agenttest.Eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
+				agenttest.Eventually(t, "its place free", func() bool { return agent.clients.Count() == 0 })
 				unopened(t, agent, came)
 			})
 		}
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/client_table_test.go
@@ -2,117 +2,25 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"testing"
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/clientconn"
 )
 
-// Connections that are silent, idle without end, or stuck in an unfinished request must not keep
-// out a new client: one of them is evicted for it.
-func TestPlacesAreMade(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
-	conf["limits"].(map[string]any)["sockets"] = minSockets
-	for _, kind := range []string{"silent", "idle", "coming"} {
-		t.Run(kind, func(t *testing.T) {
-			agent, base, _, _ := start(t, conf)
-			agent.clients.mu.Lock()
-			agent.clients.maxKeptIdle = clientSockets(minSockets) // all are kept
-			agent.clients.mu.Unlock()
-			for i := range clientSockets(minSockets) {
-				conn := dial(t, base)
-				if kind != "silent" {
-					fmt.Fprintf(conn, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s%d\r\nRequest-Timeout: 30000m\r\nContent-Length: 0\r\n\r\n", kind, i)
-					if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != 200 {
-						t.Fatalf("got %v, %v", resp, err)
-					}
-				}
-				if kind == "coming" {
-					io.WriteString(conn, "P")
-				}
-				agenttest.Eventually(t, "the place taken", func() bool { return agent.clients.count() == i+1 })
-			}
-			if kind != "silent" {
-				// As if all had been at this stage for long.
-				agenttest.Eventually(t, "all "+kind, func() bool {
-					agent.clients.mu.Lock()
-					defer agent.clients.mu.Unlock()
-					for conn := range agent.clients.conns {
-						if conn.stage != stageIdle || conn.head.started != (kind == "coming") {
-							return false
-						}
-					}
-					for conn := range agent.clients.conns {
-						conn.stageSince = conn.stageSince.Add(-clientIdleGrace)
-					}
-					return true
-				})
-			}
-			if status, _, _ := do(t, call(base, "order")); status != 200 {
-				t.Fatalf("answered %d", status)
-			}
-		})
-	}
-}
-
-// A connection with a request in progress, or one just accepted, is never evicted.
-func TestBusyPlacesStay(t *testing.T) {
-	table, now := newClientTable(3, 3), time.Now()
-	for _, s := range []connStage{stageActive, stageActive, stageNew} {
-		server, client := net.Pipe()
-		t.Cleanup(func() { server.Close(); client.Close() })
-		conn := &clientConn{Conn: server, table: table, stage: s, stageSince: now}
-		conn.received.Store(true)
-		if !table.acquire(conn, now) {
-			t.Fatal("no place though there is room")
-		}
-	}
-	server, _ := net.Pipe()
-	next := &clientConn{Conn: server, table: table, stageSince: now}
-	if table.acquire(next, now) || table.count() != 3 {
-		t.Fatal("a connection that is in use was closed")
-	}
-	// As the http server does: read, and close the connection when that read ends.
-	ended := make(chan error, 1)
-	var ending *clientConn
-	for conn := range table.conns {
-		if conn.stage == stageNew {
-			ending = conn
-		}
-	}
-	go func() {
-		_, err := ending.Read(make([]byte, 4096))
-		ended <- err
-	}()
-	if table.acquire(next, now.Add(unfinishedHeadGrace)) || table.count() != 3 {
-		t.Fatal("a place was given twice")
-	}
-	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("its read ended with %v", err)
-	}
-	ending.Close()
-	if !table.acquire(next, now.Add(unfinishedHeadGrace)) || table.count() != 3 {
-		t.Fatal("no place was made of one whose request does not come")
-	}
-}
-
 // Clients that send one request and keep their connections without end must not use up all slots:
-// above maxKeptIdle connections close with their response, and idle ones are reaped.
+// above the limit connections close with their response.
 func TestKeptConnectionsAreBounded(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, addr))
-	agent.clients.mu.Lock()
-	agent.clients.maxKeptIdle = 3
-	agent.clients.mu.Unlock()
+	slots, _ := agent.clients.Limits()
+	agent.clients.Resize(slots, 3)
 	kept := 0
 	for i := range 10 {
 		conn := dial(t, base)
@@ -124,22 +32,11 @@
 		if !resp.Close {
 			kept++
 		}
-		agenttest.Eventually(t, "its end", func() bool { return agent.clients.count() <= 3 })
+		agenttest.Eventually(t, "its end", func() bool { return agent.clients.Count() <= 3 })
 	}
 	if kept != 3 {
 		t.Fatalf("%d connections kept, want 3", kept)
 	}
-	agent.clients.mu.Lock()
-	agent.clients.maxKeptIdle = 2
-	agent.clients.mu.Unlock()
-	agent.clients.reapIdle(time.Now().Add(-time.Hour))
-	if n := agent.clients.count(); n != 3 {
-		t.Fatalf("closed what was not idle for long: %d left", n)
-	}
-	agenttest.Eventually(t, "all idle", func() bool {
-		agent.clients.reapIdle(time.Now().Add(clientIdleGrace))
-		return agent.clients.count() == 0
-	})
 }
 
 // Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
@@ -197,7 +94,7 @@
 
 // Silent connections and incomplete requests end within 3 s of connecting.
 func TestSilenceEnds(t *testing.T) {
-	if headTimeout+bodyTimeout > 2700*time.Millisecond {
+	if clientconn.HeadTimeout+bodyTimeout > 2700*time.Millisecond {
 		t.Fatal("a bad client is owed an end within 3 s")
 	}
 	addr, _ := counted(t, 200, false)
@@ -274,7 +171,7 @@
 	dial(t, base)
 	half := dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
-	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
+	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.Count() == 2 })
 	stop()
 	select {
 	case err := <-ended:
@@ -354,69 +251,3 @@
 		t.Fatalf("told %+v", in)
 	}
 }
-
-// Each connection is in the eviction class that its stage, its age and what was read of it put it
-// in, and lower classes are evicted first.
-func TestEvictionClasses(t *testing.T) {
-	now := time.Now()
-	for _, test := range []struct {
-		name     string
-		conn     *clientConn
-		age      time.Duration
-		received bool
-		want     evictionClass
-	}{
-		{"new and silent for long", &clientConn{stage: stageNew}, silentConnGrace, false, evictSilent},
-		{"new and silent", &clientConn{stage: stageNew}, silentConnGrace - 1, false, notEvictable},
-		{"new with a head in progress", &clientConn{stage: stageNew}, unfinishedHeadGrace - 1, true, notEvictable},
-		{"new with an unfinished head", &clientConn{stage: stageNew}, unfinishedHeadGrace, true, evictUnfinishedHead},
-		{"idle", &clientConn{stage: stageIdle}, clientIdleGrace - 1, true, evictIdle},
-		{"idle for long", &clientConn{stage: stageIdle}, clientIdleGrace, true, evictLongIdle},
-		{"idle with a head in progress", &clientConn{stage: stageIdle, head: headState{started: true}}, unfinishedHeadGrace - 1, true, notEvictable},
-		{"idle with an unfinished head", &clientConn{stage: stageIdle, head: headState{started: true}}, clientIdleGrace, true, evictUnfinishedHead},
-		{"active", &clientConn{stage: stageActive}, time.Hour, true, notEvictable},
-		{"rejected", &clientConn{stage: stageRejected, responseWritten: true}, 0, true, evictRejected},
-		{"rejected, response in progress", &clientConn{stage: stageRejected}, time.Hour, true, notEvictable},
-		{"closing", &clientConn{stage: stageIdle, closing: true}, time.Hour, true, notEvictable},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			test.conn.stageSince = now.Add(-test.age)
-			test.conn.received.Store(test.received)
-			if got := newClientTable(1, 1).evictionClass(test.conn, now); got != test.want {
-				t.Errorf("got class %d, want %d", got, test.want)
-			}
-		})
-	}
-}
-
-// Of several connections the one of the lowest class is evicted, and of one class that which is at
-// its stage for longest.
-func TestEvictionOrder(t *testing.T) {
-	now, table := time.Now(), newClientTable(10, 10)
-	add := func(conn *clientConn, age time.Duration, received bool) *clientConn {
-		server, client := net.Pipe()
-		t.Cleanup(func() { server.Close(); client.Close() })
-		conn.Conn, conn.table, conn.stageSince = server, table, now.Add(-age)
-		conn.received.Store(received)
-		table.conns[conn] = struct{}{}
-		return conn
-	}
-	add(&clientConn{stage: stageActive}, time.Hour, true)
-	want := []*clientConn{
-		add(&clientConn{stage: stageIdle}, clientIdleGrace+1, true),
-		add(&clientConn{stage: stageIdle}, clientIdleGrace, true),
-		add(&clientConn{stage: stageNew}, time.Hour, false),
-		add(&clientConn{stage: stageRejected, responseWritten: true}, 0, true),
-		add(&clientConn{stage: stageNew}, time.Hour, true),
-		add(&clientConn{stage: stageIdle}, 0, true),
-	}
-	for i, conn := range want {
-		if got := table.evictionCandidate(now); got != conn {
-			t.Errorf("candidate %d: got %+v, want %+v", i, got, conn)
-		}
-		delete(table.conns, conn)
-	}
-	if got := table.evictionCandidate(now); got != nil {
-		t.Errorf("got %+v, which is active", got)
-	}
-}
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,6 +12,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/clientconn"
 )
 
 // stopped is an agent whose loop doesn't run and has its queue full.
@@ -214,7 +214,7 @@
 	first := ask("before")
 	<-told
 	late := dial(t, base)
-	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.count() == 2 })
+	agenttest.Eventually(t, "both accepted", func() bool { return agent.clients.Count() == 2 })
 	stop()
 	call := <-calls
 	_ = late.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -271,33 +271,11 @@
 				if test.status == "503" && !strings.Contains(said, "Retry-After: 0.6\r\n") {
 					t.Fatalf("said %q", said)
 				}
-				// clientKeepAlive is 15 s; TestSilenceEnds checks the 3 s by the constants.
-				if took := time.Since(began); took > clientKeepAlive-2*time.Second {
+				// clientconn.KeepAliveTimeout is 15 s; TestSilenceEnds checks the 3 s by the constants.
+				if took := time.Since(began); took > clientconn.KeepAliveTimeout-2*time.Second {
 					t.Fatalf("took %v", took)
 				}
 			})
 		}
 	}
 }
-
-// A head's deadline counts from its first byte, however slowly the others arrive.
-func TestDrippingHeadsEnd(t *testing.T) {
-	server, client := net.Pipe()
-	t.Cleanup(func() { server.Close(); client.Close() })
-	table := newClientTable(1, 1)
-	conn := &clientConn{Conn: server, table: table, stage: stageIdle, stageSince: time.Now().Add(-time.Hour), head: headState{bufferSize: 4096}}
-	var by time.Time
-	for i := range 3 {
-		_ = conn.SetReadDeadline(time.Now().Add(clientKeepAlive)) // as the server does at each stage
-		go func() { _, _ = client.Write([]byte("P")) }()
-		if n, err := conn.Read(make([]byte, 4096-i)); n != 1 || err != nil {
-			t.Fatalf("read %d, %v", n, err)
-		}
-		if i == 0 {
-			by = conn.head.deadline
-		}
-		if conn.head.deadline != by || by.IsZero() || time.Until(by) > headTimeout {
-			t.Fatalf("the head may come until %v, at its first byte until %v", conn.head.deadline, by)
-		}
-	}
-}
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -52,7 +52,7 @@
 	}
 	defer a.bodyBytes.Add(-int64(len(req.body)))
 	if client != nil {
-		req.client = client.Conn
+		req.client = client.NetConn()
 	}
 	if !a.hasTimeFor(req) {
 		a.writeNotRun(w, config)
@@ -64,12 +64,12 @@
 // beginRequest takes the request of a client's connection, which is nil in tests that call the
 // handler alone. It returns when the request was received: when its head was read, if that is
 // known, and not when the handler came to run, as the client's deadline doesn't wait for that.
-func (a *Agent) beginRequest(w http.ResponseWriter, client *clientConn) time.Time {
+func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
 		return now
 	}
-	receivedAt, last := a.clients.beginRequest(client)
+	receivedAt, last := client.BeginRequest()
 	if last {
 		w.Header().Set("Connection", "close")
 	}
@@ -174,7 +174,7 @@
 	invalid := &requestError{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &invalid)
 	if client := clientConnOf(r); client != nil {
-		a.clients.setStage(client, stageRejected)
+		client.MarkRejected()
 	}
 	// The server reads the rest of the body before it closes the connection.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -212,7 +212,7 @@
 
 // writeResponse writes a final response as its HTTP status.
 func (a *Agent) writeResponse(w http.ResponseWriter, response response) {
-	if !a.clients.mayKeepAlive() {
+	if !a.clients.MayKeepAlive() {
 		w.Header().Set("Connection", "close")
 	}
 	switch response.status {
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -12,7 +12,8 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // config is a complete configuration whose endpoint list has the backends as s-0, s-1, ...
@@ -154,41 +155,14 @@
 // dial opens a client's connection by hand.
 func dial(t *testing.T, base string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	return conn
-}
-
-// onlyConnIs reports whether the agent has a client connection that meets a condition, which is
-// called under the table's lock. It is for tests with one connection.
-func onlyConnIs(agent *Agent, condition func(conn *clientConn) bool) bool {
-	agent.clients.mu.Lock()
-	defer agent.clients.mu.Unlock()
-	for conn := range agent.clients.conns {
-		return condition(conn)
-	}
-	return false
+	return agenttest.Dial(t, base)
 }
 
 // answered reads all that comes on a connection until it ends.
-func answered(t *testing.T, c net.Conn) string {
+func answered(t *testing.T, conn net.Conn) string {
 	t.Helper()
-	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	text, err := io.ReadAll(c)
-	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Fatalf("neither an end nor an error; it said %q", text)
-	}
-	return string(text)
+	return agenttest.ReadToEnd(t, conn)
 }
 
 // raw is the text of a complete request without a body.
-func raw(class, id string) string {
-	method := http.MethodPost
-	if class == "look" {
-		method = http.MethodGet
-	}
-	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
-}
+func raw(class, id string) string { return agenttest.RequestText(class, id) }
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -78,8 +78,8 @@
 			t.Errorf("%s is answered %d %q", class, status, said)
 		}
 	}
-	if most := a.clients.maxConns; most != clientSockets(512) {
-		t.Errorf("%d places", most)
+	if slots, _ := a.clients.Limits(); slots != clientSockets(512) {
+		t.Errorf("got %d slots for clients, want %d", slots, clientSockets(512))
 	}
 	a.look(func(l *loop) {
 		if l.pool.maxConns != backendSockets(512) || l.seenIDs.keep < 300*time.Second {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -9,6 +9,8 @@
 	"net/http"
 	"sync/atomic"
 	"time"
+
+	"ploverreel/internal/clientconn"
 )
 
 // maxHeadBytes bounds a request's head.
@@ -19,7 +21,7 @@
 type Agent struct {
 	loop    *loop
 	server  *http.Server
-	clients *clientTable
+	clients *clientconn.Table
 	log     *slog.Logger
 	stop    context.CancelFunc // ends the loop
 
@@ -44,7 +46,7 @@
 	}
 	a := &Agent{
 		loop: loop, log: log, stop: stop, startDeadline: config.maxDeadline(),
-		clients:  newClientTable(clientSockets(config.Limits.Sockets), keptSockets(config.Limits.Sockets)),
+		clients:  clientconn.NewTable(clientSockets(config.Limits.Sockets), keptSockets(config.Limits.Sockets)),
 		lastCall: make(chan struct{}), after: time.AfterFunc,
 	}
 	a.config.Store(config)
@@ -56,9 +58,17 @@
 // connKey is the key of the client's connection in the context of a request.
 type connKey struct{}
 
-// clientConnOf returns the connection that a request came on; nil: not one of a clientListener.
-func clientConnOf(r *http.Request) *clientConn {
-	client, _ := r.Context().Value(connKey{}).(*clientConn)
+// clientConn is what the handler needs of the connection that a request came on. It is a
+// *clientconn.Conn, or a stand-in of a test.
+type clientConn interface {
+	BeginRequest() (receivedAt time.Time, last bool)
+	MarkRejected()
+	NetConn() net.Conn
+}
+
+// clientConnOf returns the connection that a request came on; nil: not one of a clientconn.Listener.
+func clientConnOf(r *http.Request) clientConn {
+	client, _ := r.Context().Value(connKey{}).(clientConn)
 	return client
 }
 
@@ -66,14 +76,14 @@
 func (a *Agent) newServer() *http.Server {
 	return &http.Server{
 		Handler:           a,
-		ReadHeaderTimeout: headTimeout,
-		IdleTimeout:       clientKeepAlive,
+		ReadHeaderTimeout: clientconn.HeadTimeout,
+		IdleTimeout:       clientconn.KeepAliveTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
 		WriteTimeout:      a.startDeadline + responseWriteTimeout,
 		// "OPTIONS *" is a request of no class: readRequest rejects it.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
-		ConnState:                    a.clients.onConnState,
+		ConnState:                    a.clients.OnConnState,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -100,7 +110,7 @@
 		return errors.New("config: the agent has ended")
 	}
 	a.maxDeadline.Store(max(a.maxDeadline.Load(), int64(next.maxDeadline())))
-	a.clients.resize(clientSockets(next.Limits.Sockets), keptSockets(next.Limits.Sockets))
+	a.clients.Resize(clientSockets(next.Limits.Sockets), keptSockets(next.Limits.Sockets))
 	// Last, as requests read from here on carry the new classes, which the loop has to know.
 	a.config.Store(next)
 	return nil
@@ -122,9 +132,9 @@
 func (a *Agent) Serve(ctx context.Context, ln net.Listener) error {
 	defer a.stop()
 	go a.loop.run()
-	go a.reapIdleClients(ctx)
+	go a.clients.ReapIdleUntil(ctx)
 	failed := make(chan error, 1)
-	clients := newClientListener(ln, a.clients, a.log)
+	clients := clientconn.NewListener(ln, a.clients, a.log)
 	go func() { failed <- a.server.Serve(clients) }()
 	select {
 	case err := <-failed:
@@ -133,17 +143,3 @@
 	}
 	return a.shutdown(clients)
 }
-
-// reapIdleClients ends clients' idle connections, while there are too many, until the context ends.
-func (a *Agent) reapIdleClients(ctx context.Context) {
-	ticker := time.NewTicker(reapInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case now := <-ticker.C:
-			a.clients.reapIdle(now)
-		case <-ctx.Done():
-			return
-		}
-	}
-}
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"time"
+
+	"ploverreel/internal/clientconn"
 )
 
 // shutdown ends the agent gracefully. A request counts as received once it was written to an
@@ -24,8 +26,8 @@
 		if elapsed >= shutdownAcceptTime {
 			ln.Close()
 		}
-		a.clients.closeIdle(settled)
-		if settled && (a.clients.count() == 0 || elapsed >= limit) {
+		a.clients.CloseIdle(settled)
+		if settled && (a.clients.Count() == 0 || elapsed >= limit) {
 			break
 		}
 		time.Sleep(shutdownPollInterval)
@@ -36,7 +38,7 @@
 // shutdownLimit is how long after SIGTERM the agent ends at the latest: what is accepted last may
 // take its whole time to arrive and to be answered.
 func (a *Agent) shutdownLimit() time.Duration {
-	return shutdownAcceptTime + shutdownSettleTime + headTimeout + bodyTimeout +
+	return shutdownAcceptTime + shutdownSettleTime + clientconn.HeadTimeout + bodyTimeout +
 		time.Duration(a.maxDeadline.Load()) + shutdownSettleTime
 }
 
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -9,72 +9,12 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/socket"
 )
 
-// hookConn calls a hook between the read of a client's bytes and their handling.
-type hookConn struct {
-	*net.TCPConn
-	read *atomic.Pointer[func()]
-}
-
-func (c hookConn) Read(p []byte) (int, error) {
-	n, err := c.TCPConn.Read(p)
-	if hook := c.read.Load(); n > 0 && hook != nil {
-		(*hook)()
-	}
-	return n, err
-}
-
-type hookListener struct {
-	net.Listener
-	read *atomic.Pointer[func()]
-}
-
-func (l hookListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	return hookConn{c.(*net.TCPConn), l.read}, nil
-}
-
-// hooked starts an agent whose clients' connections are hookConns.
-func hooked(t *testing.T, conf map[string]any) (agent *Agent, base string, read *atomic.Pointer[func()]) {
-	t.Helper()
-	read = &atomic.Pointer[func()]{}
-	agent, base, _, _ = startOn(t, conf, func(ln net.Listener) net.Listener { return hookListener{ln, read} })
-	return agent, base, read
-}
-
-// A connection of which part of a request was read isn't ended, though no bytes are unread.
-func TestComingRequestKeepsItsConnection(t *testing.T) {
-	addr, _ := counted(t, 200, false)
-	agent, base, _ := hooked(t, config(nowhere, addr))
-	conn := dial(t, base)
-	reader := bufio.NewReader(conn)
-	for i, text := range []string{raw("order", "c1"), raw("order", "c2")} {
-		half := len(text) / 2
-		io.WriteString(conn, text[:half])
-		agenttest.Eventually(t, "half of it read", func() bool {
-			return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && socket.Peek(conn.Conn) == socket.PeekNothing })
-		})
-		agent.clients.closeIdle(true)
-		agent.clients.reapIdle(time.Now().Add(agenttest.Never))
-		io.WriteString(conn, text[half:])
-		resp, err := http.ReadResponse(reader, nil)
-		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("request %d: got %v, %v", i, resp, err)
-		}
-		io.Copy(io.Discard, resp.Body)
-	}
-}
-
 // listening reports whether the agent still accepts connections.
 func listening(base string) bool {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
--- /dev/null
+++ b/internal/agenttest/client.go
@@ -0,0 +1,50 @@
+package agenttest
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// readTimeout is how long a raw client waits for what it reads.
+const readTimeout = 20 * time.Second
+
+// Dial opens a raw client's connection to a server, given by its address or its URL. The
+// connection is closed at the end of the test.
+func Dial(t testing.TB, server string) net.Conn {
+	t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(server, "http://"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// RequestText returns the text of a complete request without a body. Requests of the class "look"
+// are GETs, all others POSTs.
+func RequestText(class, id string) string {
+	method := http.MethodPost
+	if class == "look" {
+		method = http.MethodGet
+	}
+	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
+}
+
+// ReadToEnd returns all that arrives on a connection until it ends, in order or by an error. It
+// fails the test if the connection doesn't end within readTimeout.
+func ReadToEnd(t testing.TB, conn net.Conn) string {
+	t.Helper()
+	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
+	text, err := io.ReadAll(conn)
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("got %q and then nothing, want the connection to end", text)
+	}
+	return string(text)
+}
--- /dev/null
+++ b/internal/agenttest/faultconn.go
@@ -0,0 +1,78 @@
+package agenttest
+
+import (
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+)
+
+// FailingListener is a listener of which a number of accepts fail before one succeeds.
+type FailingListener struct {
+	net.Listener
+	Errno    syscall.Errno // of the accepts that fail
+	Failures *atomic.Int32 // how many accepts are still to fail
+}
+
+// Accept fails, or accepts from the listener beneath.
+func (l FailingListener) Accept() (net.Conn, error) {
+	if l.Failures.Add(-1) >= 0 {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.Errno)}
+	}
+	return l.Listener.Accept()
+}
+
+// Fault describes how a connection fails: from a number of bytes on, each read or write returns an
+// error.
+type Fault struct {
+	Errno           syscall.Errno
+	ReadAt, WriteAt int64 // the bytes that are read or written before; -1: no failure
+}
+
+// NoFault is the Fault of a connection that doesn't fail.
+var NoFault = Fault{ReadAt: -1, WriteAt: -1}
+
+// FaultyListener accepts connections that read and write one byte at a time, and fail as Next says
+// at their accept.
+type FaultyListener struct {
+	net.Listener
+	Next *atomic.Pointer[Fault]
+}
+
+// Accept accepts a connection with the next fault.
+func (l FaultyListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &faultyConn{Conn: conn, fault: *l.Next.Load()}, nil
+}
+
+// faultyConn is a connection of a FaultyListener.
+type faultyConn struct {
+	net.Conn
+	fault         Fault
+	read, written atomic.Int64 // bytes so far
+}
+
+func (c *faultyConn) Read(buffer []byte) (int, error) {
+	if c.fault.ReadAt >= 0 && c.read.Load() >= c.fault.ReadAt {
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.fault.Errno)}
+	}
+	n, err := c.Conn.Read(buffer[:min(len(buffer), 1)])
+	c.read.Add(int64(n))
+	return n, err
+}
+
+func (c *faultyConn) Write(data []byte) (int, error) {
+	for i := range data {
+		if c.fault.WriteAt >= 0 && c.written.Load() >= c.fault.WriteAt {
+			return i, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.fault.Errno)}
+		}
+		if n, err := c.Conn.Write(data[i : i+1]); err != nil {
+			return i + n, err
+		}
+		c.written.Add(1)
+	}
+	return len(data), nil
+}
--- a/internal/agent/client_conn.go
+++ b/internal/clientconn/conn.go
@@ -1,4 +1,4 @@
-package agent
+package clientconn
 
 import (
 	"errors"
@@ -25,7 +25,7 @@
 	stageRejected                  // its request was answered with an error, the connection is about to close
 )
 
-// clientConn is a client connection, entered in the client connection table from acquire to
+// Conn is a client connection, entered in the client connection table from acquire to
 // Close. Its life cycle:
 //
 //	accept ──► new ──► active ──► rejected ──► closed
@@ -43,9 +43,9 @@
 //
 // The fields of the first group are guarded by table.mu, those of the second belong to the
 // goroutine that reads: the server never has two reads of one connection in progress.
-type clientConn struct {
+type Conn struct {
 	net.Conn
-	table    *clientTable
+	table    *Table
 	received atomic.Bool // at least one byte was read
 
 	// Guarded by table.mu.
@@ -72,10 +72,10 @@
 }
 
 // start notes at now that the first bytes of a head were read on a connection that has waited for
-// them since a time. The head has headTimeout from since, but at least minHeadTime from now.
+// them since a time. The head has HeadTimeout from since, but at least minHeadTime from now.
 func (h *headState) start(since, now time.Time) {
 	h.started = true
-	h.deadline = since.Add(headTimeout)
+	h.deadline = since.Add(HeadTimeout)
 	if least := now.Add(minHeadTime); h.deadline.Before(least) {
 		h.deadline = least
 	}
@@ -84,12 +84,29 @@
 // awaitNext prepares for the head of the next request on a connection that is idle since a time.
 func (h *headState) awaitNext(since time.Time) {
 	h.peekedAfterTimeout = false
-	h.deadline = since.Add(headTimeout)
+	h.deadline = since.Add(HeadTimeout)
 }
 
+// NetConn returns the connection that the listener accepted, on which a caller may look for the
+// client's close. It must not be read from, written to or closed.
+func (c *Conn) NetConn() net.Conn { return c.Conn }
+
+// BeginRequest notes that a handler takes the connection's request. It returns when the last byte
+// of the request's head was read, and whether the connection closes with the response.
+func (c *Conn) BeginRequest() (receivedAt time.Time, last bool) {
+	c.table.setStage(c, stageActive)
+	c.table.mu.Lock()
+	defer c.table.mu.Unlock()
+	return c.head.receivedAt, c.closing
+}
+
+// MarkRejected notes that the connection's request is answered with an error, and that the
+// connection closes with the response. It may be evicted once that is written.
+func (c *Conn) MarkRejected() { c.table.setStage(c, stageRejected) }
+
 // Read is called by the server: for heads and bodies, and with a buffer of one byte next to a
 // running handler, to notice that the client has disconnected.
-func (c *clientConn) Read(buffer []byte) (n int, err error) {
+func (c *Conn) Read(buffer []byte) (n int, err error) {
 	background := len(buffer) == 1
 	var receivedAt time.Time
 	switch {
@@ -118,7 +135,7 @@
 }
 
 // takeReadAhead moves bytes that were read ahead into the buffer, and returns how many.
-func (c *clientConn) takeReadAhead(buffer []byte) int {
+func (c *Conn) takeReadAhead(buffer []byte) int {
 	n := copy(buffer, c.readAhead)
 	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
 		c.readAhead = nil
@@ -128,7 +145,7 @@
 
 // receive reads from the socket. Bytes of a head that have arrived when its read times out are
 // read nevertheless.
-func (c *clientConn) receive(buffer []byte) (int, error) {
+func (c *Conn) receive(buffer []byte) (int, error) {
 	isHead := c.table.beginRead(c, len(buffer))
 	n, err := c.Conn.Read(buffer)
 	if n == 0 && isHead && errors.Is(err, os.ErrDeadlineExceeded) && c.table.retryAfterTimeout(c) {
@@ -139,12 +156,12 @@
 
 // SetReadDeadline is called by the server. The table may have ended the connection meanwhile, and
 // then keeps its own deadline.
-func (c *clientConn) SetReadDeadline(t time.Time) error { return c.table.setReadDeadline(c, t) }
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.table.setReadDeadline(c, t) }
 
 // watchForClose reads on while a request is in progress, until the client disconnects or the
 // response is written. The server itself stops watching at the first byte that arrives: a client
 // that sends more and then disconnects would seem to be present, and its request be forwarded.
-func (c *clientConn) watchForClose() error {
+func (c *Conn) watchForClose() error {
 	chunk := make([]byte, maxReadAhead)
 	for {
 		n, err := c.Conn.Read(chunk)
@@ -168,7 +185,7 @@
 
 // Close closes the socket and then frees its slot in the table: in the reverse order the
 // connection that takes the slot would be open beside this one, and exceed the limit.
-func (c *clientConn) Close() error {
+func (c *Conn) Close() error {
 	err := c.Conn.Close()
 	c.table.remove(c)
 	return err
@@ -176,7 +193,7 @@
 
 // CloseWrite lets the server shut down its sending side first, so that a client that is still
 // sending reads its response before the connection is reset.
-func (c *clientConn) CloseWrite() error {
+func (c *Conn) CloseWrite() error {
 	defer c.table.noteResponseWritten(c)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -186,24 +203,24 @@
 
 // isIdle reports whether the connection is between two requests and nothing of the next has
 // arrived. The caller holds table.mu.
-func (c *clientConn) isIdle() bool {
+func (c *Conn) isIdle() bool {
 	return !c.closing && c.stage == stageIdle && !c.head.started && socket.Peek(c.Conn) != socket.PeekUnread
 }
 
 // isSilent reports whether nothing has arrived on the connection, not even unread. The caller
 // holds table.mu.
-func (c *clientConn) isSilent() bool {
+func (c *Conn) isSilent() bool {
 	return !c.closing && !c.received.Load() && socket.Peek(c.Conn) == socket.PeekNothing
 }
 
 // awaitsHead reports whether the connection waits for the head of a request or reads one. The
 // caller holds table.mu.
-func (c *clientConn) awaitsHead() bool {
+func (c *Conn) awaitsHead() bool {
 	return c.stage == stageNew || c.stage == stageIdle
 }
 
 // closesWithoutRequest reports whether the connection was ended before any of a further request
 // was read, so that the server is about to close it. The caller holds table.mu.
-func (c *clientConn) closesWithoutRequest() bool {
+func (c *Conn) closesWithoutRequest() bool {
 	return c.closing && !c.head.started && c.awaitsHead()
 }
--- a/internal/agent/client_listener.go
+++ b/internal/clientconn/listener.go
@@ -1,4 +1,4 @@
-package agent
+package clientconn
 
 import (
 	"context"
@@ -38,10 +38,10 @@
 	return socket.IsLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// clientListener enters each connection that it accepts in the client connection table.
-type clientListener struct {
+// Listener enters each connection that it accepts in the client connection table.
+type Listener struct {
 	net.Listener
-	table     *clientTable
+	table     *Table
 	closeOnce sync.Once
 	closed    chan struct{} // closed with the listener; nil: no Accept is waiting
 	log       *slog.Logger
@@ -50,13 +50,13 @@
 	after     func(time.Duration) <-chan time.Time
 }
 
-func newClientListener(ln net.Listener, table *clientTable, log *slog.Logger) *clientListener {
-	return &clientListener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
+func NewListener(ln net.Listener, table *Table, log *slog.Logger) *Listener {
+	return &Listener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
 }
 
 // Close closes the listener. Both the graceful shutdown and the http server call it; the second
 // call returns no error, or an agent that shut down in order would exit with one.
-func (l *clientListener) Close() (err error) {
+func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
 		if l.closed != nil {
@@ -70,7 +70,7 @@
 // is full: a connection left in the kernel's queue would have its request count as received with
 // nobody to answer it. One that gets no slot in acquireWait is closed. Only the listener's close
 // ends Accept with an error.
-func (l *clientListener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.acceptNext()
 		if err != nil {
@@ -85,7 +85,7 @@
 // acceptNext accepts a connection, however often that fails first. Linux returns errors of the
 // network and of the new connection from accept; neither these nor an exhausted descriptor table
 // say anything of the connections that follow.
-func (l *clientListener) acceptNext() (net.Conn, error) {
+func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
@@ -101,7 +101,7 @@
 }
 
 // noteFailure counts a failed accept, and logs it at most once in acceptLogInterval.
-func (l *clientListener) noteFailure(err error) {
+func (l *Listener) noteFailure(err error) {
 	l.failures++
 	if now := time.Now(); l.logged.IsZero() || now.Sub(l.logged) >= acceptLogInterval {
 		l.logged = now
@@ -112,8 +112,8 @@
 // acquireSlot waits for a slot for a new connection, and closes the connection if there is none in
 // time. The listener's close doesn't end the wait, which is short: the connection was accepted, and
 // its request may have arrived. It counts as waiting meanwhile, so that a shutdown waits for it.
-func (l *clientListener) acquireSlot(conn net.Conn) *clientConn {
-	client := &clientConn{Conn: conn, table: l.table, stageSince: time.Now()}
+func (l *Listener) acquireSlot(conn net.Conn) *Conn {
+	client := &Conn{Conn: conn, table: l.table, stageSince: time.Now()}
 	l.table.addWaiting(1)
 	defer l.table.addWaiting(-1)
 	for !l.table.acquire(client, time.Now()) {
--- /dev/null
+++ b/internal/clientconn/listener_test.go
@@ -0,0 +1,148 @@
+package clientconn
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+// countingHandler counts the lines logged.
+type countingHandler struct {
+	slog.Handler
+	lines *atomic.Int32
+}
+
+func (h countingHandler) Enabled(context.Context, slog.Level) bool { return true }
+
+func (h countingHandler) Handle(context.Context, slog.Record) error {
+	h.lines.Add(1)
+	return nil
+}
+
+// failing returns a listener of which a number of accepts fail before one succeeds.
+func failing(t *testing.T, errno syscall.Errno, failures int32) agenttest.FailingListener {
+	t.Helper()
+	left := &atomic.Int32{}
+	left.Store(failures)
+	return agenttest.FailingListener{Listener: listen(t), Errno: errno, Failures: left}
+}
+
+// The pause after a failed accept is 5 to 20 ms however often it fails, and many failures in a row
+// are logged in one line.
+func TestListenerRetriesFailedAcceptsSoon(t *testing.T) {
+	ln, lines := failing(t, syscall.ENOBUFS, 100), &atomic.Int32{}
+	listener := NewListener(ln, NewTable(1, 1), slog.New(countingHandler{slog.DiscardHandler, lines}))
+	waits := 0
+	now := make(chan time.Time)
+	close(now)
+	listener.after = func(delay time.Duration) <-chan time.Time {
+		if waits++; delay < 5*time.Millisecond || delay > 20*time.Millisecond {
+			t.Errorf("got a pause of %v, want 5 to 20 ms", delay)
+		}
+		listener.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		return now
+	}
+	agenttest.Dial(t, ln.Addr().String())
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	if waits != 100 || listener.failures != 100 || lines.Load() != 1 {
+		t.Fatalf("got %d pauses, %d failures counted, %d log lines; want 100, 100, 1", waits, listener.failures, lines.Load())
+	}
+}
+
+// Close ends the pause after a failed accept at once.
+func TestListenerCloseEndsAcceptRetry(t *testing.T) {
+	listener := NewListener(failing(t, syscall.EMFILE, 1000), NewTable(1, 1), slog.New(slog.DiscardHandler))
+	waiting := make(chan struct{}, 1)
+	listener.after = func(time.Duration) <-chan time.Time {
+		waiting <- struct{}{}
+		return nil // never over
+	}
+	ended := make(chan error, 1)
+	go func() {
+		_, err := listener.Accept()
+		ended <- err
+	}()
+	<-waiting
+	listener.Close()
+	select {
+	case err := <-ended:
+		if !errors.Is(err, net.ErrClosed) {
+			t.Fatalf("got %v, want %v", err, net.ErrClosed)
+		}
+	case <-time.After(agenttest.NoAnswerTimeout):
+		t.Fatal("got no end of Accept after Close, want one at once")
+	}
+}
+
+// failingOpen returns a function that fails a number of times with an error before it opens a
+// listener, and a count of its calls.
+func failingOpen(errno syscall.Errno, failures int) (open func() (net.Listener, error), tries *int) {
+	tries = new(int)
+	return func() (net.Listener, error) {
+		if *tries++; *tries <= failures {
+			return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("socket", errno)}
+		}
+		return agenttest.FailingListener{}, nil
+	}, tries
+}
+
+// Listen is retried while a resource of this machine is exhausted. It fails at once for a permanent
+// fault, after a bounded number of retries, and when its context ends.
+func TestListenRetriesExhaustedResource(t *testing.T) {
+	now := make(chan time.Time)
+	close(now)
+	soon := func(time.Duration) <-chan time.Time { return now }
+	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		t.Run("for a moment: "+errno.Error(), func(t *testing.T) {
+			open, tries := failingOpen(errno, 8)
+			if ln, err := listenWith(t.Context(), open, soon); ln == nil || err != nil || *tries != 9 {
+				t.Errorf("got listener %v, %v after %d tries; want one after 9", ln, err, *tries)
+			}
+		})
+		t.Run("for good: "+errno.Error(), func(t *testing.T) {
+			open, tries := failingOpen(errno, 1<<30)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries > 500 {
+				t.Errorf("got %v after %d tries, want %v after 500 at most", err, *tries, errno)
+			}
+		})
+	}
+	for _, errno := range []syscall.Errno{syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.EACCES} {
+		t.Run("permanent: "+errno.Error(), func(t *testing.T) {
+			open, tries := failingOpen(errno, 1)
+			if _, err := listenWith(t.Context(), open, soon); !errors.Is(err, errno) || *tries != 1 {
+				t.Errorf("got %v after %d tries, want %v after 1", err, *tries, errno)
+			}
+		})
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	stop()
+	open, tries := failingOpen(syscall.ENFILE, 8)
+	if _, err := listenWith(ctx, open, func(time.Duration) <-chan time.Time { return nil }); err == nil || *tries != 1 {
+		t.Errorf("context ended: got %v after %d tries, want an error after 1", err, *tries)
+	}
+}
+
+// The shutdown and the http server both close the listener, in either order.
+func TestListenerClosesTwiceWithoutError(t *testing.T) {
+	listener := NewListener(listen(t), NewTable(1, 1), slog.New(slog.DiscardHandler))
+	for range 2 {
+		if err := listener.Close(); err != nil {
+			t.Fatalf("got %v, want no error", err)
+		}
+	}
+	if _, err := listener.Accept(); err == nil {
+		t.Fatal("got a connection from a closed listener, want an error")
+	}
+}
--- a/internal/agent/client_table.go
+++ b/internal/clientconn/table.go
@@ -1,6 +1,7 @@
-package agent
+package clientconn
 
 import (
+	"context"
 	"net"
 	"net/http"
 	"sync"
@@ -9,45 +10,63 @@
 	"ploverreel/internal/socket"
 )
 
-// clientTable is the client connection table: it holds the clients' connections, at most maxConns
+// Table is the client connection table: it holds the clients' connections, at most maxConns
 // of them, and decides which are ended to make a slot free, to keep the number of idle ones in
-// bounds, and at shutdown. mu guards the table and the first group of fields of each clientConn.
-type clientTable struct {
+// bounds, and at shutdown. mu guards the table and the first group of fields of each Conn.
+type Table struct {
 	mu          sync.Mutex
 	maxConns    int // the slots
 	maxKeptIdle int // connections that have carried a request, above which they are not kept alive
-	conns       map[*clientConn]struct{}
+	conns       map[*Conn]struct{}
 	waiting     int // accepted connections that wait for a slot
 
 	// freed has an item when a slot has become free. Its buffer holds one: a waiter looks
 	// through the table again, however many became free.
 	freed chan struct{}
 
-	// Durations that tests replace: silentConnGrace and acquireWait.
+	// silentConnGrace and acquireWait, unless SetPatience has replaced them.
 	silentGrace, acquireTimeout time.Duration
 }
 
-func newClientTable(maxConns, maxKeptIdle int) *clientTable {
-	return &clientTable{maxConns: maxConns, maxKeptIdle: maxKeptIdle, conns: map[*clientConn]struct{}{},
+// NewTable returns an empty table of maxConns slots. Above maxKeptIdle connections that have carried
+// a request, none is kept alive any more.
+func NewTable(maxConns, maxKeptIdle int) *Table {
+	return &Table{maxConns: maxConns, maxKeptIdle: maxKeptIdle, conns: map[*Conn]struct{}{},
 		freed: make(chan struct{}, 1), silentGrace: silentConnGrace, acquireTimeout: acquireWait}
 }
 
-// resize changes the limits. Connections above a lowered limit are ended as new ones arrive.
-func (t *clientTable) resize(maxConns, maxKeptIdle int) {
+// Resize changes the limits. Connections above a lowered limit are ended as new ones arrive.
+func (t *Table) Resize(maxConns, maxKeptIdle int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.maxConns, t.maxKeptIdle = maxConns, maxKeptIdle
 }
 
+// SetPatience changes how long a new connection may send nothing while others need its slot, and
+// how long a connection waits for a slot. It is for tests, whose clients may be slow to write.
+func (t *Table) SetPatience(silentGrace, acquireTimeout time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.silentGrace, t.acquireTimeout = silentGrace, acquireTimeout
+}
+
+// Limits returns how many connections the table may hold, and above how many they are not kept
+// alive.
+func (t *Table) Limits() (maxConns, maxKeptIdle int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.maxConns, t.maxKeptIdle
+}
+
 // acquirePatience is how long a new connection waits for a slot.
-func (t *clientTable) acquirePatience() time.Duration {
+func (t *Table) acquirePatience() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.acquireTimeout
 }
 
 // addWaiting changes the number of accepted connections that wait for a slot.
-func (t *clientTable) addWaiting(change int) {
+func (t *Table) addWaiting(change int) {
 	t.mu.Lock()
 	t.waiting += change
 	t.mu.Unlock()
@@ -56,7 +75,7 @@
 // acquire enters the connection in the table and reports whether there was a free slot. Without
 // one it ends the connections that are needed least; their slots are free once the server has
 // closed them, so the caller tries again.
-func (t *clientTable) acquire(c *clientConn, now time.Time) bool {
+func (t *Table) acquire(c *Conn, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for n := 0; n < maxEvictionsPerAcquire && len(t.conns)-t.closingCount() >= t.maxConns; n++ {
@@ -78,7 +97,7 @@
 }
 
 // closingCount counts the connections that the server is about to close. The caller holds t.mu.
-func (t *clientTable) closingCount() (n int) {
+func (t *Table) closingCount() (n int) {
 	for c := range t.conns {
 		if c.closesWithoutRequest() {
 			n++
@@ -91,7 +110,7 @@
 type evictionClass uint8
 
 const (
-	evictLongIdle       evictionClass = iota // idle for clientIdleGrace or longer
+	evictLongIdle       evictionClass = iota // idle for idleGrace or longer
 	evictSilent                              // new, and nothing was received for the silent grace
 	evictRejected                            // answered with an error, all of which is written
 	evictUnfinishedHead                      // a head that is incomplete after unfinishedHeadGrace
@@ -108,7 +127,7 @@
 }
 
 // evictionClass tells in which class a connection is. The caller holds t.mu.
-func (t *clientTable) evictionClass(c *clientConn, now time.Time) evictionClass {
+func (t *Table) evictionClass(c *Conn, now time.Time) evictionClass {
 	age := now.Sub(c.stageSince)
 	switch {
 	case c.closing:
@@ -117,7 +136,7 @@
 		if age >= unfinishedHeadGrace { // the server itself allows far longer
 			return evictUnfinishedHead
 		}
-	case c.stage == stageIdle && age >= clientIdleGrace:
+	case c.stage == stageIdle && age >= idleGrace:
 		return evictLongIdle
 	case c.stage == stageNew && c.received.Load() && age >= unfinishedHeadGrace:
 		return evictUnfinishedHead
@@ -133,8 +152,8 @@
 
 // evictionCandidate returns the connection to evict for a new one, or nil: of the lowest class that
 // has any, the one that has been at its stage for longest. The caller holds t.mu.
-func (t *clientTable) evictionCandidate(now time.Time) *clientConn {
-	var oldest [evictionClasses]*clientConn
+func (t *Table) evictionCandidate(now time.Time) *Conn {
+	var oldest [evictionClasses]*Conn
 	for c := range t.conns {
 		class := t.evictionClass(c, now)
 		if class == notEvictable {
@@ -161,7 +180,7 @@
 // returns bytes all the same, their request is answered and the connection closed with the
 // response. If it returns none, the server closes the connection, of which nothing was read.
 // The caller holds t.mu.
-func (t *clientTable) endRead(c *clientConn) {
+func (t *Table) endRead(c *Conn) {
 	now := time.Now()
 	c.closing = true
 	if c.head.started {
@@ -174,7 +193,7 @@
 // a request's head. The size of its first read is that of its whole buffer. A later read into less
 // means that the server already holds bytes of the next request, read together with the previous
 // one.
-func (t *clientTable) beginRead(c *clientConn, size int) (isHead bool) {
+func (t *Table) beginRead(c *Conn, size int) (isHead bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !c.awaitsHead() {
@@ -189,7 +208,7 @@
 
 // startHead notes that the first bytes of a head have been read. The head has to be complete by
 // its deadline, also on a connection that the table has ended. The caller holds t.mu.
-func (t *clientTable) startHead(c *clientConn, now time.Time) {
+func (t *Table) startHead(c *Conn, now time.Time) {
 	if c.stage == stageIdle {
 		c.stageSince = now
 	}
@@ -199,7 +218,7 @@
 
 // retryAfterTimeout reports whether a read of a head that has timed out is to be made once more,
 // as bytes have arrived before the timeout was noticed: unread they would reset the connection.
-func (t *clientTable) retryAfterTimeout(c *clientConn) bool {
+func (t *Table) retryAfterTimeout(c *Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.head.peekedAfterTimeout || socket.Peek(c.Conn) != socket.PeekUnread {
@@ -217,7 +236,7 @@
 // noteRead notes bytes that were read from a connection and arrived at a time, either as part of
 // a request or, with background set, next to a running handler. It reports whether a request is in
 // progress.
-func (t *clientTable) noteRead(c *clientConn, background bool, receivedAt time.Time) (active bool) {
+func (t *Table) noteRead(c *Conn, background bool, receivedAt time.Time) (active bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
@@ -237,7 +256,7 @@
 // ended keeps its own deadline until bytes arrive, and a head has no longer than headState.deadline.
 // The server sets the zero time only once a head is complete: from then on a request is in
 // progress, and the connection can't be ended any more.
-func (t *clientTable) setReadDeadline(c *clientConn, deadline time.Time) error {
+func (t *Table) setReadDeadline(c *Conn, deadline time.Time) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.awaitsHead() {
@@ -253,24 +272,15 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// beginRequest notes that a handler takes the connection's request. It returns when the last byte
-// of the request's head was read, and whether the connection closes with the response.
-func (t *clientTable) beginRequest(c *clientConn) (receivedAt time.Time, last bool) {
-	t.setStage(c, stageActive)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return c.head.receivedAt, c.closing
-}
-
 // closeRejected closes a connection whose client was sent an error, and which the server reads no
 // more. The caller holds t.mu.
-func (t *clientTable) closeRejected(c *clientConn) {
+func (t *Table) closeRejected(c *Conn) {
 	c.Conn.Close()
 	delete(t.conns, c)
 }
 
 // remove frees the slot of a connection that is closed.
-func (t *clientTable) remove(c *clientConn) {
+func (t *Table) remove(c *Conn) {
 	t.mu.Lock()
 	delete(t.conns, c)
 	t.mu.Unlock()
@@ -281,14 +291,14 @@
 }
 
 // noteResponseWritten notes that the server has written all that it will write on a connection.
-func (t *clientTable) noteResponseWritten(c *clientConn) {
+func (t *Table) noteResponseWritten(c *Conn) {
 	t.mu.Lock()
 	c.responseWritten = true
 	t.mu.Unlock()
 }
 
 // setStage moves a connection to another stage. A rejected one stays rejected.
-func (t *clientTable) setStage(c *clientConn, stage connStage) {
+func (t *Table) setStage(c *Conn, stage connStage) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c.stage != stageRejected {
@@ -302,9 +312,9 @@
 	}
 }
 
-// onConnState is the server's ConnState hook.
-func (t *clientTable) onConnState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*clientConn)
+// OnConnState is the server's ConnState hook.
+func (t *Table) OnConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*Conn)
 	if !ok {
 		return
 	}
@@ -319,7 +329,7 @@
 // overKeptIdle reports whether more connections are kept than maxKeptIdle, so that clients may
 // soon have no slot for their next request: some send one request and keep their connection
 // without end. The caller holds t.mu.
-func (t *clientTable) overKeptIdle() bool {
+func (t *Table) overKeptIdle() bool {
 	kept := 0
 	for c := range t.conns {
 		if c.stage == stageIdle || c.stage == stageActive {
@@ -329,30 +339,44 @@
 	return kept > t.maxKeptIdle
 }
 
-// mayKeepAlive reports whether a connection may stay open after a response.
-func (t *clientTable) mayKeepAlive() bool {
+// MayKeepAlive reports whether a connection may stay open after a response.
+func (t *Table) MayKeepAlive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !t.overKeptIdle()
 }
 
-// reapIdle ends the connections that have been idle for clientIdleGrace, while too many are kept.
-func (t *clientTable) reapIdle(now time.Time) {
+// ReapIdleUntil ends long idle connections, while too many are kept, until the context ends.
+func (t *Table) ReapIdleUntil(ctx context.Context) {
+	ticker := time.NewTicker(reapInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case now := <-ticker.C:
+			t.reapIdle(now)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// reapIdle ends the connections that have been idle for idleGrace, while too many are kept.
+func (t *Table) reapIdle(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.overKeptIdle() {
 		return
 	}
 	for c := range t.conns {
-		if c.isIdle() && now.Sub(c.stageSince) >= clientIdleGrace {
+		if c.isIdle() && now.Sub(c.stageSince) >= idleGrace {
 			t.endRead(c)
 		}
 	}
 }
 
-// closeIdle ends the connections that are between two requests and, if newToo is set, those on
+// CloseIdle ends the connections that are between two requests and, if newToo is set, those on
 // which nothing has arrived since they were accepted.
-func (t *clientTable) closeIdle(newToo bool) {
+func (t *Table) CloseIdle(newToo bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
@@ -362,8 +386,8 @@
 	}
 }
 
-// count is how many connections are accepted and not closed.
-func (t *clientTable) count() int {
+// Count returns how many connections are accepted and not closed.
+func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns) + t.waiting
--- /dev/null
+++ b/internal/clientconn/table_test.go
@@ -0,0 +1,142 @@
+package clientconn
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+// Connections that are silent, idle without end, or stuck in an unfinished request must not keep
+// out a new client: one of them is evicted for it.
+func TestTableEvictsForNewConnection(t *testing.T) {
+	const slots = 29
+	for _, state := range []string{"silent", "idle", "head unfinished"} {
+		t.Run(state, func(t *testing.T) {
+			table := NewTable(slots, slots) // all are kept alive
+			server := serve(t, table)
+			for i := range slots {
+				conn := agenttest.Dial(t, server.addr)
+				if state != "silent" {
+					conn, _ = server.requestOn(t, conn, fmt.Sprint("fill", i))
+				}
+				if state == "head unfinished" {
+					io.WriteString(conn, "P")
+				}
+				agenttest.Eventually(t, "a slot taken", func() bool { return table.Count() == i+1 })
+			}
+			if state != "silent" {
+				agenttest.Eventually(t, "all "+state, func() bool { return ageIdle(table, state == "head unfinished") })
+			}
+			if _, resp := server.request(t, "new"); resp.StatusCode != 200 {
+				t.Fatalf("got status %d, want 200", resp.StatusCode)
+			}
+		})
+	}
+}
+
+// ageIdle reports whether all connections are idle and have a head in progress or not, as started
+// says. It then lets them seem to have been so for idleGrace.
+func ageIdle(table *Table, started bool) bool {
+	table.mu.Lock()
+	defer table.mu.Unlock()
+	for conn := range table.conns {
+		if conn.stage != stageIdle || conn.head.started != started {
+			return false
+		}
+	}
+	for conn := range table.conns {
+		conn.stageSince = conn.stageSince.Add(-idleGrace)
+	}
+	return true
+}
+
+// A connection with a request in progress, or one just accepted, is never evicted. A new one whose
+// head doesn't arrive is, and its slot is free once the server has closed it.
+func TestTableKeepsConnectionsInUse(t *testing.T) {
+	table, now := NewTable(3, 3), time.Now()
+	for _, stage := range []connStage{stageActive, stageActive} {
+		conn := &Conn{stage: stage, stageSince: now}
+		conn.received.Store(true)
+		add(t, table, conn, now)
+	}
+	unfinished := &Conn{stage: stageNew, stageSince: now}
+	unfinished.received.Store(true)
+	add(t, table, unfinished, now)
+	server, _ := net.Pipe()
+	next := &Conn{Conn: server, table: table, stageSince: now}
+	if got := table.acquire(next, now); got || table.Count() != 3 {
+		t.Fatalf("got a slot %v and %d connections, want none and 3: all are in use", got, table.Count())
+	}
+	// As the http server does: read, and close the connection when that read ends.
+	ended := make(chan error, 1)
+	go func() {
+		_, err := unfinished.Read(make([]byte, 4096))
+		ended <- err
+	}()
+	later := now.Add(unfinishedHeadGrace)
+	if got := table.acquire(next, later); got || table.Count() != 3 {
+		t.Fatalf("got a slot %v and %d connections, want none before the evicted one is closed", got, table.Count())
+	}
+	if err := <-ended; !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Fatalf("got %v from the read of the evicted connection, want %v", err, os.ErrDeadlineExceeded)
+	}
+	unfinished.Close()
+	if got := table.acquire(next, later); !got || table.Count() != 3 {
+		t.Fatalf("got a slot %v and %d connections, want the slot of the closed one", got, table.Count())
+	}
+}
+
+// closingConn calls a hook before it is closed.
+type closingConn struct {
+	net.Conn
+	closing func()
+}
+
+func (c closingConn) Close() error {
+	c.closing()
+	return c.Conn.Close()
+}
+
+// A slot is free once the descriptor is: before that, the old and a new connection would be open at
+// once.
+func TestTableFreesSlotAfterDescriptorIsClosed(t *testing.T) {
+	table := NewTable(1, 1)
+	server, client := net.Pipe()
+	defer client.Close()
+	closed := false
+	conn := &Conn{table: table, Conn: closingConn{server, func() {
+		if closed = true; table.Count() != 1 {
+			t.Errorf("got %d slots taken while the descriptor is open, want 1", table.Count())
+		}
+	}}}
+	if !table.acquire(conn, time.Now()) {
+		t.Fatal("got no slot, want one, as the table is empty")
+	}
+	if err := conn.Close(); err != nil || !closed || table.Count() != 0 {
+		t.Fatalf("got closed %v, %v, %d slots taken; want closed, no error, 0", closed, err, table.Count())
+	}
+}
+
+// Connections above maxKeptIdle are reaped once they have been idle for idleGrace, and not before.
+func TestTableReapsLongIdleConnections(t *testing.T) {
+	table := NewTable(10, 3)
+	server := serve(t, table)
+	for i := range 3 {
+		server.request(t, fmt.Sprint("kept", i))
+	}
+	table.Resize(10, 2)
+	table.reapIdle(time.Now().Add(-time.Hour))
+	if got := table.Count(); got != 3 {
+		t.Fatalf("got %d connections, want 3: none has been idle for long", got)
+	}
+	agenttest.Eventually(t, "all reaped", func() bool {
+		table.reapIdle(time.Now().Add(idleGrace))
+		return table.Count() == 0
+	})
+}
