--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -7,24 +7,12 @@
 	"os"
 	"sync/atomic"
 	"time"
-
-	"ploverreel/internal/socket"
 )
 
 // maxReadAhead is how many bytes are kept of what a client sends while its request is in
 // progress.
 const maxReadAhead = 4 << 10
 
-// connStage is where a client connection stands between its accept and its close.
-type connStage uint8
-
-const (
-	stageNew      connStage = iota // no complete request has arrived yet
-	stageIdle                      // between two requests, kept alive
-	stageActive                    // a request is being read or answered
-	stageRejected                  // its request was answered with an error, the connection is about to close
-)
-
 // Conn is a client connection, entered in the client connection table from acquire to
 // Close. Its life cycle:
 //
@@ -62,48 +50,10 @@
 	readAheadOverflowed bool      // bytes beyond maxReadAhead were dropped: no further request can be read
 }
 
-// headState is the progress of reading a request's head. It is guarded by the table's mutex.
-type headState struct {
-	started            bool      // bytes of the next head were read, and it is not complete
-	deadline           time.Time // when the head in progress has to be complete
-	receivedAt         time.Time // when the last bytes of the latest head were read
-	bufferSize         int       // the size of the server's read buffer, learned from its reads
-	peekedAfterTimeout bool      // unread bytes were looked for after a read timed out
-}
-
-// start notes at now that the first bytes of a head were read on a connection that has waited for
-// them since a time. The head has HeadTimeout from since, but at least minHeadTime from now.
-func (h *headState) start(since, now time.Time) {
-	h.started = true
-	h.deadline = since.Add(HeadTimeout)
-	if least := now.Add(minHeadTime); h.deadline.Before(least) {
-		h.deadline = least
-	}
-}
-
-// awaitNext prepares for the head of the next request on a connection that is idle since a time.
-func (h *headState) awaitNext(since time.Time) {
-	h.peekedAfterTimeout = false
-	h.deadline = since.Add(HeadTimeout)
-}
-
 // NetConn returns the connection that the listener accepted, on which a caller may look for the
 // client's close. It must not be read from, written to or closed.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// BeginRequest notes that a handler takes the connection's request. It returns when the last byte
-// of the request's head was read, and whether the connection closes with the response.
-func (c *Conn) BeginRequest() (receivedAt time.Time, last bool) {
-	c.table.setStage(c, stageActive)
-	c.table.mu.Lock()
-	defer c.table.mu.Unlock()
-	return c.head.receivedAt, c.closing
-}
-
-// MarkRejected notes that the connection's request is answered with an error, and that the
-// connection closes with the response. It may be evicted once that is written.
-func (c *Conn) MarkRejected() { c.table.setStage(c, stageRejected) }
-
 // Read is called by the server: for heads and bodies, and with a buffer of one byte next to a
 // running handler, to notice that the client has disconnected.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
@@ -128,7 +78,7 @@
 		return n, err
 	}
 	c.received.Store(true)
-	if active := c.table.noteRead(c, background, receivedAt); active && err == nil && background {
+	if active := c.noteRead(background, receivedAt); active && err == nil && background {
 		return n, c.watchForClose()
 	}
 	return n, err
@@ -146,18 +96,14 @@
 // receive reads from the socket. Bytes of a head that have arrived when its read times out are
 // read nevertheless.
 func (c *Conn) receive(buffer []byte) (int, error) {
-	isHead := c.table.beginRead(c, len(buffer))
+	isHead := c.beginRead(len(buffer))
 	n, err := c.Conn.Read(buffer)
-	if n == 0 && isHead && errors.Is(err, os.ErrDeadlineExceeded) && c.table.retryAfterTimeout(c) {
+	if n == 0 && isHead && errors.Is(err, os.ErrDeadlineExceeded) && c.retryAfterTimeout() {
 		return c.Conn.Read(buffer)
 	}
 	return n, err
 }
 
-// SetReadDeadline is called by the server. The table may have ended the connection meanwhile, and
-// then keeps its own deadline.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.table.setReadDeadline(c, t) }
-
 // watchForClose reads on while a request is in progress, until the client disconnects or the
 // response is written. The server itself stops watching at the first byte that arrives: a client
 // that sends more and then disconnects would seem to be present, and its request be forwarded.
@@ -194,33 +140,9 @@
 // CloseWrite lets the server shut down its sending side first, so that a client that is still
 // sending reads its response before the connection is reset.
 func (c *Conn) CloseWrite() error {
-	defer c.table.noteResponseWritten(c)
+	defer c.noteResponseWritten()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
 	return nil
 }
-
-// isIdle reports whether the connection is between two requests and nothing of the next has
-// arrived. The caller holds table.mu.
-func (c *Conn) isIdle() bool {
-	return !c.closing && c.stage == stageIdle && !c.head.started && socket.Peek(c.Conn) != socket.PeekUnread
-}
-
-// isSilent reports whether nothing has arrived on the connection, not even unread. The caller
-// holds table.mu.
-func (c *Conn) isSilent() bool {
-	return !c.closing && !c.received.Load() && socket.Peek(c.Conn) == socket.PeekNothing
-}
-
-// awaitsHead reports whether the connection waits for the head of a request or reads one. The
-// caller holds table.mu.
-func (c *Conn) awaitsHead() bool {
-	return c.stage == stageNew || c.stage == stageIdle
-}
-
-// closesWithoutRequest reports whether the connection was ended before any of a further request
-// was read, so that the server is about to close it. The caller holds table.mu.
-func (c *Conn) closesWithoutRequest() bool {
-	return c.closing && !c.head.started && c.awaitsHead()
-}
--- a/internal/clientconn/head_test.go
+++ b/internal/clientconn/head_test.go
@@ -26,7 +26,7 @@
 		return at
 	}
 	first := read("first")
-	table.setStage(conn, stageIdle)
+	conn.setStage(stageIdle)
 	before := time.Now()
 	second := read("second")
 	if !first.Before(before) || second.Before(before) || second.After(time.Now()) {
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -18,6 +18,7 @@
 	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
 }
 
+// listenWith is Listen by a function that opens the listener and one that waits.
 func listenWith(ctx context.Context, open func() (net.Listener, error), after func(time.Duration) <-chan time.Time) (net.Listener, error) {
 	for retries := listenTimeout / acceptRetryDelay; ; retries-- {
 		ln, err := open()
@@ -38,18 +39,20 @@
 	return socket.IsLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// Listener enters each connection that it accepts in the client connection table.
+// Listener is a net.Listener that enters each connection that it accepts in the client connection
+// table. Its connections are of type *Conn.
 type Listener struct {
 	net.Listener
 	table     *Table
 	closeOnce sync.Once
-	closed    chan struct{} // closed with the listener; nil: no Accept is waiting
+	closed    chan struct{} // closed with the listener
 	log       *slog.Logger
 	failures  int       // failed accepts so far
 	logged    time.Time // when a failure was last logged
 	after     func(time.Duration) <-chan time.Time
 }
 
+// NewListener returns a Listener that accepts from ln and logs failed accepts.
 func NewListener(ln net.Listener, table *Table, log *slog.Logger) *Listener {
 	return &Listener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
 }
@@ -59,9 +62,7 @@
 func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
-		if l.closed != nil {
-			close(l.closed)
-		}
+		close(l.closed)
 	})
 	return err
 }
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -1,13 +1,8 @@
 package clientconn
 
 import (
-	"context"
-	"net"
-	"net/http"
 	"sync"
 	"time"
-
-	"ploverreel/internal/socket"
 )
 
 // Table is the client connection table: it holds the clients' connections, at most maxConns
@@ -42,14 +37,6 @@
 	t.maxConns, t.maxKeptIdle = maxConns, maxKeptIdle
 }
 
-// SetPatience changes how long a new connection may send nothing while others need its slot, and
-// how long a connection waits for a slot. It is for tests, whose clients may be slow to write.
-func (t *Table) SetPatience(silentGrace, acquireTimeout time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.silentGrace, t.acquireTimeout = silentGrace, acquireTimeout
-}
-
 // Limits returns how many connections the table may hold, and above how many they are not kept
 // alive.
 func (t *Table) Limits() (maxConns, maxKeptIdle int) {
@@ -58,6 +45,14 @@
 	return t.maxConns, t.maxKeptIdle
 }
 
+// SetPatience changes how long a new connection may send nothing while others need its slot, and
+// how long a connection waits for a slot. It is for tests, whose clients may be slow to write.
+func (t *Table) SetPatience(silentGrace, acquireTimeout time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.silentGrace, t.acquireTimeout = silentGrace, acquireTimeout
+}
+
 // acquirePatience is how long a new connection waits for a slot.
 func (t *Table) acquirePatience() time.Duration {
 	t.mu.Lock()
@@ -86,7 +81,7 @@
 		if victim.stage == stageRejected {
 			t.closeRejected(victim)
 		} else {
-			t.endRead(victim)
+			victim.endRead()
 		}
 	}
 	if len(t.conns) >= t.maxConns {
@@ -96,189 +91,6 @@
 	return true
 }
 
-// closingCount counts the connections that the server is about to close. The caller holds t.mu.
-func (t *Table) closingCount() (n int) {
-	for c := range t.conns {
-		if c.closesWithoutRequest() {
-			n++
-		}
-	}
-	return n
-}
-
-// evictionClass says why a connection may be evicted. Lower classes are evicted first.
-type evictionClass uint8
-
-const (
-	evictLongIdle       evictionClass = iota // idle for idleGrace or longer
-	evictSilent                              // new, and nothing was received for the silent grace
-	evictRejected                            // answered with an error, all of which is written
-	evictUnfinishedHead                      // a head that is incomplete after unfinishedHeadGrace
-	evictIdle                                // idle, even if only just
-	notEvictable                             // with a request in progress, too recent, or ended already
-
-	evictionClasses = int(notEvictable)
-)
-
-// requiresNoUnreadBytes reports whether a connection of the class stays when unread bytes have
-// arrived on it: they are likely a client's request.
-func (class evictionClass) requiresNoUnreadBytes() bool {
-	return class != evictRejected && class != evictUnfinishedHead
-}
-
-// evictionClass tells in which class a connection is. The caller holds t.mu.
-func (t *Table) evictionClass(c *Conn, now time.Time) evictionClass {
-	age := now.Sub(c.stageSince)
-	switch {
-	case c.closing:
-		return notEvictable
-	case c.stage == stageIdle && c.head.started:
-		if age >= unfinishedHeadGrace { // the server itself allows far longer
-			return evictUnfinishedHead
-		}
-	case c.stage == stageIdle && age >= idleGrace:
-		return evictLongIdle
-	case c.stage == stageNew && c.received.Load() && age >= unfinishedHeadGrace:
-		return evictUnfinishedHead
-	case c.stage == stageNew && !c.received.Load() && age >= t.silentGrace:
-		return evictSilent
-	case c.stage == stageRejected && c.responseWritten:
-		return evictRejected
-	case c.stage == stageIdle:
-		return evictIdle
-	}
-	return notEvictable
-}
-
-// evictionCandidate returns the connection to evict for a new one, or nil: of the lowest class that
-// has any, the one that has been at its stage for longest. The caller holds t.mu.
-func (t *Table) evictionCandidate(now time.Time) *Conn {
-	var oldest [evictionClasses]*Conn
-	for c := range t.conns {
-		class := t.evictionClass(c, now)
-		if class == notEvictable {
-			continue
-		}
-		if oldest[class] != nil && !c.stageSince.Before(oldest[class].stageSince) {
-			continue
-		}
-		if class.requiresNoUnreadBytes() && socket.Peek(c.Conn) == socket.PeekUnread {
-			continue
-		}
-		oldest[class] = c
-	}
-	for _, c := range oldest {
-		if c != nil {
-			return c
-		}
-	}
-	return nil
-}
-
-// endRead ends a connection without a request in progress, such that no request is lost: its
-// descriptor is not closed while the server reads, but that read times out at once. If the read
-// returns bytes all the same, their request is answered and the connection closed with the
-// response. If it returns none, the server closes the connection, of which nothing was read.
-// The caller holds t.mu.
-func (t *Table) endRead(c *Conn) {
-	now := time.Now()
-	c.closing = true
-	if c.head.started {
-		c.head.deadline = now
-	}
-	_ = c.Conn.SetReadDeadline(now)
-}
-
-// beginRead notes that the server reads into a buffer of size bytes, and reports whether it reads
-// a request's head. The size of its first read is that of its whole buffer. A later read into less
-// means that the server already holds bytes of the next request, read together with the previous
-// one.
-func (t *Table) beginRead(c *Conn, size int) (isHead bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !c.awaitsHead() {
-		return false
-	}
-	c.head.bufferSize = max(c.head.bufferSize, size)
-	if size < c.head.bufferSize && !c.head.started {
-		t.startHead(c, time.Now())
-	}
-	return true
-}
-
-// startHead notes that the first bytes of a head have been read. The head has to be complete by
-// its deadline, also on a connection that the table has ended. The caller holds t.mu.
-func (t *Table) startHead(c *Conn, now time.Time) {
-	if c.stage == stageIdle {
-		c.stageSince = now
-	}
-	c.head.start(c.stageSince, now)
-	_ = c.Conn.SetReadDeadline(c.head.deadline)
-}
-
-// retryAfterTimeout reports whether a read of a head that has timed out is to be made once more,
-// as bytes have arrived before the timeout was noticed: unread they would reset the connection.
-func (t *Table) retryAfterTimeout(c *Conn) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if c.head.peekedAfterTimeout || socket.Peek(c.Conn) != socket.PeekUnread {
-		return false
-	}
-	c.head.peekedAfterTimeout = true
-	if !c.head.started {
-		t.startHead(c, time.Now())
-	} else {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // the bytes are there already
-	}
-	return true
-}
-
-// noteRead notes bytes that were read from a connection and arrived at a time, either as part of
-// a request or, with background set, next to a running handler. It reports whether a request is in
-// progress.
-func (t *Table) noteRead(c *Conn, background bool, receivedAt time.Time) (active bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	switch {
-	case c.stage == stageActive:
-		c.head.started = c.head.started || background
-		return true
-	case !c.head.started:
-		t.startHead(c, time.Now())
-	case c.head.peekedAfterTimeout:
-		_ = c.Conn.SetReadDeadline(c.head.deadline)
-	}
-	c.head.receivedAt = receivedAt
-	return false
-}
-
-// setReadDeadline sets the deadline that the server wants for its reads. A connection that was
-// ended keeps its own deadline until bytes arrive, and a head has no longer than headState.deadline.
-// The server sets the zero time only once a head is complete: from then on a request is in
-// progress, and the connection can't be ended any more.
-func (t *Table) setReadDeadline(c *Conn, deadline time.Time) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if c.awaitsHead() {
-		switch {
-		case deadline.IsZero():
-			c.stage, c.stageSince, c.head.started = stageActive, time.Now(), false
-		case c.head.started && c.head.deadline.Before(deadline):
-			deadline = c.head.deadline
-		case c.closing && !c.head.started:
-			return nil
-		}
-	}
-	return c.Conn.SetReadDeadline(deadline)
-}
-
-// closeRejected closes a connection whose client was sent an error, and which the server reads no
-// more. The caller holds t.mu.
-func (t *Table) closeRejected(c *Conn) {
-	c.Conn.Close()
-	delete(t.conns, c)
-}
-
 // remove frees the slot of a connection that is closed.
 func (t *Table) remove(c *Conn) {
 	t.mu.Lock()
@@ -290,102 +102,6 @@
 	}
 }
 
-// noteResponseWritten notes that the server has written all that it will write on a connection.
-func (t *Table) noteResponseWritten(c *Conn) {
-	t.mu.Lock()
-	c.responseWritten = true
-	t.mu.Unlock()
-}
-
-// setStage moves a connection to another stage. A rejected one stays rejected.
-func (t *Table) setStage(c *Conn, stage connStage) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if c.stage != stageRejected {
-		c.stage, c.stageSince = stage, time.Now()
-	}
-	switch stage {
-	case stageActive:
-		c.head.started = false // the head is complete
-	case stageIdle:
-		c.head.awaitNext(c.stageSince)
-	}
-}
-
-// OnConnState is the server's ConnState hook.
-func (t *Table) OnConnState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*Conn)
-	if !ok {
-		return
-	}
-	switch state {
-	case http.StateActive:
-		t.setStage(c, stageActive)
-	case http.StateIdle:
-		t.setStage(c, stageIdle)
-	}
-}
-
-// overKeptIdle reports whether more connections are kept than maxKeptIdle, so that clients may
-// soon have no slot for their next request: some send one request and keep their connection
-// without end. The caller holds t.mu.
-func (t *Table) overKeptIdle() bool {
-	kept := 0
-	for c := range t.conns {
-		if c.stage == stageIdle || c.stage == stageActive {
-			kept++
-		}
-	}
-	return kept > t.maxKeptIdle
-}
-
-// MayKeepAlive reports whether a connection may stay open after a response.
-func (t *Table) MayKeepAlive() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return !t.overKeptIdle()
-}
-
-// ReapIdleUntil ends long idle connections, while too many are kept, until the context ends.
-func (t *Table) ReapIdleUntil(ctx context.Context) {
-	ticker := time.NewTicker(reapInterval)
-	defer ticker.Stop()
-	for {
-		select {
-		case now := <-ticker.C:
-			t.reapIdle(now)
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// reapIdle ends the connections that have been idle for idleGrace, while too many are kept.
-func (t *Table) reapIdle(now time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.overKeptIdle() {
-		return
-	}
-	for c := range t.conns {
-		if c.isIdle() && now.Sub(c.stageSince) >= idleGrace {
-			t.endRead(c)
-		}
-	}
-}
-
-// CloseIdle ends the connections that are between two requests and, if newToo is set, those on
-// which nothing has arrived since they were accepted.
-func (t *Table) CloseIdle(newToo bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for c := range t.conns {
-		if c.isIdle() || newToo && c.stage == stageNew && c.isSilent() {
-			t.endRead(c)
-		}
-	}
-}
-
 // Count returns how many connections are accepted and not closed.
 func (t *Table) Count() int {
 	t.mu.Lock()
