--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -71,7 +71,7 @@
 	addr, came := counted(t, 200, false)
 	next := &atomic.Pointer[fault]{}
 	next.Store(&fault{0, -1, -1})
-	a, base, _, _ := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+	a, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
 		return faultyListener{ln, next}
 	})
 	request := func(id string) string {
@@ -159,7 +159,7 @@
 			t.Parallel()
 			left := &atomic.Int32{}
 			left.Store(8)
-			_, base, _, ended := startOn(t, config(nowhere, addr), func(ln net.Listener) net.Listener {
+			_, base, _, ended := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
 				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
 			})
 			conn := dial(t, base)
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -7,6 +7,8 @@
 	"net/http/httptest"
 	"testing"
 	"time"
+
+	"ploverreel/internal/agenttest"
 )
 
 // standInConn is a client's connection, open as long as the test lasts, whose request was received
@@ -25,7 +27,7 @@
 		told <- r.Header.Get("Request-Timeout")
 	}))
 	t.Cleanup(backend.Close)
-	agent, _, _, _ := start(t, config(nowhere, backend.Listener.Addr().String()))
+	agent, _, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
 	const held = 5 * time.Second
 	conn := standInConn{receivedAt: time.Now().Add(-held)}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -1,6 +1,11 @@
 package agent
 
-import "time"
+import (
+	"time"
+
+	"ploverreel/internal/config"
+	"ploverreel/internal/endpointlist"
+)
 
 // input is one thing that happened, on its way to the loop. Its types are listed in this file;
 // loop.handle says what is done with each. Whoever posts an input hands over what it points to.
@@ -32,14 +37,14 @@
 	// endpointsFetched ends a fetch: with a whole list or an error.
 	endpointsFetched struct {
 		generation int
-		list       List
+		list       endpointlist.List
 		err        error
 	}
 
 	// watchEvent is one list that a watch delivered.
 	watchEvent struct {
 		generation int
-		list       List
+		list       endpointlist.List
 	}
 
 	// watchEnded ends a watch.
@@ -55,7 +60,7 @@
 	// reloadRequested asks for another configuration to be put in force. done has room for the
 	// one error, or nil, that is sent.
 	reloadRequested struct {
-		config *Config
+		config *config.Config
 		done   chan error
 	}
 
--- a/internal/agent/timeouts.go
+++ b/internal/agent/timeouts.go
@@ -19,9 +19,6 @@
 	// then whatever the interval between its turns.
 	guardMargin = 2 * time.Millisecond
 	wordMargin  = 3 * time.Millisecond
-	// leastTimeout is up to where any Request-Timeout is accepted, whatever the deadlines of the
-	// classes are.
-	leastTimeout = time.Minute
 )
 
 // Times of a graceful shutdown, counted from SIGTERM.
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -30,7 +30,7 @@
 	if err := l.startTrace(time.Second); err == nil {
 		t.Error("a second trace was begun")
 	}
-	l.balancer.Handle(l.nowMs(), &policy.Event{Kind: policy.EventRequest, Request: 1, TimeLeftMs: 1000}, nil)
+	l.balancer.Handle(l.nowMs(), &policy.RequestArrived{Request: 1, TimeLeftMs: 1000}, nil)
 	for range 2 {
 		l.handle(traceDue{})
 	}
@@ -50,16 +50,3 @@
 		t.Error("the trace goes on past its bound")
 	}
 }
-
-func TestParseTrace(t *testing.T) {
-	for text, want := range map[string]time.Duration{"": 0, "250ms": 250 * time.Millisecond, "2s": 2 * time.Second} {
-		if got, err := ParseTrace(text); err != nil || got != want {
-			t.Errorf("%q gave %v, %v", text, got, err)
-		}
-	}
-	for _, text := range []string{"often", "1ms", "-1s", "250"} {
-		if _, err := ParseTrace(text); err == nil || !strings.HasPrefix(err.Error(), "EDGE_TRACE: ") {
-			t.Errorf("%q gave the error %v", text, err)
-		}
-	}
-}
