--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -16,132 +15,131 @@
 	"ploverreel/internal/agenttest"
 )
 
-// fault describes how a client's connection fails: it reads and writes a byte at a time, and from a
-// number of bytes on each read or write fails.
-type fault struct {
-	errno           syscall.Errno
-	readAt, writeAt int64 // -1: none
+// attemptBounds are how many attempts a request may lead to.
+type attemptBounds struct{ least, most int }
+
+// The attempts of a request that was not received whole, that may have been, and that was.
+var (
+	noAttempt  = attemptBounds{0, 0}
+	atMostOne  = attemptBounds{0, 1}
+	exactlyOne = attemptBounds{1, 1}
+)
+
+// connErrnos are errors with which reads and writes of a client's connection may fail.
+var connErrnos = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOBUFS}
+
+// faultyClient sends requests to an agent over connections with faults, and counts the attempts that
+// each leads to.
+type faultyClient struct {
+	agent    *Agent
+	base     string
+	next     atomic.Pointer[agenttest.Fault] // of the next connection
+	received chan string                     // the ids that the backend got
+	attempts map[string]int                  // by id
+	want     map[string]attemptBounds        // by id
+}
+
+func newFaultyClient(t *testing.T) *faultyClient {
+	t.Helper()
+	addr, received := counted(t, 200, false)
+	c := &faultyClient{received: received, attempts: map[string]int{}, want: map[string]attemptBounds{}}
+	c.next.Store(&agenttest.NoFault)
+	c.agent, c.base, _, _ = startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
+		return agenttest.FaultyListener{Listener: ln, Next: &c.next}
+	})
+	return c
 }
 
-type faultyConn struct {
-	net.Conn
-	fault
-	read, wrote atomic.Int64
+// requestText returns a request with a body, after which the connection closes.
+func (*faultyClient) requestText(id string) string {
+	return strings.Replace(raw("order", id), "\r\n\r\n", "\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", 1)
 }
 
-func (c *faultyConn) Read(p []byte) (int, error) {
-	if c.readAt >= 0 && c.read.Load() >= c.readAt {
-		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.errno)}
+// send sends a request over a connection with a fault, and returns what arrived until its end.
+func (c *faultyClient) send(t *testing.T, fault agenttest.Fault, want attemptBounds) string {
+	t.Helper()
+	c.countAttempts()
+	id := fmt.Sprintf("f%06d", lastID.Add(1))
+	c.want[id] = want
+	c.next.Store(&fault)
+	conn := dial(t, c.base)
+	defer conn.Close()
+	io.WriteString(conn, c.requestText(id))
+	said := answered(t, conn)
+	conn.Close()
+	agenttest.Eventually(t, "its slot free", func() bool { return c.agent.clients.Count() == 0 })
+	return said
+}
+
+// countAttempts counts what the backend has got so far.
+func (c *faultyClient) countAttempts() {
+	for len(c.received) > 0 {
+		c.attempts[<-c.received]++
 	}
-	n, err := c.Conn.Read(p[:min(len(p), 1)])
-	c.read.Add(int64(n))
-	return n, err
 }
 
-func (c *faultyConn) Write(p []byte) (int, error) {
-	for i := range p {
-		if c.writeAt >= 0 && c.wrote.Load() >= c.writeAt {
-			return i, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.errno)}
+// checkAttempts checks the attempts that the requests have led to.
+func (c *faultyClient) checkAttempts(t *testing.T) {
+	t.Helper()
+	unopened(t, c.agent, make(chan string))
+	c.countAttempts()
+	for id, want := range c.want {
+		if got := c.attempts[id]; got < want.least || got > want.most {
+			t.Errorf("request %s: got %d attempts, want %d to %d", id, got, want.least, want.most)
 		}
-		if n, err := c.Conn.Write(p[i : i+1]); err != nil {
-			return i + n, err
-		}
-		c.wrote.Add(1)
 	}
-	return len(p), nil
 }
 
-type faultyListener struct {
-	net.Listener
-	next *atomic.Pointer[fault]
+// checkReadFaults breaks connections at each step-th byte of the request, and right after it: to the
+// agent its client has disconnected then.
+func (c *faultyClient) checkReadFaults(t *testing.T, errno syscall.Errno, step int, whole string) {
+	t.Helper()
+	length := len(c.requestText("f000000"))
+	for at := 0; at < length; at += step {
+		fault := agenttest.Fault{Errno: errno, ReadAt: int64(at), WriteAt: -1}
+		if got := c.send(t, fault, noAttempt); strings.Contains(got, " 200 ") || strings.Count(got, "HTTP/1.1") > 1 {
+			t.Fatalf("%+v: got %q, want one error at most", fault, got)
+		}
+	}
+	fault := agenttest.Fault{Errno: errno, ReadAt: int64(length), WriteAt: -1}
+	got := c.send(t, fault, atMostOne)
+	if strings.Count(got, "HTTP/1.1") > 1 || strings.Contains(got, " 200 ") && got != whole {
+		t.Fatalf("%+v: got %q, want one error at most, or %q", fault, got, whole)
+	}
 }
 
-func (l faultyListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err != nil {
-		return nil, err
+// checkWriteFaults breaks connections at each step-th byte of the response.
+func (c *faultyClient) checkWriteFaults(t *testing.T, errno syscall.Errno, step int, whole string) {
+	t.Helper()
+	for at := 0; at < len(whole); at += step {
+		fault := agenttest.Fault{Errno: errno, ReadAt: -1, WriteAt: int64(at)}
+		if got := c.send(t, fault, exactlyOne); got != whole[:min(at, len(got))] {
+			t.Fatalf("%+v: got %q, want a beginning of %q", fault, got, whole[:at])
+		}
 	}
-	return &faultyConn{Conn: c, fault: *l.next.Load()}, nil
 }
 
 // Wherever in a request or its response a client's connection breaks, and however few bytes each
 // read and write moves: the client gets one response, a part of it or none, never a wrong one; there
 // is at most one attempt, none before the request is complete; and the slot is free again.
-func TestClientsConnectionsBreakAnywhere(t *testing.T) {
-	addr, came := counted(t, 200, false)
-	next := &atomic.Pointer[fault]{}
-	next.Store(&fault{0, -1, -1})
-	a, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
-		return faultyListener{ln, next}
-	})
-	request := func(id string) string {
-		return strings.Replace(raw("order", id), "\r\n\r\n", "\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", 1)
-	}
-	type bounds struct{ least, most int }
-	attempts, wanted := map[string]int{}, map[string]bounds{}
-	// ask sends a request over a connection with a fault, notes how many attempts it may lead to,
-	// and returns what the client was sent.
-	ask := func(f fault, least, most int) string {
-		t.Helper()
-		for len(came) > 0 {
-			attempts[<-came]++
-		}
-		id := fmt.Sprintf("f%06d", lastID.Add(1))
-		wanted[id] = bounds{least, most}
-		next.Store(&f)
-		conn := dial(t, base)
-		defer conn.Close()
-		io.WriteString(conn, request(id))
-		_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-		said, err := io.ReadAll(conn)
-		if ne, ok := err.(net.Error); ok && ne.Timeout() {
-			t.Fatalf("%+v: neither an end nor an error; it said %q", f, said)
-		}
-		conn.Close()
-		agenttest.Eventually(t, "its place free", func() bool { return a.clients.Count() == 0 })
-		return string(said)
-	}
-	whole := ask(fault{0, -1, -1}, 1, 1)
+func TestAgentAnswersOnceWhereverClientConnectionBreaks(t *testing.T) {
+	client := newFaultyClient(t)
+	whole := client.send(t, agenttest.NoFault, exactlyOne)
 	if !strings.HasPrefix(whole, "HTTP/1.1 200 OK\r\n") || !strings.HasSuffix(whole, "\r\n\r\ndone") {
-		t.Fatalf("said %q", whole)
+		t.Fatalf("got %q, want status 200 and the body %q", whole, "done")
 	}
-	length := len(request("f000000"))
-	for i, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOBUFS} {
+	for i, errno := range connErrnos {
 		step := 1
 		if i > 0 {
 			step = 7
 		}
-		for at := 0; at < length; at += step {
-			f := fault{errno, int64(at), -1}
-			if said := ask(f, 0, 0); strings.Contains(said, " 200 ") || strings.Count(said, "HTTP/1.1") > 1 {
-				t.Fatalf("%+v: said %q", f, said)
-			}
-		}
-		// A failure right after the request: to the agent its client has disconnected.
-		f := fault{errno, int64(length), -1}
-		said := ask(f, 0, 1)
-		if strings.Count(said, "HTTP/1.1") > 1 || strings.Contains(said, " 200 ") && said != whole {
-			t.Fatalf("%+v: said %q", f, said)
-		}
-		for at := 0; at < len(whole); at += step {
-			f := fault{errno, -1, int64(at)}
-			if said := ask(f, 1, 1); said != whole[:min(at, len(said))] {
-				t.Fatalf("%+v: said %q", f, said)
-			}
-		}
+		client.checkReadFaults(t, errno, step, whole)
+		client.checkWriteFaults(t, errno, step, whole)
 	}
-	if said := ask(fault{0, -1, -1}, 1, 1); said != whole {
-		t.Fatalf("then said %q", said)
-	}
-	unopened(t, a, make(chan string))
-	for len(came) > 0 {
-		attempts[<-came]++
-	}
-	for id, want := range wanted {
-		if n := attempts[id]; n < want.least || n > want.most {
-			t.Errorf("%s: %d attempts, want %d to %d", id, n, want.least, want.most)
-		}
+	if got := client.send(t, agenttest.NoFault, exactlyOne); got != whole {
+		t.Fatalf("after the faults: got %q, want %q", got, whole)
 	}
+	client.checkAttempts(t)
 }
 
 // acceptErrnos are errors of accept that say nothing against the listener.
@@ -152,7 +150,7 @@
 }
 
 // However accept fails and however often, the agent serves the next connection.
-func TestFailedAcceptsEndNothing(t *testing.T) {
+func TestAgentServesAfterFailedAccepts(t *testing.T) {
 	addr, _ := counted(t, 200, false)
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -163,15 +161,15 @@
 				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
 			})
 			conn := dial(t, base)
-			io.WriteString(conn, raw("order", "accepted"+errno.Error()[:2]+time.Now().Format("150405.000000")))
+			io.WriteString(conn, raw("order", fmt.Sprint("accepted", lastID.Add(1))))
 			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != 200 {
-				t.Fatalf("got %v, %v", resp, err)
+				t.Fatalf("got response %v, %v; want status 200", resp, err)
 			}
 			select {
 			case err := <-ended:
-				t.Fatalf("the agent ended: %v", err)
+				t.Fatalf("got the agent's end, %v; want it to serve on", err)
 			default:
 			}
 		})
--- /dev/null
+++ b/internal/agent/seen_ids_test.go
@@ -0,0 +1,71 @@
+package agent
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+)
+
+// A request whose id is in progress is rejected, and the first one forwarded once.
+func TestAgentRejectsIDOfRequestInProgress(t *testing.T) {
+	got, release := make(chan string, 10), make(chan struct{})
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		got <- r.Header.Get("Request-Id")
+		<-release
+	}))
+	t.Cleanup(backend.Close)
+	_, base, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
+	first, again := call(base, "order"), call(base, "order")
+	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
+	served := make(chan int, 1)
+	go func() {
+		resp, err := new(http.Transport).RoundTrip(first)
+		if err != nil {
+			t.Error(err)
+			close(served)
+			return
+		}
+		served <- resp.StatusCode
+	}()
+	<-got
+	if status, _, _ := do(t, again); status != http.StatusConflict {
+		t.Errorf("got status %d, want %d", status, http.StatusConflict)
+	}
+	close(release)
+	if status := <-served; status != 200 || len(got) > 0 {
+		t.Errorf("got status %d for the first and %d more attempts, want 200 and none", status, len(got))
+	}
+}
+
+// Ids are known for a time, and forgotten some time after it.
+func TestSeenIDsKnowsIDForItsTime(t *testing.T) {
+	ids, now := newSeenIDs(time.Second), time.Now()
+	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
+		t.Fatal("got an id added twice within its time, want it known")
+	}
+	if !ids.add("b", now.Add(2*time.Second)) || !ids.add("a", now.Add(4*time.Second)) || len(ids.now)+len(ids.before) > 2 {
+		t.Fatal("got an id known after its time, want it forgotten")
+	}
+}
+
+// However many ids arrive, the memory for them is bounded, and the latest are known.
+func TestSeenIDsIsBounded(t *testing.T) {
+	ids, now := newSeenIDs(agenttest.Never), time.Now()
+	for i := range 5 * maxIDs {
+		if !ids.add(fmt.Sprint(i), now) {
+			t.Fatalf("id %d: got known, want new", i)
+		}
+		if n := len(ids.now) + len(ids.before); n > 2*maxIDs {
+			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDs)
+		}
+	}
+	for i := 4 * maxIDs; i < 5*maxIDs; i++ {
+		if ids.add(fmt.Sprint(i), now) {
+			t.Fatalf("id %d of the latest: got new, want known", i)
+		}
+	}
+}
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -37,7 +37,8 @@
 	ln := listen(t)
 	s := &testServer{table: table, addr: ln.Addr().String(), received: make(chan string, 100), ended: make(chan error, 1)}
 	server := &http.Server{
-		Handler: s, ReadHeaderTimeout: HeadTimeout, IdleTimeout: KeepAliveTimeout, ConnState: table.OnConnState,
+		Handler: s, ReadHeaderTimeout: HeadTimeout, ConnState: table.OnConnState,
+		IdleTimeout: agenttest.Never, // the table alone ends idle connections
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
