--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -16,6 +16,7 @@
 	"syscall"
 
 	"ploverreel/internal/agent"
+	"ploverreel/internal/clientconn"
 	"ploverreel/internal/config"
 )
 
@@ -51,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	listener, err := agent.Listen(ctx, conf.Listen)
+	listener, err := clientconn.Listen(ctx, conf.Listen)
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -79,8 +79,8 @@
 			t.Errorf("%s is answered %d %q", class, status, said)
 		}
 	}
-	if most := a.clients.maxConns; most != (config.Limits{Sockets: 512}).ClientSockets() {
-		t.Errorf("%d places", most)
+	if slots, _ := a.clients.Limits(); slots != (config.Limits{Sockets: 512}).ClientSockets() {
+		t.Errorf("got %d slots for clients, want %d", slots, (config.Limits{Sockets: 512}).ClientSockets())
 	}
 	a.look(func(l *loop) {
 		if l.pool.maxConns != (config.Limits{Sockets: 512}).BackendSockets() || l.seenIDs.keep < 300*time.Second {
