--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -68,8 +68,7 @@
 			return
 		}
 		if attempt := request.attempts[action.Attempt]; attempt != nil {
-			attempt.withdraw() // else its first byte could still cross this
-			attempt.cancel(errCancelled)
+			attempt.Cancel(errCancelled)
 		}
 	case policy.ActionReject:
 		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.DelayMs)})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -261,8 +261,7 @@
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	waits := newAttempt(before, http.MethodPost, agenttest.Never)
-	b.attempts[waits] = struct{}{}
+	waits := newLoopAttempt(b)
 	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
 		loop.handle(watchEvent{list: listOf(int64(3+i), false, endpoint)})
@@ -290,15 +289,10 @@
 	loop := quietLoop(t, addr)
 	target := loop.backends[addrOf("s-0")]
 	target.conns.pool.idleTimeout = agenttest.Never
-	first := newAttempt(target.conns, http.MethodPost, agenttest.Never)
-	first.backend = target
-	if res := first.run(); res.status != policy.StatusOK {
+	if res := newLoopAttempt(target).run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
-	late := newAttempt(target.conns, http.MethodPost, agenttest.Never)
-	late.backend = target
-	late.request.answers = make(chan response, 1)
-	loop.handle(attemptEnded{attempt: late, result: result{status: policy.StatusTimeout}})
+	loop.handle(attemptEnded{attempt: newLoopAttempt(target), result: result{status: policy.StatusTimeout}})
 	<-closed
 }
 
--- a/internal/agent/attempt_test.go
+++ b/internal/agent/attempt_test.go
@@ -41,7 +41,7 @@
 			defer backend.closeIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
 				a := newAttempt(backend, c.method, agenttest.Never)
-				a.request.idempotency = c.key
+				a.request.IdempotencyKey = c.key
 				if got := a.run().status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
 				}
@@ -56,7 +56,7 @@
 // An attempt goes out once, and what began is not withdrawn.
 func TestAttemptBeginsOnce(t *testing.T) {
 	a := newAttempt(nil, http.MethodPost, agenttest.Never)
-	defer a.cancel(nil)
+	defer a.Cancel(nil)
 	if !a.begin() || a.begin() || a.withdraw() {
 		t.Fatal("an attempt began twice or was withdrawn after it began")
 	}
@@ -165,7 +165,7 @@
 	done := make(chan result)
 	go func() { done <- a.run() }()
 	<-got
-	a.cancel(context.DeadlineExceeded) // the time-out, without waiting for it
+	a.Cancel(context.DeadlineExceeded) // the time-out, without waiting for it
 	if res := <-done; res.status != policy.StatusTimeout {
 		t.Fatalf("ended %d, want timed out", res.status)
 	}
@@ -201,7 +201,7 @@
 			done := make(chan result)
 			go func() { done <- a.run() }()
 			<-dialling
-			a.cancel(c.cause)
+			a.Cancel(c.cause)
 			if res := <-done; res.status != c.want {
 				t.Fatalf("ended %d, want %d", res.status, c.want)
 			}
@@ -214,7 +214,7 @@
 func TestWithdrawnSendsNothing(t *testing.T) {
 	addr, read := byteCounter(t)
 	pool := testPool()
-	var a *attempt
+	var a *backendAttempt
 	plain := pool.connect
 	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
@@ -237,15 +237,15 @@
 func TestTooLateToBegin(t *testing.T) {
 	addr, read := byteCounter(t)
 	pool := testPool()
-	var a *attempt
+	var a *backendAttempt
 	plain := pool.connect
 	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
-		a.beginBy = time.Now().Add(-time.Nanosecond) // it took that long
+		a.BeginBy = time.Now().Add(-time.Nanosecond) // it took that long
 		return c, err
 	}
 	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
-	a.beginBy = time.Now().Add(agenttest.Never)
+	a.BeginBy = time.Now().Add(agenttest.Never)
 	if got := a.run().status; got != policy.StatusNotSent {
 		t.Fatalf("ended %d, want never begun", got)
 	}
@@ -254,10 +254,10 @@
 	}
 	pool.connect = plain
 	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
-	a.beginBy = time.Now().Add(agenttest.Never)
+	a.BeginBy = time.Now().Add(agenttest.Never)
 	go a.run()
 	agenttest.Eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
-	a.cancel(errCancelled)
+	a.Cancel(errCancelled)
 	<-read
 }
 
@@ -284,8 +284,8 @@
 		io.WriteString(c, okAnswer)
 	})
 	a := newAttempt(testPool().newBackendConns(addr), http.MethodPost, agenttest.Never)
-	a.request.target = "/order/a%2Fb%20c?x=1&y=%2f"
-	a.request.idempotency = "k1"
+	a.request.Target = "/order/a%2Fb%20c?x=1&y=%2f"
+	a.request.IdempotencyKey = "k1"
 	if res := a.run(); res.status != policy.StatusOK {
 		t.Fatalf("ended %d", res.status)
 	}
@@ -422,8 +422,8 @@
 	pool := testPool()
 	pool.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
 	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
-	if res := a.run(); res.status != policy.StatusReset || res.broken == nil {
-		t.Fatalf("ended %d, %v", res.status, res.broken)
+	if res := a.run(); res.status != policy.StatusReset || res.panicked == nil {
+		t.Fatalf("ended %d, %v", res.status, res.panicked)
 	}
 	if pool.open != 0 {
 		t.Errorf("%d connections counted as open", pool.open)
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -1,19 +1,26 @@
 package agent
 
 import (
-	"context"
 	"time"
 
 	"ploverreel/policy"
 )
 
+// attempt is one attempt of a request, as the loop keeps it.
+type attempt struct {
+	*backendAttempt
+	request *request
+	index   int // among the attempts of the request
+	backend *listedBackend
+}
+
 // send starts an attempt in a goroutine of its own, which ends with the attempt's context: at its
 // timeout, when the attempt is cancelled, or with the loop's. Its end is posted once, also if it
 // could not begin: the module waits for the end of each attempt.
 func (l *loop) send(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
-		target = &backend{addr: action.Server, conns: l.pool.newBackendConns("")}
+		target = &listedBackend{addr: action.Server, conns: l.pool.newBackendConns("")}
 	}
 	current := l.newAttempt(request, target, action)
 	request.attempts = append(request.attempts, current)
@@ -21,11 +28,11 @@
 	begun := false
 	defer func() { // after a panic too
 		if !begun {
-			current.cancel(nil)
+			current.Cancel(nil)
 			l.followUps = append(l.followUps, attemptEnded{attempt: current, result: result{status: policy.StatusNotSent}})
 		}
 	}()
-	if !target.usable || request.answered || request.clientGone.Load() {
+	if !target.usable || request.answered || request.client.gone.Load() {
 		// The module sends only to what is listed as ready; should it not, nothing goes out. Nor
 		// does it for a client whose end is still in the queue.
 		return
@@ -36,17 +43,12 @@
 }
 
 // newAttempt is an attempt with its times, which count from the decision.
-func (l *loop) newAttempt(request *request, target *backend, action *policy.Action) *attempt {
-	created := &attempt{request: request, index: len(request.attempts), backend: target, conns: target.conns, started: time.Now()}
+func (l *loop) newAttempt(request *request, target *listedBackend, action *policy.Action) *attempt {
+	deadline := l.decidedAt.Add(millis(action.DelayMs))
+	created := &attempt{request: request, index: len(request.attempts), backend: target,
+		backendAttempt: newBackendAttempt(l.ctx, target.conns, &request.backendRequest, deadline)}
 	if action.WithinMs > 0 {
-		created.beginBy = l.decidedAt.Add(millis(action.WithinMs))
-	}
-	ctx, cancel := context.WithCancelCause(l.ctx)
-	var stop context.CancelFunc
-	created.ctx, stop = context.WithDeadline(ctx, l.decidedAt.Add(millis(action.DelayMs)))
-	created.cancel = func(cause error) {
-		cancel(cause)
-		stop()
+		created.BeginBy = l.decidedAt.Add(millis(action.WithinMs))
 	}
 	return created
 }
@@ -58,8 +60,8 @@
 	delete(target.attempts, ended)
 	l.removeBackend(target)
 	request.open--
-	if outcome.broken != nil {
-		l.log.Error("attempt ended", "err", outcome.broken)
+	if outcome.panicked != nil {
+		l.log.Error("attempt ended", "err", outcome.panicked)
 	}
 	switch outcome.status {
 	case policy.StatusLocalFailure, policy.StatusUnreachable:
--- a/internal/agent/backend_conns.go
+++ b/internal/agent/backend_conns.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"runtime/debug"
 	"time"
 
@@ -32,9 +31,9 @@
 	// noExtra is until when no extra connection is opened, as one did not come up: the backend may
 	// have no room for it.
 	noExtra time.Time
-	// panicked is a panic in the opening of an extra connection, with its stack, which the next
-	// result of an attempt takes to the loop.
-	panicked error
+	// panicked is a panic in the opening of an extra connection, which the next result of an attempt
+	// takes along.
+	panicked *panicError
 }
 
 // get acquires a connection on which no bytes wait: an idle one that has rested or, within the
@@ -132,7 +131,7 @@
 func (b *backendConns) openExtra(ctx context.Context, up chan<- *backendConn, left <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			b.extraPanicked(fmt.Errorf("panic in an extra connection: %v\n%s", reason, debug.Stack()))
+			b.extraPanicked(&panicError{where: "an extra connection", reason: reason, stack: debug.Stack()})
 		}
 	}()
 	conn, err := b.connect(ctx)
@@ -164,7 +163,7 @@
 }
 
 // extraPanicked notes a panic as a failed connect, and keeps it for takePanic.
-func (b *backendConns) extraPanicked(err error) {
+func (b *backendConns) extraPanicked(err *panicError) {
 	b.extraOpened(err, false)
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
@@ -172,7 +171,7 @@
 }
 
 // takePanic returns the panic that is kept, once; nil if there is none.
-func (b *backendConns) takePanic() error {
+func (b *backendConns) takePanic() *panicError {
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	err := b.panicked
--- a/internal/agent/backend_helpers_test.go
+++ b/internal/agent/backend_helpers_test.go
@@ -61,16 +61,19 @@
 	return newPool((&net.Dialer{}).DialContext, agenttest.Never, agenttest.Never, 100)
 }
 
-// newAttempt makes an attempt as the loop does.
-func newAttempt(backend *backendConns, method string, timeout time.Duration) *attempt {
-	r := &request{method: method, target: "/order/u1", host: "backend.local", wireID: "id1"}
+// newAttempt makes an attempt with a request of its own.
+func newAttempt(conns *backendConns, method string, timeout time.Duration) *backendAttempt {
+	request := &backendRequest{Method: method, Target: "/order/u1", Host: "backend.local", RequestID: "id1"}
 	if method == http.MethodPost {
-		r.body = []byte("body")
+		request.Body = []byte("body")
 	}
-	a := &attempt{request: r, conns: backend, started: time.Now()}
-	ctx, cancel := context.WithCancelCause(context.Background())
-	var stop context.CancelFunc
-	a.ctx, stop = context.WithTimeout(ctx, timeout)
-	a.cancel = func(cause error) { cancel(cause); stop() }
-	return a
+	return newBackendAttempt(context.Background(), conns, request, time.Now().Add(timeout))
+}
+
+// newLoopAttempt makes an attempt of a request as the loop keeps it.
+func newLoopAttempt(target *listedBackend) *attempt {
+	created := &attempt{request: &request{answers: make(chan response, 1)}, backend: target}
+	created.backendAttempt = newAttempt(target.conns, http.MethodPost, agenttest.Never)
+	target.attempts[created] = struct{}{}
+	return created
 }
--- a/internal/agent/backend_response.go
+++ b/internal/agent/backend_response.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"fmt"
 	"io"
 	"math"
 	"net/http"
@@ -14,45 +13,46 @@
 
 // Bounds of what is read from a backend.
 const (
-	maxBody       = 64 << 10 // bytes of a request's body and of an answer's
+	maxAnswerBody = 64 << 10 // bytes of an answer's body
 	maxAnswerHead = 16 << 10 // bytes of an answer's head, with the 1xx answers ahead of it
 	maxInterim    = 8        // 1xx answers ahead of an answer
 )
 
-// answer reads the answer and reports whether the connection can be used again. Of an answer that
+// answer reads the answer to the request and reports whether the connection can be used again. Of an answer that
 // is spoilt in any way nothing is believed: the request may have run.
-func (a *attempt) answer(conn *backendConn, reader *bufio.Reader) (res result, reusable bool, err error) {
-	response, err := a.finalHead(reader)
+// Its error is an *answerError.
+func answer(conn *backendConn, reader *bufio.Reader, outgoing *http.Request) (res result, reusable bool, err error) {
+	response, err := finalHead(reader, outgoing)
 	if err != nil {
-		return result{}, false, err
+		return result{}, false, &answerError{err}
 	}
 	// Without a length the answer lasts to the end of the connection. One that ends in order makes
 	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
 	chunked := len(response.TransferEncoding) > 0
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
-	case response.ContentLength > maxBody:
-		return result{}, false, errTooLong
+	case response.ContentLength > maxAnswerBody:
+		return result{}, false, &answerError{errTooLong}
 	case untilEnd:
-		conn.readBudget += maxBody + 1 // a read behind the last byte, which finds the end
+		conn.readBudget += maxAnswerBody + 1 // a read behind the last byte, which finds the end
 	case chunked:
-		conn.readBudget += maxBody + maxAnswerHead // the frames of the chunks
+		conn.readBudget += maxAnswerBody + maxAnswerHead // the frames of the chunks
 	default:
 		conn.readBudget += int(response.ContentLength)
 	}
 	body, err := readBody(response.Body, response.ContentLength)
 	if err != nil {
-		return result{}, false, fmt.Errorf("answer: %w", err)
+		return result{}, false, &answerError{err}
 	}
 	return resultOf(response, body), !response.Close && !untilEnd, nil
 }
 
-// finalHead reads the head of the answer and skips the 1xx answers ahead of it.
-func (a *attempt) finalHead(reader *bufio.Reader) (*http.Response, error) {
+// finalHead reads the head of the answer to the request and skips the 1xx answers ahead of it.
+func finalHead(reader *bufio.Reader, outgoing *http.Request) (*http.Response, error) {
 	for i := 0; ; i++ {
-		response, err := http.ReadResponse(reader, &http.Request{Method: a.request.method})
+		response, err := http.ReadResponse(reader, outgoing)
 		if err != nil {
-			return nil, fmt.Errorf("answer: %w", err)
+			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || response.ProtoMajor != 1 {
 			return nil, errNoAnswer
@@ -79,15 +79,15 @@
 }
 
 // readBody reads a body whole; a length below 0 is not known. It returns errTooLong for more than
-// maxBody bytes.
+// maxAnswerBody bytes.
 func readBody(reader io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
 		_, err := io.ReadFull(reader, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(reader, maxBody+1))
-	if err == nil && len(body) > maxBody {
+	body, err := io.ReadAll(io.LimitReader(reader, maxAnswerBody+1))
+	if err == nil && len(body) > maxAnswerBody {
 		err = errTooLong
 	}
 	return body, err
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -133,7 +133,7 @@
 func (a *Agent) holds(id string) (found bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
-			found = found || r.wireID == id && !r.answered
+			found = found || r.RequestID == id && !r.answered
 		}
 	})
 	return found
@@ -143,7 +143,7 @@
 func (a *Agent) unsent(id string) (none bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
-			none = none || r.wireID == id && r.open == 0
+			none = none || r.RequestID == id && r.open == 0
 		}
 	})
 	return none
@@ -208,7 +208,7 @@
 
 // resting makes a backend's connections with one at rest, for which an attempt waits until the test
 // ends the rest. The backend writes what the test sends on beyond, besides its answers.
-func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *attempt, done chan result, rested chan time.Time, beyond, came chan string) {
+func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *backendAttempt, done chan result, rested chan time.Time, beyond, came chan string) {
 	beyond, came = make(chan string), make(chan string, 10)
 	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -244,7 +244,7 @@
 	backendPool.mu.Unlock()
 	<-came
 	waits = newAttempt(g, http.MethodPost, agenttest.Never)
-	waits.request.wireID = "next"
+	waits.request.RequestID = "next"
 	done = make(chan result, 1)
 	go func() { done <- waits.run() }()
 	<-asked
@@ -267,8 +267,7 @@
 // the connection to other attempts.
 func TestLeavingEndsTheRest(t *testing.T) {
 	g, _, waits, done, rested, _, came := resting(t)
-	waits.withdraw()
-	waits.cancel(errCancelled)
+	waits.Cancel(errCancelled)
 	if res := <-done; res.status != policy.StatusCancelled {
 		t.Fatalf("ended %d", res.status)
 	}
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -67,8 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := quietLoop(t, "127.0.0.1:1")
 			b := l.backends[addrOf("s-0")]
-			waits := newAttempt(b.conns, http.MethodPost, agenttest.Never)
-			b.attempts[waits] = struct{}{}
+			waits := newLoopAttempt(b)
 			l.handle(watchEvent{list: list})
 			if waits.begin() {
 				t.Fatal("an attempt begins after the list")
--- a/internal/agent/drain_hold_up_test.go
+++ b/internal/agent/drain_hold_up_test.go
@@ -3,10 +3,8 @@
 import (
 	"context"
 	"net"
-	"net/http"
 	"testing"
 
-	"ploverreel/internal/agenttest"
 	"ploverreel/policy"
 )
 
@@ -29,8 +27,8 @@
 		t.Run(at, func(t *testing.T) {
 			c := &scriptedConn{answer: []byte(okAnswer), writeEnd: -1, readEnd: -1}
 			pool := testPool()
-			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
-			b := &backend{conns: a.conns, attempts: map[*attempt]struct{}{a: {}}}
+			b := &listedBackend{conns: pool.newBackendConns("127.0.0.1:1"), attempts: map[*attempt]struct{}{}}
+			a := newLoopAttempt(b)
 			pool.connect = func(context.Context, string, string) (net.Conn, error) {
 				if at == "connect" {
 					b.withdraw()
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -121,7 +121,7 @@
 		if gone {
 			return
 		}
-		current = &backend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
+		current = &listedBackend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
 		l.backends[entry.Server] = current
 	}
 	if !gone && (current.conns == nil || current.conns.dial != host.Dial || current.bornMs != host.BornMs) {
@@ -137,7 +137,7 @@
 }
 
 // removeBackend forgets a backend that is not to be sent to and has no attempt in flight.
-func (l *loop) removeBackend(backend *backend) {
+func (l *loop) removeBackend(backend *listedBackend) {
 	if !backend.usable && len(backend.attempts) == 0 {
 		backend.conns.close()
 		if l.backends[backend.addr] == backend {
@@ -148,11 +148,9 @@
 
 // withdraw stops the attempts of which no byte has gone out, and closes the connections that are
 // idle: a backend that drains, is gone or is another process now gets nothing more.
-func (b *backend) withdraw() {
+func (b *listedBackend) withdraw() {
 	for attempt := range b.attempts {
-		if attempt.withdraw() {
-			attempt.cancel(errEndpointDraining)
-		}
+		attempt.Withdraw(errEndpointDraining)
 	}
 	b.conns.closeIdle()
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -50,9 +50,9 @@
 		a.reject(w, r, err)
 		return
 	}
-	defer a.bodyBytes.Add(-int64(len(req.body)))
+	defer a.bodyBytes.Add(-int64(len(req.Body)))
 	if client != nil {
-		req.client = client.Conn
+		req.client.conn = client.Conn
 	}
 	if !a.hasTimeFor(req) {
 		a.writeNotRun(w, config)
@@ -95,20 +95,20 @@
 // progress, and reports whether the request can be answered in time. One that can't never ran.
 func (a *Agent) hasTimeFor(req *request) bool {
 	if began := a.shutdownAt.Load(); began != nil {
-		if last := began.Add(a.lastAnswerAfter()); last.Before(req.deadline) {
-			req.deadline = last
+		if last := began.Add(a.lastAnswerAfter()); last.Before(req.Deadline) {
+			req.Deadline = last
 		}
 		if time.Since(*began) >= shutdownRejectAfter {
 			return false
 		}
 	}
-	return time.Until(req.deadline) > guardMargin
+	return time.Until(req.Deadline) > guardMargin
 }
 
 // forward posts a request to the loop and writes its response. It waits no longer than the client
 // does, as the loop may be busy, its queue full, or its decision lost in a panic.
 func (a *Agent) forward(w http.ResponseWriter, r *http.Request, req *request) {
-	guard := time.NewTimer(time.Until(req.deadline) - guardMargin)
+	guard := time.NewTimer(time.Until(req.Deadline) - guardMargin)
 	defer guard.Stop()
 	queue := a.loop.inputs // nil once the request is posted, so that it is posted once
 	for {
@@ -149,7 +149,7 @@
 // loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are
 // abandoned, so these goroutines are no more than the requests that the loop and its queue hold.
 func (a *Agent) abandon(req *request) {
-	req.clientGone.Store(true) // seen at once, however long the loop's queue is
+	req.client.gone.Store(true) // seen at once, however long the loop's queue is
 	gone := clientDisconnected{request: req}
 	select {
 	case a.loop.inputs <- gone:
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -40,9 +40,9 @@
 	} {
 		t.Run(left.String(), func(t *testing.T) {
 			loop := quietLoop(t, "127.0.0.1:1")
-			r := &request{config: loop.config, class: 2, tenant: -1, method: http.MethodPost, target: "/order/u1", host: "b",
-				wireID: "last", deadline: time.Now().Add(left), answers: make(chan response, 1)}
-			before := time.Until(r.deadline)
+			r := &request{config: loop.config, class: 2, tenant: -1, answers: make(chan response, 1), backendRequest: backendRequest{
+				Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "last", Deadline: time.Now().Add(left)}}
+			before := time.Until(r.Deadline)
 			loop.handle(requestArrived{request: r})
 			sent := false
 			for _, act := range loop.actions {
--- a/internal/agent/held_up_test.go
+++ b/internal/agent/held_up_test.go
@@ -14,8 +14,8 @@
 // heldUp is a loop with a request, whose last decision was made some time ago.
 func heldUp(t *testing.T, ago time.Duration) (*loop, *request) {
 	l := quietLoop(t, "127.0.0.1:1")
-	r := &request{id: 1, method: http.MethodPost, target: "/send/u1", host: "b", wireID: "id", answers: make(chan response, 1),
-		deadline: time.Now().Add(agenttest.Never)}
+	r := &request{id: 1, answers: make(chan response, 1), backendRequest: backendRequest{Method: http.MethodPost,
+		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.Never)}}
 	l.requests[r.id] = r
 	l.decidedAt = time.Now().Add(-ago)
 	return l, r
@@ -30,9 +30,9 @@
 	}
 	l.send(r, &policy.Action{Kind: policy.ActionSend, Request: 1, Server: server, DelayMs: 90_000, WithinMs: 30_000})
 	a := r.attempts[0]
-	defer a.cancel(nil)
-	if !a.beginBy.Before(time.Now()) {
-		t.Errorf("a repeat whose window is over may begin for %v", time.Until(a.beginBy))
+	defer a.Cancel(nil)
+	if !a.BeginBy.Before(time.Now()) {
+		t.Errorf("a repeat whose window is over may begin for %v", time.Until(a.BeginBy))
 	}
 	if end, _ := a.ctx.Deadline(); time.Until(end) > 30*time.Second {
 		t.Errorf("an attempt with 30 s left may last %v", time.Until(end))
@@ -55,8 +55,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a := newAttempt(nil, http.MethodPost, test.attempt)
-			defer a.cancel(nil)
-			a.request.deadline = time.Now().Add(test.client)
+			defer a.Cancel(nil)
+			a.request.Deadline = time.Now().Add(test.client)
 			if got := a.requestTimeout(); got > test.most || got < test.least {
 				t.Errorf("%v of the attempt and %v of the client are left: Request-Timeout %v", test.attempt, test.client, got)
 			}
--- a/internal/agent/left_attempt_test.go
+++ b/internal/agent/left_attempt_test.go
@@ -12,20 +12,21 @@
 	"ploverreel/policy"
 )
 
-// clientOf gives a request a client of its own, whose leaving is not reported to the loop.
-func clientOf(t *testing.T, r *request) net.Conn {
+// clientOf gives a request a client of its own.
+func clientOf(t *testing.T, r *backendRequest) (theirs, ours net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	client := dial(t, "http://"+ln.Addr().String())
-	if r.client, err = ln.Accept(); err != nil {
+	theirs = dial(t, "http://"+ln.Addr().String())
+	if ours, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.client.Close() })
-	return client
+	t.Cleanup(func() { ours.Close() })
+	r.Client = &client{conn: ours}
+	return theirs, ours
 }
 
 // Whatever an attempt waited for, it looks for its client last of all before the first byte:
@@ -35,10 +36,10 @@
 		for how, leave := range leavings {
 			t.Run(waits+" "+how, func(t *testing.T) {
 				a := newAttempt(nil, http.MethodPost, agenttest.NoAnswerTimeout)
-				client := clientOf(t, a.request)
+				theirs, ours := clientOf(t, a.request)
 				gone := func() {
-					leave(client)
-					agenttest.Eventually(t, "the leaving at the agent's socket", func() bool { return socket.PeerClosed(a.request.client) })
+					leave(theirs)
+					agenttest.Eventually(t, "the leaving at the agent's socket", func() bool { return socket.PeerClosed(ours) })
 				}
 				var backend *backendConns
 				var rested chan time.Time
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -44,7 +44,7 @@
 	requests map[policy.RequestID]*request
 	nextID   policy.RequestID
 	seenIDs  *seenIDs
-	backends map[policy.Addr]*backend
+	backends map[policy.Addr]*listedBackend
 	pool     *pool
 
 	watch watchState
@@ -92,7 +92,7 @@
 		after:    time.AfterFunc,
 		requests: map[policy.RequestID]*request{},
 		seenIDs:  newSeenIDs(0),
-		backends: map[policy.Addr]*backend{},
+		backends: map[policy.Addr]*listedBackend{},
 		pool:     newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0),
 		watch:    watchState{startTimes: newStartTimes()},
 		log:      log,
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -15,8 +15,9 @@
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
 	for range 3 {
-		r := &request{config: l.config, class: 2, method: http.MethodPost, target: "/order/u1", host: "b",
-			wireID: "id" + string(rune('a'+len(requests))), answers: make(chan response, 2), deadline: time.Now().Add(agenttest.Never)}
+		r := &request{config: l.config, class: 2, answers: make(chan response, 2), backendRequest: backendRequest{
+			Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "id" + string(rune('a'+len(requests))),
+			Deadline: time.Now().Add(agenttest.Never)}}
 		requests = append(requests, r)
 	}
 	for _, b := range l.backends {
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"ploverreel/internal/socket"
 	"ploverreel/policy"
@@ -14,8 +15,8 @@
 	errClientGone = errors.New("the client has left before the first byte")
 	errLate       = errors.New("too late for the attempt to begin")
 	errNoSocket   = errors.New("no socket left for a new connection")
-	errTooLong    = errors.New("answer: longer than any may be")
-	errNoAnswer   = errors.New("answer: none to this request")
+	errTooLong    = errors.New("longer than any may be")
+	errNoAnswer   = errors.New("none to this request")
 )
 
 // Causes with which the loop ends an attempt's context.
@@ -33,19 +34,41 @@
 func (e *writeError) Error() string { return "write: " + e.err.Error() }
 func (e *writeError) Unwrap() error { return e.err }
 
-// attemptEnd is what is known of an attempt that got no whole answer.
-type attemptEnd struct {
-	err        error // why there is none
-	cause      error // why the attempt's context ended; nil: it did not
+// answerError is an answer that didn't come whole or is not one to the request. Nothing of it is
+// believed.
+type answerError struct{ err error }
+
+func (e *answerError) Error() string { return "answer: " + e.err.Error() }
+func (e *answerError) Unwrap() error { return e.err }
+
+// panicError is a panic, with its stack.
+type panicError struct {
+	where  string
+	reason any
+	stack  []byte
+}
+
+func (e *panicError) Error() string {
+	return fmt.Sprintf("panic in %s: %v\n%s", e.where, e.reason, e.stack)
+}
+
+// attemptError is why an attempt got no whole answer, and what is known of how far it came. It wraps
+// one of the errors above or one of the network.
+type attemptError struct {
+	err        error
+	cause      error // with which the attempt's context ended; nil: it did not
 	neverBegan bool  // no byte of the request was written
 	incomplete bool  // the last byte of the request was not written
 }
 
+func (e *attemptError) Error() string { return e.err.Error() }
+func (e *attemptError) Unwrap() error { return e.err }
+
 // cannotHaveRun: a server runs nothing of which it has not got the last byte.
-func (e *attemptEnd) cannotHaveRun() bool { return e.neverBegan || e.incomplete }
+func (e *attemptError) cannotHaveRun() bool { return e.neverBegan || e.incomplete }
 
 // isOneOf reports whether the attempt ended with one of the errors.
-func (e *attemptEnd) isOneOf(targets ...error) bool {
+func (e *attemptError) isOneOf(targets ...error) bool {
 	for _, target := range targets {
 		if errors.Is(e.err, target) {
 			return true
@@ -57,37 +80,42 @@
 // outcomes has the statuses of attempts without a whole answer; the first row that applies counts.
 var outcomes = []struct {
 	status  policy.Status
-	applies func(end *attemptEnd) bool
+	applies func(e *attemptError) bool
 }{
 	// The agent itself did not begin it: the backend is not to blame.
-	{policy.StatusNotSent, func(end *attemptEnd) bool { return end.neverBegan && end.isOneOf(errLate, errClientGone) }},
+	{policy.StatusNotSent, func(e *attemptError) bool { return e.neverBegan && e.isOneOf(errLate, errClientGone) }},
 	// It may be sent to another backend at once, and this one is no outlier for it.
-	{policy.StatusRejected, func(end *attemptEnd) bool {
-		return end.neverBegan && (end.isOneOf(errNoSocket) || errors.Is(end.cause, errEndpointDraining))
+	{policy.StatusRejected, func(e *attemptError) bool {
+		return e.neverBegan && (e.isOneOf(errNoSocket) || errors.Is(e.cause, errEndpointDraining))
 	}},
 	// The decision module asked for it, whether or not the attempt has begun.
-	{policy.StatusCancelled, func(end *attemptEnd) bool { return errors.Is(end.cause, errCancelled) }},
+	{policy.StatusCancelled, func(e *attemptError) bool { return errors.Is(e.cause, errCancelled) }},
 	// This machine is at fault for the moment, and the request has not run.
-	{policy.StatusLocalFailure, func(end *attemptEnd) bool { return end.cannotHaveRun() && socket.IsLocalError(end.err) }},
+	{policy.StatusLocalFailure, func(e *attemptError) bool { return e.cannotHaveRun() && socket.IsLocalError(e.err) }},
 	// There is no way to the backend. After a first byte there was one, so the next row has it.
-	{policy.StatusUnreachable, func(end *attemptEnd) bool { return end.neverBegan && socket.IsUnreachable(end.err) }},
+	{policy.StatusUnreachable, func(e *attemptError) bool { return e.neverBegan && socket.IsUnreachable(e.err) }},
 	// The backend could not be connected to, or the connection broke before the last byte.
-	{policy.StatusConnectFailed, (*attemptEnd).cannotHaveRun},
+	{policy.StatusConnectFailed, (*attemptError).cannotHaveRun},
 	// The attempt's time was over with the request written whole: it may have run.
-	{policy.StatusTimeout, func(end *attemptEnd) bool { return end.cause != nil }},
+	{policy.StatusTimeout, func(e *attemptError) bool { return e.cause != nil }},
 	// The connection broke, or the answer was spoilt: it may have run.
-	{policy.StatusReset, func(*attemptEnd) bool { return true }},
+	{policy.StatusReset, func(*attemptError) bool { return true }},
 }
 
-// outcomeOf is the status of an attempt that got no whole answer. In doubt it may have run.
-func (a *attempt) outcomeOf(err error) policy.Status {
-	var write *writeError
-	end := &attemptEnd{err: err, neverBegan: a.withdraw(), cause: context.Cause(a.ctx)}
-	end.incomplete = errors.As(err, &write) && write.incomplete
+// status is that of an attempt that got no whole answer. In doubt it may have run.
+func (e *attemptError) status() policy.Status {
 	for _, outcome := range outcomes {
-		if outcome.applies(end) {
+		if outcome.applies(e) {
 			return outcome.status
 		}
 	}
 	return policy.StatusReset
 }
+
+// failed is the result of an attempt that got no whole answer.
+func (a *backendAttempt) failed(err error) result {
+	var write *writeError
+	failure := &attemptError{err: err, neverBegan: a.withdraw(), cause: context.Cause(a.ctx)}
+	failure.incomplete = errors.As(err, &write) && write.incomplete
+	return result{status: failure.status(), err: failure}
+}
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -220,16 +220,16 @@
 		return backend.panicked != nil
 	})
 	rested <- time.Now()
-	if res := <-done; res.status != policy.StatusOK || res.broken == nil {
-		t.Fatalf("ended %d, broken by %v", res.status, res.broken)
+	if res := <-done; res.status != policy.StatusOK || res.panicked == nil {
+		t.Fatalf("ended %d, broken by %v", res.status, res.panicked)
 	}
 	if idle, open := backend.idleAndOpen(); idle != 1 || open != 1 || backend.opening {
 		t.Errorf("%d idle of %d, opening %v", idle, open, backend.opening)
 	}
 	backend.rests()
 	close(rested)
-	if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK || res.broken != nil {
-		t.Errorf("the next ended %d, broken by %v", res.status, res.broken)
+	if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK || res.panicked != nil {
+		t.Errorf("the next ended %d, broken by %v", res.status, res.panicked)
 	}
 	if n := conns.begun.Load(); n != 2 {
 		t.Errorf("%d connects: one that panicked is tried again at once", n)
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -14,8 +14,10 @@
 	"ploverreel/policy"
 )
 
-// maxTokenLen is how many bytes a Request-Id or a Host may have.
-const maxTokenLen = 256
+const (
+	maxBody     = 64 << 10 // bytes of a request's body
+	maxTokenLen = 256      // bytes of a Request-Id or a Host
+)
 
 // requestError is why a request is refused before it reaches the loop.
 type requestError struct {
@@ -37,8 +39,8 @@
 	if !known {
 		return nil, &requestError{status: http.StatusNotFound, reason: "unknown class of request"}
 	}
-	req := &request{config: config, class: class, method: r.Method, target: r.RequestURI, host: r.Host,
-		retry: r.Header.Get("Client-Retry") == "1", answers: make(chan response, 1)}
+	req := &request{config: config, class: class, retry: r.Header.Get("Client-Retry") == "1", answers: make(chan response, 1)}
+	req.Method, req.Target, req.Host, req.Client = r.Method, r.RequestURI, r.Host, &req.client
 	timeoutText, err := readUniqueHeaders(req, r.Header)
 	if err != nil {
 		return nil, err
@@ -53,7 +55,7 @@
 	}
 	// A client may wait for longer than a response of its class is worth anything; the agent
 	// doesn't.
-	req.deadline = receivedAt.Add(min(timeout, millis(settings.DeadlineMs)))
+	req.Deadline = receivedAt.Add(min(timeout, millis(settings.DeadlineMs)))
 	readRoutingHints(req, path, r.Header)
 	return req, a.readBody(w, r, req)
 }
@@ -80,9 +82,9 @@
 		key   string
 		value *string
 	}{
-		{"Request-Id", &req.wireID},
-		{"Idempotency-Key", &req.idempotency},
-		{"Content-Type", &req.contentType},
+		{"Request-Id", &req.RequestID},
+		{"Idempotency-Key", &req.IdempotencyKey},
+		{"Content-Type", &req.ContentType},
 		{"Request-Timeout", &timeoutText},
 	} {
 		values := header[field.key]
@@ -104,15 +106,15 @@
 		method = http.MethodGet
 	}
 	switch {
-	case req.method != method:
+	case req.Method != method:
 		return &requestError{status: http.StatusMethodNotAllowed, reason: "this class is asked with " + method}
 	case method == http.MethodGet && contentLength > 0:
 		return &requestError{status: http.StatusBadRequest, reason: "body: none belongs to GET"}
-	case !isPlainToken(req.host):
+	case !isPlainToken(req.Host):
 		return &requestError{status: http.StatusBadRequest, reason: "Host: missing or no plain word"}
-	case !isPlainToken(req.wireID):
+	case !isPlainToken(req.RequestID):
 		return &requestError{status: http.StatusBadRequest, reason: "Request-Id: missing or no plain word"}
-	case effect == policy.EffectIdempotentWithKey && req.idempotency == "":
+	case effect == policy.EffectIdempotentWithKey && req.IdempotencyKey == "":
 		return &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key: missing"}
 	}
 	return nil
@@ -159,7 +161,7 @@
 	}
 	inMemory := a.bodyBytes.Add(r.ContentLength)
 	defer func() {
-		if req.body == nil {
+		if req.Body == nil {
 			a.bodyBytes.Add(-r.ContentLength)
 		}
 	}()
@@ -171,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	req.body = body
+	req.Body = body
 	return nil
 }
 
@@ -181,7 +183,7 @@
 func receiveBody(w http.ResponseWriter, r *http.Request, req *request) ([]byte, error) {
 	control := http.NewResponseController(w)
 	now := time.Now()
-	timeout := min(bodyTimeout, max(req.deadline.Sub(now), minBodyTime))
+	timeout := min(bodyTimeout, max(req.Deadline.Sub(now), minBodyTime))
 	_ = control.SetReadDeadline(now.Add(timeout))
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -149,7 +149,8 @@
 			if err := <-done; err != nil {
 				t.Fatal(err)
 			}
-			r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(agenttest.Never), answers: make(chan response, 1)}
+			r := &request{config: old, class: 2, answers: make(chan response, 1),
+				backendRequest: backendRequest{RequestID: "x", Deadline: time.Now().Add(agenttest.Never)}}
 			l.handle(requestArrived{request: r})
 			if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
 				t.Errorf("class %d, %d attempts", r.class, len(r.attempts))
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -14,24 +14,17 @@
 
 // request is what a client asked for. The handler fills it in and hands it to the loop.
 type request struct {
-	config      *Config // in force when it was read; class and tenant are its numbers
-	class       int
-	tenant      int // -1: none that the settings name
-	key         uint64
-	hintMs      float64
-	hasHint     bool
-	retry       bool
-	deadline    time.Time
-	method      string
-	target      string // path and query, as they came
-	host        string
-	wireID      string
-	idempotency string
-	contentType string
-	body        []byte
-	answers     chan response // room for the one that is sent
-	client      net.Conn      // its connection; nil: nobody's
-	clientGone  atomic.Bool   // the client has left, or was answered without the loop; any goroutine may set it
+	backendRequest // as it is forwarded
+
+	config  *Config // in force when it was read; class and tenant are its numbers
+	class   int
+	tenant  int // -1: none that the settings name
+	key     uint64
+	hintMs  float64
+	hasHint bool
+	retry   bool
+	answers chan response // room for the one that is sent
+	client  client
 
 	id policy.RequestID // the module's; 0: not yet. Belongs to the loop
 	progress
@@ -44,14 +37,20 @@
 	open     int        // attempts that have not ended
 }
 
-// hasClientLeft reports whether nobody waits for the request any more. It looks at the client's
-// connection itself: its end may be there before anybody has had the time to read it, as what waits
-// for the processor or in the loop's queue is done in the order in which it came.
-func (r *request) hasClientLeft() bool {
-	if !r.clientGone.Load() && r.client != nil && socket.PeerClosed(r.client) {
-		r.clientGone.Store(true)
+// client is who waits for the answer to a request.
+type client struct {
+	conn net.Conn    // nil: nobody's
+	gone atomic.Bool // it has left, or was answered without the loop; any goroutine may set it
+}
+
+// HasLeft reports whether nobody waits for the answer any more. It looks at the client's connection
+// itself: its end may be there before anybody has had the time to read it, as what waits for the
+// processor or in the loop's queue is done in the order in which it came.
+func (c *client) HasLeft() bool {
+	if !c.gone.Load() && c.conn != nil && socket.PeerClosed(c.conn) {
+		c.gone.Store(true)
 	}
-	return r.clientGone.Load()
+	return c.gone.Load()
 }
 
 // response is the one answer to a request.
@@ -94,7 +93,7 @@
 		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(l.config.Settings.Limits.MaxRetryAfterMs)})
 		return
 	}
-	if !l.seenIDs.add(request.wireID, time.Now()) {
+	if !l.seenIDs.add(request.RequestID, time.Now()) {
 		l.answer(request, response{status: statusDuplicateID})
 		return
 	}
@@ -104,7 +103,7 @@
 	}
 	request.id = l.nextID
 	l.requests[request.id] = request
-	left := time.Until(request.deadline)
+	left := time.Until(request.Deadline)
 	left -= min(guardMargin+wordMargin, left/4)
 	l.notify(&policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
 		Key: request.key, TimeLeftMs: float64(left) / float64(time.Millisecond),
@@ -135,8 +134,8 @@
 func (l *loop) close(request *request) {
 	request.answered = true
 	for _, attempt := range request.attempts {
-		if attempt != nil && attempt.withdraw() {
-			attempt.cancel(errCancelled)
+		if attempt != nil {
+			attempt.Withdraw(errCancelled)
 		}
 	}
 }
--- a/internal/agent/round_trip.go
+++ b/internal/agent/round_trip.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -36,65 +35,119 @@
 	attemptWithdrawn              // withdrawn before a byte was written: none will be
 )
 
-// attempt is one send of a request to a backend. The loop makes it; a goroutine of its own runs
-// it and posts the result to the loop.
-type attempt struct {
-	// Set by the loop before the attempt runs, and only read from then on.
-	request *request
-	index   int // among the attempts of the request
-	backend *backend
-	conns   *backendConns // the backend's connections when the attempt began
-	started time.Time
-	beginBy time.Time // it must have begun by then; zero: at any time
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-
-	// stage is shared by the attempt's goroutine, which begins it, and the loop, which withdraws it.
+// requestClient is who waits for the answer to a request.
+type requestClient interface {
+	// HasLeft reports whether nobody waits for the answer any more. It is called from the attempt's
+	// goroutine, just before its first byte.
+	HasLeft() bool
+}
+
+// backendRequest is a request as it is forwarded to a backend. It is only read once an attempt of it runs.
+type backendRequest struct {
+	Method         string
+	Target         string // path and query, as they came
+	Host           string
+	RequestID      string // the header of that name, as the next two
+	IdempotencyKey string // "": none
+	ContentType    string // "": none
+	Body           []byte
+	Deadline       time.Time     // the client's; zero: none
+	Client         requestClient // nil: no attempt looks for it
+}
+
+// backendAttempt is one send of a request to a backend. Whoever makes it runs it once, in a goroutine
+// of its own.
+type backendAttempt struct {
+	BeginBy time.Time // it must have begun by then; zero: at any time. It is set before run
+
+	request     *backendRequest
+	conns       *backendConns
+	started     time.Time
+	ctx         context.Context
+	cancelCause context.CancelCauseFunc
+	stopTimer   context.CancelFunc
+
+	// stage is shared by the attempt's goroutine, which begins it, and those that withdraw it.
 	stage atomic.Int32
 }
 
+// newBackendAttempt makes an attempt on the connections, which ends at the deadline, or with the
+// context, at the latest. One that isn't run has to be cancelled.
+func newBackendAttempt(ctx context.Context, conns *backendConns, request *backendRequest, deadline time.Time) *backendAttempt {
+	a := &backendAttempt{request: request, conns: conns, started: time.Now()}
+	ctx, a.cancelCause = context.WithCancelCause(ctx)
+	a.ctx, a.stopTimer = context.WithDeadline(ctx, deadline)
+	return a
+}
+
 // begin is asked before the first byte is written. It reports false if the attempt was withdrawn.
-func (a *attempt) begin() bool { return a.stage.CompareAndSwap(attemptWaiting, attemptSending) }
+func (a *backendAttempt) begin() bool {
+	return a.stage.CompareAndSwap(attemptWaiting, attemptSending)
+}
 
-// withdraw stops an attempt of which no byte went out, and reports whether it is so.
-func (a *attempt) withdraw() bool {
+// withdraw keeps an attempt of which no byte went out from beginning, and reports whether it is so.
+func (a *backendAttempt) withdraw() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
+// Withdraw ends the attempt with a cause if no byte of it went out, and reports whether it is so.
+// None goes out then.
+func (a *backendAttempt) Withdraw(cause error) bool {
+	withdrawn := a.withdraw()
+	if withdrawn {
+		a.end(cause)
+	}
+	return withdrawn
+}
+
+// Cancel ends the attempt with a cause, whether or not a byte of it went out. If none did, none does.
+func (a *backendAttempt) Cancel(cause error) {
+	a.withdraw() // else its first byte could still cross the end of the context
+	a.end(cause)
+}
+
+// end ends the attempt's context with a cause.
+func (a *backendAttempt) end(cause error) {
+	a.cancelCause(cause)
+	a.stopTimer()
+}
+
 // result is how an attempt ended.
 type result struct {
-	status      policy.Status
+	status      policy.Status // that the decision module is notified of
+	err         *attemptError // why there is no whole answer; nil: there is one
+	panicked    *panicError   // in the attempt or in the opening of an extra connection; nil: none
 	elapsed     time.Duration
-	body        []byte
+	body        []byte // of an answer with status 200
 	contentType string // the answer's Content-Type
 	load        string // the answer's Server-Load
-	broken      error  // a panic in the attempt or in the opening of an extra connection, with its stack
 }
 
 // run sends the attempt and waits for its end. When it returns, the connection is closed or free
 // for the next attempt, and no further byte of this one goes out. A panic must not end the process
 // with all the requests that it serves: it counts as a reset, since the attempt may have run.
-func (a *attempt) run() (res result) {
+func (a *backendAttempt) run() (res result) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			res = result{status: policy.StatusReset, broken: fmt.Errorf("panic in an attempt: %v\n%s", reason, debug.Stack())}
+			panicked := &panicError{where: "an attempt", reason: reason, stack: debug.Stack()}
+			res = result{status: policy.StatusReset, err: &attemptError{err: panicked}, panicked: panicked}
 		}
-		if res.broken == nil {
-			res.broken = a.conns.takePanic()
+		if res.panicked == nil {
+			res.panicked = a.conns.takePanic()
 		}
-		a.cancel(nil)
+		a.end(nil)
 		res.elapsed = time.Since(a.started)
 	}()
 	res, err := a.roundTrip()
 	if err != nil {
-		res = result{status: a.outcomeOf(err)}
+		res = a.failed(err)
 	}
 	return res
 }
 
 // roundTrip acquires a connection, checks that the attempt may still begin, writes the request and
 // reads the answer. It returns an error where no whole answer came; then the connection is closed.
-func (a *attempt) roundTrip() (res result, err error) {
+func (a *backendAttempt) roundTrip() (res result, err error) {
 	conn, err := a.conns.get(a.ctx)
 	if err != nil {
 		return result{}, err
@@ -114,7 +167,8 @@
 		}
 	}()
 	var message bytes.Buffer
-	if err := a.outgoing().Write(&message); err != nil {
+	outgoing := a.outgoing()
+	if err := outgoing.Write(&message); err != nil {
 		return result{}, err
 	}
 	if err := a.mayBegin(); err != nil {
@@ -123,17 +177,17 @@
 	if err := a.write(conn, message.Bytes()); err != nil {
 		return result{}, err
 	}
-	res, reusable, err = a.read(conn)
+	res, reusable, err = a.read(conn, outgoing)
 	return res, err
 }
 
 // mayBegin makes the last checks before the first byte and begins the attempt. Its error is
 // errLate, errClientGone or errWithdrawn.
-func (a *attempt) mayBegin() error {
+func (a *backendAttempt) mayBegin() error {
 	if a.isLate() {
 		return errLate
 	}
-	if a.request.hasClientLeft() {
+	if a.request.Client != nil && a.request.Client.HasLeft() {
 		return errClientGone
 	}
 	if !a.begin() {
@@ -144,14 +198,14 @@
 
 // isLate reports whether the time in which the attempt may begin is over. The end of its context is
 // acted on by another goroutine, and so maybe later than the first byte.
-func (a *attempt) isLate() bool {
+func (a *backendAttempt) isLate() bool {
 	now := time.Now()
 	deadline, _ := a.ctx.Deadline()
-	return !now.Before(deadline) || !a.beginBy.IsZero() && now.After(a.beginBy)
+	return !now.Before(deadline) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
 }
 
 // write writes the request. Its error is a *writeError.
-func (a *attempt) write(conn *backendConn, message []byte) error {
+func (a *backendAttempt) write(conn *backendConn, message []byte) error {
 	conn.readBudget = maxAnswerHead
 	n, err := conn.Write(message)
 	if err == nil && n < len(message) {
@@ -167,15 +221,15 @@
 // readers are kept apart from the connections: only attempts that read an answer need one.
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// read reads the answer and reports whether the connection can be used again.
-func (a *attempt) read(conn *backendConn) (res result, reusable bool, err error) {
+// read reads the answer to the request and reports whether the connection can be used again.
+func (a *backendAttempt) read(conn *backendConn, outgoing *http.Request) (res result, reusable bool, err error) {
 	reader := readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
 	defer func() {
 		reader.Reset(nil)
 		readers.Put(reader)
 	}()
-	res, reusable, err = a.answer(conn, reader)
+	res, reusable, err = answer(conn, reader, outgoing)
 	if a.ctx.Err() == nil { // else it was given up, which says nothing of the connection's age
 		a.conns.pool.used(conn, err != nil && conn.readBudget == maxAnswerHead)
 	}
@@ -184,32 +238,32 @@
 }
 
 // outgoing is the request as the backend gets it.
-func (a *attempt) outgoing() *http.Request {
+func (a *backendAttempt) outgoing() *http.Request {
 	request := a.request
 	header := http.Header{
-		"Request-Id":      {request.wireID},
+		"Request-Id":      {request.RequestID},
 		"Request-Timeout": {strconv.FormatInt(a.requestTimeout().Milliseconds(), 10) + "m"},
 		"User-Agent":      {""},
 	}
-	if request.idempotency != "" {
-		header["Idempotency-Key"] = []string{request.idempotency}
+	if request.IdempotencyKey != "" {
+		header["Idempotency-Key"] = []string{request.IdempotencyKey}
 	}
-	if request.contentType != "" {
-		header["Content-Type"] = []string{request.contentType}
+	if request.ContentType != "" {
+		header["Content-Type"] = []string{request.ContentType}
 	}
-	out := &http.Request{Method: request.method, URL: &url.URL{Opaque: request.target}, Host: request.host,
-		Header: header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(request.body))}
-	if len(request.body) > 0 {
-		out.Body = io.NopCloser(bytes.NewReader(request.body))
+	out := &http.Request{Method: request.Method, URL: &url.URL{Opaque: request.Target}, Host: request.Host,
+		Header: header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, ContentLength: int64(len(request.Body))}
+	if len(request.Body) > 0 {
+		out.Body = io.NopCloser(bytes.NewReader(request.Body))
 	}
 	return out
 }
 
 // requestTimeout is the time in the Request-Timeout field: at most what the client has left,
 // whatever held up the decision, less what may hold up the write. It is never under a millisecond.
-func (a *attempt) requestTimeout() time.Duration {
+func (a *backendAttempt) requestTimeout() time.Duration {
 	deadline, _ := a.ctx.Deadline()
-	if client := a.request.deadline; !client.IsZero() && client.Before(deadline) {
+	if client := a.request.Deadline; !client.IsZero() && client.Before(deadline) {
 		deadline = client
 	}
 	left := time.Until(deadline)
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -151,7 +151,7 @@
 
 // forget drops the starts of backends that are not listed once they are more than the others, so that
 // names that never come again don't add up. spare keeps small fleets from doing so often.
-func (t *startTimes) forget(listed map[policy.Addr]*backend) {
+func (t *startTimes) forget(listed map[policy.Addr]*listedBackend) {
 	const spare = 1024
 	if len(t.known) <= 2*len(listed)+spare {
 		return
