--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -4,6 +4,7 @@
 	"runtime/debug"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -50,8 +51,8 @@
 	case policy.ActionFetch:
 		l.startFetch()
 	case policy.ActionCloseIdle:
-		if backend := l.backends[action.Server]; backend != nil {
-			backend.conns.closeIdle()
+		if target := l.backends[action.Server]; target != nil {
+			target.conns.CloseIdle()
 		}
 	case policy.ActionLog:
 		l.log.Info(action.Text)
@@ -68,7 +69,7 @@
 			return
 		}
 		if attempt := request.attempts[action.Attempt]; attempt != nil {
-			attempt.Cancel(errCancelled)
+			attempt.Cancel(backend.ErrCancelled)
 		}
 	case policy.ActionReject:
 		l.answer(request, response{status: policy.StatusRejected, retryAfter: millis(action.DelayMs)})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -176,8 +177,8 @@
 	good, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, config(nowhere, "127.0.0.1:1"))
 	dialling := make(chan struct{})
-	plain := agent.loop.pool.connect
-	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.DialContext
+	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == good {
 			return plain(ctx, network, addr)
 		}
@@ -265,12 +266,12 @@
 	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
 		loop.handle(watchEvent{list: listOf(int64(3+i), false, endpoint)})
-		if loop.backends[addrOf("s-0")] != b || b.conns == before || b.conns.dial != endpoint.Dial {
+		if loop.backends[addrOf("s-0")] != b || b.conns == before || b.conns.Addr() != endpoint.Dial {
 			t.Fatal("the old connections were kept")
 		}
 		before = b.conns
 	}
-	if context.Cause(waits.ctx) != errEndpointDraining || waits.begin() {
+	if res := waits.Run(); res.Status != policy.StatusRejected { // not begun, as its backend drains
 		t.Fatal("an attempt that had not begun may still go to the old address")
 	}
 }
@@ -288,11 +289,13 @@
 	})
 	loop := quietLoop(t, addr)
 	target := loop.backends[addrOf("s-0")]
-	target.conns.pool.idleTimeout = agenttest.Never
-	if res := newLoopAttempt(target).run(); res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
+	settings := loop.pool.Settings()
+	settings.IdleTimeout = agenttest.Never
+	loop.pool.Configure(settings)
+	if res := newLoopAttempt(target).Run(); res.Status != policy.StatusOK {
+		t.Fatalf("ended %d", res.Status)
 	}
-	loop.handle(attemptEnded{attempt: newLoopAttempt(target), result: result{status: policy.StatusTimeout}})
+	loop.handle(attemptEnded{attempt: newLoopAttempt(target), result: backend.Result{Status: policy.StatusTimeout}})
 	<-closed
 }
 
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -3,15 +3,16 @@
 import (
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
 // attempt is one attempt of a request, as the loop keeps it.
 type attempt struct {
-	*backendAttempt
+	*backend.Attempt
 	request *request
 	index   int // among the attempts of the request
-	backend *listedBackend
+	target  *listedBackend
 }
 
 // send starts an attempt in a goroutine of its own, which ends with the attempt's context: at its
@@ -20,7 +21,7 @@
 func (l *loop) send(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
-		target = &listedBackend{addr: action.Server, conns: l.pool.newBackendConns("")}
+		target = &listedBackend{addr: action.Server, conns: l.pool.NewConns("")}
 	}
 	current := l.newAttempt(request, target, action)
 	request.attempts = append(request.attempts, current)
@@ -29,7 +30,7 @@
 	defer func() { // after a panic too
 		if !begun {
 			current.Cancel(nil)
-			l.followUps = append(l.followUps, attemptEnded{attempt: current, result: result{status: policy.StatusNotSent}})
+			l.followUps = append(l.followUps, attemptEnded{attempt: current, result: backend.Result{Status: policy.StatusNotSent}})
 		}
 	}()
 	if !target.usable || request.answered || request.client.gone.Load() {
@@ -39,14 +40,14 @@
 	}
 	target.attempts[current] = struct{}{}
 	begun = true
-	go func() { l.post(attemptEnded{attempt: current, result: current.run()}) }()
+	go func() { l.post(attemptEnded{attempt: current, result: current.Run()}) }()
 }
 
 // newAttempt is an attempt with its times, which count from the decision.
 func (l *loop) newAttempt(request *request, target *listedBackend, action *policy.Action) *attempt {
 	deadline := l.decidedAt.Add(millis(action.DelayMs))
-	created := &attempt{request: request, index: len(request.attempts), backend: target,
-		backendAttempt: newBackendAttempt(l.ctx, target.conns, &request.backendRequest, deadline)}
+	created := &attempt{request: request, index: len(request.attempts), target: target,
+		Attempt: backend.NewAttempt(l.ctx, target.conns, &request.Request, deadline)}
 	if action.WithinMs > 0 {
 		created.BeginBy = l.decidedAt.Add(millis(action.WithinMs))
 	}
@@ -55,25 +56,25 @@
 
 // onOutcome takes the end of an attempt: an OK answers the request, and the module is notified of
 // each.
-func (l *loop) onOutcome(ended *attempt, outcome *result) {
-	request, target := ended.request, ended.backend
+func (l *loop) onOutcome(ended *attempt, outcome *backend.Result) {
+	request, target := ended.request, ended.target
 	delete(target.attempts, ended)
 	l.removeBackend(target)
 	request.open--
-	if outcome.panicked != nil {
-		l.log.Error("attempt ended", "err", outcome.panicked)
+	if outcome.Panic != nil {
+		l.log.Error("attempt ended", "err", outcome.Panic)
 	}
-	switch outcome.status {
+	switch outcome.Status {
 	case policy.StatusLocalFailure, policy.StatusUnreachable:
 		request.attempts[ended.index] = nil
 	case policy.StatusOK:
-		l.answer(request, response{status: policy.StatusOK, body: outcome.body, contentType: outcome.contentType})
+		l.answer(request, response{status: policy.StatusOK, body: outcome.Body, contentType: outcome.ContentType})
 	case policy.StatusTimeout:
 		// The machine may have vanished; its other connections would be as silent.
-		target.conns.closeIdle()
+		target.conns.CloseIdle()
 	}
 	l.notify(&policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: ended.index, Server: target.addr,
-		Status: outcome.status, LatencyMs: float64(outcome.elapsed) / float64(time.Millisecond),
-		Final: request.answered, Report: report(outcome.load, l.config.Settings.Report.Names)})
+		Status: outcome.Status, LatencyMs: float64(outcome.Elapsed) / float64(time.Millisecond),
+		Final: request.answered, Report: backend.ParseLoadReport(outcome.LoadReport, l.config.Settings.Report.Names)})
 	l.forget(request)
 }
--- a/internal/agent/client_gone_test.go
+++ b/internal/agent/client_gone_test.go
@@ -13,8 +13,6 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/socket"
-	"ploverreel/policy"
 )
 
 // handled waits until the loop has handled all inputs posted so far.
@@ -56,8 +54,8 @@
 					conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
 					agent, base, _, _ := start(t, conf)
 					dialling, given := make(chan struct{}), make(chan struct{})
-					plain := agent.loop.pool.connect
-					agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					plain := agent.loop.pool.DialContext
+					agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						if addr != "127.0.0.1:1" {
 							return plain(ctx, network, addr)
 						}
@@ -205,79 +203,3 @@
 		t.Fatalf("then %q and %q", second, third)
 	}
 }
-
-// resting makes a backend's connections with one at rest, for which an attempt waits until the test
-// ends the rest. The backend writes what the test sends on beyond, besides its answers.
-func resting(t *testing.T) (g *backendConns, kept *backendConn, waits *backendAttempt, done chan result, rested chan time.Time, beyond, came chan string) {
-	beyond, came = make(chan string), make(chan string, 10)
-	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		for {
-			req, err := readRequest(reader)
-			if err != nil {
-				return
-			}
-			came <- req.Header.Get("Request-Id")
-			io.WriteString(conn, okAnswer)
-			go func() {
-				for text := range beyond {
-					io.WriteString(conn, text)
-				}
-			}()
-		}
-	})
-	t.Cleanup(func() { close(beyond) })
-	backendPool := testPool()
-	rested = make(chan time.Time)
-	asked := make(chan struct{}, 10)
-	backendPool.after = func(time.Duration) <-chan time.Time {
-		asked <- struct{}{}
-		return rested
-	}
-	g = backendPool.newBackendConns(addr)
-	t.Cleanup(g.closeIdle)
-	if res := newAttempt(g, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
-	}
-	backendPool.mu.Lock()
-	kept = g.idle[0]
-	kept.since = time.Now().Add(agenttest.Never) // so that it rests however slow the test is
-	backendPool.mu.Unlock()
-	<-came
-	waits = newAttempt(g, http.MethodPost, agenttest.Never)
-	waits.request.RequestID = "next"
-	done = make(chan result, 1)
-	go func() { done <- waits.run() }()
-	<-asked
-	return g, kept, waits, done, rested, beyond, came
-}
-
-// A second answer some milliseconds after the first must not be taken for that to the next request
-// on the connection.
-func TestLateSecondAnswer(t *testing.T) {
-	_, kept, _, done, rested, beyond, _ := resting(t)
-	beyond <- strings.Replace(okAnswer, "done", "gone", 1)
-	agenttest.Eventually(t, "the second answer there", func() bool { return socket.Peek(kept.Conn) == socket.PeekUnread })
-	close(rested)
-	if res := <-done; res.status != policy.StatusOK || string(res.body) != "done" {
-		t.Fatalf("ended %d with the body %q", res.status, res.body)
-	}
-}
-
-// An attempt that waits for a connection at rest ends with its request, sends nothing, and leaves
-// the connection to other attempts.
-func TestLeavingEndsTheRest(t *testing.T) {
-	g, _, waits, done, rested, _, came := resting(t)
-	waits.Cancel(errCancelled)
-	if res := <-done; res.status != policy.StatusCancelled {
-		t.Fatalf("ended %d", res.status)
-	}
-	close(rested)
-	if len(came) > 0 {
-		t.Fatalf("the backend got %q", <-came)
-	}
-	g.pool.mu.Lock()
-	defer g.pool.mu.Unlock()
-	if len(g.idle) != 1 || g.pool.open != 1 {
-		t.Fatalf("%d connections at rest, %d open", len(g.idle), g.pool.open)
-	}
-}
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -10,7 +10,6 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"ploverreel/internal/agenttest"
 	"ploverreel/internal/socket"
@@ -179,8 +178,8 @@
 // connection tells an attempt then whether the client has disconnected.
 func lateConnect(agent *Agent) (dialling chan struct{}, up chan struct{}) {
 	dialling, up = make(chan struct{}, 10), make(chan struct{})
-	plain := agent.loop.pool.connect
-	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.DialContext
+	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling <- struct{}{}
 		<-up
 		return plain(ctx, network, addr)
@@ -340,30 +339,28 @@
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
 			agent, base, _, _ := start(t, config(nowhere, addr))
-			asked, rested := make(chan struct{}, 10), make(chan time.Time)
-			backendPool := agent.loop.pool
-			backendPool.after = func(time.Duration) <-chan time.Time {
-				asked <- struct{}{}
-				return rested
-			}
+			pool := agent.loop.pool
+			settings := pool.Settings()
+			settings.RestTime = agenttest.Never
+			pool.Configure(settings)
 			if status, _, _ := do(t, call(base, "order")); status != 200 {
 				t.Fatalf("answered %d", status)
 			}
 			<-came
-			backendPool.mu.Lock()
-			backendPool.idle.Front().Value.(*backendConn).since = time.Now().Add(agenttest.Never) // rests however slow the test is
-			connect := backendPool.connect
-			backendPool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				<-ctx.Done() // an extra connection that came up first would rightly be sent on
-				return connect(ctx, network, addr)
-			}
-			backendPool.mu.Unlock()
+			resting := make(chan struct{})
+			agent.look(func(*loop) {
+				dial := pool.DialContext
+				pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					close(resting) // an extra connection is opened for a request that waits for one at rest
+					<-ctx.Done()   // one that came up would rightly be sent on
+					return dial(ctx, network, addr)
+				}
+			})
 			conn := dial(t, base)
 			io.WriteString(conn, raw("order", "left"))
-			<-asked
+			<-resting
 			leave(conn)
 			agenttest.Eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
-			close(rested)
 			unopened(t, agent, came)
 		})
 	}
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -69,7 +69,7 @@
 			b := l.backends[addrOf("s-0")]
 			waits := newLoopAttempt(b)
 			l.handle(watchEvent{list: list})
-			if waits.begin() {
+			if res := waits.Run(); res.Status != policy.StatusRejected { // not begun, as its backend drains
 				t.Fatal("an attempt begins after the list")
 			}
 			l.notify(&policy.Event{Kind: policy.EventRequest, Request: 99, TimeLeftMs: 1000})
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -93,19 +94,19 @@
 	}
 	l.watch.startTimes.translate(entries, l.nowMs())
 	l.watch.startTimes.forget(l.backends)
-	for addr, backend := range l.backends {
+	for addr, target := range l.backends {
 		if kind != policy.ListDelta && !listed[addr] {
-			backend.usable = false
+			target.usable = false
 		}
-		if !backend.usable {
-			backend.withdraw()
+		if !target.usable {
+			target.withdraw()
 		}
-		l.removeBackend(backend)
+		l.removeBackend(target)
 	}
 	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
 	usable := false
-	for _, backend := range l.backends {
-		usable = usable || backend.usable
+	for _, target := range l.backends {
+		usable = usable || target.usable
 	}
 	l.ready.hasEndpoint.Store(usable || l.ready.waitOver)
 	if l.watch.onApplied != nil {
@@ -124,24 +125,24 @@
 		current = &listedBackend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
 		l.backends[entry.Server] = current
 	}
-	if !gone && (current.conns == nil || current.conns.dial != host.Dial || current.bornMs != host.BornMs) {
+	if !gone && (current.conns == nil || current.conns.Addr() != host.Dial || current.bornMs != host.BornMs) {
 		// Connections to another address or to the process before are of no use, and what has not
 		// begun there must not.
 		if current.conns != nil {
 			current.withdraw()
-			current.conns.close()
+			current.conns.Close()
 		}
-		current.bornMs, current.conns = host.BornMs, l.pool.newBackendConns(host.Dial)
+		current.bornMs, current.conns = host.BornMs, l.pool.NewConns(host.Dial)
 	}
 	current.usable = entry.Health == policy.HealthReady
 }
 
 // removeBackend forgets a backend that is not to be sent to and has no attempt in flight.
-func (l *loop) removeBackend(backend *listedBackend) {
-	if !backend.usable && len(backend.attempts) == 0 {
-		backend.conns.close()
-		if l.backends[backend.addr] == backend {
-			delete(l.backends, backend.addr)
+func (l *loop) removeBackend(target *listedBackend) {
+	if !target.usable && len(target.attempts) == 0 {
+		target.conns.Close()
+		if l.backends[target.addr] == target {
+			delete(l.backends, target.addr)
 		}
 	}
 }
@@ -150,7 +151,7 @@
 // idle: a backend that drains, is gone or is another process now gets nothing more.
 func (b *listedBackend) withdraw() {
 	for attempt := range b.attempts {
-		attempt.Withdraw(errEndpointDraining)
+		attempt.Withdraw(backend.ErrEndpointDraining)
 	}
-	b.conns.closeIdle()
+	b.conns.CloseIdle()
 }
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -40,7 +41,7 @@
 	} {
 		t.Run(left.String(), func(t *testing.T) {
 			loop := quietLoop(t, "127.0.0.1:1")
-			r := &request{config: loop.config, class: 2, tenant: -1, answers: make(chan response, 1), backendRequest: backendRequest{
+			r := &request{config: loop.config, class: 2, tenant: -1, answers: make(chan response, 1), Request: backend.Request{
 				Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "last", Deadline: time.Now().Add(left)}}
 			before := time.Until(r.Deadline)
 			loop.handle(requestArrived{request: r})
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -133,21 +132,6 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// counted is a backend that answers each request with status and sends its id on came.
-func counted(t *testing.T, status int, notStarted bool) (addr string, came chan string) {
-	came = make(chan string, 100)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came <- r.Header.Get("Request-Id")
-		if notStarted {
-			w.Header().Set("Not-Started", "1")
-		}
-		w.WriteHeader(status)
-		fmt.Fprint(w, "done")
-	}))
-	t.Cleanup(server.Close)
-	return server.Listener.Addr().String(), came
-}
-
 // nowhere is the address of a discovery that refuses connections.
 const nowhere = "127.0.0.1:1"
 
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -1,6 +1,10 @@
 package agent
 
-import "time"
+import (
+	"time"
+
+	"ploverreel/internal/backend"
+)
 
 // input is one thing that happened, on its way to the loop. Its types are listed in this file;
 // loop.handle says what is done with each. Whoever posts an input hands over what it points to.
@@ -19,7 +23,7 @@
 	// attemptEnded brings the end of an attempt, of which there is exactly one each.
 	attemptEnded struct {
 		attempt *attempt
-		result  result
+		result  backend.Result
 	}
 
 	// timerFired is the end of a timer that the module asked for, by the module's token.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
@@ -45,7 +46,7 @@
 	nextID   policy.RequestID
 	seenIDs  *seenIDs
 	backends map[policy.Addr]*listedBackend
-	pool     *pool
+	pool     *backend.Pool
 
 	watch watchState
 	ready readyState
@@ -93,7 +94,7 @@
 		requests: map[policy.RequestID]*request{},
 		seenIDs:  newSeenIDs(0),
 		backends: map[policy.Addr]*listedBackend{},
-		pool:     newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0),
+		pool:     backend.NewPool((&net.Dialer{KeepAlive: -1}).DialContext, backend.Settings{}),
 		watch:    watchState{startTimes: newStartTimes()},
 		log:      log,
 	}
@@ -119,8 +120,12 @@
 	// Where the settings price connections, waiting some milliseconds for one that comes to rest
 	// costs less than a new one: an answer within its latency objective is worth no less for it.
 	newConnsAreFree := settings.Prices.Handshake == 0 && settings.Prices.Connection == 0
-	l.pool.configure(connectTimeout, millis(settings.Limits.KeepaliveMs/2), backendSockets(l.config.Limits.Sockets),
-		newConnsAreFree)
+	l.pool.Configure(backend.Settings{
+		ConnectTimeout: connectTimeout,
+		IdleTimeout:    millis(settings.Limits.KeepaliveMs / 2),
+		MaxConns:       backendSockets(l.config.Limits.Sockets),
+		ExtraConns:     newConnsAreFree,
+	})
 	l.seenIDs.keep = max(l.seenIDs.keep, l.config.maxDeadline()+time.Second) // longer than any request is open
 	l.watch.startTimes.tolerance = settings.Contract.StartToleranceMs()
 }
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -15,7 +16,7 @@
 	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
 	for range 3 {
-		r := &request{config: l.config, class: 2, answers: make(chan response, 2), backendRequest: backendRequest{
+		r := &request{config: l.config, class: 2, answers: make(chan response, 2), Request: backend.Request{
 			Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "id" + string(rune('a'+len(requests))),
 			Deadline: time.Now().Add(agenttest.Never)}}
 		requests = append(requests, r)
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/policy"
 )
 
@@ -82,8 +83,8 @@
 		t.Errorf("%d places", most)
 	}
 	a.look(func(l *loop) {
-		if l.pool.maxConns != backendSockets(512) || l.seenIDs.keep < 300*time.Second {
-			t.Errorf("%d connections, ids known for %v", l.pool.maxConns, l.seenIDs.keep)
+		if l.pool.Settings().MaxConns != backendSockets(512) || l.seenIDs.keep < 300*time.Second {
+			t.Errorf("%d connections, ids known for %v", l.pool.Settings().MaxConns, l.seenIDs.keep)
 		}
 	})
 }
@@ -150,7 +151,7 @@
 				t.Fatal(err)
 			}
 			r := &request{config: old, class: 2, answers: make(chan response, 1),
-				backendRequest: backendRequest{RequestID: "x", Deadline: time.Now().Add(agenttest.Never)}}
+				Request: backend.Request{RequestID: "x", Deadline: time.Now().Add(agenttest.Never)}}
 			l.handle(requestArrived{request: r})
 			if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
 				t.Errorf("class %d, %d attempts", r.class, len(r.attempts))
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/socket"
 	"ploverreel/policy"
 )
@@ -14,7 +15,7 @@
 
 // request is what a client asked for. The handler fills it in and hands it to the loop.
 type request struct {
-	backendRequest // as it is forwarded
+	backend.Request // as it is forwarded
 
 	config  *Config // in force when it was read; class and tenant are its numbers
 	class   int
@@ -135,7 +136,7 @@
 	request.answered = true
 	for _, attempt := range request.attempts {
 		if attempt != nil {
-			attempt.Withdraw(errCancelled)
+			attempt.Withdraw(backend.ErrCancelled)
 		}
 	}
 }
--- /dev/null
+++ b/internal/agenttest/backend.go
@@ -0,0 +1,77 @@
+package agenttest
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+)
+
+// OKAnswer is a backend's whole answer with status 200 and the body "done".
+const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+
+// RawBackend starts a stand-in backend and returns its address. It hands each connection to serve,
+// in a goroutine of its own, and closes it when serve returns. No connection is accepted after the
+// end of the test.
+func RawBackend(t testing.TB, serve func(conn net.Conn, reader *bufio.Reader)) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				serve(conn, bufio.NewReader(conn))
+			}()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+// ReadRequest reads one whole request, of which it drops the body.
+func ReadRequest(reader *bufio.Reader) (*http.Request, error) {
+	request, err := http.ReadRequest(reader)
+	if err == nil {
+		_, err = io.Copy(io.Discard, request.Body)
+	}
+	return request, err
+}
+
+// ByteCounter starts a stand-in backend that answers nothing. It sends on read how many bytes each
+// connection brought, once that has ended.
+func ByteCounter(t testing.TB) (addr string, read <-chan int64) {
+	t.Helper()
+	counts := make(chan int64, 1)
+	addr = RawBackend(t, func(_ net.Conn, reader *bufio.Reader) {
+		n, _ := io.Copy(io.Discard, reader)
+		counts <- n
+	})
+	return addr, counts
+}
+
+// IDBackend starts a stand-in backend that answers each request with a status, and with Not-Started if
+// that is set. It sends the ids of the requests on ids.
+func IDBackend(t testing.TB, status int, notStarted bool) (addr string, ids chan string) {
+	t.Helper()
+	ids = make(chan string, 100)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		ids <- r.Header.Get("Request-Id")
+		if notStarted {
+			w.Header().Set("Not-Started", "1")
+		}
+		w.WriteHeader(status)
+		fmt.Fprint(w, "done")
+	}))
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), ids
+}
--- a/internal/agent/no_length_test.go
+++ b/internal/backend/answer_without_length_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -36,8 +36,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			read := make(chan struct{})
-			addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-				if _, err := readRequest(r); err != nil {
+			addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
+				if _, err := agenttest.ReadRequest(r); err != nil {
 					return
 				}
 				io.WriteString(c, test.answer)
@@ -46,13 +46,13 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 			})
-			backend := testPool().newBackendConns(addr)
-			defer backend.closeIdle()
-			plain := backend.pool.connect
-			backend.pool.connect = wholeReads(plain, len(test.answer), read)
-			res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run()
-			if res.status != test.want || string(res.body) != test.body {
-				t.Fatalf("ended %d with %d bytes, want %d with %d", res.status, len(res.body), test.want, len(test.body))
+			backend := testPool().NewConns(addr)
+			defer backend.CloseIdle()
+			plain := backend.pool.DialContext
+			backend.pool.DialContext = wholeReads(plain, len(test.answer), read)
+			res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+			if res.Status != test.want || string(res.Body) != test.body {
+				t.Fatalf("ended %d with %d bytes, want %d with %d", res.Status, len(res.Body), test.want, len(test.body))
 			}
 			if backend.pool.open != 0 {
 				t.Error("the connection is kept")
--- a/internal/agent/round_trip.go
+++ b/internal/backend/attempt.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -35,15 +35,15 @@
 	attemptWithdrawn              // withdrawn before a byte was written: none will be
 )
 
-// requestClient is who waits for the answer to a request.
-type requestClient interface {
+// Client is who waits for the answer to a request.
+type Client interface {
 	// HasLeft reports whether nobody waits for the answer any more. It is called from the attempt's
 	// goroutine, just before its first byte.
 	HasLeft() bool
 }
 
-// backendRequest is a request as it is forwarded to a backend. It is only read once an attempt of it runs.
-type backendRequest struct {
+// Request is a request as it is forwarded to a backend. It is only read once an attempt of it runs.
+type Request struct {
 	Method         string
 	Target         string // path and query, as they came
 	Host           string
@@ -51,17 +51,17 @@
 	IdempotencyKey string // "": none
 	ContentType    string // "": none
 	Body           []byte
-	Deadline       time.Time     // the client's; zero: none
-	Client         requestClient // nil: no attempt looks for it
+	Deadline       time.Time // the client's; zero: none
+	Client         Client    // nil: no attempt looks for it
 }
 
-// backendAttempt is one send of a request to a backend. Whoever makes it runs it once, in a goroutine
+// Attempt is one send of a request to a backend. Whoever makes it runs it once, in a goroutine
 // of its own.
-type backendAttempt struct {
-	BeginBy time.Time // it must have begun by then; zero: at any time. It is set before run
+type Attempt struct {
+	BeginBy time.Time // it must have begun by then; zero: at any time. It is set before Run
 
-	request     *backendRequest
-	conns       *backendConns
+	request     *Request
+	conns       *Conns
 	started     time.Time
 	ctx         context.Context
 	cancelCause context.CancelCauseFunc
@@ -71,28 +71,34 @@
 	stage atomic.Int32
 }
 
-// newBackendAttempt makes an attempt on the connections, which ends at the deadline, or with the
+// NewAttempt makes an attempt on the connections, which ends at the deadline, or with the
 // context, at the latest. One that isn't run has to be cancelled.
-func newBackendAttempt(ctx context.Context, conns *backendConns, request *backendRequest, deadline time.Time) *backendAttempt {
-	a := &backendAttempt{request: request, conns: conns, started: time.Now()}
+func NewAttempt(ctx context.Context, conns *Conns, request *Request, deadline time.Time) *Attempt {
+	a := &Attempt{request: request, conns: conns, started: time.Now()}
 	ctx, a.cancelCause = context.WithCancelCause(ctx)
 	a.ctx, a.stopTimer = context.WithDeadline(ctx, deadline)
 	return a
 }
 
+// Deadline returns when the attempt ends at the latest.
+func (a *Attempt) Deadline() time.Time {
+	deadline, _ := a.ctx.Deadline()
+	return deadline
+}
+
 // begin is asked before the first byte is written. It reports false if the attempt was withdrawn.
-func (a *backendAttempt) begin() bool {
+func (a *Attempt) begin() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptSending)
 }
 
 // withdraw keeps an attempt of which no byte went out from beginning, and reports whether it is so.
-func (a *backendAttempt) withdraw() bool {
+func (a *Attempt) withdraw() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
 // Withdraw ends the attempt with a cause if no byte of it went out, and reports whether it is so.
 // None goes out then.
-func (a *backendAttempt) Withdraw(cause error) bool {
+func (a *Attempt) Withdraw(cause error) bool {
 	withdrawn := a.withdraw()
 	if withdrawn {
 		a.end(cause)
@@ -101,42 +107,42 @@
 }
 
 // Cancel ends the attempt with a cause, whether or not a byte of it went out. If none did, none does.
-func (a *backendAttempt) Cancel(cause error) {
+func (a *Attempt) Cancel(cause error) {
 	a.withdraw() // else its first byte could still cross the end of the context
 	a.end(cause)
 }
 
 // end ends the attempt's context with a cause.
-func (a *backendAttempt) end(cause error) {
+func (a *Attempt) end(cause error) {
 	a.cancelCause(cause)
 	a.stopTimer()
 }
 
-// result is how an attempt ended.
-type result struct {
-	status      policy.Status // that the decision module is notified of
-	err         *attemptError // why there is no whole answer; nil: there is one
-	panicked    *panicError   // in the attempt or in the opening of an extra connection; nil: none
-	elapsed     time.Duration
-	body        []byte // of an answer with status 200
-	contentType string // the answer's Content-Type
-	load        string // the answer's Server-Load
+// Result is how an attempt ended.
+type Result struct {
+	Status      policy.Status // that the decision module is notified of
+	Err         *Error        // why there is no whole answer; nil: there is one
+	Panic       *PanicError   // in the attempt or in the opening of an extra connection; nil: none
+	Elapsed     time.Duration
+	Body        []byte // of an answer with status 200
+	ContentType string // the answer's Content-Type
+	LoadReport  string // the answer's Server-Load, for ParseLoadReport
 }
 
-// run sends the attempt and waits for its end. When it returns, the connection is closed or free
+// Run sends the attempt and waits for its end. When it returns, the connection is closed or free
 // for the next attempt, and no further byte of this one goes out. A panic must not end the process
 // with all the requests that it serves: it counts as a reset, since the attempt may have run.
-func (a *backendAttempt) run() (res result) {
+func (a *Attempt) Run() (res Result) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			panicked := &panicError{where: "an attempt", reason: reason, stack: debug.Stack()}
-			res = result{status: policy.StatusReset, err: &attemptError{err: panicked}, panicked: panicked}
+			panicked := &PanicError{where: "an attempt", reason: reason, stack: debug.Stack()}
+			res = Result{Status: policy.StatusReset, Err: &Error{err: panicked}, Panic: panicked}
 		}
-		if res.panicked == nil {
-			res.panicked = a.conns.takePanic()
+		if res.Panic == nil {
+			res.Panic = a.conns.takePanic()
 		}
 		a.end(nil)
-		res.elapsed = time.Since(a.started)
+		res.Elapsed = time.Since(a.started)
 	}()
 	res, err := a.roundTrip()
 	if err != nil {
@@ -147,10 +153,10 @@
 
 // roundTrip acquires a connection, checks that the attempt may still begin, writes the request and
 // reads the answer. It returns an error where no whole answer came; then the connection is closed.
-func (a *backendAttempt) roundTrip() (res result, err error) {
+func (a *Attempt) roundTrip() (res Result, err error) {
 	conn, err := a.conns.get(a.ctx)
 	if err != nil {
-		return result{}, err
+		return Result{}, err
 	}
 	reusable := false
 	defer func() {
@@ -169,43 +175,42 @@
 	var message bytes.Buffer
 	outgoing := a.outgoing()
 	if err := outgoing.Write(&message); err != nil {
-		return result{}, err
+		return Result{}, err
 	}
 	if err := a.mayBegin(); err != nil {
-		return result{}, err
+		return Result{}, err
 	}
 	if err := a.write(conn, message.Bytes()); err != nil {
-		return result{}, err
+		return Result{}, err
 	}
 	res, reusable, err = a.read(conn, outgoing)
 	return res, err
 }
 
 // mayBegin makes the last checks before the first byte and begins the attempt. Its error is
-// errLate, errClientGone or errWithdrawn.
-func (a *backendAttempt) mayBegin() error {
+// ErrLate, ErrClientGone or ErrWithdrawn.
+func (a *Attempt) mayBegin() error {
 	if a.isLate() {
-		return errLate
+		return ErrLate
 	}
 	if a.request.Client != nil && a.request.Client.HasLeft() {
-		return errClientGone
+		return ErrClientGone
 	}
 	if !a.begin() {
-		return errWithdrawn
+		return ErrWithdrawn
 	}
 	return nil
 }
 
 // isLate reports whether the time in which the attempt may begin is over. The end of its context is
 // acted on by another goroutine, and so maybe later than the first byte.
-func (a *backendAttempt) isLate() bool {
+func (a *Attempt) isLate() bool {
 	now := time.Now()
-	deadline, _ := a.ctx.Deadline()
-	return !now.Before(deadline) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
+	return !now.Before(a.Deadline()) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
 }
 
-// write writes the request. Its error is a *writeError.
-func (a *backendAttempt) write(conn *backendConn, message []byte) error {
+// write writes the request. Its error is a *WriteError.
+func (a *Attempt) write(conn *pooledConn, message []byte) error {
 	conn.readBudget = maxAnswerHead
 	n, err := conn.Write(message)
 	if err == nil && n < len(message) {
@@ -215,14 +220,14 @@
 		return nil
 	}
 	a.conns.pool.used(conn, a.ctx.Err() == nil)
-	return &writeError{incomplete: n < len(message), err: err}
+	return &WriteError{incomplete: n < len(message), err: err}
 }
 
 // readers are kept apart from the connections: only attempts that read an answer need one.
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
 // read reads the answer to the request and reports whether the connection can be used again.
-func (a *backendAttempt) read(conn *backendConn, outgoing *http.Request) (res result, reusable bool, err error) {
+func (a *Attempt) read(conn *pooledConn, outgoing *http.Request) (res Result, reusable bool, err error) {
 	reader := readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
 	defer func() {
@@ -238,7 +243,7 @@
 }
 
 // outgoing is the request as the backend gets it.
-func (a *backendAttempt) outgoing() *http.Request {
+func (a *Attempt) outgoing() *http.Request {
 	request := a.request
 	header := http.Header{
 		"Request-Id":      {request.RequestID},
@@ -261,8 +266,8 @@
 
 // requestTimeout is the time in the Request-Timeout field: at most what the client has left,
 // whatever held up the decision, less what may hold up the write. It is never under a millisecond.
-func (a *backendAttempt) requestTimeout() time.Duration {
-	deadline, _ := a.ctx.Deadline()
+func (a *Attempt) requestTimeout() time.Duration {
+	deadline := a.Deadline()
 	if client := a.request.Deadline; !client.IsZero() && client.Before(deadline) {
 		deadline = client
 	}
--- a/internal/agent/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -26,23 +26,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var came atomic.Int32
-			addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
+			addr := agenttest.RawBackend(t, func(conn net.Conn, r *bufio.Reader) {
 				for {
-					if _, err := readRequest(r); err != nil {
+					if _, err := agenttest.ReadRequest(r); err != nil {
 						return
 					}
 					if came.Add(1) > 1 {
 						return // breaks the connection under the second request
 					}
-					io.WriteString(conn, okAnswer)
+					io.WriteString(conn, agenttest.OKAnswer)
 				}
 			})
-			backend := testPool().newBackendConns(addr)
-			defer backend.closeIdle()
+			backend := testPool().NewConns(addr)
+			defer backend.CloseIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
 				a := newAttempt(backend, c.method, agenttest.Never)
 				a.request.IdempotencyKey = c.key
-				if got := a.run().status; got != want {
+				if got := a.Run().Status; got != want {
 					t.Fatalf("attempt %d ended %d, want %d", i, got, want)
 				}
 			}
@@ -66,7 +66,7 @@
 func TestOutcomesOfAnswers(t *testing.T) {
 	answer := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(c net.Conn, r *bufio.Reader) {
-			if _, err := readRequest(r); err == nil {
+			if _, err := agenttest.ReadRequest(r); err == nil {
 				io.WriteString(c, text)
 			}
 		}
@@ -76,7 +76,7 @@
 		serve func(net.Conn, *bufio.Reader)
 		want  policy.Status
 	}{
-		{"whole answer", answer(okAnswer), policy.StatusOK},
+		{"whole answer", answer(agenttest.OKAnswer), policy.StatusOK},
 		{"no answer", answer(""), policy.StatusReset},
 		{"half an answer", answer("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone"), policy.StatusReset},
 		{"half a chunked answer", answer("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n"), policy.StatusReset},
@@ -88,9 +88,9 @@
 		{"noise", answer("\x00\xff\x17noise\r\n\r\n"), policy.StatusReset},
 		{"endless head", answer("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 40)), policy.StatusReset},
 		{"spoilt 503", answer("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nx"), policy.StatusReset},
-		{"1xx ahead", answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + okAnswer), policy.StatusOK},
-		{"1xx without end", answer(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 100) + okAnswer), policy.StatusReset},
-		{"another protocol", answer("HTTP/1.1 101 Switching\r\n\r\n" + okAnswer), policy.StatusReset},
+		{"1xx ahead", answer("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + agenttest.OKAnswer), policy.StatusOK},
+		{"1xx without end", answer(strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 100) + agenttest.OKAnswer), policy.StatusReset},
+		{"another protocol", answer("HTTP/1.1 101 Switching\r\n\r\n" + agenttest.OKAnswer), policy.StatusReset},
 		{"error", answer("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 		{"another success", answer("HTTP/1.1 204 No\r\n\r\n"), policy.StatusServerError},
 		{"503 that may have run", answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
@@ -99,14 +99,14 @@
 		{"500 that says it was not started", answer("HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"), policy.StatusServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			backend := testPool().newBackendConns(rawBackend(t, c.serve))
-			defer backend.closeIdle()
-			res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
-			if res.status != c.want {
-				t.Fatalf("ended %d, want %d", res.status, c.want)
+			backend := testPool().NewConns(agenttest.RawBackend(t, c.serve))
+			defer backend.CloseIdle()
+			res := newAttempt(backend, http.MethodPost, agenttest.Never).Run()
+			if res.Status != c.want {
+				t.Fatalf("ended %d, want %d", res.Status, c.want)
 			}
-			if want := c.want == policy.StatusOK; (string(res.body) == "done") != want {
-				t.Fatalf("body %q", res.body)
+			if want := c.want == policy.StatusOK; (string(res.Body) == "done") != want {
+				t.Fatalf("body %q", res.Body)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	pool := testPool()
-	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never).Run().Status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 	if n := pool.open; n != 0 {
@@ -135,14 +135,14 @@
 
 // What breaks before the last byte was written never ran.
 func TestCutWrite(t *testing.T) {
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
+	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) })
 	pool := testPool()
-	plain := pool.connect
-	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		return brokenConn{c}, err
 	}
-	if got := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never).run().status; got != policy.StatusConnectFailed {
+	if got := newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never).Run().Status; got != policy.StatusConnectFailed {
 		t.Fatalf("ended %d, want could-not-connect", got)
 	}
 }
@@ -152,8 +152,8 @@
 func TestTimeoutClosesConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	got := make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err != nil {
+	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
+		if _, err := agenttest.ReadRequest(r); err != nil {
 			return
 		}
 		close(got)
@@ -161,13 +161,13 @@
 		closed <- err
 	})
 	pool := testPool()
-	a := newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
-	done := make(chan result)
-	go func() { done <- a.run() }()
+	a := newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
+	done := make(chan Result)
+	go func() { done <- a.Run() }()
 	<-got
 	a.Cancel(context.DeadlineExceeded) // the time-out, without waiting for it
-	if res := <-done; res.status != policy.StatusTimeout {
-		t.Fatalf("ended %d, want timed out", res.status)
+	if res := <-done; res.Status != policy.StatusTimeout {
+		t.Fatalf("ended %d, want timed out", res.Status)
 	}
 	if n := pool.open; n != 0 {
 		t.Fatalf("%d connections open at the outcome", n)
@@ -186,24 +186,24 @@
 		want  policy.Status
 	}{
 		{"time-out", context.DeadlineExceeded, policy.StatusConnectFailed},
-		{"drain", errEndpointDraining, policy.StatusRejected},
+		{"drain", ErrEndpointDraining, policy.StatusRejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dialling, ended := make(chan struct{}), make(chan struct{})
 			pool := testPool()
-			pool.connect = func(ctx context.Context, _, _ string) (net.Conn, error) {
+			pool.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 				close(dialling)
 				<-ctx.Done()
 				close(ended)
 				return nil, ctx.Err()
 			}
-			a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
-			done := make(chan result)
-			go func() { done <- a.run() }()
+			a := newAttempt(pool.NewConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
+			done := make(chan Result)
+			go func() { done <- a.Run() }()
 			<-dialling
 			a.Cancel(c.cause)
-			if res := <-done; res.status != c.want {
-				t.Fatalf("ended %d, want %d", res.status, c.want)
+			if res := <-done; res.Status != c.want {
+				t.Fatalf("ended %d, want %d", res.Status, c.want)
 			}
 			<-ended
 		})
@@ -212,19 +212,19 @@
 
 // An attempt withdrawn while its connection comes up sends nothing on it.
 func TestWithdrawnSendsNothing(t *testing.T) {
-	addr, read := byteCounter(t)
+	addr, read := agenttest.ByteCounter(t)
 	pool := testPool()
-	var a *backendAttempt
-	plain := pool.connect
-	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	var a *Attempt
+	plain := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		if !a.withdraw() {
 			t.Error("could not be withdrawn before its first byte")
 		}
 		return c, err
 	}
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
-	if got := a.run().status; !got.NeverRan() {
+	a = newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
+	if got := a.Run().Status; !got.NeverRan() {
 		t.Fatalf("ended %d, which may have run", got)
 	}
 	if n := <-read; n != 0 {
@@ -235,37 +235,37 @@
 // A repeat that may begin only for a while is not begun after it, though its connection came
 // up: no byte goes out, and it never ran.
 func TestTooLateToBegin(t *testing.T) {
-	addr, read := byteCounter(t)
+	addr, read := agenttest.ByteCounter(t)
 	pool := testPool()
-	var a *backendAttempt
-	plain := pool.connect
-	pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	var a *Attempt
+	plain := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := plain(ctx, network, addr)
 		a.BeginBy = time.Now().Add(-time.Nanosecond) // it took that long
 		return c, err
 	}
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
+	a = newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
 	a.BeginBy = time.Now().Add(agenttest.Never)
-	if got := a.run().status; got != policy.StatusNotSent {
+	if got := a.Run().Status; got != policy.StatusNotSent {
 		t.Fatalf("ended %d, want never begun", got)
 	}
 	if n := <-read; n != 0 {
 		t.Fatalf("the backend got %d bytes", n)
 	}
-	pool.connect = plain
-	a = newAttempt(pool.newBackendConns(addr), http.MethodPost, agenttest.Never)
+	pool.DialContext = plain
+	a = newAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
 	a.BeginBy = time.Now().Add(agenttest.Never)
-	go a.run()
+	go a.Run()
 	agenttest.Eventually(t, "one in time begun", func() bool { return a.stage.Load() == attemptSending })
-	a.Cancel(errCancelled)
+	a.Cancel(ErrCancelled)
 	<-read
 }
 
 // Without a socket left the attempt never ran, and its backend is not to blame.
 func TestNoSocketLeft(t *testing.T) {
 	pool := testPool()
-	pool.maxConns = 0
-	if got := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never).run().status; got != policy.StatusRejected {
+	pool.settings.MaxConns = 0
+	if got := newAttempt(pool.NewConns("127.0.0.1:1"), http.MethodPost, agenttest.Never).Run().Status; got != policy.StatusRejected {
 		t.Fatalf("ended %d, want rejected", got)
 	}
 }
@@ -273,7 +273,7 @@
 // The request goes on unchanged.
 func TestOutgoing(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
@@ -281,13 +281,13 @@
 		body, _ := io.ReadAll(req.Body)
 		req.Body = io.NopCloser(strings.NewReader(string(body)))
 		got <- req
-		io.WriteString(c, okAnswer)
+		io.WriteString(c, agenttest.OKAnswer)
 	})
-	a := newAttempt(testPool().newBackendConns(addr), http.MethodPost, agenttest.Never)
+	a := newAttempt(testPool().NewConns(addr), http.MethodPost, agenttest.Never)
 	a.request.Target = "/order/a%2Fb%20c?x=1&y=%2f"
 	a.request.IdempotencyKey = "k1"
-	if res := a.run(); res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
+	if res := a.Run(); res.Status != policy.StatusOK {
+		t.Fatalf("ended %d", res.Status)
 	}
 	req := <-got
 	body, _ := io.ReadAll(req.Body)
@@ -302,7 +302,7 @@
 
 // A load report is believed whole or not at all.
 func TestReport(t *testing.T) {
-	got := report("TEXT util=0.61, qps=7, eps=0, other=x", []string{"qps", "util", "eps"})
+	got := ParseLoadReport("TEXT util=0.61, qps=7, eps=0, other=x", []string{"qps", "util", "eps"})
 	if len(got) != 3 || got[0] != 7 || got[1] != 0.61 || got[2] != 0 {
 		t.Fatalf("got %v", got)
 	}
@@ -312,7 +312,7 @@
 		{"one comes twice", "TEXT qps=1, qps=2, util=1"}, {"no value", "TEXT qps, util=1"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := report(test.load, []string{"qps", "util"}); got != nil {
+			if got := ParseLoadReport(test.load, []string{"qps", "util"}); got != nil {
 				t.Fatalf("%q gave %v", test.load, got)
 			}
 		})
@@ -323,27 +323,27 @@
 // comes with the answer or behind it, the connection is not used again.
 func TestSurplusBytesAnswerNothing(t *testing.T) {
 	for _, c := range []struct{ name, surplus string }{
-		{"second copy", strings.Replace(okAnswer, "done", "gone", 1)}, {"noise", "\x00noise"},
+		{"second copy", strings.Replace(agenttest.OKAnswer, "done", "gone", 1)}, {"noise", "\x00noise"},
 	} {
 		for _, apart := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s apart=%v", c.name, apart), func(t *testing.T) {
 				sent := make(chan struct{}, 100)
-				addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
+				addr := agenttest.RawBackend(t, func(conn net.Conn, r *bufio.Reader) {
 					for {
-						if _, err := readRequest(r); err != nil {
+						if _, err := agenttest.ReadRequest(r); err != nil {
 							return
 						}
 						if apart {
-							io.WriteString(conn, okAnswer)
+							io.WriteString(conn, agenttest.OKAnswer)
 							io.WriteString(conn, c.surplus)
 						} else {
-							io.WriteString(conn, okAnswer+c.surplus)
+							io.WriteString(conn, agenttest.OKAnswer+c.surplus)
 						}
 						sent <- struct{}{}
 					}
 				})
-				backend := testPool().newBackendConns(addr)
-				defer backend.closeIdle()
+				backend := testPool().NewConns(addr)
+				defer backend.CloseIdle()
 				var wg sync.WaitGroup
 				side := 8 // attempts that wait for each other's connections
 				if apart {
@@ -354,9 +354,9 @@
 					go func() {
 						defer wg.Done()
 						for range 50 {
-							res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
-							if res.status != policy.StatusOK || string(res.body) != "done" {
-								t.Errorf("ended %d %q", res.status, res.body)
+							res := newAttempt(backend, http.MethodPost, agenttest.Never).Run()
+							if res.Status != policy.StatusOK || string(res.Body) != "done" {
+								t.Errorf("ended %d %q", res.Status, res.Body)
 							}
 							<-sent // written whole, and so seen
 						}
@@ -372,18 +372,18 @@
 func TestStaleConnections(t *testing.T) {
 	var came atomic.Int32
 	closed := make(chan struct{}, 10)
-	addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err == nil {
+	addr := agenttest.RawBackend(t, func(conn net.Conn, r *bufio.Reader) {
+		if _, err := agenttest.ReadRequest(r); err == nil {
 			came.Add(1)
-			io.WriteString(conn, okAnswer)
+			io.WriteString(conn, agenttest.OKAnswer)
 			conn.Close()
 			closed <- struct{}{}
 		}
 	})
-	backend := testPool().newBackendConns(addr)
+	backend := testPool().NewConns(addr)
 	for i := range 20 {
-		if res := newAttempt(backend, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
-			t.Fatalf("attempt %d ended %d", i, res.status)
+		if res := newAttempt(backend, http.MethodPost, agenttest.Never).Run(); res.Status != policy.StatusOK {
+			t.Fatalf("attempt %d ended %d", i, res.Status)
 		}
 		<-closed
 	}
@@ -392,25 +392,25 @@
 // The connections share one bound: at the limit the longest idle is closed for a new one.
 func TestLongestIdleMakesRoom(t *testing.T) {
 	pool := testPool()
-	pool.maxConns = 2
-	var groups []*backendConns
+	pool.settings.MaxConns = 2
+	var groups []*Conns
 	for range 3 {
-		addr, _ := counted(t, 200, false)
-		groups = append(groups, pool.newBackendConns(addr))
+		addr, _ := agenttest.IDBackend(t, 200, false)
+		groups = append(groups, pool.NewConns(addr))
 	}
 	for _, backend := range groups {
-		if res := newAttempt(backend, http.MethodPost, agenttest.Never).run(); res.status != policy.StatusOK {
-			t.Fatalf("ended %d", res.status)
+		if res := newAttempt(backend, http.MethodPost, agenttest.Never).Run(); res.Status != policy.StatusOK {
+			t.Fatalf("ended %d", res.Status)
 		}
 	}
 	if pool.open != 2 || len(groups[0].idle) != 0 || len(groups[1].idle) != 1 || len(groups[2].idle) != 1 {
 		t.Fatalf("%d open, idle %d %d %d", pool.open, len(groups[0].idle), len(groups[1].idle), len(groups[2].idle))
 	}
-	groups[1].close()
+	groups[1].Close()
 	if pool.open != 1 || pool.idle.Len() != 1 {
 		t.Fatalf("%d open after a backend has gone", pool.open)
 	}
-	pool.idleTimeout = 0
+	pool.settings.IdleTimeout = 0
 	pool.sweep()
 	if pool.open != 0 || pool.idle.Len() != 0 || pool.sweeping {
 		t.Fatalf("%d open after all were idle too long", pool.open)
@@ -420,10 +420,10 @@
 // A panic in an attempt is an outcome: it may have run.
 func TestAttemptPanic(t *testing.T) {
 	pool := testPool()
-	pool.connect = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	a := newAttempt(pool.newBackendConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
-	if res := a.run(); res.status != policy.StatusReset || res.panicked == nil {
-		t.Fatalf("ended %d, %v", res.status, res.panicked)
+	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
+	a := newAttempt(pool.NewConns("127.0.0.1:1"), http.MethodPost, agenttest.Never)
+	if res := a.Run(); res.Status != policy.StatusReset || res.Panic == nil {
+		t.Fatalf("ended %d, %v", res.Status, res.Panic)
 	}
 	if pool.open != 0 {
 		t.Errorf("%d connections counted as open", pool.open)
--- a/internal/agent/left_attempt_test.go
+++ b/internal/backend/client_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"context"
@@ -12,20 +12,28 @@
 	"ploverreel/policy"
 )
 
+// socketClient is a Client that has left when its connection says so.
+type socketClient struct{ conn net.Conn }
+
+func (c socketClient) HasLeft() bool { return socket.PeerClosed(c.conn) }
+
 // clientOf gives a request a client of its own.
-func clientOf(t *testing.T, r *backendRequest) (theirs, ours net.Conn) {
+func clientOf(t *testing.T, r *Request) (theirs, ours net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	theirs = dial(t, "http://"+ln.Addr().String())
+	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { theirs.Close() })
 	if ours, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ours.Close() })
-	r.Client = &client{conn: ours}
+	r.Client = socketClient{ours}
 	return theirs, ours
 }
 
@@ -33,7 +41,7 @@
 // nothing goes out for one that has left meanwhile, though that was not reported.
 func TestAttemptLooksForItsClientLast(t *testing.T) {
 	for _, waits := range []string{"connect", "rest", "extra connection"} {
-		for how, leave := range leavings {
+		for how, leave := range agenttest.Disconnects {
 			t.Run(waits+" "+how, func(t *testing.T) {
 				a := newAttempt(nil, http.MethodPost, agenttest.NoAnswerTimeout)
 				theirs, ours := clientOf(t, a.request)
@@ -41,16 +49,16 @@
 					leave(theirs)
 					agenttest.Eventually(t, "the leaving at the agent's socket", func() bool { return socket.PeerClosed(ours) })
 				}
-				var backend *backendConns
+				var backend *Conns
 				var rested chan time.Time
-				var got chan int64
+				var got <-chan int64
 				switch waits {
 				case "connect":
 					var addr string
-					addr, got = byteCounter(t)
-					backend = testPool().newBackendConns(addr)
-					plain := backend.pool.connect
-					backend.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					addr, got = agenttest.ByteCounter(t)
+					backend = testPool().NewConns(addr)
+					plain := backend.pool.DialContext
+					backend.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 						gone()
 						return plain(ctx, network, addr)
 					}
@@ -59,10 +67,10 @@
 					backend, conns, rested = restingPool(t)
 					backend.served(t)
 					backend.rests()
-					backend.pool.allowExtra = waits == "extra connection"
+					backend.pool.settings.ExtraConns = waits == "extra connection"
 					conns.held = make(chan struct{})
 					go func() {
-						if backend.pool.allowExtra {
+						if backend.pool.settings.ExtraConns {
 							agenttest.Eventually(t, "the extra connect", func() bool { return conns.begun.Load() == 2 })
 							gone()
 							close(conns.held)
@@ -73,8 +81,8 @@
 					}()
 				}
 				a.conns = backend
-				if res := a.run(); res.status != policy.StatusNotSent || !a.withdraw() {
-					t.Fatalf("ended %d, want never begun", res.status)
+				if res := a.Run(); res.Status != policy.StatusNotSent || !a.withdraw() {
+					t.Fatalf("ended %d, want never begun", res.Status)
 				}
 				if waits == "connect" {
 					if n := <-got; n != 0 {
--- a/internal/agent/backend_conn_test.go
+++ b/internal/backend/conn_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"context"
@@ -8,9 +8,6 @@
 	"time"
 )
 
-// connector opens connections, as a pool does.
-type connector func(ctx context.Context, network, addr string) (net.Conn, error)
-
 // readCounter signals when so many bytes were read from a connection.
 type readCounter struct {
 	net.Conn
@@ -28,9 +25,9 @@
 }
 
 // wholeReads closes read when so many bytes were read from the one connection that is opened.
-func wholeReads(connect connector, bytes int, read chan struct{}) connector {
+func wholeReads(dial DialFunc, bytes int, read chan struct{}) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		c, err := connect(ctx, network, addr)
+		c, err := dial(ctx, network, addr)
 		return &readCounter{Conn: c, left: bytes, done: read}, err
 	}
 }
@@ -50,7 +47,7 @@
 // reading of the monotonic clock, which alone counts then.
 func TestInterruptIsPastByTheMonotonicClock(t *testing.T) {
 	conn := &deadlineConn{}
-	(&backendConn{Conn: conn}).interrupt()
+	(&pooledConn{Conn: conn}).interrupt()
 	if conn.deadline == conn.deadline.Round(0) { // which strips the reading
 		t.Errorf("the deadline %v is a wall time", conn.deadline)
 	}
--- a/internal/agent/backend_conns.go
+++ b/internal/backend/conns.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"context"
@@ -9,42 +9,45 @@
 )
 
 const (
-	// minRest is how long a connection rests before it is used again: what a backend sends beyond
+	// defaultRestTime is how long a connection rests before it is used again: what a backend sends beyond
 	// its answer comes some milliseconds behind it, and is seen by then. A second answer that met
 	// the next request there would be taken for its own.
-	minRest = 10 * time.Millisecond
+	defaultRestTime = 10 * time.Millisecond
 	// extraRetryDelay is the time without another extra connection after this machine could not
 	// open one. It is short since the errors of this machine last for a moment.
 	extraRetryDelay = 20 * time.Millisecond
 )
 
-// backendConns is the connections to one process of a backend at one address. The loop makes one
+// Conns is the connections to one process of a backend at one address. The loop makes one
 // for each process and closes it; the attempts get and put connections. The pool's lock guards
 // all fields but the first two, which don't change.
-type backendConns struct {
-	pool *pool
-	dial string // the address
+type Conns struct {
+	pool *Pool
+	addr string
 
-	idle    []*backendConn // resting or idle, the longest first
-	closed  bool           // what is put back is closed
-	opening bool           // an extra connection is dialling
+	idle    []*pooledConn // resting or idle, the longest first
+	closed  bool          // what is put back is closed
+	opening bool          // an extra connection is dialling
 	// noExtra is until when no extra connection is opened, as one did not come up: the backend may
 	// have no room for it.
 	noExtra time.Time
 	// panicked is a panic in the opening of an extra connection, which the next result of an attempt
 	// takes along.
-	panicked *panicError
+	panicked *PanicError
 }
 
+// Addr returns the address that the connections are to.
+func (b *Conns) Addr() string { return b.addr }
+
 // get acquires a connection on which no bytes wait: an idle one that has rested or, within the
-// context and the time of a connect, a new one. Its error is errNoSocket, that of the context or
+// context and the time of a connect, a new one. Its error is ErrNoSocket, that of the context or
 // that of the connect.
-func (b *backendConns) get(ctx context.Context) (*backendConn, error) {
+func (b *Conns) get(ctx context.Context) (*pooledConn, error) {
 	p := b.pool
 	p.mu.Lock()
-	limit := p.idleLifetime.limit(p.idleTimeout)
+	limit := p.idleLifetime.limit(p.settings.IdleTimeout)
 	for conn := b.pick(time.Now()); conn != nil; conn = b.pick(time.Now()) {
-		rest := minRest - time.Since(conn.since)
+		rest := p.settings.RestTime - time.Since(conn.since)
 		extra := rest > 0 && b.mayOpenExtra()
 		b.opening = b.opening || extra
 		p.mu.Unlock()
@@ -71,10 +74,10 @@
 
 // connect opens a connection, within the context and the time of a connect, that the pool has
 // counted already.
-func (b *backendConns) connect(ctx context.Context) (*backendConn, error) {
+func (b *Conns) connect(ctx context.Context) (*pooledConn, error) {
 	p := b.pool
 	p.mu.Lock()
-	timeout := p.timeout
+	timeout := p.settings.ConnectTimeout
 	p.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -84,20 +87,20 @@
 			p.release()
 		}
 	}()
-	conn, err := p.connect(ctx, "tcp", b.dial)
+	conn, err := p.DialContext(ctx, "tcp", b.addr)
 	if err != nil {
 		return nil, err
 	}
 	up = true
-	return &backendConn{Conn: conn, conns: b}, nil
+	return &pooledConn{Conn: conn, conns: b}, nil
 }
 
 // mayOpenExtra reports whether a connection may be opened because the only one that is not in use
 // rests, and if so counts it as open. All others have an attempt, so the backend has at most one
 // more than the most attempts it had at one time; none is closed for it. The pool must be locked.
-func (b *backendConns) mayOpenExtra() bool {
+func (b *Conns) mayOpenExtra() bool {
 	p := b.pool
-	if !p.allowExtra || b.opening || len(b.idle) > 0 || p.open >= p.maxConns || time.Now().Before(b.noExtra) {
+	if !p.settings.ExtraConns || b.opening || len(b.idle) > 0 || p.open >= p.settings.MaxConns || time.Now().Before(b.noExtra) {
 		return false
 	}
 	p.open++
@@ -107,10 +110,10 @@
 // awaitRest waits until the connection has rested; then it returns nil and nil. Where an extra one
 // is opened and comes up first, that is returned; later it joins the idle ones, so that the next
 // attempt need not wait.
-func (b *backendConns) awaitRest(ctx context.Context, rest time.Duration, extra bool) (*backendConn, error) {
-	var up chan *backendConn // stays nil, and so silent, without an extra one
+func (b *Conns) awaitRest(ctx context.Context, rest time.Duration, extra bool) (*pooledConn, error) {
+	var up chan *pooledConn // stays nil, and so silent, without an extra one
 	if extra {
-		up = make(chan *backendConn)
+		up = make(chan *pooledConn)
 		left := make(chan struct{})
 		defer close(left)
 		go b.openExtra(ctx, up, left)
@@ -128,10 +131,10 @@
 // openExtra opens an extra connection for the attempt that waits on up, or for the next if that
 // one has left. One that fails is no attempt's failure, as none depends on it; nor does a panic end
 // the process with all the requests that it serves.
-func (b *backendConns) openExtra(ctx context.Context, up chan<- *backendConn, left <-chan struct{}) {
+func (b *Conns) openExtra(ctx context.Context, up chan<- *pooledConn, left <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			b.extraPanicked(&panicError{where: "an extra connection", reason: reason, stack: debug.Stack()})
+			b.extraPanicked(&PanicError{where: "an extra connection", reason: reason, stack: debug.Stack()})
 		}
 	}()
 	conn, err := b.connect(ctx)
@@ -148,7 +151,7 @@
 
 // extraOpened notes the end of the connect of an extra connection. Where it failed, and was not
 // given up, no other is tried for a while.
-func (b *backendConns) extraOpened(err error, givenUp bool) {
+func (b *Conns) extraOpened(err error, givenUp bool) {
 	p := b.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,12 +161,12 @@
 	case socket.IsLocalError(err):
 		b.noExtra = time.Now().Add(extraRetryDelay)
 	default:
-		b.noExtra = time.Now().Add(p.idleTimeout)
+		b.noExtra = time.Now().Add(p.settings.IdleTimeout)
 	}
 }
 
 // extraPanicked notes a panic as a failed connect, and keeps it for takePanic.
-func (b *backendConns) extraPanicked(err *panicError) {
+func (b *Conns) extraPanicked(err *PanicError) {
 	b.extraOpened(err, false)
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
@@ -171,7 +174,7 @@
 }
 
 // takePanic returns the panic that is kept, once; nil if there is none.
-func (b *backendConns) takePanic() *panicError {
+func (b *Conns) takePanic() *PanicError {
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	err := b.panicked
@@ -181,9 +184,9 @@
 
 // pick takes the idle connection used last among those that have rested, else the one idle
 // longest, else nil. The pool must be locked.
-func (b *backendConns) pick(now time.Time) *backendConn {
+func (b *Conns) pick(now time.Time) *pooledConn {
 	for i := len(b.idle) - 1; i >= 0; i-- {
-		if conn := b.idle[i]; i == 0 || now.Sub(conn.since) >= minRest {
+		if conn := b.idle[i]; i == 0 || now.Sub(conn.since) >= b.pool.settings.RestTime {
 			conn.unlist()
 			return conn
 		}
@@ -192,10 +195,10 @@
 }
 
 // put gives a connection back for the next attempt.
-func (b *backendConns) put(conn *backendConn) { b.putSince(conn, time.Now()) }
+func (b *Conns) put(conn *pooledConn) { b.putSince(conn, time.Now()) }
 
 // putSince is put for a connection that has been idle since then.
-func (b *backendConns) putSince(conn *backendConn, since time.Time) {
+func (b *Conns) putSince(conn *pooledConn, since time.Time) {
 	p := b.pool
 	p.mu.Lock()
 	if b.closed {
@@ -207,19 +210,19 @@
 	b.idle = append(b.idle, conn)
 	if !p.sweeping {
 		p.sweeping = true
-		time.AfterFunc(p.idleLifetime.limit(p.idleTimeout), p.sweep)
+		time.AfterFunc(p.idleLifetime.limit(p.settings.IdleTimeout), p.sweep)
 	}
 	p.mu.Unlock()
 }
 
-// closeIdle closes the connections that are idle; the backend stays.
-func (b *backendConns) closeIdle() { closeAll(b.takeIdle(false)) }
+// CloseIdle closes the connections that are idle; the backend stays.
+func (b *Conns) CloseIdle() { closeAll(b.takeIdle(false)) }
 
-// close closes the connections for good: those in use when they are put back.
-func (b *backendConns) close() { closeAll(b.takeIdle(true)) }
+// Close closes the connections for good: those in use when they are put back.
+func (b *Conns) Close() { closeAll(b.takeIdle(true)) }
 
 // takeIdle takes all idle connections out of the pool.
-func (b *backendConns) takeIdle(forGood bool) []*backendConn {
+func (b *Conns) takeIdle(forGood bool) []*pooledConn {
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	b.closed = b.closed || forGood
--- a/internal/agent/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -40,22 +40,22 @@
 // A backend that drops idle connections silently is met with new connections
 // after a few requests that ended so.
 func TestConnectionsDroppedSilentlyAreReplaced(t *testing.T) {
-	addr := rawBackend(t, func(conn net.Conn, r *bufio.Reader) {
-		if _, err := readRequest(r); err != nil {
+	addr := agenttest.RawBackend(t, func(conn net.Conn, r *bufio.Reader) {
+		if _, err := agenttest.ReadRequest(r); err != nil {
 			return
 		}
-		io.WriteString(conn, okAnswer)
-		readRequest(r) // and ends it when the next one comes
+		io.WriteString(conn, agenttest.OKAnswer)
+		agenttest.ReadRequest(r) // and ends it when the next one comes
 	})
 	pool := testPool()
-	backend := pool.newBackendConns(addr)
+	backend := pool.NewConns(addr)
 	for range 40 {
 		pool.idleLifetime.observe(time.Millisecond, false, time.Now())
 	}
 	broken := 0
 	for range 20 {
-		res := newAttempt(backend, http.MethodPost, agenttest.Never).run()
-		if res.status != policy.StatusOK {
+		res := newAttempt(backend, http.MethodPost, agenttest.Never).Run()
+		if res.Status != policy.StatusOK {
 			broken++
 		}
 		pool.mu.Lock()
--- a/internal/agent/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -18,23 +18,23 @@
 
 // restingPool is a pool that may open extra connections to its one backend and whose rests
 // do not end by themselves: rested ends them.
-func restingPool(t *testing.T) (backend *backendConns, conns *connections, rested chan time.Time) {
+func restingPool(t *testing.T) (backend *Conns, conns *connections, rested chan time.Time) {
 	t.Helper()
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			if _, err := readRequest(r); err != nil {
+			if _, err := agenttest.ReadRequest(r); err != nil {
 				return
 			}
-			io.WriteString(c, okAnswer)
+			io.WriteString(c, agenttest.OKAnswer)
 		}
 	})
 	conns = &connections{}
 	pool := testPool()
-	pool.allowExtra, pool.connect = true, conns.connect
+	pool.settings.ExtraConns, pool.DialContext = true, conns.connect
 	rested = make(chan time.Time)
 	pool.after = func(time.Duration) <-chan time.Time { return rested }
-	backend = pool.newBackendConns(addr)
-	t.Cleanup(backend.closeIdle)
+	backend = pool.NewConns(addr)
+	t.Cleanup(backend.CloseIdle)
 	return backend, conns, rested
 }
 
@@ -55,7 +55,7 @@
 }
 
 // rests makes all idle connections rest however slow the test is.
-func (b *backendConns) rests() {
+func (b *Conns) rests() {
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	for _, c := range b.idle {
@@ -63,14 +63,14 @@
 	}
 }
 
-func (b *backendConns) served(t *testing.T) {
+func (b *Conns) served(t *testing.T) {
 	t.Helper()
-	if res := newAttempt(b, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
+	if res := newAttempt(b, http.MethodPost, agenttest.NoAnswerTimeout).Run(); res.Status != policy.StatusOK {
+		t.Fatalf("ended %d", res.Status)
 	}
 }
 
-func (b *backendConns) idleAndOpen() (idle, open int) {
+func (b *Conns) idleAndOpen() (idle, open int) {
 	b.pool.mu.Lock()
 	defer b.pool.mu.Unlock()
 	return len(b.idle), b.pool.open
@@ -110,8 +110,8 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK {
-					t.Errorf("ended %d", res.status)
+				if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run(); res.Status != policy.StatusOK {
+					t.Errorf("ended %d", res.Status)
 				}
 			}()
 		}
@@ -129,9 +129,9 @@
 
 // Where connections have a price, or no descriptor is left, the rest is waited out.
 func TestRestIsWaitedOutWithoutAnExtra(t *testing.T) {
-	for name, set := range map[string]func(p *pool){
-		"priced":        func(p *pool) { p.allowExtra = false },
-		"no descriptor": func(p *pool) { p.maxConns = 1 },
+	for name, set := range map[string]func(p *Pool){
+		"priced":        func(p *Pool) { p.settings.ExtraConns = false },
+		"no descriptor": func(p *Pool) { p.settings.MaxConns = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			backend, conns, rested := restingPool(t)
@@ -147,18 +147,6 @@
 	}
 }
 
-// A price of the settings keeps the agent from opening extra connections.
-func TestExtraConnectionsFollowThePrice(t *testing.T) {
-	for key, want := range map[string]bool{"": true, "handshake": false, "connection": false} {
-		conf := config(nowhere)
-		conf["settings"].(map[string]any)["prices"] = map[string]any{key: 0.01}
-		a, _, _, _ := start(t, conf)
-		if a.loop.pool.allowExtra != want {
-			t.Errorf("price of %q: extra connections %v", key, a.loop.pool.allowExtra)
-		}
-	}
-}
-
 // An extra connection that does not come up fails no attempt, and is not tried again soon.
 func TestExtraConnectionThatFails(t *testing.T) {
 	backend, conns, rested := restingPool(t)
@@ -166,15 +154,15 @@
 	backend.served(t)
 	for range 2 {
 		backend.rests()
-		done := make(chan result, 1)
-		go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+		done := make(chan Result, 1)
+		go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run() }()
 		agenttest.Eventually(t, "the end of the connect", func() bool {
 			_, open := backend.idleAndOpen()
 			return conns.begun.Load() == 2 && open == 1
 		})
 		rested <- time.Now()
-		if res := <-done; res.status != policy.StatusOK {
-			t.Fatalf("ended %d", res.status)
+		if res := <-done; res.Status != policy.StatusOK {
+			t.Fatalf("ended %d", res.Status)
 		}
 	}
 	if n := conns.begun.Load(); n != 2 {
@@ -188,12 +176,12 @@
 	conns.held = make(chan struct{})
 	backend.served(t)
 	backend.rests()
-	done := make(chan result, 1)
-	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+	done := make(chan Result, 1)
+	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run() }()
 	agenttest.Eventually(t, "a connect", func() bool { return conns.begun.Load() == 2 })
 	rested <- time.Now()
-	if res := <-done; res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
+	if res := <-done; res.Status != policy.StatusOK {
+		t.Fatalf("ended %d", res.Status)
 	}
 	close(conns.held)
 	agenttest.Eventually(t, "both idle", func() bool {
@@ -208,28 +196,28 @@
 	backend, conns, rested := restingPool(t)
 	backend.served(t)
 	backend.rests()
-	backend.pool.connect = func(context.Context, string, string) (net.Conn, error) {
+	backend.pool.DialContext = func(context.Context, string, string) (net.Conn, error) {
 		conns.begun.Add(1)
 		panic("boom")
 	}
-	done := make(chan result, 1)
-	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run() }()
+	done := make(chan Result, 1)
+	go func() { done <- newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run() }()
 	agenttest.Eventually(t, "the panic", func() bool {
 		backend.pool.mu.Lock()
 		defer backend.pool.mu.Unlock()
 		return backend.panicked != nil
 	})
 	rested <- time.Now()
-	if res := <-done; res.status != policy.StatusOK || res.panicked == nil {
-		t.Fatalf("ended %d, broken by %v", res.status, res.panicked)
+	if res := <-done; res.Status != policy.StatusOK || res.Panic == nil {
+		t.Fatalf("ended %d, broken by %v", res.Status, res.Panic)
 	}
 	if idle, open := backend.idleAndOpen(); idle != 1 || open != 1 || backend.opening {
 		t.Errorf("%d idle of %d, opening %v", idle, open, backend.opening)
 	}
 	backend.rests()
 	close(rested)
-	if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).run(); res.status != policy.StatusOK || res.panicked != nil {
-		t.Errorf("the next ended %d, broken by %v", res.status, res.panicked)
+	if res := newAttempt(backend, http.MethodPost, agenttest.NoAnswerTimeout).Run(); res.Status != policy.StatusOK || res.Panic != nil {
+		t.Errorf("the next ended %d, broken by %v", res.Status, res.Panic)
 	}
 	if n := conns.begun.Load(); n != 2 {
 		t.Errorf("%d connects: one that panicked is tried again at once", n)
--- a/internal/agent/backend_response.go
+++ b/internal/backend/response.go
@@ -1,4 +1,4 @@
-package agent
+package backend
 
 import (
 	"bufio"
@@ -20,11 +20,11 @@
 
 // answer reads the answer to the request and reports whether the connection can be used again. Of an answer that
 // is spoilt in any way nothing is believed: the request may have run.
-// Its error is an *answerError.
-func answer(conn *backendConn, reader *bufio.Reader, outgoing *http.Request) (res result, reusable bool, err error) {
+// Its error is an *AnswerError.
+func answer(conn *pooledConn, reader *bufio.Reader, outgoing *http.Request) (res Result, reusable bool, err error) {
 	response, err := finalHead(reader, outgoing)
 	if err != nil {
-		return result{}, false, &answerError{err}
+		return Result{}, false, &AnswerError{err}
 	}
 	// Without a length the answer lasts to the end of the connection. One that ends in order makes
 	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
@@ -32,7 +32,7 @@
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
 	case response.ContentLength > maxAnswerBody:
-		return result{}, false, &answerError{errTooLong}
+		return Result{}, false, &AnswerError{errTooLong}
 	case untilEnd:
 		conn.readBudget += maxAnswerBody + 1 // a read behind the last byte, which finds the end
 	case chunked:
@@ -42,7 +42,7 @@
 	}
 	body, err := readBody(response.Body, response.ContentLength)
 	if err != nil {
-		return result{}, false, &answerError{err}
+		return Result{}, false, &AnswerError{err}
 	}
 	return resultOf(response, body), !response.Close && !untilEnd, nil
 }
@@ -65,14 +65,14 @@
 
 // resultOf is what a whole answer means. Any status but 200 may have run, unless the backend says
 // that it did not start the request.
-func resultOf(response *http.Response, body []byte) result {
-	res := result{status: policy.StatusServerError, load: response.Header.Get("Server-Load")}
+func resultOf(response *http.Response, body []byte) Result {
+	res := Result{Status: policy.StatusServerError, LoadReport: response.Header.Get("Server-Load")}
 	switch response.StatusCode {
 	case http.StatusOK:
-		res.status, res.body, res.contentType = policy.StatusOK, body, response.Header.Get("Content-Type")
+		res.Status, res.Body, res.ContentType = policy.StatusOK, body, response.Header.Get("Content-Type")
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if response.Header.Get("Not-Started") == "1" {
-			res.status = policy.StatusRejected
+			res.Status = policy.StatusRejected
 		}
 	}
 	return res
@@ -93,10 +93,10 @@
 	return body, err
 }
 
-// report reads the values that the settings name from a load report of the form
+// ParseLoadReport reads the values that the settings name from a load report of the form
 // 'TEXT name=value, name=value'. It is taken whole or not at all: a value that is
 // missing or makes no sense would look like an idle backend. It returns nil where there is none.
-func report(text string, names []string) []float32 {
+func ParseLoadReport(text string, names []string) []float32 {
 	text, found := strings.CutPrefix(text, "TEXT ")
 	if !found || len(names) == 0 {
 		return nil
