--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"ploverreel/internal/backend"
+	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
 
@@ -45,11 +46,11 @@
 
 // newAttempt is an attempt with its times, which count from the decision.
 func (l *loop) newAttempt(request *request, target *listedBackend, action *policy.Action) *attempt {
-	deadline := l.decidedAt.Add(millis(action.DelayMs))
+	deadline := l.decidedAt.Add(config.Milliseconds(action.TimeoutMs))
 	created := &attempt{request: request, index: len(request.attempts), target: target,
 		Attempt: backend.NewAttempt(l.ctx, target.conns, &request.Request, deadline)}
-	if action.WithinMs > 0 {
-		created.BeginBy = l.decidedAt.Add(millis(action.WithinMs))
+	if action.BeginWithinMs > 0 {
+		created.BeginBy = l.decidedAt.Add(config.Milliseconds(action.BeginWithinMs))
 	}
 	return created
 }
@@ -73,7 +74,7 @@
 		// The machine may have vanished; its other connections would be as silent.
 		target.conns.CloseIdle()
 	}
-	l.notify(&policy.Event{Kind: policy.EventOutcome, Request: request.id, Attempt: ended.index, Server: target.addr,
+	l.notify(&policy.AttemptEnded{Request: request.id, Attempt: ended.index, Server: target.addr,
 		Status: outcome.Status, LatencyMs: float64(outcome.Elapsed) / float64(time.Millisecond),
 		Final: request.answered, Report: backend.ParseLoadReport(outcome.LoadReport, l.config.Settings.Report.Names)})
 	l.forget(request)
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -4,6 +4,8 @@
 	"time"
 
 	"ploverreel/internal/backend"
+	"ploverreel/internal/config"
+	"ploverreel/internal/endpointlist"
 )
 
 // input is one thing that happened, on its way to the loop. Its types are listed in this file;
@@ -36,14 +38,14 @@
 	// endpointsFetched ends a fetch: with a whole list or an error.
 	endpointsFetched struct {
 		generation int
-		list       List
+		list       endpointlist.List
 		err        error
 	}
 
 	// watchEvent is one list that a watch delivered.
 	watchEvent struct {
 		generation int
-		list       List
+		list       endpointlist.List
 	}
 
 	// watchEnded ends a watch.
@@ -59,7 +61,7 @@
 	// reloadRequested asks for another configuration to be put in force. done has room for the
 	// one error, or nil, that is sent.
 	reloadRequested struct {
-		config *Config
+		config *config.Config
 		done   chan error
 	}
 
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -23,7 +23,7 @@
 				addr, _ := counted(t, 200, false)
 				addrs = append(addrs, addr)
 			}
-			a, base, _, _ := start(t, config(nowhere, addrs...))
+			a, base, _, _ := start(t, agenttest.Config(nowhere, addrs...))
 			dialer := &agenttest.FailingDialer{Errno: errno, Failures: failures}
 			a.look(func(l *loop) { l.pool.DialContext = dialer.DialContext })
 			var answered sync.WaitGroup
@@ -62,7 +62,7 @@
 // A price of the settings keeps the agent from opening extra connections.
 func TestExtraConnectionsFollowThePrice(t *testing.T) {
 	for key, want := range map[string]bool{"": true, "handshake": false, "connection": false} {
-		conf := config(nowhere)
+		conf := agenttest.Config(nowhere)
 		conf["settings"].(map[string]any)["prices"] = map[string]any{key: 0.01}
 		a, _, _, _ := start(t, conf)
 		if got := a.loop.pool.Settings().ExtraConns; got != want {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -12,6 +12,7 @@
 
 	"ploverreel/internal/agenttest"
 	"ploverreel/internal/backend"
+	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
 
@@ -44,7 +45,7 @@
 			io.WriteString(c, okAnswer)
 		}
 	})
-	conf := config(nowhere, addr)
+	conf := agenttest.Config(nowhere, addr)
 	a, base, _, _ := start(t, conf)
 	answered := make(chan int, 1)
 	go func() {
@@ -79,11 +80,11 @@
 			t.Errorf("%s is answered %d %q", class, status, said)
 		}
 	}
-	if most := a.clients.maxConns; most != clientSockets(512) {
+	if most := a.clients.maxConns; most != (config.Limits{Sockets: 512}).ClientSockets() {
 		t.Errorf("%d places", most)
 	}
 	a.look(func(l *loop) {
-		if l.pool.Settings().MaxConns != backendSockets(512) || l.seenIDs.keep < 300*time.Second {
+		if l.pool.Settings().MaxConns != (config.Limits{Sockets: 512}).BackendSockets() || l.seenIDs.keep < 300*time.Second {
 			t.Errorf("%d connections, ids known for %v", l.pool.Settings().MaxConns, l.seenIDs.keep)
 		}
 	})
@@ -93,7 +94,7 @@
 // neither its classes nor its discovery are in force.
 func TestReloadTakesAllOrNothing(t *testing.T) {
 	addr, _ := counted(t, 200, false)
-	conf := config(nowhere, addr)
+	conf := agenttest.Config(nowhere, addr)
 	a, base, _, _ := start(t, conf)
 	fresh := map[string]any{"classes": []any{classOf("fresh", "single_shot", 30000)}}
 	for key, spoil := range map[string]func(c map[string]any){
@@ -132,7 +133,7 @@
 // A request that was read just before other settings came is decided under its class's new number,
 // and rejected, as it never ran, where its class is no more or has another effect.
 func TestRequestReadUnderTheSettingsBefore(t *testing.T) {
-	conf := config(nowhere, "127.0.0.1:1")
+	conf := agenttest.Config(nowhere, "127.0.0.1:1")
 	for _, c := range []struct {
 		name    string
 		classes []any
