--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -69,11 +69,10 @@
 		t.Run(name, func(t *testing.T) {
 			l := quietLoop(t, "127.0.0.1:1")
 			b := l.backends[endpointlist.AddressOf("s-0")]
-			waits := newAttempt(b.conns, http.MethodPost, agenttest.Never)
-			b.attempts[waits] = struct{}{}
+			waits := newLoopAttempt(b)
 			l.handle(watchEvent{list: list})
-			if waits.begin() {
-				t.Fatal("got an attempt that begins after the list, want it withdrawn")
+			if res := waits.Run(); res.Status != policy.StatusRejected { // not begun, as its backend drains
+				t.Fatalf("got status %d of an attempt that had not begun before the list, want it withdrawn", res.Status)
 			}
 			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
 			for _, a := range l.actions {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/internal/discovery"
 	"ploverreel/internal/fielderror"
@@ -46,8 +47,8 @@
 	requests map[policy.RequestID]*request
 	nextID   policy.RequestID
 	seenIDs  *seenIDs
-	backends map[policy.Addr]*backend
-	pool     *pool
+	backends map[policy.Addr]*listedBackend
+	pool     *backend.Pool
 
 	watch watchState
 	ready readyState
@@ -95,8 +96,8 @@
 		after:    time.AfterFunc,
 		requests: map[policy.RequestID]*request{},
 		seenIDs:  newSeenIDs(0),
-		backends: map[policy.Addr]*backend{},
-		pool:     newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0),
+		backends: map[policy.Addr]*listedBackend{},
+		pool:     backend.NewPool((&net.Dialer{KeepAlive: -1}).DialContext, backend.Settings{}),
 		watch:    watchState{startTimes: newStartTimes()},
 		log:      log,
 	}
@@ -122,8 +123,12 @@
 	// Where the settings price connections, waiting some milliseconds for one that comes to rest
 	// costs less than a new one: an answer within its latency objective is worth no less for it.
 	newConnsAreFree := settings.Prices.Handshake == 0 && settings.Prices.Connection == 0
-	l.pool.configure(connectTimeout, config.Milliseconds(settings.Limits.KeepaliveMs/2), l.config.Limits.BackendSockets(),
-		newConnsAreFree)
+	l.pool.Configure(backend.Settings{
+		ConnectTimeout: connectTimeout,
+		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / 2),
+		MaxConns:       l.config.Limits.BackendSockets(),
+		ExtraConns:     newConnsAreFree,
+	})
 	l.seenIDs.keep = max(l.seenIDs.keep, l.config.MaxDeadline()+time.Second) // longer than any request is open
 	l.watch.startTimes.tolerance = settings.Contract.StartToleranceMs()
 }
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
@@ -83,8 +84,8 @@
 		t.Errorf("got %d slots for clients, want %d", slots, (config.Limits{Sockets: 512}).ClientSockets())
 	}
 	a.look(func(l *loop) {
-		if l.pool.maxConns != (config.Limits{Sockets: 512}).BackendSockets() || l.seenIDs.keep < 300*time.Second {
-			t.Errorf("%d connections, ids known for %v", l.pool.maxConns, l.seenIDs.keep)
+		if l.pool.Settings().MaxConns != (config.Limits{Sockets: 512}).BackendSockets() || l.seenIDs.keep < 300*time.Second {
+			t.Errorf("%d connections, ids known for %v", l.pool.Settings().MaxConns, l.seenIDs.keep)
 		}
 	})
 }
@@ -150,7 +151,8 @@
 			if err := <-done; err != nil {
 				t.Fatal(err)
 			}
-			r := &request{config: old, class: 2, wireID: "x", deadline: time.Now().Add(agenttest.Never), answers: make(chan response, 1)}
+			r := &request{config: old, class: 2, answers: make(chan response, 1),
+				Request: backend.Request{RequestID: "x", Deadline: time.Now().Add(agenttest.Never)}}
 			l.handle(requestArrived{request: r})
 			if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
 				t.Errorf("class %d, %d attempts", r.class, len(r.attempts))
