--- a/internal/fleet/decisions/options.go
+++ b/internal/fleet/decisions/options.go
@@ -58,7 +58,9 @@
 		return nil, fleet.Usage("repeats", "must be from 1 to %d, is %d", maxRepeats, o.Repeats)
 	}
 	servers, lists := o.byServers()
-	all := []*series{servers, o.byQueued(), o.byWarming(), o.byUnhealthy(), o.byReplicas(), lists}
+	warming := o.byShare("cold", func(l *workload, share float64) { l.warming = share })
+	unhealthy := o.byShare("unhealthy", func(l *workload, share float64) { l.unhealthy = share })
+	all := []*series{servers, o.byQueued(), warming, unhealthy, o.byReplicas(), lists}
 	total := 0
 	for _, s := range all {
 		for _, p := range s.plays {
@@ -95,29 +97,15 @@
 	return queued
 }
 
-// serverShares are the shares of the servers that warm up, or are unhealthy.
-var serverShares = []float64{0, 0.1, 0.5}
-
-// byWarming returns the series over the share of the servers that warm up.
-func (o Options) byWarming() *series {
-	warming := &series{name: "cold", over: "cold"}
-	for _, share := range serverShares {
-		l := o.base()
-		l.warming = share
-		warming.plays = append(warming.plays, &play{workload: l, at: share})
-	}
-	return warming
-}
-
-// byUnhealthy returns the series over the share of the servers that refuse connections.
-func (o Options) byUnhealthy() *series {
-	unhealthy := &series{name: "unhealthy", over: "unhealthy"}
-	for _, share := range serverShares {
+// byShare returns a series over the share of the servers that warm up or refuse connections, which set sets.
+func (o Options) byShare(name string, set func(l *workload, share float64)) *series {
+	s := &series{name: name, over: name}
+	for _, share := range []float64{0, 0.1, 0.5} {
 		l := o.base()
-		l.unhealthy = share
-		unhealthy.plays = append(unhealthy.plays, &play{workload: l, at: share})
+		set(&l, share)
+		s.plays = append(s.plays, &play{workload: l, at: share})
 	}
-	return unhealthy
+	return s
 }
 
 // byReplicas returns the series over the number of agents.
