--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -9,8 +9,8 @@
 const maxAbandonedDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose endpoints may
-// still work on them: where the settings allow no cancelling, an attempt that timed out keeps its
-// place in its endpoint's queue. They count like attempts in flight until an answer to a later
+// still work on them: where the settings allow no cancellation, an attempt that timed out still
+// stands in its endpoint's queue. They count like attempts in flight until an answer to a later
 // attempt shows that their endpoint has passed them, or until the estimate of how long work stays
 // with the endpoints says so.
 type abandonedAttempts struct {
--- a/policy/abandoned_test.go
+++ b/policy/abandoned_test.go
@@ -5,82 +5,107 @@
 	"testing"
 )
 
-// Where the settings allow no cancelling, an attempt that timed out still stands in its
-// endpoint's queue. It counts in the limit until the endpoint answers what was sent after it, or
-// until work does not stay with the endpoints for so long.
-func TestAbandonedAttemptsStayInTheLimit(t *testing.T) {
-	for _, cancelling := range []bool{false, true} {
-		set := testSettings()
-		set.Limits.Cancellation = cancelling
-		r := quick(t, set, 3)
-		r.b.limiter.abandoned.sojourn = 2000
-		id, server := r.sent(1, 5)
-		r.now += 600
-		r.outcome(id, 0, server, StatusTimeout, 600)
-		if want := map[bool]int{false: 1, true: 0}[cancelling]; len(r.b.limiter.abandoned.all) != want {
-			t.Fatalf("cancelling %v: %d abandoned, want %d", cancelling, len(r.b.limiter.abandoned.all), want)
-		}
-		if cancelling {
-			continue
-		}
-		target := r.b.endpoints.byAddr[server]
-		if target.traffic.abandoned != 1 {
-			t.Fatalf("its server holds %d abandoned", target.traffic.abandoned)
-		}
-		limit := r.b.limiter.floor() * r.b.limiter.scale
-		r.b.limiter.inFlight = int(math.Ceil(limit)) - 1
-		if r.b.limiter.allows() {
-			t.Error("it does not count in the limit")
-		}
-		r.b.limiter.inFlight = 0
-		target.traffic.answeredSentAt = r.now - 601
-		if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 1 {
-			t.Error("over by an answer to what was sent before it")
-		}
-		target.traffic.answeredSentAt = r.now - 599
-		if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 0 || len(r.b.limiter.abandoned.all) != 0 {
-			t.Error("not over by an answer to what was sent after it")
-		}
+// newAbandonedHarness returns a harness with one attempt that timed out 600 ms after it was sent, and
+// the server that it went to.
+func newAbandonedHarness(t *testing.T, cancellation bool) (*harness, *endpoint) {
+	t.Helper()
+	set := testSettings()
+	set.Limits.Cancellation = cancellation
+	h := newTrainedHarness(t, set, 3)
+	h.b.limiter.abandoned.sojourn = 2000
+	id, server := h.mustSend(nonIdempotentClass, 5)
+	h.now += 600
+	h.endAttempt(id, 0, server, StatusTimeout, 600)
+	return h, h.endpointAt(server)
+}
+
+// Where the settings allow no cancellation, an attempt that timed out still stands in its endpoint's
+// queue, and counts in the limit.
+func TestLimiterCountsAbandonedAttempts(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		cancellation bool
+		want         int
+	}{{"cancellation", true, 0}, {"no cancellation", false, 1}} {
+		t.Run(test.name, func(t *testing.T) {
+			h, target := newAbandonedHarness(t, test.cancellation)
+			if got := len(h.b.limiter.abandoned.all); got != test.want {
+				t.Fatalf("got %d abandoned attempts, want %d", got, test.want)
+			}
+			if test.want == 0 {
+				return
+			}
+			if target.traffic.abandoned != 1 {
+				t.Fatalf("got %d abandoned attempts at the endpoint, want 1", target.traffic.abandoned)
+			}
+			limit := h.b.limiter.floor() * h.b.limiter.scale
+			h.b.limiter.inFlight = int(math.Ceil(limit)) - 1
+			if h.b.limiter.allows() {
+				t.Error("got another attempt allowed, want the abandoned one to count in the limit")
+			}
+		})
+	}
+}
+
+// An abandoned attempt is over as soon as its endpoint answers what was sent after it.
+func TestAbandonedAttemptEndsByALaterAnswer(t *testing.T) {
+	h, target := newAbandonedHarness(t, false)
+	target.traffic.answeredSentAt = h.now - 601
+	if h.b.limiter.abandoned.settle(h.now); target.traffic.abandoned != 1 {
+		t.Errorf("after an answer to an earlier attempt got %d abandoned, want 1", target.traffic.abandoned)
+	}
+	target.traffic.answeredSentAt = h.now - 599
+	if h.b.limiter.abandoned.settle(h.now); target.traffic.abandoned != 0 || len(h.b.limiter.abandoned.all) != 0 {
+		t.Errorf("after an answer to a later attempt got %d abandoned at the endpoint and %d in all, want none",
+			target.traffic.abandoned, len(h.b.limiter.abandoned.all))
 	}
-	r := quick(t, testSettings(), 1)
-	target := r.b.endpoints.all[0]
-	add := func() { r.b.limiter.abandoned.add(&attempt{endpoint: target, sentAt: r.now - 600}) }
-	r.b.limiter.abandoned.sojourn, target.traffic.answeredSentAt = 1000, 0
+}
+
+// Without an answer it is over when work does not stay with the endpoints for so long, or when its
+// endpoint is gone.
+func TestAbandonedAttemptEndsWithoutAnAnswer(t *testing.T) {
+	h := newTrainedHarness(t, testSettings(), 1)
+	target, abandoned := h.endpoint(0), &h.b.limiter.abandoned
+	add := func() { abandoned.add(&attempt{endpoint: target, sentAt: h.now - 600}) }
+	abandoned.sojourn, target.traffic.answeredSentAt = 1000, 0
 	add()
-	if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 1 {
-		t.Error("over too early")
+	if abandoned.settle(h.now); target.traffic.abandoned != 1 {
+		t.Errorf("at 0.6 of the sojourn got %d abandoned, want 1", target.traffic.abandoned)
 	}
-	if r.b.limiter.abandoned.settle(r.now + 401); target.traffic.abandoned != 0 {
-		t.Error("counts for ever")
+	if abandoned.settle(h.now + 401); target.traffic.abandoned != 0 {
+		t.Errorf("past the sojourn got %d abandoned, want 0", target.traffic.abandoned)
 	}
 	add()
 	target.usable = false
-	if r.b.limiter.abandoned.settle(r.now); target.traffic.abandoned != 0 {
-		t.Error("counts on a server that is gone")
+	if abandoned.settle(h.now); target.traffic.abandoned != 0 {
+		t.Errorf("at an endpoint that is gone got %d abandoned, want 0", target.traffic.abandoned)
 	}
 }
 
 // The estimate of how long work stays with the endpoints runs up to its bound while most goes
 // unanswered, and is that of the answers while most is answered.
-func TestSojournEstimate(t *testing.T) {
-	estimate := func(answered func(i int) bool) float64 {
-		var l abandonedAttempts
-		for i := range 200 {
-			if answered(i) {
-				l.answered(30)
-			} else {
-				l.unanswered(300, 3000)
+func TestAbandonedAttemptsEstimateTheSojourn(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		answered    func(i int) bool
+		least, most float64
+	}{
+		{"two in three answered after 30 ms", func(i int) bool { return i%3 > 0 }, 0, 450},
+		{"four in five unanswered", func(i int) bool { return i%5 == 0 }, 1000, 3000},
+		{"answered again", func(i int) bool { return i > 100 }, 0, 31},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var abandoned abandonedAttempts
+			for i := range 200 {
+				if test.answered(i) {
+					abandoned.answered(30)
+				} else {
+					abandoned.unanswered(300, 3000)
+				}
 			}
-		}
-		return l.sojourn
-	}
-	if x := estimate(func(i int) bool { return i%3 > 0 }); x > 450 {
-		t.Errorf("two in three answered after 30 ms: %v ms", x)
-	}
-	if x := estimate(func(i int) bool { return i%5 == 0 }); x < 1000 || x > 3000 {
-		t.Errorf("four in five unanswered: %v ms", x)
-	}
-	if x := estimate(func(i int) bool { return i > 100 }); x > 31 {
-		t.Errorf("answered again: %v ms", x)
+			if got := abandoned.sojourn; got < test.least || got > test.most {
+				t.Errorf("got %v ms, want %v to %v", got, test.least, test.most)
+			}
+		})
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -14,7 +14,7 @@
 // minTickMs is the shortest time between two checks of what waits, in ms.
 const minTickMs = 5.0
 
-// environment is what all components share: the settings, the source of randomness, and the time
+// environment holds what all components share: the settings, the source of randomness, and the time
 // and the actions of the event in hand. Each component embeds a pointer to the Balancer's.
 type environment struct {
 	set     Settings
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -134,7 +134,7 @@
 }
 
 // adapt lets the limit follow how attempts end: up while answers take little of their objective,
-// down the more the later one is, or if it is rejected or left by its client. Errors and broken
+// down the more the later one is, or if it is rejected or its client disconnects. Errors and broken
 // connections tell nothing of queues. It reports whether the answer came in good time.
 func (l *concurrencyLimiter) adapt(attempt *attempt, status Status, rttMs float64) (inTime bool) {
 	limit := l.limit()
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -65,7 +65,7 @@
 		return false
 	}
 	if e.slowStart.flow > 0 {
-		return e.slowStart.rested(endpoint, cost)
+		return e.slowStart.pauseOver(endpoint, cost)
 	}
 	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
 	// more than it answers, as one attempt of this agent at a time waits there and the limit
@@ -75,7 +75,7 @@
 
 // hasFirstTurn paces an agent that no endpoint has answered yet: agents take turns by the latency
 // objective, or all would go on calling what can't answer. All together make attemptsPerEndpoint
-// attempts at each endpoint in that time, whatever they are asked: an agent's rate is not known in
+// attempts at each endpoint in that time, whatever they are offered: an agent's rate is not known in
 // its first moments. Of an endpoint that is warming up that is as many as the contract allows it
 // of what it does warm. The first turn comes at a part of that time after the agent was notified of
 // the start, which differs from agent to agent. Else each would make its first attempt with its
--- /dev/null
+++ b/policy/eligibility_test.go
@@ -0,0 +1,86 @@
+package policy
+
+import "testing"
+
+// What must not run twice would be lost on an endpoint that is only being validated.
+func TestEligibilityKeepsNonIdempotentRequestsFromPendingEndpoints(t *testing.T) {
+	h := newHarness(t, testSettings(), 4)
+	pending := h.endpoint(0)
+	h.b.outliers.enter(pending, StateUnhealthyPending)
+	validations := map[int]int{} // by class
+	for range 200 {
+		h.now += 10
+		for _, class := range []int{idempotentClass, nonIdempotentClass} {
+			if server := h.serveAtOnce(class, h.randomKey(), 5); server == pending.id {
+				validations[class]++
+			}
+			h.b.outliers.enter(pending, StateUnhealthyPending)
+		}
+	}
+	if validations[idempotentClass] == 0 || validations[nonIdempotentClass] > 0 {
+		t.Errorf("got %d idempotent and %d non-idempotent requests at the pending endpoint, want some and none",
+			validations[idempotentClass], validations[nonIdempotentClass])
+	}
+}
+
+func TestEligibilityTiersByHealth(t *testing.T) {
+	set := testSettings()
+	set.Limits.HealthChecks = true
+	h := newHarness(t, set, 1)
+	target := h.endpoint(0)
+	idempotent, once := &request{class: h.b.classes.all[idempotentClass]}, &request{class: h.b.classes.all[nonIdempotentClass]}
+	for _, test := range []struct {
+		name    string
+		state   State
+		sinceMs float64
+		request *request
+		want    int
+	}{
+		{"connected", StateConnected, 0, idempotent, 0},
+		{"unknown", StateUnknown, 0, once, 0},
+		{"pending, being checked", StateUnhealthyPending, 0, idempotent, 1},
+		{"pending, unchecked for long", StateUnhealthyPending, 1000, idempotent, 0},
+		{"pending, non-idempotent request", StateUnhealthyPending, 1000, once, 1},
+		{"ejected", StateUnhealthy, 1000, idempotent, 2},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			target.health.state, target.health.since = test.state, h.b.now-test.sinceMs
+			if got := h.b.eligible.tierOf(target, test.request); got != test.want {
+				t.Errorf("got tier %d, want %d", got, test.want)
+			}
+			if !h.b.eligible.isIn(test.want, target, h.sendableRequest(test.request.class)) {
+				t.Errorf("got the endpoint not in tier %d, want it there", test.want)
+			}
+			if h.b.eligible.isIn(test.want+1, target, h.sendableRequest(test.request.class)) {
+				t.Errorf("got the endpoint in tier %d too, want it in %d alone", test.want+1, test.want)
+			}
+		})
+	}
+}
+
+// sendableRequest returns a request that nothing keeps from being sent.
+func (h *harness) sendableRequest(class *class) *request {
+	return &request{class: class, timing: requestTiming{deadline: h.now + 600}, tries: requestTries{limit: 1}}
+}
+
+func TestEligibilityBoundsWhatAnEndpointHolds(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	target, request := h.endpoint(0), h.sendableRequest(h.b.classes.all[idempotentClass])
+	h.b.now = h.now
+	if !h.b.eligible.hasCapacity(target, request) {
+		t.Error("nothing in flight: got no capacity, want some")
+	}
+	target.traffic.inFlight = []*attempt{{}}
+	if !h.b.eligible.hasCapacity(target, request) {
+		t.Errorf("one in flight of a window of %v: got no capacity, want some", target.window.size)
+	}
+	target.health.state = StateUnhealthyPending
+	if h.b.eligible.hasCapacity(target, request) {
+		t.Error("one in flight while it is validated: got capacity, want none")
+	}
+	target.health.state = StateConnected
+	target.traffic.inFlight = []*attempt{{}, {}}
+	if h.b.eligible.hasCapacity(target, request) {
+		t.Errorf("two in flight of a window of %v: got capacity, want none", target.window.size)
+	}
+}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -40,7 +40,7 @@
 
 // windowOpen reports whether the endpoint's window lets another attempt in. A window under one is
 // kept by pausing: with many agents even one attempt of each can be too much, and an endpoint that
-// was overloaded needs rest to recover.
+// was overloaded needs idle time to recover.
 func (e *endpoint) windowOpen(now float64) bool {
 	if e.load() >= max(int(e.window.size), 1) {
 		return false
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -4,27 +4,61 @@
 
 // Under a window below one the pause follows the last answer: taken from the mean it would stay long
 // after a crowd has passed, and nothing would tell that the endpoint stands idle.
-func TestPauseFollowsTheLastAnswer(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	target := r.b.endpoints.all[0]
-	for _, rtt := range []float64{900, 900, 900, 900, 30} {
+func TestEndpointWindowPauseFollowsTheLastAnswer(t *testing.T) {
+	h := newHarness(t, testSettings(), 1)
+	target := h.endpoint(0)
+	for _, latencyMs := range []float64{900, 900, 900, 900, 30} {
 		target.window.size = 0.5
-		r.now += 5000
-		id, _ := r.sent(0, 0)
-		r.now += rtt
-		r.outcome(id, 0, target.id, StatusOK, rtt)
+		h.now += 5000
+		h.serve(idempotentClass, 0, latencyMs)
 	}
 	target.window.size = 0.5
-	if r.now = target.traffic.sentAt + 59; r.b.hasRoomAt(r.now, target) {
-		t.Error("no pause")
+	hasCapacityAfter := func(ms float64) bool {
+		h.b.now = target.traffic.sentAt + ms
+		return h.b.eligible.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
 	}
-	if r.now = target.traffic.sentAt + 61; !r.b.hasRoomAt(r.now, target) {
-		t.Error("pauses for longer than two answers")
+	if hasCapacityAfter(59) {
+		t.Error("before two answer times got capacity, want a pause")
+	}
+	if !hasCapacityAfter(61) {
+		t.Error("after two answer times got no capacity, want the pause over")
 	}
 }
 
-// hasRoomAt tells whether an endpoint takes one more request of the first class.
-func (b *Balancer) hasRoomAt(now float64, target *endpoint) bool {
-	b.now = now
-	return b.eligible.hasCapacity(target, &request{class: b.classes.all[0]})
+func TestEndpointWindowBounds(t *testing.T) {
+	window := endpointWindow{size: 4}
+	window.cut(100, 0.5, 1)
+	if window.size != 2 || window.cutAt != 100 {
+		t.Errorf("cut by half: got %+v, want a size of 2, cut at 100", window)
+	}
+	window.cut(200, 0.1, 1)
+	if window.size != 1 {
+		t.Errorf("cut to less than its least: got a size of %v, want 1", window.size)
+	}
+	window.grow()
+	if window.size != 2 {
+		t.Errorf("grown by one attempt a round trip: got a size of %v, want 2", window.size)
+	}
+	window.size = 0.25
+	if window.grow(); window.size != 0.5 {
+		t.Errorf("grown from below one: got a size of %v, want it doubled to 0.5", window.size)
+	}
+	window.size = 1.5
+	if window.halve(); window.size != 1 {
+		t.Errorf("halved: got a size of %v, want 1 at least", window.size)
+	}
+}
+
+func TestEndpointUpdateTakesOverTheEntry(t *testing.T) {
+	target := endpoint{weight: 3, usable: true}
+	target.update(&Entry{Zone: 1, Cell: 2, MachineKind: 3, Health: HealthDraining, Weight: -1})
+	if target.zone != 1 || target.cell != 2 || target.machineKind != 3 {
+		t.Errorf("got zone %d, cell %d and kind %d, want 1, 2 and 3", target.zone, target.cell, target.machineKind)
+	}
+	if target.usable || target.weight != 1 {
+		t.Errorf("draining with a negative weight: got usable %v and a weight of %v, want false and 1", target.usable, target.weight)
+	}
+	if target.update(&Entry{Health: HealthReady, Weight: 2}); !target.usable || target.weight != 2 {
+		t.Errorf("ready: got usable %v and a weight of %v, want true and 2", target.usable, target.weight)
+	}
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -9,7 +9,7 @@
 const (
 	// A change of the list counts as notified after notifyWithinMs, whatever went wrong before.
 	// Discovery serves calls in turn, and one that has waited for watchCallMaxMs fails.
-	// watchCallMarginMs is left for the way and for what the list sets off.
+	// watchCallMarginMs is the time that remains for the way and for what the list sets off.
 	notifyWithinMs, watchCallMaxMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
 	// watchStaggerMs is how far apart the agents of a small fleet call that start together: those
 	// of large fleets take all the time that they have.
@@ -115,8 +115,8 @@
 	w.do(SetTimer(delayMs, timerWatch))
 }
 
-// fetch asks for the whole list, seldom: every call loads discovery. An agent that watches the
-// list has it as new as can be, or waits for its turn to ask.
+// fetch fetches the whole list, seldom: every call loads discovery. An agent that watches the
+// list has it as new as can be, or waits for its turn to call.
 func (w *watchScheduler) fetch() {
 	if w.set.Membership != MembershipPushed {
 		return
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -7,37 +7,77 @@
 	"testing"
 )
 
+// startWatching starts an agent at the time 0 that calls discovery in the membership mode, and returns
+// the delay of its first call in ms.
+func startWatching(t *testing.T, set Settings, seed uint64) (b *Balancer, delayMs float64) {
+	t.Helper()
+	b = newBalancer(t, set, seed)
+	actions := b.Start(0, nil)
+	action := findAction(actions, ActionSetTimer)
+	if action == nil || action.Token != timerWatch {
+		t.Fatalf("agent %d of %d: got %+v, want a first call", set.Index, set.Replicas, actions)
+	}
+	return b, action.DelayMs
+}
+
+// watchSettings are those of one of many agents in the membership mode.
+func watchSettings(mode string, index, agents int) Settings {
+	set := testSettings()
+	set.Membership, set.Index, set.Replicas = mode, index, agents
+	set.Contract.PollWithinMs = 10000
+	return set
+}
+
+// callDelay hands in how the agent's latest call ended, and returns the delay of the next one in ms.
+func callDelay(t *testing.T, b *Balancer, now float64, end Event) float64 {
+	t.Helper()
+	actions := b.Handle(now, end, nil)
+	action := findAction(actions, ActionSetTimer)
+	if action == nil || action.Token != timerWatch {
+		t.Fatalf("got %+v, want another call", actions)
+	}
+	return action.DelayMs
+}
+
+// call lets the agent make its next call at now.
+func call(t *testing.T, b *Balancer, now float64) {
+	t.Helper()
+	if actions := b.Handle(now, &TimerFired{Token: timerWatch}, nil); findAction(actions, ActionOpenWatch) == nil {
+		t.Fatalf("got %+v, want a watch opened", actions)
+	}
+}
+
 // However long an outage of discovery lasts, and however quiet it was before, the call that follows
-// its end still comes in time: the wait before it grows no further than the contract allows.
-func TestCallsAfterALongOutage(t *testing.T) {
+// its end still comes in time: the delay before it grows no further than the contract allows.
+func TestWatchSchedulerBoundsDelaysInALongOutage(t *testing.T) {
 	const hour = 3600e3
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
 		for _, agents := range []int{4, 300, 2000} {
-			for _, took := range []float64{0, 2000, 2500} {
-				t.Run(fmt.Sprintf("%s, %d agents, calls take %.0f ms", mode, agents, took), func(t *testing.T) {
-					b := caller(t, mode, agents-1, agents)
-					most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - took
+			for _, callMs := range []float64{0, 2000, 2500} {
+				t.Run(fmt.Sprintf("%s, %d agents, calls take %.0f ms", mode, agents, callMs), func(t *testing.T) {
+					b, _ := startWatching(t, watchSettings(mode, agents-1, agents), uint64(agents-1))
+					most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - callMs
 					if mode == MembershipWatched {
 						most = localWatchMaxDelayMs
 					}
 					call(t, b, 0)
 					now := 50 * hour // of quiet; then the watch falls silent
-					wait := after(t, b, now, &WatchEnded{})
+					delayMs := callDelay(t, b, now, &WatchEnded{})
 					for failure := range 3000 { // hours without discovery
-						if wait > most+1e-6 {
-							t.Fatalf("failure %d waits for %v ms of %v", failure, wait, most)
+						if delayMs > most+1e-6 {
+							t.Fatalf("failure %d: got a delay of %v ms, want %v at most", failure, delayMs, most)
 						}
-						now += wait
+						now += delayMs
 						call(t, b, now)
-						now += took
-						wait = after(t, b, now, &DiscoveryFailed{})
+						now += callMs
+						delayMs = callDelay(t, b, now, &DiscoveryFailed{})
 					}
-					now += wait
+					now += delayMs
 					call(t, b, now)
 					b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // it is back
 					now += 20 * hour
-					if wait := after(t, b, now, &WatchEnded{}); wait > watchEndedBackoffMs {
-						t.Fatalf("a watch that is lost after the outage is opened anew after %v ms", wait)
+					if delayMs := callDelay(t, b, now, &WatchEnded{}); delayMs > watchEndedBackoffMs {
+						t.Fatalf("watch that ended after the outage: got a delay of %v ms, want %v at most", delayMs, watchEndedBackoffMs)
 					}
 				})
 			}
@@ -45,286 +85,229 @@
 	}
 }
 
-// Lists come by the watch alone: no failure at endpoints has an agent ask for the whole list, in the
+// Lists come by the watch alone: no failure at endpoints has an agent fetch the whole list, in the
 // modes that agents on sockets use.
-func TestFailuresFetchNoList(t *testing.T) {
+func TestWatchSchedulerFetchesNothingWhereItWatches(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
-		set := fleetSettings(10)
-		set.Membership = mode
-		r := newRig(t, set, 3)
-		failed := 0
-		for range 200 {
-			r.now += 100
-			id, actions := r.ask(0, 0)
-			for try, status := range []Status{StatusConnectFailed, StatusOK} { // at first, and then served
-				action := find(actions, ActionSendAttempt)
-				if action == nil {
-					break
-				}
-				if status != StatusOK {
-					failed++
-				}
-				actions = r.outcome(id, try, action.Server, status, 1)
-				if find(actions, ActionFetchEndpoints) != nil {
-					t.Fatalf("%s: fetches the list", mode)
+		t.Run(mode, func(t *testing.T) {
+			set := fleetSettings(10)
+			set.Membership = mode
+			h := newHarness(t, set, 3)
+			failed := 0
+			for range 200 {
+				h.now += 100
+				id, actions := h.arrive(idempotentClass, 0)
+				for attempt, status := range []Status{StatusConnectFailed, StatusOK} {
+					send := findAction(actions, ActionSendAttempt)
+					if send == nil {
+						break
+					}
+					if status != StatusOK {
+						failed++
+					}
+					actions = h.endAttempt(id, attempt, send.Server, status, 1)
+					if findAction(actions, ActionFetchEndpoints) != nil {
+						t.Fatalf("got %+v, want no fetch", actions)
+					}
 				}
 			}
-		}
-		if failed < 100 {
-			t.Fatalf("%s: %d attempts failed", mode, failed)
-		}
+			if failed < 100 {
+				t.Fatalf("got %d failed attempts, want 100 at least", failed)
+			}
+		})
 	}
 }
 
-const fleetStart = 1e6
-
-// fleetSettings are those of one of many agents.
-func fleetSettings(agents int) Settings {
-	s := testSettings()
-	s.Replicas = agents
-	s.Limits = Limits{Cancellation: true, HealthChecks: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
-		ConnectTimeoutMs: 250, KeepaliveMs: 15000}
-	s.Contract = Contract{AnswerSlackMs: 5, PollWithinMs: 10000, SlowStartFrom: 0.3, SlowStartMs: 7000, DrainGraceMs: 1500,
-		OverloadMultiple: 3, OverloadWindowMs: 1000}
-	s.Classes = s.Classes[:1]
-	s.Classes[0].DeadlineMs = 1500
-	s.Prices = Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.08, Membership: 0.05, Waste: 0.1}
-	s.Weights, s.RoundMs = "off", 1
-	return s
-}
-
 // The list that an agent starts with may be old, and what it misses may count as notified before the
 // agent has started: its first call comes within the drains' grace, whatever its number.
-func TestFirstCallComesWithinTheDrainsGrace(t *testing.T) {
+func TestWatchSchedulerCallsFirstWithinTheDrainGrace(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
-		for _, grace := range []float64{250, 1000, 1500, 30000} {
-			last := 0.0
-			for index := range agents {
-				set := fleetSettings(agents)
-				set.Membership, set.Index, set.Contract.DrainGraceMs = MembershipOnRequest, index, grace
-				b, err := New(set, uint64(index))
-				if err != nil {
-					t.Fatal(err)
+		for _, graceMs := range []float64{250, 1000, 1500, 30000} {
+			t.Run(fmt.Sprintf("%d agents, %v ms of grace", agents, graceMs), func(t *testing.T) {
+				last := 0.0
+				for index := range agents {
+					set := fleetSettings(agents)
+					set.Membership, set.Index, set.Contract.DrainGraceMs = MembershipOnRequest, index, graceMs
+					_, delayMs := startWatching(t, set, uint64(index))
+					last = max(last, delayMs)
 				}
-				last = max(last, find(b.Start(0, nil), ActionSetTimer).DelayMs)
-			}
-			if last > grace || last > 6000-watchCallMaxMs {
-				t.Errorf("%d agents, %v ms of grace: the last call comes after %v ms", agents, grace, last)
-			}
+				if last > graceMs || last > 6000-watchCallMaxMs {
+					t.Errorf("got the last call after %v ms, want it within the grace and %v ms", last, 6000-watchCallMaxMs)
+				}
+			})
 		}
 	}
 }
 
 // Agents and their restarts don't wait alike after a failed call.
-func TestFailedCallsAreSpread(t *testing.T) {
-	waits := map[float64]int{}
-	for i := range 20 {
-		for seed := range uint64(5) {
-			set := fleetSettings(20)
+func TestWatchSchedulerSpreadsRetries(t *testing.T) {
+	const agents, restarts, failures = 20, 5, 8
+	delays := map[float64]int{}
+	for i := range agents {
+		for seed := range uint64(restarts) {
+			set := fleetSettings(agents)
 			set.Membership, set.Index = MembershipOnRequest, i
-			b, err := New(set, seed<<8+uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
+			b := newBalancer(t, set, seed<<8+uint64(i))
 			b.Start(fleetStart, nil)
-			for failure := range 8 {
-				action := find(b.Handle(fleetStart, &DiscoveryFailed{}, nil), ActionSetTimer)
-				if action == nil || action.DelayMs < 500 || action.DelayMs > set.Contract.PollWithinMs {
-					t.Fatalf("failure %d: asks again by %+v", failure, action)
+			for failure := range failures {
+				delayMs := callDelay(t, b, fleetStart, &DiscoveryFailed{})
+				if delayMs < 500 || delayMs > set.Contract.PollWithinMs {
+					t.Fatalf("failure %d: got a delay of %v ms, want 500 to %v", failure, delayMs, set.Contract.PollWithinMs)
 				}
-				waits[action.DelayMs]++
+				delays[delayMs]++
 			}
 		}
 	}
-	if len(waits) != 20*5*8 {
-		t.Errorf("%d different waits of %d", len(waits), 20*5*8)
+	if want := agents * restarts * failures; len(delays) != want {
+		t.Errorf("got %d different delays, want %d", len(delays), want)
 	}
 }
 
-// However many agents there are, each asks within the time after which the contract takes
+// However many agents there are, each calls within the time after which the contract takes
 // it as notified.
-func TestTurnsFitTheContract(t *testing.T) {
+func TestWatchSchedulerCallsFirstWithinThePollTime(t *testing.T) {
 	for _, index := range []int{0, 500, 999} {
 		set := fleetSettings(1000)
 		set.Membership, set.Index = MembershipOnRequest, index
-		b, err := New(set, uint64(index))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if action := find(b.Start(fleetStart, nil), ActionSetTimer); action == nil || action.DelayMs >= set.Contract.PollWithinMs {
-			t.Errorf("agent %d of 1000 asks first by %+v", index, action)
+		b := newBalancer(t, set, uint64(index))
+		action := findAction(b.Start(fleetStart, nil), ActionSetTimer)
+		if action == nil || action.DelayMs >= set.Contract.PollWithinMs {
+			t.Errorf("agent %d of 1000: got %+v, want a first call within %v ms", index, action, set.Contract.PollWithinMs)
 		}
 	}
 }
 
-// caller is one agent of a fleet where discovery is one service for all.
-func caller(t *testing.T, mode string, index, agents int) *Balancer {
-	t.Helper()
-	set := testSettings()
-	set.Membership, set.Index, set.Replicas = mode, index, agents
-	set.Contract.PollWithinMs = 10000
-	b, err := New(set, uint64(index))
-	if err != nil {
-		t.Fatal(err)
-	}
-	b.Start(0, nil)
-	return b
-}
-
-// after tells the agent at now how its call went, and gives the wait before the next one.
-func after(t *testing.T, b *Balancer, now float64, how Event) float64 {
-	t.Helper()
-	action := find(b.Handle(now, how, nil), ActionSetTimer)
-	if action == nil || action.Token != timerWatch {
-		t.Fatalf("no call follows: %+v", action)
-	}
-	return action.DelayMs
-}
-
-// call lets the agent make its next call at now.
-func call(t *testing.T, b *Balancer, now float64) {
-	t.Helper()
-	if find(b.Handle(now, &TimerFired{Token: timerWatch}, nil), ActionOpenWatch) == nil {
-		t.Fatal("the agent does not call")
-	}
-}
-
 // A watch that has lived and ended is opened anew while what it misses does not yet count
 // as notified: 6 s after it fell silent, of which noticing takes 3 and a call up to 2. So in
 // either mode, however large the fleet and however often it happens.
-func TestLostWatchIsOpenedAnewInTime(t *testing.T) {
+func TestWatchSchedulerReopensAnEndedWatchInTime(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
 		for _, agents := range []int{1, 6, 300, 2000} {
-			b := caller(t, mode, agents-1, agents)
-			spans := map[bool]int{}
-			for i := range 200 {
-				now := float64(i) * 5000
-				call(t, b, now)
-				wait := after(t, b, now+3000, &WatchEnded{}) // no word but the first
-				if wait > 1000 {
-					t.Fatalf("%s, %d agents: after a lost watch a wait of %v ms", mode, agents, wait)
+			t.Run(fmt.Sprintf("%s, %d agents", mode, agents), func(t *testing.T) {
+				b, _ := startWatching(t, watchSettings(mode, agents-1, agents), uint64(agents-1))
+				late := 0 // delays in the second half of their span
+				for i := range 200 {
+					now := float64(i) * 5000
+					call(t, b, now)
+					delayMs := callDelay(t, b, now+3000, &WatchEnded{}) // no word but the first
+					if delayMs > 1000 {
+						t.Fatalf("got a delay of %v ms, want 1000 at most", delayMs)
+					}
+					if delayMs > min(watchStaggerMs*float64(agents), 1000)/2 {
+						late++
+					}
 				}
-				spans[wait > min(watchStaggerMs*float64(agents), 1000)/2]++
-			}
-			if mode == MembershipOnRequest && (spans[true] < 60 || spans[false] < 60) {
-				t.Fatalf("%d agents call in step: %v", agents, spans)
-			}
+				if mode == MembershipOnRequest && (late < 60 || 200-late < 60) {
+					t.Fatalf("got %d of 200 delays in the second half of their span, want 60 to 140", late)
+				}
+			})
 		}
 	}
 }
 
-// A watch that tells and ends at once is opened anew as soon as any, the first time: what it
-// should have told counts soon. Each further time waits longer, as long as that still counts
+// A watch that notifies and ends at once is opened anew as soon as any, the first time: what it
+// should have notified counts soon. Each further time waits longer, as long as that still counts
 // by the contract, or discovery would be called for ever.
-func TestWatchThatEndsAsSoonAsItHasNotified(t *testing.T) {
+func TestWatchSchedulerBacksOffAfterShortWatches(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
-		b := caller(t, MembershipOnRequest, agents-1, agents)
-		for range 5 { // discovery is down
-			call(t, b, 0)
-			after(t, b, 2000, &DiscoveryFailed{})
-		}
-		last := 0.0
-		for i := range 6 {
-			now := 10000 * float64(i+1)
-			call(t, b, now)
-			b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // nothing new
-			wait := after(t, b, now+1200, &WatchEnded{})
-			most, least := 1000*math.Pow(2, max(float64(i-1), 0)), last/2
-			if wait > min(most, notifyWithinMs-watchCallMaxMs-1200) || wait < min(least, 500) {
-				t.Fatalf("%d agents: a wait of %v ms after %d watches that ended at once", agents, wait, i+1)
+		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
+			b, _ := startWatching(t, watchSettings(MembershipOnRequest, agents-1, agents), uint64(agents-1))
+			for range 5 { // discovery is down
+				call(t, b, 0)
+				callDelay(t, b, 2000, &DiscoveryFailed{})
 			}
-			last = wait
-		}
+			last := 0.0
+			for i := range 6 {
+				now := 10000 * float64(i+1)
+				call(t, b, now)
+				b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // nothing new
+				delayMs := callDelay(t, b, now+1200, &WatchEnded{})
+				most := min(1000*math.Pow(2, max(float64(i-1), 0)), notifyWithinMs-watchCallMaxMs-1200)
+				if least := min(last/2, 500); delayMs > most || delayMs < least {
+					t.Fatalf("after %d short watches: got a delay of %v ms, want %v to %v", i+1, delayMs, least, most)
+				}
+				last = delayMs
+			}
+		})
 	}
 }
 
 // Whatever went wrong before, an agent is notified 6 s after discovery could be reached: what a
-// call still took that failed just as discovery came back, the wait after it and the next call,
+// call still took that failed just as discovery came back, the delay after it and the next call,
 // which may wait for 2 s, are together shorter. So in a fleet of any size, after any number of
 // failures, at a discovery that refuses connections at once or hangs, and for the first call. And
-// the agents don't come back together: of any fifth of the last wait no more than three fifths of
+// the agents don't come back together: of any fifth of the last delay no more than three fifths of
 // them call in it.
-func TestCallsHoldTheContractInAFleetOfAnySize(t *testing.T) {
+func TestWatchSchedulerNotifiesInTimeInAnyFleet(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
-		for _, took := range []float64{0, 2000, 2500} {
-			var waits []float64
-			for index := range agents {
-				set := testSettings()
-				set.Membership, set.Index, set.Replicas = MembershipOnRequest, index, agents
-				b, err := New(set, uint64(index))
-				if err != nil {
-					t.Fatal(err)
+		for _, callMs := range []float64{0, 2000, 2500} {
+			t.Run(fmt.Sprintf("%d agents, calls take %v ms", agents, callMs), func(t *testing.T) {
+				var delays []float64
+				for index := range agents {
+					delays = append(delays, lastOfFailedCalls(t, index, agents, callMs))
 				}
-				now := 0.0
-				if action := find(b.Start(now, nil), ActionSetTimer); action == nil || action.DelayMs+watchCallMaxMs > 6000-watchCallMarginMs {
-					t.Fatalf("agent %d of %d calls first by %+v", index, agents, action)
+				if agents < 300 {
+					return
 				}
-				for failure := range 8 {
-					call(t, b, now)
-					now += took
-					wait := after(t, b, now, &DiscoveryFailed{})
-					if took+wait+watchCallMaxMs > 6000-watchCallMarginMs+1e-6 {
-						t.Fatalf("%d agents, calls take %v ms: failure %d waits for %v ms", agents, took, failure, wait)
-					}
-					if wait < 500 {
-						t.Fatalf("%d agents: a wait of %v ms", agents, wait)
-					}
-					now += wait
-					if failure == 7 {
-						waits = append(waits, wait)
+				slices.Sort(delays)
+				fifth := delays[len(delays)-1] / 5
+				for i, delayMs := range delays {
+					if j, _ := slices.BinarySearch(delays, delayMs+fifth); j-i > agents*3/5 {
+						t.Fatalf("got calls of %d agents within %v ms, want %d at most", j-i, fifth, agents*3/5)
 					}
 				}
-			}
-			if agents < 300 {
-				continue
-			}
-			slices.Sort(waits)
-			fifth := waits[len(waits)-1] / 5
-			for i, w := range waits {
-				if j, _ := slices.BinarySearch(waits, w+fifth); j-i > agents*3/5 {
-					t.Fatalf("%d of %d agents call within %v ms", j-i, agents, fifth)
-				}
-			}
+			})
 		}
 	}
 }
 
-// What the agent's own discovery has when it is back counts as notified at once: no wait before
-// a call may take the drains' grace, however many calls have failed.
-func TestLocalDiscoveryIsCalledOften(t *testing.T) {
-	set := testSettings()
-	set.Membership = MembershipWatched
-	b, err := New(set, 1)
-	if err != nil {
-		t.Fatal(err)
+// lastOfFailedCalls starts an agent and fails its first eight calls after callMs each. It checks that
+// any of them may be the last before discovery is back, and returns the last delay in ms.
+func lastOfFailedCalls(t *testing.T, index, agents int, callMs float64) (delayMs float64) {
+	t.Helper()
+	const most = 6000 - watchCallMarginMs
+	b, delayMs := startWatching(t, watchSettings(MembershipOnRequest, index, agents), uint64(index))
+	if delayMs+watchCallMaxMs > most {
+		t.Fatalf("agent %d: got a first call after %v ms, want it done within %v ms", index, delayMs, most)
+	}
+	now := 0.0
+	for failure := range 8 {
+		call(t, b, now)
+		now += callMs
+		delayMs = callDelay(t, b, now, &DiscoveryFailed{})
+		if callMs+delayMs+watchCallMaxMs > most+1e-6 {
+			t.Fatalf("agent %d, failure %d: got a delay of %v ms, want the next call done within %v ms", index, failure, delayMs, most)
+		}
+		if delayMs < 500 {
+			t.Fatalf("agent %d, failure %d: got a delay of %v ms, want 500 at least", index, failure, delayMs)
+		}
+		now += delayMs
 	}
-	b.Start(0, nil)
+	return delayMs
+}
+
+// What the agent's own discovery has when it is back counts as notified at once: no delay before
+// a call may take the drains' grace, however many calls have failed.
+func TestWatchSchedulerCallsLocalDiscoveryOften(t *testing.T) {
+	b, _ := startWatching(t, watchSettings(MembershipWatched, 0, 3), 1)
 	for i := range 50 {
-		action := find(b.Handle(float64(i), &DiscoveryFailed{}, nil), ActionSetTimer)
-		if action == nil || action.Token != timerWatch || action.DelayMs > 500 {
-			t.Fatalf("after %d failed calls %+v", i+1, action)
+		if delayMs := callDelay(t, b, float64(i), &DiscoveryFailed{}); delayMs > 500 {
+			t.Fatalf("after %d failed calls: got a delay of %v ms, want 500 at most", i+1, delayMs)
 		}
 	}
 }
 
-func TestListIsWatchedAgainAfterFailures(t *testing.T) {
+func TestWatchSchedulerCallsAgainAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.Membership = "on_request"
-	b, err := New(set, 3)
-	if err != nil {
-		t.Fatal(err)
-	}
-	first := find(b.Start(0, nil), ActionSetTimer)
-	if first == nil || first.DelayMs > set.Contract.PollWithinMs {
-		t.Fatalf("no subscription within the contract's time: %+v", first)
-	}
-	if find(b.Handle(first.DelayMs, &TimerFired{Token: first.Token}, nil), ActionOpenWatch) == nil {
-		t.Fatal("the timer did not subscribe")
+	set.Membership = MembershipOnRequest
+	b, first := startWatching(t, set, 3)
+	if first > set.Contract.PollWithinMs {
+		t.Fatalf("got a first call after %v ms, want %v at most", first, set.Contract.PollWithinMs)
 	}
+	call(t, b, first)
 	for range 8 {
-		again := find(b.Handle(first.DelayMs, &DiscoveryFailed{}, nil), ActionSetTimer)
-		if again == nil || again.DelayMs > set.Contract.PollWithinMs {
-			t.Fatalf("a failed call was not repeated in the contract's time: %+v", again)
+		if delayMs := callDelay(t, b, first, &DiscoveryFailed{}); delayMs > set.Contract.PollWithinMs {
+			t.Fatalf("got a delay of %v ms, want %v at most", delayMs, set.Contract.PollWithinMs)
 		}
 	}
 }
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -20,11 +20,11 @@
 	remoteLatency float64
 }
 
-// newZoneWeights gives the local zone its least weight.
+// newZoneWeights returns weights with the least one for the local zone.
 func newZoneWeights() zoneWeights { return zoneWeights{weight: minLocalZoneWeight} }
 
 // observe takes an answer time, as a part of the objective. Where crossing has a price the local
-// zone gets more in proportion, as long as it answers no slower than the rest: what has more
+// zone gets more in proportion, as long as it answers no slower than the others: what has more
 // traffic than it can carry gets slower.
 func (z *zoneWeights) observe(local bool, fraction, crossZonePrice float64) {
 	latency := &z.remoteLatency
@@ -45,7 +45,7 @@
 	kind        [256]struct{ latency, weight float64 }
 }
 
-// newMachineKindWeights gives all kinds a weight of 1.
+// newMachineKindWeights returns weights of 1 for all kinds.
 func newMachineKindWeights() machineKindWeights {
 	weights := machineKindWeights{}
 	for i := range weights.kind {
@@ -54,7 +54,7 @@
 	return weights
 }
 
-// of is the weight of the endpoint's machine kind.
+// of returns the weight of the endpoint's machine kind.
 func (m *machineKindWeights) of(endpoint *endpoint) float64 {
 	return m.kind[endpoint.machineKind&255].weight
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -2,113 +2,199 @@
 
 import "testing"
 
-// rig drives one Balancer by hand.
-type rig struct {
+// The classes of testSettings, by index.
+const (
+	idempotentClass = iota
+	nonIdempotentClass
+	keyedClass
+)
+
+// harness drives one Balancer by hand: it hands in events at a time of its own.
+type harness struct {
 	t   *testing.T
 	b   *Balancer
-	now float64
-	id  RequestID
+	now float64   // ms
+	id  RequestID // of the latest request
 }
 
+// addr returns the address of the server with the number i.
 func addr(i int) Addr { return Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
 
+// ready returns the list's entry of the server with the number i, which takes requests.
+func ready(i int) Entry { return Entry{Server: addr(i), Health: HealthReady, Weight: 1} }
+
+// startedAt returns the entry with the start of its process, in ms.
+func startedAt(entry Entry, startedMs float64) Entry {
+	entry.StartedMs = startedMs
+	return entry
+}
+
+// startedEntries returns the entries of servers whose processes started at startedMs; 0: long past.
+func startedEntries(servers int, startedMs float64) []Entry {
+	entries := make([]Entry, servers)
+	for i := range entries {
+		entries[i] = startedAt(ready(i), startedMs)
+	}
+	return entries
+}
+
+// testSettings are those of one of three agents, with a class of each effect.
 func testSettings() Settings {
 	s := Settings{
 		Classes: []Class{
-			{Name: "free", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectIdempotent, PriorityWeight: 1},
-			{Name: "once", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectNonIdempotent, PriorityWeight: 4},
-			{Name: "keyed", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectIdempotentWithKey, Group: GroupCell, IdempotencyWindowMs: 500, PriorityWeight: 2},
+			{Name: "idempotent", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectIdempotent, PriorityWeight: 1},
+			{Name: "non-idempotent", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectNonIdempotent, PriorityWeight: 4},
+			{Name: "keyed", LatencyObjectiveMs: 300, DeadlineMs: 1000, Effect: EffectIdempotentWithKey, Group: GroupCell,
+				IdempotencyWindowMs: 500, PriorityWeight: 2},
 		},
 		Limits: Limits{Cancellation: true, MaxAttempts: 3, MaxRetryAfterMs: 500, HedgedRequests: true,
 			ConnectTimeoutMs: 100},
 		Contract: Contract{AnswerSlackMs: 20, PollWithinMs: 8000, SlowStartFrom: 0.2, SlowStartMs: 10000, DrainGraceMs: 500,
 			OverloadMultiple: 3, OverloadWindowMs: 1000},
-		Membership: "pushed", Replicas: 3, RoundMs: 5, WeightBy: "request", Weights: "nominal",
+		Membership: MembershipPushed, Replicas: 3, RoundMs: 5, WeightBy: "request", Weights: "nominal",
 	}
 	s.Clients.MarksRetry = true
 	return s
 }
 
-func newRig(t *testing.T, s Settings, servers int) *rig {
+// fleetStart is the clock's time at which an agent of fleetSettings starts, in ms.
+const fleetStart = 1e6
+
+// fleetSettings are those of one of many agents.
+func fleetSettings(agents int) Settings {
+	s := testSettings()
+	s.Replicas = agents
+	s.Limits = Limits{Cancellation: true, HealthChecks: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
+		ConnectTimeoutMs: 250, KeepaliveMs: 15000}
+	s.Contract = Contract{AnswerSlackMs: 5, PollWithinMs: 10000, SlowStartFrom: 0.3, SlowStartMs: 7000, DrainGraceMs: 1500,
+		OverloadMultiple: 3, OverloadWindowMs: 1000}
+	s.Classes = s.Classes[:1]
+	s.Classes[idempotentClass].DeadlineMs = 1500
+	s.Prices = Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.08, Membership: 0.05, Waste: 0.1}
+	s.Weights, s.RoundMs = "off", 1
+	return s
+}
+
+// newBalancer returns a Balancer of valid settings.
+func newBalancer(t *testing.T, set Settings, seed uint64) *Balancer {
 	t.Helper()
-	b, err := New(s, 1)
+	b, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, now: 1e6}
-	b.Start(r.now, nil)
-	entries := make([]Entry, servers)
+	return b
+}
+
+// newHarness returns a harness whose Balancer has started with so many ready servers, which are of
+// the zones and cells 0 and 1 in turn.
+func newHarness(t *testing.T, set Settings, servers int) *harness {
+	t.Helper()
+	h := &harness{t: t, b: newBalancer(t, set, 1), now: 1e6}
+	h.b.Start(h.now, nil)
+	entries := startedEntries(servers, 0)
 	for i := range entries {
-		entries[i] = Entry{Server: addr(i), Health: HealthReady, Weight: 1, Cell: i % 2, Zone: i % 2}
+		entries[i].Cell, entries[i].Zone = i%2, i%2
+	}
+	h.updateEndpoints(ListCached, entries...)
+	return h
+}
+
+// newWarmingHarness returns a harness whose Balancer has started with servers that have all just
+// started.
+func newWarmingHarness(t *testing.T, set Settings, servers int) *harness {
+	t.Helper()
+	h := newHarness(t, set, 0)
+	h.updateEndpoints(ListFull, startedEntries(servers, h.now)...)
+	return h
+}
+
+// newTrainedHarness returns a harness whose agent has learnt that answers take 10 ms.
+func newTrainedHarness(t *testing.T, set Settings, servers int) *harness {
+	t.Helper()
+	h := newHarness(t, set, servers)
+	for range 300 {
+		h.serve(idempotentClass, h.randomKey(), 10)
+		h.serve(nonIdempotentClass, h.randomKey(), 10)
 	}
-	r.list(ListCached, entries...)
-	return r
+	h.b.limiter.scale = 1
+	return h
 }
 
-func (r *rig) do(ev Event) []Action { return r.b.Handle(r.now, ev, nil) }
+// liftLimit takes the bound from the attempts that the agent may have in flight.
+func (h *harness) liftLimit() { h.b.limiter.scale = 1e6 }
+
+// randomKey returns a key that no other request has.
+func (h *harness) randomKey() uint64 { return h.b.rng.Uint64() }
+
+// endpoint returns what the agent knows of the server with the number i.
+func (h *harness) endpoint(i int) *endpoint { return h.endpointAt(addr(i)) }
+
+// endpointAt returns what the agent knows of a server.
+func (h *harness) endpointAt(server Addr) *endpoint { return h.b.endpoints.byAddr[server] }
+
+// handle hands in an event and returns the actions that it leads to.
+func (h *harness) handle(event Event) []Action { return h.b.Handle(h.now, event, nil) }
 
-func (r *rig) list(kind ListKind, entries ...Entry) []Action {
-	return r.do(&EndpointsUpdated{Kind: kind, Entries: entries})
+// updateEndpoints hands in an endpoint list.
+func (h *harness) updateEndpoints(kind ListKind, entries ...Entry) []Action {
+	return h.handle(&EndpointsUpdated{Kind: kind, Entries: entries})
 }
 
-func (r *rig) ask(class int, key uint64) (RequestID, []Action) {
-	r.id++
-	return r.id, r.do(&RequestArrived{Request: r.id, Class: class, Key: key, TimeLeftMs: 600})
+// arrive hands in a new request, with 600 ms left.
+func (h *harness) arrive(class int, key uint64) (RequestID, []Action) {
+	h.id++
+	return h.id, h.handle(&RequestArrived{Request: h.id, Class: class, Key: key, TimeLeftMs: 600})
 }
 
-func (r *rig) outcome(id RequestID, try int, server Addr, status Status, rtt float64) []Action {
-	return r.do(&AttemptEnded{Request: id, Attempt: try, Server: server, Status: status, LatencyMs: rtt, Final: status == StatusOK})
+// endAttempt hands in the end of an attempt; an OK is final.
+func (h *harness) endAttempt(id RequestID, attempt int, server Addr, status Status, latencyMs float64) []Action {
+	return h.handle(&AttemptEnded{Request: id, Attempt: attempt, Server: server, Status: status, LatencyMs: latencyMs,
+		Final: status == StatusOK})
 }
 
-func find(actions []Action, kind ActionKind) *Action {
-	for i := range actions {
-		if actions[i].Kind == kind {
-			return &actions[i]
-		}
+// mustSend hands in a new request, which must be sent at once, and returns where it is sent.
+func (h *harness) mustSend(class int, key uint64) (RequestID, Addr) {
+	h.t.Helper()
+	id, actions := h.arrive(class, key)
+	send := findAction(actions, ActionSendAttempt)
+	if send == nil {
+		h.t.Fatalf("request %d of class %d: got %+v, want it sent", id, class, actions)
 	}
-	return nil
+	return id, send.Server
 }
 
-// sent asks once and returns where the request went.
-func (r *rig) sent(class int, key uint64) (RequestID, Addr) {
-	r.t.Helper()
-	id, actions := r.ask(class, key)
-	action := find(actions, ActionSendAttempt)
-	if action == nil {
-		r.t.Fatalf("request %d of class %d was not sent: %+v", id, class, actions)
-	}
-	return id, action.Server
+// serve has a new request sent and answered after latencyMs, and returns by which server.
+func (h *harness) serve(class int, key uint64, latencyMs float64) Addr {
+	h.t.Helper()
+	id, server := h.mustSend(class, key)
+	h.now += latencyMs
+	h.endAttempt(id, 0, server, StatusOK, latencyMs)
+	return server
 }
 
-// tick fires the running timer after ms.
-func (r *rig) tick(ms float64) []Action {
-	r.now += ms
-	return r.do(&TimerFired{Token: timerTick})
+// serveAtOnce is serve without any time that passes on the agent's clock meanwhile.
+func (h *harness) serveAtOnce(class int, key uint64, latencyMs float64) Addr {
+	h.t.Helper()
+	id, server := h.mustSend(class, key)
+	h.endAttempt(id, 0, server, StatusOK, latencyMs)
+	return server
 }
 
-func contains(s, part string) bool {
-	for i := 0; i+len(part) <= len(s); i++ {
-		if s[i:i+len(part)] == part {
-			return true
-		}
-	}
-	return false
+// tick fires the running timer after ms.
+func (h *harness) tick(ms float64) []Action {
+	h.now += ms
+	return h.handle(&TimerFired{Token: timerTick})
 }
 
-// quick is a rig whose agent has learnt that answers take 10 ms.
-func quick(t *testing.T, set Settings, servers int) *rig {
-	t.Helper()
-	r := newRig(t, set, servers)
-	for range 300 {
-		id, server := r.sent(0, uint64(r.b.rng.Int64()))
-		r.now += 10
-		r.outcome(id, 0, server, StatusOK, 10)
-		id, server = r.sent(1, uint64(r.b.rng.Int64()))
-		r.now += 10
-		r.outcome(id, 0, server, StatusOK, 10)
+// findAction returns the first action of the kind, or nil.
+func findAction(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
 	}
-	r.b.limiter.scale = 1
-	return r
+	return nil
 }
 
+// near reports whether two numbers are equal but for rounding.
 func near(x, y float64) bool { return x-y < 1e-9 && y-x < 1e-9 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -18,7 +18,7 @@
 	// uncontendedSamples is the number of answers that make the first measure of the uncontended
 	// answer time; until then no window grows, so that a start does not crowd what it measures.
 	uncontendedSamples = 50
-	// minWindow is left to the most crowded endpoint: enough to see when it is not. An endpoint
+	// minWindow is what the most crowded endpoint keeps: enough to see when it is not. An endpoint
 	// counts as overloaded, and may get less than one attempt, from overloadFactor times the
 	// answer time of a crowded one.
 	minWindow, overloadFactor = 0.1, 2.5
@@ -33,7 +33,7 @@
 	// endpoint and of the fleet.
 	recentStep, recentFleetStep = 0.5, 0.02
 	// recentMemoryMs is how fast an agent forgets an endpoint's recent latency: an overloaded one
-	// recovers within seconds of rest.
+	// recovers within seconds of idle time.
 	recentMemoryMs = 10000.0
 	// maxObjectiveFraction bounds an answer time as a part of the objective.
 	maxObjectiveFraction = 2.0
@@ -93,7 +93,7 @@
 
 // uncontendedRise returns how fast the uncontended answer time follows longer ones: hardly, or a crowd
 // would become the measure. An attempt that was alone of its agent tells more the fewer agents
-// there are: a lone agent that took quick first answers for uncontended would leave its endpoints
+// there are: a lone agent that took quick first answers for uncontended would have its endpoints
 // idle.
 func (l *latencyTracker) uncontendedRise(alone bool) float64 {
 	if alone {
@@ -193,7 +193,7 @@
 	h.covariance += weight * (hintDelta*timeDelta*(1-weight) - h.covariance)
 }
 
-// expectedMs returns the answer time that the line gives for the request; 0 while little is known.
+// expectedMs returns the answer time of the request by the line; 0 while little is known.
 func (h *hintRegression) expectedMs(request *request) float64 {
 	if request.hint <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
 		return 0
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -12,7 +12,7 @@
 // TestFilesStayReadable bounds every file of the module that is not a test: its length, so that
 // it keeps to one concern, and the width of its lines.
 func TestFilesStayReadable(t *testing.T) {
-	const mostLines, mostColumns = 450, 110
+	const mostLines, mostColumns = 320, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -31,14 +31,14 @@
 		for scanner := bufio.NewScanner(bytes.NewReader(text)); scanner.Scan(); {
 			lines++
 			if width := len(strings.ReplaceAll(scanner.Text(), "\t", "    ")); width > mostColumns {
-				t.Errorf("%s:%d is %d characters wide, at most %d", name, lines, width, mostColumns)
+				t.Errorf("%s:%d: got %d characters, want %d at most", name, lines, width, mostColumns)
 			}
 		}
 		if lines > mostLines {
-			t.Errorf("%s has %d lines, at most %d", name, lines, mostLines)
+			t.Errorf("%s: got %d lines, want %d at most", name, lines, mostLines)
 		}
 	}
 	if read == 0 {
-		t.Error("no file found")
+		t.Error("got no file, want some")
 	}
 }
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -1,20 +1,43 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// machine plays agents' machines that fail attempts for a time.
-type machine struct {
-	*rig
-	status  Status
-	until   float64
-	failed  int // attempts that failed so
-	sent    int
-	servers map[Addr]int // attempts that went out after that, by endpoint
-	refused int
+// failingMachine plays a machine that fails an agent's attempts until a time.
+type failingMachine struct {
+	*harness
+	status   Status // of the attempts that it fails
+	until    float64
+	failed   int // attempts that it failed
+	sent     int
+	rejected int
 }
 
-// carry answers each attempt at once: as the machine fails it, or OK.
-func (m *machine) carry(actions []Action) {
+// newFailingMachine returns a machine of an agent with four endpoints, which fails all attempts for so
+// many ms from now on.
+func newFailingMachine(t *testing.T, status Status, ms float64) *failingMachine {
+	t.Helper()
+	set := testSettings()
+	for i := range set.Classes {
+		class := &set.Classes[i]
+		class.LatencyObjectiveMs, class.DeadlineMs, class.IdempotencyWindowMs = 15000, 30000, 10000
+	}
+	m := &failingMachine{harness: newHarness(t, set, 4), status: status}
+	m.liftLimit()
+	m.until = m.now + ms
+	return m
+}
+
+// arriveWithTime hands in a request with much time left.
+func (m *failingMachine) arriveWithTime(class int) (RequestID, []Action) {
+	m.id++
+	return m.id, m.handle(&RequestArrived{Request: m.id, Class: class, TimeLeftMs: 20000})
+}
+
+// carryOut ends each attempt at once: as the machine fails it, or OK.
+func (m *failingMachine) carryOut(actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
 		actions = actions[1:]
@@ -24,210 +47,225 @@
 			number := m.b.queue.open[action.Request].tries.sent - 1
 			if m.now < m.until {
 				m.failed++
-				actions = append(actions, m.outcome(action.Request, number, action.Server, m.status, 0.1)...)
-				continue
+				actions = append(actions, m.endAttempt(action.Request, number, action.Server, m.status, 0.1)...)
+			} else {
+				actions = append(actions, m.endAttempt(action.Request, number, action.Server, StatusOK, 20)...)
 			}
-			m.servers[action.Server]++
-			actions = append(actions, m.outcome(action.Request, number, action.Server, StatusOK, 20)...)
 		case ActionRejectRequest, ActionFailRequest:
-			m.refused++
+			m.rejected++
 		}
 	}
 }
 
-// long asks with much time left.
-func (m *machine) long(class int) (RequestID, []Action) {
-	m.id++
-	return m.id, m.do(&RequestArrived{Request: m.id, Class: class, TimeLeftMs: 20000})
-}
-
-// playFailingMachine has requests come at once at an agent of four endpoints whose machine fails
-// for so many ms.
-func playFailingMachine(t *testing.T, status Status, requests int, ms float64) *machine {
-	set := testSettings()
-	for i := range set.Classes {
-		set.Classes[i].LatencyObjectiveMs, set.Classes[i].DeadlineMs, set.Classes[i].IdempotencyWindowMs = 15000, 30000, 10000
-	}
-	m := &machine{rig: newRig(t, set, 4), status: status, servers: map[Addr]int{}}
-	m.b.limiter.scale = 1e6 // the agent's own limit is not at issue
-	m.until = m.now + ms
+// play has requests arrive at once, and goes on until a second after the machine has recovered.
+func (m *failingMachine) play(requests int) {
 	for range requests {
-		_, actions := m.long(int(m.id) % 3)
-		m.carry(actions)
+		_, actions := m.arriveWithTime(int(m.id) % 3)
+		m.carryOut(actions)
 	}
 	for end := m.until + 1000; m.now < end; {
-		m.carry(m.tick(1))
+		m.carryOut(m.tick(1))
 	}
-	return m
 }
 
 // Attempts that this machine can't make cost nothing: no request is rejected for them, no endpoint
 // is blamed, nothing is taken from limit and retry budget, and they are few.
-func TestAttemptsThatThisMachineFails(t *testing.T) {
+func TestLocalFailureCostsNothing(t *testing.T) {
 	for _, status := range []Status{StatusLocalFailure, StatusUnreachable} {
 		for _, ms := range []float64{100, 5000} {
-			m := playFailingMachine(t, status, 200, ms)
-			if n := m.sent - m.failed; n != 200 || m.refused != 0 {
-				t.Errorf("%d, %v ms: %d of 200 requests got through, %d refused", status, ms, n, m.refused)
-			}
-			// One backoff is 5 ms at the least and 10 ms after the first; two more went out before
-			// it was known that the machine is at fault.
-			if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
-				t.Errorf("%d, %v ms: %d attempts failed, at most %d wanted", status, ms, m.failed, most)
-			}
-			if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
-				t.Errorf("%d, %v ms: a retry budget of %v and a limit of %v times its floor are left",
-					status, ms, m.b.retries.tokens, m.b.limiter.scale)
-			}
-			for _, target := range m.b.endpoints.all {
-				if target.health.state > StateUnknown || target.health.unreachableAt != 0 || target.health.failureRate != 0 || target.health.consecutiveEjections != 0 || target.traffic.abandoned != 0 {
-					t.Errorf("%d, %v ms: server %v was blamed: %+v", status, ms, target.id, target)
+			t.Run(fmt.Sprintf("status %d for %v ms", status, ms), func(t *testing.T) {
+				m := newFailingMachine(t, status, ms)
+				m.play(200)
+				if served := m.sent - m.failed; served != 200 || m.rejected != 0 {
+					t.Errorf("got %d of 200 requests served and %d rejected, want all served", served, m.rejected)
 				}
-			}
-			if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
-				t.Errorf("%d, %v ms: left over: %d requests, %d out, %+v", status, ms, len(m.b.queue.open), m.b.limiter.inFlight, m.b.local)
-			}
+				// One backoff is 5 ms at the least and 10 ms after the first; two more went out before
+				// it was known that the machine is at fault.
+				if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
+					t.Errorf("got %d failed attempts, want %d at most", m.failed, most)
+				}
+				if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
+					t.Errorf("got a retry budget of %v and a limit of %v times its floor, want both untouched",
+						m.b.retries.tokens, m.b.limiter.scale)
+				}
+				for _, listed := range m.b.endpoints.all {
+					health := &listed.health
+					if health.state > StateUnknown || health.unreachableAt != 0 || health.failureRate != 0 ||
+						health.consecutiveEjections != 0 || listed.traffic.abandoned != 0 {
+						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
+					}
+				}
+				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
+					t.Errorf("got %d open requests, %d in flight and %+v, want nothing left", len(m.b.queue.open),
+						m.b.limiter.inFlight, m.b.local)
+				}
+			})
 		}
 	}
 }
 
 // A request whose time ends while this machine fails never ran: it is rejected, with when to come
 // back, whatever its class, and after more attempts than the class may have.
-func TestRejectedWhileThisMachineFails(t *testing.T) {
-	for class := range 3 {
-		r := newRig(t, testSettings(), 4)
-		id, actions := r.ask(class, 0)
-		sends := 0
-		for range 200 {
-			for i := 0; i < len(actions); i++ {
-				switch action := actions[i]; action.Kind {
-				case ActionSendAttempt:
-					actions = append(actions, r.outcome(id, sends, action.Server, StatusLocalFailure, 0.1)...)
-					sends++
-				case ActionFailRequest:
-					t.Errorf("class %d: failed", class)
-				case ActionRejectRequest:
-					if action.RetryAfterMs <= 0 || sends <= r.b.set.Limits.MaxAttempts {
-						t.Errorf("class %d: refused for %v ms after %d attempts", class, action.RetryAfterMs, sends)
+func TestLocalFailureRejectsAtTheDeadline(t *testing.T) {
+	for class, settings := range testSettings().Classes {
+		t.Run(settings.Name, func(t *testing.T) {
+			h := newHarness(t, testSettings(), 4)
+			id, actions := h.arrive(class, 0)
+			attempts, rejected := 0, false
+			for range 200 {
+				for i := 0; i < len(actions); i++ {
+					switch action := actions[i]; action.Kind {
+					case ActionSendAttempt:
+						actions = append(actions, h.endAttempt(id, attempts, action.Server, StatusLocalFailure, 0.1)...)
+						attempts++
+					case ActionFailRequest:
+						t.Error("got a failure, want a rejection")
+					case ActionRejectRequest:
+						if action.RetryAfterMs <= 0 || attempts <= h.b.set.Limits.MaxAttempts {
+							t.Errorf("got a rejection for %v ms after %d attempts, want a time and more than %d attempts",
+								action.RetryAfterMs, attempts, h.b.set.Limits.MaxAttempts)
+						}
+						rejected = true
 					}
-					id = 0
 				}
+				if rejected {
+					break
+				}
+				actions = h.tick(5)
 			}
-			if id == 0 {
-				break
+			if !rejected || len(h.b.queue.open) != 0 || len(h.b.queue.queued) != 0 {
+				t.Errorf("got rejected %v, %d open and %d queued requests, want a rejection and none", rejected,
+					len(h.b.queue.open), len(h.b.queue.queued))
 			}
-			actions = r.tick(5)
-		}
-		if id != 0 || len(r.b.queue.open) != 0 || len(r.b.queue.queued) != 0 {
-			t.Errorf("class %d: never answered", class)
-		}
+		})
 	}
 }
 
 // The only endpoint is tried again after a failure of this machine, and a warming one gets the work
 // back that its slow start paid for.
-func TestEndpointIsTriedAgainAfterLocalFailure(t *testing.T) {
-	r := newRig(t, testSettings(), 0)
-	r.list(ListFull, Entry{Server: addr(0), Health: HealthReady, Weight: 1, StartedMs: r.now - 100},
-		Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
-	target := r.b.endpoints.byAddr[addr(0)]
+func TestLocalFailureRetriesTheOnlyEndpoint(t *testing.T) {
+	h := newHarness(t, testSettings(), 0)
+	h.updateEndpoints(ListFull, startedAt(ready(0), h.now-100), Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
+	target := h.endpoint(0)
 	target.slowStart.allowance = 5
-	id, _ := r.sent(1, 0)
+	id, _ := h.mustSend(nonIdempotentClass, 0)
 	if target.slowStart.allowance >= 5 {
-		t.Fatal("its slow start was charged nothing")
+		t.Fatalf("after an attempt got an allowance of %v, want less than 5", target.slowStart.allowance)
 	}
-	r.outcome(id, 0, target.id, StatusLocalFailure, 0.1)
+	h.endAttempt(id, 0, target.id, StatusLocalFailure, 0.1)
 	if target.slowStart.allowance != 5 {
-		t.Errorf("a credit of %v is left of 5", target.slowStart.allowance)
+		t.Errorf("after a local failure got an allowance of %v, want 5", target.slowStart.allowance)
 	}
 	for range 10 {
-		if action := find(r.tick(5), ActionSendAttempt); action != nil {
-			if action.Server != target.id || action.Request != id {
-				t.Errorf("sent %+v", action)
+		if send := findAction(h.tick(5), ActionSendAttempt); send != nil {
+			if send.Server != target.id || send.Request != id {
+				t.Errorf("got %+v, want request %d sent to %v", send, id, target.id)
 			}
 			return
 		}
 	}
-	t.Error("not tried again")
+	t.Error("got no further attempt within 50 ms, want one")
 }
 
 // A failure of long ago holds nothing back, though no trial was made since.
 func TestLocalFailureIsForgotten(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id, server := r.sent(0, 0)
-	r.outcome(id, 0, server, StatusLocalFailure, 0.1)
-	r.do(&ClientDisconnected{Request: id})
-	r.now += 60000
-	r.sent(0, 0)
-	r.sent(0, 0)
+	h := newHarness(t, testSettings(), 4)
+	id, server := h.mustSend(idempotentClass, 0)
+	h.endAttempt(id, 0, server, StatusLocalFailure, 0.1)
+	h.handle(&ClientDisconnected{Request: id})
+	h.now += 60000
+	h.mustSend(idempotentClass, 0)
+	h.mustSend(idempotentClass, 0)
 }
 
 // One endpoint that can't be reached is at fault itself, as are two of five.
-func TestServersThatCannotBeReached(t *testing.T) {
-	r := newRig(t, testSettings(), 5)
-	r.b.limiter.scale = 1e6
-	lost := map[Addr]bool{addr(0): true, addr(1): true}
+func TestLocalFailureBlamesAMinorityOfUnreachableEndpoints(t *testing.T) {
+	h := newHarness(t, testSettings(), 5)
+	h.liftLimit()
+	unreachable := map[Addr]bool{addr(0): true, addr(1): true}
 	for range 200 {
-		r.now += 3
-		id, actions := r.ask(0, 0)
-		for try := 0; ; try++ {
-			action := find(actions, ActionSendAttempt)
-			if action == nil {
+		h.now += 3
+		id, actions := h.arrive(idempotentClass, 0)
+		for attempt := 0; ; attempt++ {
+			send := findAction(actions, ActionSendAttempt)
+			if send == nil {
 				break
 			}
 			status := StatusOK
-			if lost[action.Server] {
+			if unreachable[send.Server] {
 				status = StatusUnreachable
 			}
-			actions = r.outcome(id, try, action.Server, status, 1)
+			actions = h.endAttempt(id, attempt, send.Server, status, 1)
 		}
 	}
-	for _, target := range r.b.endpoints.all {
-		if lost[target.id] != (target.health.state > StateUnknown) || lost[target.id] && target.health.unreachableAt == 0 {
-			t.Errorf("server %v, lost %v, is in state %d", target.id, lost[target.id], target.health.state)
+	for _, listed := range h.b.endpoints.all {
+		ejected, noted := listed.health.state > StateUnknown, listed.health.unreachableAt != 0
+		if want := unreachable[listed.id]; ejected != want || want && !noted {
+			t.Errorf("endpoint %v: got ejected %v and unreachable %v, want %v", listed.id, ejected, noted, want)
 		}
 	}
 }
 
 // Trials that do not fail let attempts go out freely again, step by step: those that are
-// answered, and those that are out for so long that they must have a connection.
-func TestTrialsAfterLocalFailure(t *testing.T) {
-	for _, answered := range []bool{true, false} {
-		m := playFailingMachine(t, StatusLocalFailure, 0, 0)
-		for _, target := range m.b.endpoints.all {
-			target.window.size = 1e6 // capacity is not at issue
-		}
-		id, actions := m.long(0)
-		m.outcome(id, 0, find(actions, ActionSendAttempt).Server, StatusLocalFailure, 0.1)
-		for range 100 {
-			if _, actions := m.long(0); find(actions, ActionSendAttempt) != nil {
-				t.Fatal("sent before the backoff is over")
-			}
+// answered, and those that are in flight for so long that they must have a connection.
+func TestLocalFailureWindowGrowsWithTrials(t *testing.T) {
+	t.Run("answered", func(t *testing.T) {
+		m, last, actions := newTrialMachine(t)
+		double := func(allowed int) int { return 2 * allowed }
+		playTrials(t, m, last, actions, double, func(id RequestID) []Action {
+			request := m.b.queue.open[id]
+			return m.endAttempt(id, request.tries.sent-1, request.tries.counted[0].endpoint.id, StatusOK, 1)
+		})
+	})
+	t.Run("in flight", func(t *testing.T) {
+		m, last, actions := newTrialMachine(t)
+		open := func(int) int { return unlimitedWindow }
+		playTrials(t, m, last, actions, open, func(RequestID) []Action { return m.tick(settledAfterMs) })
+	})
+}
+
+// newTrialMachine returns a machine of which one attempt has failed and 101 requests are queued since,
+// the latest of these, and what is decided on when the backoff is over.
+func newTrialMachine(t *testing.T) (m *failingMachine, last RequestID, actions []Action) {
+	t.Helper()
+	m = newFailingMachine(t, StatusLocalFailure, 0)
+	m.play(0)
+	for _, listed := range m.b.endpoints.all {
+		listed.window.size = 1e6 // capacity is not at issue
+	}
+	last, actions = m.arriveWithTime(idempotentClass)
+	m.endAttempt(last, 0, findAction(actions, ActionSendAttempt).Server, StatusLocalFailure, 0.1)
+	for range 100 {
+		if _, actions := m.arriveWithTime(idempotentClass); findAction(actions, ActionSendAttempt) != nil {
+			t.Fatalf("before the backoff is over got %+v, want nothing sent", actions)
 		}
-		m.now = m.b.local.until
-		actions = m.tick(0)
-		out, allowed := 0, 1
-		for successes := 0; out < 101 && successes < 10; successes++ {
-			sent := 0
-			for _, action := range actions {
-				if action.Kind == ActionSendAttempt {
-					sent++
-					id = action.Request
-				}
-			}
-			if out += sent; m.b.local.row > 0 && sent > allowed {
-				t.Fatalf("answered %v: %d sent at once after %d successes", answered, sent, successes)
-			}
-			r := m.b.queue.open[id]
-			if allowed *= 2; answered {
-				actions = m.outcome(id, r.tries.sent-1, r.tries.counted[0].endpoint.id, StatusOK, 1)
-			} else {
-				allowed = unlimitedWindow
-				actions = m.tick(settledAfterMs)
+	}
+	m.now = m.b.local.until
+	return m, last, m.tick(0)
+}
+
+// playTrials carries out the actions and lets each round's last trial succeed, until all 101 requests
+// are sent. It checks that a round sends no more than is allowed: one at first, and next of that after
+// each success.
+func playTrials(t *testing.T, m *failingMachine, last RequestID, actions []Action, next func(allowed int) int,
+	succeed func(RequestID) []Action) {
+	t.Helper()
+	sent, allowed := 0, 1
+	for successes := 0; sent < 101 && successes < 10; successes++ {
+		round := 0
+		for _, action := range actions {
+			if action.Kind == ActionSendAttempt {
+				round++
+				last = action.Request
 			}
 		}
-		if out != 101 {
-			t.Errorf("answered %v: %d of 101 requests sent in the end", answered, out)
+		if sent += round; m.b.local.row > 0 && round > allowed {
+			t.Fatalf("after %d successes got %d sent at once, want %d at most", successes, round, allowed)
 		}
+		allowed = next(allowed)
+		actions = succeed(last)
+	}
+	if sent != 101 {
+		t.Errorf("got %d of 101 requests sent in the end, want all", sent)
 	}
 }
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// maxFinite is the largest number taken from outside: it leaves room for sums and squares.
+// maxFinite is the largest number taken from outside: sums and squares of such numbers stay finite.
 const maxFinite = 1e15
 
 // never is a time before all others, in ms.
@@ -28,7 +28,7 @@
 	return min(x, maxFinite)
 }
 
-// hashAddr gives each address another number.
+// hashAddr returns a number that differs from address to address.
 func hashAddr(addr Addr) uint64 {
 	hash := uint64(0)
 	for _, octet := range addr {
@@ -37,7 +37,7 @@
 	return hash
 }
 
-// mix is the finalizer of splitmix64.
+// mix returns x after the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/numbers_test.go
+++ b/policy/numbers_test.go
@@ -29,9 +29,9 @@
 
 func TestEWMATakesTheFirstSampleWhole(t *testing.T) {
 	if got := ewma(0, 8, 0.25); got != 8 {
-		t.Errorf("the first of 8 gives %v", got)
+		t.Errorf("the first sample 8: got %v, want 8", got)
 	}
 	if got := ewma(8, 4, 0.25); got != 7 {
-		t.Errorf("4 after 8 at a weight of a quarter gives %v, want 7", got)
+		t.Errorf("4 after 8 at a weight of a quarter: got %v, want 7", got)
 	}
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -43,7 +43,7 @@
 	list      listFetcher
 
 	failureRates []float64 // scratch space of medianFailureRate
-	unanswered   float64   // recent share of attempts that their endpoints left unanswered
+	unanswered   float64   // recent share of attempts that their endpoints did not answer
 	checking     int       // health checks under way
 }
 
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -1,172 +1,183 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-func TestStateTransitions(t *testing.T) {
+// ejectionTime returns how long an endpoint stays ejected now, in ms.
+func (h *harness) ejectionTime(endpoint *endpoint) float64 {
+	return h.b.outliers.ejectionTime(endpoint, h.b.queue.scarce)
+}
+
+func TestOutlierDetectorStateTransitions(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 0 // the key stays whole
-	r := newRig(t, set, 4)
-	id, server := r.sent(0, 7)
-	target := r.b.endpoints.byAddr[server]
-	if target.health.state != StateUnknown {
-		t.Fatalf("a listed server starts in state %d, want Unknown", target.health.state)
-	}
-	r.now += 50
-	r.outcome(id, 0, server, StatusOK, 50)
-	if target.health.state != StateConnected {
-		t.Fatalf("served: state %d, want Connected", target.health.state)
-	}
-	id, s2 := r.sent(0, 7)
-	if s2 != server {
-		t.Fatalf("key moved from %v to %v without a cause", server, s2)
-	}
-	actions := r.outcome(id, 0, server, StatusServerError, 5)
-	if target.health.state != StateUnhealthy {
-		t.Fatalf("error: state %d, want Unhealthy", target.health.state)
-	}
-	if find(actions, ActionFetchEndpoints) == nil {
-		t.Error("a demotion did not force a refresh of the list")
-	}
-	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
-		t.Errorf("the free request did not go on to another server: %+v", actions)
-	}
-	// While it is unhealthy its key goes elsewhere; after its hold the next
-	// request makes it pending, and a served answer Connected.
-	if _, s3 := r.sent(0, 7); s3 == server {
-		t.Error("an Unhealthy server was chosen before the better tier")
-	}
-	r.now += r.b.outliers.ejectionTime(target, r.b.queue.scarce) + 1
-	id, s4 := r.sent(0, 7)
-	if target.health.state != StateUnhealthyPending || s4 != server {
-		t.Fatalf("after the hold: state %d, sent to %v; want pending and the first send to check it", target.health.state, s4)
-	}
-	r.now += 50
-	r.outcome(id, 0, server, StatusOK, 50)
-	if target.health.state != StateConnected {
-		t.Fatalf("validated: state %d, want Connected", target.health.state)
+	h := newHarness(t, set, 4)
+	id, server := h.mustSend(idempotentClass, 7)
+	target := h.endpointAt(server)
+	checkState := func(after string, want State) {
+		t.Helper()
+		if target.health.state != want {
+			t.Fatalf("%s: got state %d, want %d", after, target.health.state, want)
+		}
 	}
+	checkState("listed", StateUnknown)
+	h.now += 50
+	h.endAttempt(id, 0, server, StatusOK, 50)
+	checkState("served", StateConnected)
+	id, again := h.mustSend(idempotentClass, 7)
+	if again != server {
+		t.Fatalf("got the key sent to %v, want %v as before", again, server)
+	}
+	actions := h.endAttempt(id, 0, server, StatusServerError, 5)
+	checkState("failed", StateUnhealthy)
+	if findAction(actions, ActionFetchEndpoints) == nil {
+		t.Errorf("after an ejection got %+v, want the list fetched", actions)
+	}
+	if send := findAction(actions, ActionSendAttempt); send == nil || send.Server == server {
+		t.Errorf("after a failure got %+v, want the request sent to another server", actions)
+	}
+	// While it is ejected its key goes elsewhere; after that the next request validates it.
+	if _, other := h.mustSend(idempotentClass, 7); other == server {
+		t.Error("while ejected got a request sent to it, want it sent to the better tier")
+	}
+	h.now += h.ejectionTime(target) + 1
+	id, validated := h.mustSend(idempotentClass, 7)
+	checkState("after its ejection time", StateUnhealthyPending)
+	if validated != server {
+		t.Fatalf("after its ejection time got a request sent to %v, want it to validate %v", validated, server)
+	}
+	h.now += 50
+	h.endAttempt(id, 0, server, StatusOK, 50)
+	checkState("validated", StateConnected)
 }
 
-func TestRejectionEjectsNobody(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	id, server := r.sent(1, 7)
-	actions := r.outcome(id, 0, server, StatusRejected, 1)
-	if got := r.b.endpoints.byAddr[server].health.state; got == StateUnhealthy {
-		t.Error("full demoted the server")
+func TestOutlierDetectorEjectsNoEndpointThatRejects(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	id, server := h.mustSend(nonIdempotentClass, 7)
+	actions := h.endAttempt(id, 0, server, StatusRejected, 1)
+	if got := h.endpointAt(server).health.state; got == StateUnhealthy {
+		t.Errorf("after a rejection got state %d, want it not ejected", got)
 	}
-	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
-		t.Errorf("a request that was turned away did not go elsewhere: %+v", actions)
+	if send := findAction(actions, ActionSendAttempt); send == nil || send.Server == server {
+		t.Errorf("after a rejection got %+v, want the request sent to another server", actions)
 	}
 }
 
-func TestHealthChecksValidateWhereAllowed(t *testing.T) {
+func TestOutlierDetectorValidatesByHealthChecks(t *testing.T) {
 	set := testSettings()
 	set.Limits.HealthChecks = true
-	r := newRig(t, set, 3)
-	id, server := r.sent(0, 7)
-	r.outcome(id, 0, server, StatusServerError, 5)
-	r.now += 2 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce)
-	_, actions := r.ask(0, 7)
-	if p := find(actions, ActionCheckHealth); p == nil || p.Server != server {
-		t.Fatalf("no probe of the pending server: %+v", actions)
-	}
-	if action := find(actions, ActionSendAttempt); action == nil || action.Server == server {
-		t.Error("a request went to a pending server before its probe")
-	}
-	r.do(&HealthCheckEnded{Server: server, Status: StatusTimeout, LatencyMs: 100})
-	if r.b.endpoints.byAddr[server].health.state != StateUnhealthy {
-		t.Error("a failed probe did not demote")
-	}
-	r.now += 10 * r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce)
-	r.ask(0, 8)
-	r.do(&HealthCheckEnded{Server: server, Status: StatusOK, LatencyMs: 5})
-	if r.b.endpoints.byAddr[server].health.state != StateConnected {
-		t.Error("a good probe did not set Connected")
+	h := newHarness(t, set, 3)
+	id, server := h.mustSend(idempotentClass, 7)
+	target := h.endpointAt(server)
+	h.endAttempt(id, 0, server, StatusServerError, 5)
+	h.now += 2 * h.ejectionTime(target)
+	_, actions := h.arrive(idempotentClass, 7)
+	if check := findAction(actions, ActionCheckHealth); check == nil || check.Server != server {
+		t.Fatalf("got %+v, want a health check of %v", actions, server)
+	}
+	if send := findAction(actions, ActionSendAttempt); send == nil || send.Server == server {
+		t.Errorf("got %+v, want a request sent to another server before the check has ended", actions)
+	}
+	h.handle(&HealthCheckEnded{Server: server, Status: StatusTimeout, LatencyMs: 100})
+	if target.health.state != StateUnhealthy {
+		t.Errorf("after a failed check got state %d, want %d", target.health.state, StateUnhealthy)
+	}
+	h.now += 10 * h.ejectionTime(target)
+	h.arrive(idempotentClass, 8)
+	h.handle(&HealthCheckEnded{Server: server, Status: StatusOK, LatencyMs: 5})
+	if target.health.state != StateConnected {
+		t.Errorf("after a good check got state %d, want %d", target.health.state, StateConnected)
 	}
 }
 
-// An endpoint that failed often rests long while others can take
-// its requests, but is tried again at once while they are full.
-func TestFailingEndpointIsTriedAgainWhileOthersAreFull(t *testing.T) {
-	for _, full := range []bool{false, true} {
-		r := newRig(t, testSettings(), 4)
-		r.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
-		bad := r.b.endpoints.byAddr[addr(0)]
+// An endpoint that failed often is ejected for long while others have capacity, but is tried again at
+// once while they have none.
+func TestOutlierDetectorShortensEjectionsWhileCapacityIsScarce(t *testing.T) {
+	for _, scarce := range []bool{false, true} {
+		h := newHarness(t, testSettings(), 4)
+		h.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
+		bad := h.endpoint(0)
 		for range 3 {
-			r.b.outliers.enter(bad, StateConnected)
-			r.b.outliers.eject(bad, false)
+			h.b.outliers.enter(bad, StateConnected)
+			h.b.outliers.eject(bad, false)
 		}
-		if full {
+		if scarce {
 			for range 40 { // more than the other windows hold
-				r.ask(0, 0)
+				h.arrive(idempotentClass, 0)
 			}
 		}
-		r.now += r.b.classes.shortestObjectiveMs + 1
-		r.ask(0, 0)
-		if tried := bad.health.state == StateUnhealthyPending; tried != full {
-			t.Errorf("others full: %v; failing server tried after one aim: %v", full, tried)
+		h.now += h.b.classes.shortestObjectiveMs + 1
+		h.arrive(idempotentClass, 0)
+		if validated := bad.health.state == StateUnhealthyPending; validated != scarce {
+			t.Errorf("capacity scarce %v: after one objective got validated %v, want %v", scarce, validated, scarce)
 		}
 	}
 }
 
 // Failures that all endpoints share, as of a network that breaks connections, cost none of
-// them an ejection or its window; one that fails more than the others is demoted.
-func TestFailuresOfTheWholeFleetCostNoEjection(t *testing.T) {
-	r := newRig(t, testSettings(), 6)
-	end := func(id RequestID, server Addr, status Status) {
-		r.now += 20
-		r.outcome(id, 0, server, status, 20)
+// them an ejection or its window; one that fails more than the others is ejected.
+func TestOutlierDetectorIgnoresCommonFailures(t *testing.T) {
+	h := newHarness(t, testSettings(), 6)
+	send := func(status Status) Addr {
+		id, server := h.mustSend(nonIdempotentClass, 0)
+		h.now += 20
+		h.endAttempt(id, 0, server, status, 20)
+		return server
 	}
 	failed := map[Addr]int{}
 	for i := range 600 {
-		id, server := r.sent(1, 0)
 		if i%12 == 0 {
-			end(id, server, StatusReset)
-			failed[server]++
+			failed[send(StatusReset)]++
 		} else {
-			end(id, server, StatusOK)
+			send(StatusOK)
 		}
 	}
 	if len(failed) < 6 {
-		t.Fatalf("only %d of the servers failed", len(failed))
+		t.Fatalf("got failures of %d endpoints, want all 6", len(failed))
 	}
-	id, server := r.sent(1, 0)
-	target := r.b.endpoints.byAddr[server]
+	id, server := h.mustSend(nonIdempotentClass, 0)
+	target := h.endpointAt(server)
 	ejections, window := target.health.consecutiveEjections, target.window.size
-	end(id, server, StatusReset)
+	h.now += 20
+	h.endAttempt(id, 0, server, StatusReset, 20)
 	if target.health.state != StateUnhealthyPending || target.health.consecutiveEjections != ejections || target.window.size != window {
-		t.Fatalf("state %d, ejections %d to %d, window %v to %v", target.health.state, ejections, target.health.consecutiveEjections, window, target.window.size)
+		t.Fatalf("after a common failure got state %d, %d ejections and a window of %v, want %d, %d and %v", target.health.state,
+			target.health.consecutiveEjections, target.window.size, StateUnhealthyPending, ejections, window)
 	}
 	target.health.failureRate = 0.5
-	r.b.outliers.enter(target, StateConnected)
-	r.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
+	h.b.outliers.enter(target, StateConnected)
+	h.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
 	if target.health.state != StateUnhealthy || target.health.consecutiveEjections != ejections+1 {
-		t.Fatalf("fails half of all: state %d, ejections %d to %d", target.health.state, ejections, target.health.consecutiveEjections)
+		t.Fatalf("failing half of all got state %d and %d ejections, want %d and %d", target.health.state,
+			target.health.consecutiveEjections, StateUnhealthy, ejections+1)
 	}
 }
 
-// A quiet agent checked each slow endpoint again after one latency objective, with a request; and
+// A quiet agent would try each slow endpoint again after one latency objective, with a request; and
 // a health check clears an endpoint that fails its requests, so it must not come sooner either.
-func TestQuietAgentEjectsForLonger(t *testing.T) {
-	for _, probing := range []bool{false, true} {
-		set := testSettings()
-		set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, probing
-		r := newRig(t, set, 20)
-		var server Addr
-		for range 60 {
-			r.now += 500
-			var id RequestID
-			id, server = r.sent(0, r.b.rng.Uint64())
-			r.outcome(id, 0, server, StatusOK, 20)
-		}
-		r.b.outliers.eject(r.b.endpoints.byAddr[server], true)
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce); hold < 1000 {
-			t.Errorf("probing %v: held for %.0f ms, two requests a second over 20 servers", probing, hold)
-		}
-		r.b.endpoints.byAddr[server].health.consecutiveEjections = maxConsecutiveEjections
-		r.b.traffic.recent = 0.1
-		if hold := r.b.outliers.ejectionTime(r.b.endpoints.byAddr[server], r.b.queue.scarce); hold > maxEjectionMs {
-			t.Errorf("probing %v: held for %.0f ms, longer than a minute", probing, hold)
-		}
+func TestOutlierDetectorEjectsForLongerOnAQuietAgent(t *testing.T) {
+	for _, checks := range []bool{false, true} {
+		t.Run(fmt.Sprintf("health checks %v", checks), func(t *testing.T) {
+			set := testSettings()
+			set.Limits.KeepaliveMs, set.Limits.HealthChecks = 10000, checks
+			h := newHarness(t, set, 20)
+			var server Addr
+			for range 60 {
+				h.now += 500
+				server = h.serveAtOnce(idempotentClass, h.randomKey(), 20)
+			}
+			target := h.endpointAt(server)
+			h.b.outliers.eject(target, true)
+			if got := h.ejectionTime(target); got < 1000 {
+				t.Errorf("two requests a second over 20 endpoints: got %.0f ms, want 1000 at least", got)
+			}
+			target.health.consecutiveEjections = maxConsecutiveEjections
+			h.b.traffic.recent = 0.1
+			if got := h.ejectionTime(target); got > maxEjectionMs {
+				t.Errorf("after many ejections: got %.0f ms, want %.0f at most", got, maxEjectionMs)
+			}
+		})
 	}
 }
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -11,12 +11,12 @@
 	usage []float64 // by tenant, over about the last 500 requests
 }
 
-// newQuotaTracker gives a tracker of the tenants that the settings name, without any request.
+// newQuotaTracker returns a tracker of the tenants that the settings name, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
 	return quotaTracker{environment: env, usage: make([]float64, len(env.set.Tenants))}
 }
 
-// over tells whether a tenant sends more than its quota of what comes. A tenant that the settings
+// over reports whether a tenant sends more than its quota of what comes. A tenant that the settings
 // don't name has no quota.
 func (q *quotaTracker) over(tenant int) bool {
 	if tenant < 0 || tenant >= len(q.usage) {
@@ -36,7 +36,7 @@
 	q.usage[tenant] += 1 - shareDecay
 }
 
-// foreseenPerMs is the rate that the settings foresee for all tenants, in requests a ms; 0 if they
+// foreseenPerMs returns the rate that the settings foresee for all tenants, in requests a ms; 0 if they
 // foresee none.
 func foreseenPerMs(tenants []Tenant) float64 {
 	rate := 0.0
@@ -46,7 +46,7 @@
 	return rate
 }
 
-// move rearranges the shares for new tenants; index gives the new index of an old one, -1 for
+// move rearranges the shares for new tenants; index returns the new index of an old one, -1 for
 // one that is named no more.
 func (q *quotaTracker) move(tenants []Tenant, index func(old int) int) {
 	usage := make([]float64, len(tenants))
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -29,7 +29,7 @@
 				quotas.count(tenant)
 			}
 			if got := quotas.over(0); got != test.over {
-				t.Errorf("over its quota: %v with a share of %.3f, want %v", got, quotas.usage[0], test.over)
+				t.Errorf("share of %.3f: got over its quota %v, want %v", quotas.usage[0], got, test.over)
 			}
 		})
 	}
@@ -43,11 +43,11 @@
 	for _, tenant := range []int{-1, 1, 1 << 30} {
 		quotas.count(tenant)
 		if quotas.over(tenant) {
-			t.Errorf("tenant %d is over a quota", tenant)
+			t.Errorf("tenant %d: got it over a quota, want it never over", tenant)
 		}
 	}
 	if quotas.usage[0] != before {
-		t.Errorf("the share went from %v to %v", before, quotas.usage[0])
+		t.Errorf("got a share of %v, want %v as before", quotas.usage[0], before)
 	}
 }
 
@@ -56,6 +56,6 @@
 	quotas := quotaTracker{environment: &environment{}, usage: []float64{0.1, 0.2, 0.7}}
 	quotas.move(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
 	if len(quotas.usage) != 2 || quotas.usage[0] != 0.7 || quotas.usage[1] != 0.1 {
-		t.Errorf("shares %v, want 0.7 and 0.1", quotas.usage)
+		t.Errorf("got shares %v, want 0.7 and 0.1", quotas.usage)
 	}
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// Reconfigure puts other settings in force between two events, or leaves all as it is and
+// Reconfigure puts other settings in force between two events, or changes nothing and
 // returns an error that names the setting that makes no sense or can't change without a
 // restart. What is open goes on under the terms it was taken with: its class, its deadline
 // and its attempts. What was learnt of endpoints stays, with their states, ejections and slow
--- a/policy/request.go
+++ b/policy/request.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// requestIdempotency is what decides whether a request may be sent again.
+// requestIdempotency holds what decides whether a request may be sent again.
 type requestIdempotency struct {
 	mayHaveRun    int       // attempts that may have run
 	earliestRunAt float64   // earliest time at which one may have run, in ms
@@ -84,7 +84,7 @@
 // attemptNeverRan notes that an attempt ended in a way that proves that it never ran.
 func (i *requestIdempotency) attemptNeverRan() { i.mayHaveRun-- }
 
-// requestPlacement is what the last selection for a request found.
+// requestPlacement holds what the last selection for a request found.
 type requestPlacement struct {
 	nearest    [keyEndpoints]*endpoint // endpoints nearest its key, as of epoch
 	epoch      uint64                  // of the endpoint set
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// cancelLate ends requests that are in flight and can earn nothing any more while others wait for
-// their places: past their objective their answers are worth nothing, and they would wait for slow
+// cancelLate ends requests that are in flight and can earn nothing any more while others are
+// queued: past their objective their answers are worth nothing, and they would wait for slow
 // endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
 // could tell whether it has run.
 func (b *Balancer) cancelLate() {
@@ -158,7 +158,7 @@
 	}
 }
 
-// onClientDisconnected ends a request whose client has left.
+// onClientDisconnected ends a request whose client has disconnected.
 func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
 	if request := b.queue.open[event.Request]; request != nil && !request.closed {
 		b.queue.remember(request)
@@ -166,8 +166,8 @@
 	}
 }
 
-// finishUnserved is the guard of all final answers but served ones: a rejection where the class
-// allows the claim that a retry is harmless, else a failure.
+// finishUnserved answers a request that is not served. It is the one place that decides how: a
+// rejection where the class allows the claim that a retry is harmless, else a failure.
 func (b *Balancer) finishUnserved(request *request) {
 	if request.closed || request.started {
 		return
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// rescale has the recent count, which fades over a time, stand for as much as before the settings
-// changed that time from oldSpanMs.
+// rescale adapts the recent count, which fades over a time, to settings that changed that time from
+// oldSpanMs: it stands for as much as before.
 func (r *requestRate) rescale(oldSpanMs float64) { r.recent *= r.spanMs() / oldSpanMs }
 
 // perMs returns the recent rate, in requests a ms.
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -1,39 +1,37 @@
 package policy
 
 import (
+	"fmt"
 	"math"
 	"testing"
 )
 
 // Where clients don't mark their retries, a request like an unserved one is not counted as
 // one more that the fleet has to bear: in a burst of retries every agent's part of what may be
-// out grew with them.
-func TestUnmarkedRetriesAreNotForeseen(t *testing.T) {
+// in flight grew with them.
+func TestRequestRateLeavesOutUnmarkedRetries(t *testing.T) {
 	for _, marks := range []bool{false, true} {
-		set := testSettings()
-		set.Clients.MarksRetry = marks
-		r := newRig(t, set, 0) // nobody to send to: each is rejected at its deadline
-		rate := func(key uint64) float64 {
-			before := r.b.traffic.recent
-			id, _ := r.ask(0, key)
-			r.do(&ClientDisconnected{Request: id})
-			return r.b.traffic.recent - before
-		}
-		if got := rate(7); got != 1 {
-			t.Fatalf("the first counts %v", got)
-		}
-		if got, want := rate(7), map[bool]float64{false: 0, true: 1}[marks]; got != want {
-			t.Errorf("clients mark retries %v: the second with the key counts %v, want %v", marks, got, want)
-		}
-		if got := rate(8); got != 1 {
-			t.Errorf("another key counts %v", got)
-		}
-		if got := rate(0); got != 1 {
-			t.Errorf("no key counts %v", got)
-		}
-		if got := rate(0); got != 1 {
-			t.Errorf("no key again counts %v", got)
-		}
+		t.Run(fmt.Sprintf("clients mark retries %v", marks), func(t *testing.T) {
+			set := testSettings()
+			set.Clients.MarksRetry = marks
+			h := newHarness(t, set, 0) // nothing to send to: each goes unserved
+			again := 0.0
+			if marks {
+				again = 1
+			}
+			for _, test := range []struct {
+				name string
+				key  uint64
+				want float64
+			}{{"first", 7, 1}, {"same key", 7, again}, {"another key", 8, 1}, {"no key", 0, 1}, {"no key again", 0, 1}} {
+				before := h.b.traffic.recent
+				id, _ := h.arrive(idempotentClass, test.key)
+				h.handle(&ClientDisconnected{Request: id})
+				if got := h.b.traffic.recent - before; got != test.want {
+					t.Fatalf("%s: got %v counted, want %v", test.name, got, test.want)
+				}
+			}
+		})
 	}
 }
 
@@ -47,14 +45,14 @@
 		env.now += 0.5
 		rate.count(i%2 == 1)
 		if i > 10000 && math.Abs(rate.perMs()-1) > 0.05 {
-			t.Fatalf("%.3f requests a ms after %.0f ms, want 1", rate.perMs(), env.now-1000)
+			t.Fatalf("after %.0f ms got %.3f requests a ms, want 1", env.now-1000, rate.perMs())
 		}
 	}
 	if got := rate.lifetimePerMs(); math.Abs(got-2) > 1e-9 {
-		t.Errorf("%.3f requests a ms with the retries, want 2", got)
+		t.Errorf("over the lifetime got %.3f requests a ms, want 2", got)
 	}
 	env.now += 100000
 	if got := rate.perMs(); got > 0.001 {
-		t.Errorf("%.3f requests a ms after ten spans without any", got)
+		t.Errorf("after ten spans without requests got %.3f requests a ms, want 0", got)
 	}
 }
--- /dev/null
+++ b/policy/request_test.go
@@ -0,0 +1,34 @@
+package policy
+
+import "testing"
+
+func TestRequestTriesCountAttempts(t *testing.T) {
+	var tries requestTries
+	first, second := &attempt{index: 0, unreachable: true}, &attempt{index: 1}
+	tries.add(first)
+	tries.attemptEnded()
+	tries.add(second)
+	if tries.sent != 2 || len(tries.counted) != 2 || tries.inFlight != 1 {
+		t.Errorf("got %d sent, %d counted and %d in flight, want 2, 2 and 1", tries.sent, len(tries.counted), tries.inFlight)
+	}
+	// The second is this machine's failure, and the endpoint of the first was held responsible for it.
+	if tries.uncount(second); tries.sent != 2 || len(tries.counted) != 0 {
+		t.Errorf("uncounted: got %d sent and %d counted, want 2 and none", tries.sent, len(tries.counted))
+	}
+}
+
+func TestRequestIdempotencyKeepsTheFirstThatMayHaveRun(t *testing.T) {
+	var idempotency requestIdempotency
+	first, second := &attempt{endpoint: &endpoint{}, sentAt: 10}, &attempt{endpoint: &endpoint{}, sentAt: 20}
+	idempotency.attemptSent(first)
+	idempotency.attemptSent(second)
+	if idempotency.mayHaveRun != 2 || idempotency.earliestRunAt != 10 || idempotency.firstEndpoint != first.endpoint {
+		t.Errorf("got %+v, want two that may have run, the first at 10", idempotency)
+	}
+	idempotency.attemptNeverRan()
+	idempotency.attemptNeverRan()
+	idempotency.attemptSent(second)
+	if idempotency.mayHaveRun != 1 || idempotency.earliestRunAt != 20 || idempotency.firstEndpoint != second.endpoint {
+		t.Errorf("after none may have run: got %+v, want one that may, at 20", idempotency)
+	}
+}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,7 +6,7 @@
 	// retryRatio is how many attempts after the first each answer in time pays for, retryBurst
 	// what is saved up: enough for a moment in which half the endpoints vanish.
 	retryRatio, retryBurst = 0.5, 20.0
-	// writeDelayMarginMs is how long an agent may stand still between reading its clock and
+	// writeDelayMarginMs is how long an agent may be delayed between reading its clock and
 	// writing: it shares its processors. What must not go out after a time is not begun in the
 	// last part of that time.
 	writeDelayMarginMs = 150.0
@@ -24,9 +24,10 @@
 	return retryPolicy{environment: env, endpoints: endpoints, tokens: retryBurst}
 }
 
-// maySend is the guard of all attempts: no attempt beyond the limits, none after the deadline or
-// beside another one, and none of what may have run where that is not safe. The allowance of an
-// endpoint that is warming up is not its concern: see eligibility.hasCapacity.
+// maySend reports whether a request may be sent to an endpoint. Every attempt passes it: no attempt
+// beyond the limits, none after the deadline or beside another one, and none of what may have run
+// where that is not safe. The allowance of an endpoint that is warming up is not its concern: see
+// eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
 	tries := &request.tries
 	if !endpoint.usable || request.closed || request.started || tries.inFlight > 0 ||
@@ -65,7 +66,7 @@
 
 // idempotencyWindowLeftMs returns for how long a request with an idempotency key that may have run may
 // still be sent again. The window counts from the earliest time at which it may have run, and a
-// retry may be held up just before its first byte, so a window shorter than that allows none.
+// retry may be delayed just before its first byte, so a window shorter than that allows none.
 func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
 	return request.idempotency.earliestRunAt + request.class.IdempotencyWindowMs -
 		writeDelayMarginMs - 2*p.set.RoundMs - p.now
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -1,124 +1,136 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// A retry that is held up for 0.15 s between its decision and its first byte, or as long as it
+// A retry that is delayed for 0.15 s between its decision and its first byte, or as long as it
 // may begin and then so, still goes out within the window in which repeats are dropped. Where the
 // window is shorter than that, none goes out.
-func TestRepeatsLeaveRoomForAHoldUp(t *testing.T) {
-	const heldUp = 150
-	for _, ttl := range []float64{100, 150, 160, 200, 400, 4000} {
-		repeated := false
-		for after := 1.0; after < ttl+10; after++ {
-			set := testSettings()
-			set.Classes[2].IdempotencyWindowMs, set.Classes[2].LatencyObjectiveMs, set.Classes[2].DeadlineMs = ttl, 20000, 30000
-			r := newRig(t, set, 6)
-			r.id++
-			first := find(r.do(&RequestArrived{Request: r.id, Class: 2, Key: 5, TimeLeftMs: 30000}), ActionSendAttempt)
-			sent := r.now
-			r.now += after
-			action := find(r.outcome(r.id, 0, first.Server, StatusServerError, after), ActionSendAttempt)
-			if action == nil {
-				continue
+func TestRetryPolicyLeavesTimeForADelayedWrite(t *testing.T) {
+	const delayMs = 150
+	for _, windowMs := range []float64{100, 150, 160, 200, 400, 4000} {
+		t.Run(fmt.Sprintf("window of %v ms", windowMs), func(t *testing.T) {
+			repeated := false
+			for afterMs := 1.0; afterMs < windowMs+10; afterMs++ {
+				set := testSettings()
+				class := &set.Classes[keyedClass]
+				class.IdempotencyWindowMs, class.LatencyObjectiveMs, class.DeadlineMs = windowMs, 20000, 30000
+				h := newHarness(t, set, 6)
+				h.id++
+				first := findAction(h.handle(&RequestArrived{Request: h.id, Class: keyedClass, Key: 5, TimeLeftMs: 30000}),
+					ActionSendAttempt)
+				sentAt := h.now
+				h.now += afterMs
+				retry := findAction(h.endAttempt(h.id, 0, first.Server, StatusServerError, afterMs), ActionSendAttempt)
+				if retry == nil {
+					continue
+				}
+				repeated = true
+				if retry.BeginWithinMs <= 0 || h.now+retry.BeginWithinMs+delayMs > sentAt+windowMs {
+					t.Fatalf("retry after %v ms: got %v ms to begin within, want it %v ms before the window ends", afterMs,
+						retry.BeginWithinMs, delayMs)
+				}
 			}
-			repeated = true
-			if action.BeginWithinMs <= 0 || r.now+action.BeginWithinMs+heldUp > sent+ttl {
-				t.Fatalf("a window of %v ms: a repeat after %v ms may begin within %v ms", ttl, after, action.BeginWithinMs)
+			if want := windowMs > delayMs+2*testSettings().RoundMs+1; repeated != want {
+				t.Errorf("got repeated %v, want %v", repeated, want)
 			}
-		}
-		if want := ttl > heldUp+2*testSettings().RoundMs+1; repeated != want {
-			t.Errorf("a window of %v ms: repeated %v, want %v", ttl, repeated, want)
-		}
+		})
 	}
 }
 
-func TestSingleShotIsNotRepeated(t *testing.T) {
+func TestRetryPolicyNeverRepeatsNonIdempotentRequests(t *testing.T) {
 	for _, status := range []Status{StatusServerError, StatusTimeout, StatusReset, StatusCancelled} {
-		r := newRig(t, testSettings(), 3)
-		id, server := r.sent(1, 5)
-		actions := r.outcome(id, 0, server, status, 50)
-		if find(actions, ActionSendAttempt) != nil || find(actions, ActionRejectRequest) != nil || find(actions, ActionFailRequest) == nil {
-			t.Errorf("ending %d: want a failure and nothing else, got %+v", status, actions)
+		h := newHarness(t, testSettings(), 3)
+		id, server := h.mustSend(nonIdempotentClass, 5)
+		actions := h.endAttempt(id, 0, server, status, 50)
+		if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionRejectRequest) != nil ||
+			findAction(actions, ActionFailRequest) == nil {
+			t.Errorf("status %d: got %+v, want a failure alone", status, actions)
 		}
 	}
-	r := newRig(t, testSettings(), 3)
-	id, server := r.sent(1, 5)
-	if actions := r.outcome(id, 0, server, StatusConnectFailed, 50); find(actions, ActionSendAttempt) == nil {
-		t.Errorf("an attempt that never ran was not repeated: %+v", actions)
+}
+
+func TestRetryPolicyRetriesWhatNeverRan(t *testing.T) {
+	h := newHarness(t, testSettings(), 3)
+	id, server := h.mustSend(nonIdempotentClass, 5)
+	if actions := h.endAttempt(id, 0, server, StatusConnectFailed, 50); findAction(actions, ActionSendAttempt) == nil {
+		t.Errorf("got %+v, want another attempt", actions)
 	}
 }
 
-func TestGuardedStaysInItsGroupAndTime(t *testing.T) {
-	r := newRig(t, testSettings(), 6)
-	id, server := r.sent(2, 5)
-	if first := find(r.b.actions, ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
-		t.Fatalf("the first attempt may not begin at any time: %+v", first)
+func TestRetryPolicyKeepsKeyedRetriesInGroupAndWindow(t *testing.T) {
+	h := newHarness(t, testSettings(), 6)
+	id, server := h.mustSend(keyedClass, 5)
+	if first := findAction(h.b.Decided(), ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
+		t.Fatalf("got %+v, want a first attempt that may begin at any time", first)
 	}
-	actions := r.outcome(id, 0, server, StatusServerError, 20)
-	action := find(actions, ActionSendAttempt)
-	if action == nil || r.b.endpoints.byAddr[action.Server].cell != r.b.endpoints.byAddr[server].cell {
-		t.Fatalf("a guarded repeat did not stay in its cell: %+v", actions)
+	actions := h.endAttempt(id, 0, server, StatusServerError, 20)
+	retry := findAction(actions, ActionSendAttempt)
+	if retry == nil || h.endpointAt(retry.Server).cell != h.endpointAt(server).cell {
+		t.Fatalf("got %+v, want a retry in the cell of the first attempt", actions)
 	}
 	// A connection that comes up late must not carry it past that time.
-	ttl := r.b.set.Classes[2].IdempotencyWindowMs
-	if sent := r.b.queue.open[id].idempotency.earliestRunAt; action.BeginWithinMs <= 0 || r.now+action.BeginWithinMs > sent+ttl {
-		t.Errorf("a repeat %v ms after the first may begin within %v ms of %v", r.now-sent, action.BeginWithinMs, ttl)
+	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.set.Classes[keyedClass].IdempotencyWindowMs
+	if retry.BeginWithinMs <= 0 || h.now+retry.BeginWithinMs > windowEnd {
+		t.Errorf("got %v ms to begin within, want some, and %v at most", retry.BeginWithinMs, windowEnd-h.now)
 	}
-	r.now += 496 // just inside the 500 ms less the margin
-	actions = r.outcome(id, 1, action.Server, StatusServerError, 20)
-	if find(actions, ActionSendAttempt) != nil || find(actions, ActionFailRequest) == nil && len(r.b.queue.queued) == 0 {
-		t.Errorf("a guarded repeat went out after its time: %+v", actions)
+	h.now += 496 // just inside the 500 ms less the margin
+	actions = h.endAttempt(id, 1, retry.Server, StatusServerError, 20)
+	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionFailRequest) == nil && len(h.b.queue.queued) == 0 {
+		t.Errorf("past the window got %+v, want no attempt", actions)
 	}
 }
 
-// A started stream belongs to the client: nothing more is sent or answered for it.
-func TestStartedStreamIsLeftAlone(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].Streamed = true
-	r := newRig(t, set, 4)
-	id, server := r.sent(0, 3)
-	r.now += 30
-	r.do(&ResponseStarted{Request: id, Attempt: 0, Server: server, LatencyMs: 30})
-	for range 200 {
-		for _, action := range r.tick(10) {
-			if action.Request == id && action.Kind != ActionSetTimer {
-				t.Fatalf("action %+v for a request whose answer streams", action)
+// Where each of many agents sends every rejected attempt to the next endpoint, all together keep
+// the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
+// but for those after one that reached no endpoint.
+func TestRetryPolicyBoundsRetriesByItsBudget(t *testing.T) {
+	const any = -1
+	for _, test := range []struct {
+		name                   string
+		status                 Status
+		wantFirst, wantRetries int
+	}{
+		{"served", StatusOK, 200, any},
+		{"rejected", StatusRejected, any, retryBurst},
+		{"connect failed", StatusConnectFailed, any, 400},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			first, retries := playRetries(t, test.status)
+			if first != test.wantFirst && test.wantFirst != any {
+				t.Errorf("got %d first attempts, want %d", first, test.wantFirst)
 			}
-		}
-	}
-	actions := r.do(&AttemptEnded{Request: id, Attempt: 0, Server: server, Status: StatusReset, LatencyMs: 2000, Final: true})
-	if find(actions, ActionSendAttempt) != nil || find(actions, ActionFailRequest) != nil || len(r.b.queue.open) != 0 {
-		t.Errorf("a stream that broke: %+v, %d requests kept", actions, len(r.b.queue.open))
+			if retries != test.wantRetries && test.wantRetries != any {
+				t.Errorf("got %d retries, want %d", retries, test.wantRetries)
+			}
+		})
 	}
 }
 
-// Where each of many agents sends every rejected attempt on to the next endpoint, all together keep
-// the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
-// but for those after one that reached no endpoint.
-func TestResendsHaveABudget(t *testing.T) {
-	for _, status := range []Status{StatusOK, StatusRejected, StatusConnectFailed} {
-		r := newRig(t, testSettings(), 20)
-		first, more := 0, 0
-		for range 200 {
-			r.now += 20
-			id, actions := r.ask(0, r.b.rng.Uint64())
-			for try := 0; ; try++ {
-				action := find(actions, ActionSendAttempt)
-				if action == nil || action.Request != id {
-					break
-				}
-				if try == 0 {
-					first++
-				} else {
-					more++
-				}
-				actions = r.outcome(id, try, action.Server, status, 5)
+// playRetries has 200 requests arrive over 4 s, all attempts of which end with the status, and returns
+// the number of first attempts and of others.
+func playRetries(t *testing.T, status Status) (first, retries int) {
+	t.Helper()
+	h := newHarness(t, testSettings(), 20)
+	for range 200 {
+		h.now += 20
+		id, actions := h.arrive(idempotentClass, h.randomKey())
+		for attempt := 0; ; attempt++ {
+			send := findAction(actions, ActionSendAttempt)
+			if send == nil || send.Request != id {
+				break
 			}
-		}
-		if status == StatusOK && first != 200 || status == StatusRejected && more != retryBurst || status == StatusConnectFailed && more != 400 {
-			t.Errorf("ending %d: 200 requests over 4 s became %d first and %d further attempts", status, first, more)
+			if attempt == 0 {
+				first++
+			} else {
+				retries++
+			}
+			actions = h.endAttempt(id, attempt, send.Server, status, 5)
 		}
 	}
+	return first, retries
 }
 
 // What may have run is sent again only where its class allows it.
@@ -133,7 +145,7 @@
 		name       string
 		class      Class
 		mayHaveRun int
-		after      float64 // ms since the first attempt
+		afterMs    float64 // since the first attempt
 		want       [3]bool // at sameCell, sameZone, elsewhere
 	}{
 		{"idempotent", Class{Effect: EffectIdempotent}, 1, 5000, [3]bool{true, true, true}},
@@ -146,14 +158,13 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{now: 10000 + test.after}
-			retries := retryPolicy{environment: env, endpoints: &endpointSet{}}
+			retries := newRetryPolicy(&environment{now: 10000 + test.afterMs}, &endpointSet{})
 			request := &request{class: &class{Class: test.class},
 				timing: requestTiming{deadline: 1e6}, tries: requestTries{limit: 2},
 				idempotency: requestIdempotency{mayHaveRun: test.mayHaveRun, earliestRunAt: 10000, firstEndpoint: first}}
 			for i, endpoint := range []*endpoint{sameCell, sameZone, elsewhere} {
 				if got := retries.maySend(request, endpoint); got != test.want[i] {
-					t.Errorf("endpoint %d: %v, want %v", i, got, test.want[i])
+					t.Errorf("endpoint %d: got %v, want %v", i, got, test.want[i])
 				}
 			}
 		})
@@ -161,24 +172,25 @@
 }
 
 // The budget bounds retries to what answers have earned, up to retryBurst; an attempt that reached
-// nobody is free.
-func TestRetryBudgetIsCharged(t *testing.T) {
-	retries := retryPolicy{environment: &environment{}, tokens: 1}
+// no endpoint is free.
+func TestRetryPolicyChargesItsBudget(t *testing.T) {
+	retries := newRetryPolicy(&environment{}, nil)
+	retries.tokens = 1
 	request := &request{class: &class{Class: Class{Effect: EffectIdempotent}},
 		timing: requestTiming{deadline: 1000}, tries: requestTries{limit: 3}}
 	if !retries.charge(request, StatusServerError) || retries.tokens != 0 {
-		t.Fatalf("the last token pays no retry; %v left", retries.tokens)
+		t.Fatalf("got %v tokens after a retry with the last one, want it allowed and 0", retries.tokens)
 	}
 	if retries.charge(request, StatusServerError) {
-		t.Error("a retry without a token")
+		t.Error("got a retry without a token, want none")
 	}
 	if !retries.charge(request, StatusConnectFailed) || retries.tokens != 0 {
-		t.Errorf("an attempt that reached nobody is not free; %v left", retries.tokens)
+		t.Errorf("got %v tokens after an attempt that reached no endpoint, want a retry allowed and 0", retries.tokens)
 	}
 	for range 100 {
 		retries.earn()
 	}
 	if retries.tokens != retryBurst {
-		t.Errorf("%v tokens saved up, want %v", retries.tokens, retryBurst)
+		t.Errorf("got %v tokens saved up, want %v", retries.tokens, retryBurst)
 	}
 }
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -68,8 +68,8 @@
 }
 
 // candidates scores the endpoints of a tier that the request may be sent to, up to subset of them,
-// and returns them and those nearest its key. Where the request doesn't wait only those that have capacity
-// are scored. It sets the request's tierWeight.
+// and returns them and those nearest its key. Where the request doesn't wait only those that have
+// capacity are scored. It sets the request's tierWeight.
 func (s *selector) candidates(request *request, tier, subset int, waits bool) ([]*endpoint,
 	[keyEndpoints]*endpoint) {
 	scored, inTier, seen := s.scratch[:0], 0, 0
@@ -135,8 +135,8 @@
 		!s.accepts(nearest[0], request, inFlight) && !s.accepts(nearest[1], request, inFlight)
 }
 
-// score returns what orders endpoints by weighted rendezvous hashing: every agent of a zone finds the same
-// order for a key, and an endpoint's share of keys is that of its weight.
+// score returns what orders endpoints by weighted rendezvous hashing: every agent of a zone finds
+// the same order for a key, and an endpoint's share of keys is that of its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := mix(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
@@ -151,8 +151,8 @@
 
 // recentWeight returns what an endpoint keeps of its weight: one that answers later than the fleet
 // gets less, so that its queue can drain. Tiers ignore latency, and windows need many answers:
-// where agents are many and each meets an endpoint every few seconds, these alone would leave
-// an overloaded endpoint its even share.
+// where agents are many and each meets an endpoint every few seconds, these alone would not
+// take an overloaded endpoint's even share from it.
 func (s *selector) recentWeight(endpoint *endpoint) float64 {
 	if s.latency.recent == 0 {
 		return 1
@@ -167,7 +167,7 @@
 // hashOf returns the hash of a key that orders the endpoints for it. A popular key is split into parts,
 // each with its own order: it may be many times what its endpoint can do, and with one request in
 // flight the load bound sees nothing of that. The fewer agents share an endpoint, the more each
-// sees, and is left to the load bound.
+// sees, and the load bound holds it.
 func (s *selector) hashOf(key uint64) uint64 {
 	if key == 0 {
 		return s.rng.Uint64()
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Settings is what an agent is told at its start. The JSON keys are those of the wire.
+// Settings holds what an agent is configured with. The JSON keys are those of the wire.
 type Settings struct {
 	Classes    []Class   `json:"classes"`
 	Tenants    []Tenant  `json:"tenants"` // may be empty
@@ -57,7 +57,7 @@
 	QuotaShare float64 `json:"portion"`   // part of all requests, from 0 to 1
 }
 
-// Limits is what a deployment permits an agent.
+// Limits holds what a deployment permits an agent.
 type Limits struct {
 	Cancellation     bool    `json:"cancelling"`       // attempts may be cancelled
 	ConnectTimeoutMs float64 `json:"connectTimeoutMs"` // after which a connect fails; 0: not told
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"math"
+	"strings"
 	"testing"
 )
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestNewNamesInvalidSettings(t *testing.T) {
 	for key, spoil := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
@@ -25,10 +26,12 @@
 		"tenants[1].portion":      func(s *Settings) { s.Tenants = []Tenant{{}, {QuotaShare: -0.5}} },
 		"limits.maxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 }, // would send nothing, ever
 	} {
-		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !contains(err.Error(), key) {
-			t.Errorf("spoilt %s: error %v does not name it", key, err)
-		}
+		t.Run(key, func(t *testing.T) {
+			set := testSettings()
+			spoil(&set)
+			if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), key) {
+				t.Errorf("got error %v, want one that names %s", err, key)
+			}
+		})
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -68,8 +68,8 @@
 // listChanged notes that the list has changed, and with it the fleet's capacity.
 func (w *slowStart) listChanged() { w.capacityAt = never }
 
-// rescale has the flow, which fades over the slow start time, stand for as much as before the settings
-// changed that time from oldSlowStartMs.
+// rescale adapts the flow, which fades over the slow start time, to settings that changed that time
+// from oldSlowStartMs: it stands for as much as before.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
 		w.flow *= w.set.Contract.SlowStartMs / oldSlowStartMs
@@ -154,8 +154,8 @@
 }
 
 // fleetCapacity returns what the usable endpoints can do, in warm ones. Those that are warming up
-// count in part beside warm ones: their allowance bounds what they are sent, and the rest of an
-// even share would be sent to the warm ones. Alone they count as whole.
+// count in part beside warm ones: their allowance bounds what they are sent, and what is missing
+// of an even share would be sent to the warm ones. Alone they count as whole.
 func (w *slowStart) fleetCapacity() float64 {
 	if w.capacityAt == w.now {
 		return w.capacity
@@ -206,9 +206,10 @@
 	}
 }
 
-// rested reports whether an endpoint has rested long enough for another request of the cost
-// given where no endpoint is warm: as long as its share of what a warm one was sent before takes.
-func (w *slowStart) rested(endpoint *endpoint, cost float64) bool {
+// pauseOver reports whether an endpoint has been sent nothing for long enough that it may take another
+// request of the cost given, where no endpoint is warm: for as long as its share of what a warm one was
+// sent before takes.
+func (w *slowStart) pauseOver(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
 	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * share
 	return earned >= cost*w.set.Contract.SlowStartMs
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -2,7 +2,7 @@
 
 package policy
 
-// ClassSnapshot is what is known of one class of requests.
+// ClassSnapshot is the state of one class of requests.
 type ClassSnapshot struct {
 	Name       string
 	Counts     ClassCounts
--- a/policy/types.go
+++ b/policy/types.go
@@ -16,7 +16,7 @@
 // RequestID names one try of a client; an id is never used twice.
 type RequestID uint32
 
-// State is what an agent takes a listed endpoint to be.
+// State is the health of a listed endpoint as an agent sees it.
 type State uint8
 
 // The four states, best first.
@@ -27,7 +27,7 @@
 	StateUnhealthy                     // ejected
 )
 
-// Effect tells whether a request of a class may run more than once.
+// Effect says whether a request of a class may run more than once.
 type Effect string
 
 // The effects a class may have.
@@ -37,7 +37,7 @@
 	EffectNonIdempotent     Effect = "single_shot" // must never run twice
 )
 
-// Group tells which servers drop repeats of a request with an idempotency key.
+// Group says which servers drop repeats of a request with an idempotency key.
 type Group string
 
 // The groups a class of EffectIdempotentWithKey may have.
@@ -47,7 +47,7 @@
 	GroupCell Group = "cell" // those of the cell of the first attempt
 )
 
-// Health is what the endpoint list says of a server.
+// Health is the health of a server by the endpoint list.
 type Health uint8
 
 // The health of a listed server.
@@ -75,22 +75,22 @@
 const (
 	StatusOK            Status = 100
 	StatusServerError   Status = 301 // the server answered with a failure
-	StatusRejected      Status = 302 // the server turned it away before it ran
+	StatusRejected      Status = 302 // the server rejected it before it ran
 	StatusTimeout       Status = 303 // no answer within Action.TimeoutMs
 	StatusConnectFailed Status = 304 // no connection to the server
 	StatusReset         Status = 305 // the connection broke
-	StatusCancelled     Status = 306 // CancelAttempt, or the client left
+	StatusCancelled     Status = 306 // CancelAttempt, or the client disconnected
 	StatusNotSent       Status = 307 // beyond a limit, or its request was finished
 	// StatusLocalFailure is an attempt that this machine could not make, as a table or a range of
 	// ports of its own was exhausted: it never ran, and says nothing of its server.
 	StatusLocalFailure Status = 308
-	// StatusUnreachable is an attempt whose connect ended with the word that there is no way to
-	// the server: it never ran. Whether that is the server's failure or this machine's is decided
+	// StatusUnreachable is an attempt whose connect failed as there is no route to the server: it
+	// never ran. Whether that is the server's failure or this machine's is decided
 	// here.
 	StatusUnreachable Status = 309
 )
 
-// NeverRan tells whether the status proves that the attempt did not run.
+// NeverRan reports whether the status proves that the attempt did not run.
 func (s Status) NeverRan() bool {
 	switch s {
 	case StatusRejected, StatusConnectFailed, StatusNotSent, StatusLocalFailure, StatusUnreachable:
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -4,7 +4,7 @@
 
 import "slices"
 
-// unservedRequest is what is remembered of an unserved request, to know its retry.
+// unservedRequest holds what is remembered of an unserved request, to know its retry.
 type unservedRequest struct {
 	class        *class
 	key          uint64
@@ -36,9 +36,9 @@
 	return firstArrived, true
 }
 
-// isRetry tells whether the request seems to be a client's retry, and notes when its first try
+// isRetry reports whether the request seems to be a client's retry, and notes when its first try
 // came. Where clients don't mark their retries, a request with the class and the key of an
-// unserved one is taken to be its retry: of the few requests that an agent left unserved within
+// unserved one is taken to be its retry: of the few requests that an agent did not serve within
 // the time that clients wait, hardly another has the same key.
 func (q *admissionQueue) isRetry(request *request, marked bool) bool {
 	if !marked && (q.set.Clients.MarksRetry || request.key == 0) {
@@ -51,7 +51,7 @@
 	return marked || found
 }
 
-// keepUnserved gives the unserved requests the classes of new settings, and forgets those whose
+// keepUnserved moves the unserved requests to the classes of new settings, and forgets those whose
 // class is named no more.
 func (q *admissionQueue) keepUnserved(successor map[*class]*class) {
 	kept := q.unserved[:0]
--- a/policy/unserved_test.go
+++ b/policy/unserved_test.go
@@ -1,27 +1,32 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
-// The client's retry of a hopeless request is judged by the client's time, also where retries
-// are not marked; a request with another key has its whole latency objective.
-func TestRetryKeepsTheClientsTime(t *testing.T) {
+// A client's retry is judged by the client's time, also where retries are not marked; a request with
+// another key has its whole latency objective.
+func TestAdmissionQueueKeepsTheFirstArrivalOfRetries(t *testing.T) {
 	for _, marks := range []bool{true, false} {
-		set := testSettings()
-		set.Clients.MarksRetry = marks
-		r := newRig(t, set, 1)
-		id, server := r.sent(0, 5)
-		r.now += 200
-		r.do(&ClientDisconnected{Request: id})
-		r.outcome(id, 0, server, StatusCancelled, 200)
-		r.id++
-		r.do(&RequestArrived{Request: r.id, Class: 0, Key: 5, TimeLeftMs: 600, Retry: marks})
-		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now > 101 {
-			t.Errorf("marked %v: a retry was given the whole aim again", marks)
-		}
-		r.id++
-		r.do(&RequestArrived{Request: r.id, Class: 0, Key: 6, TimeLeftMs: 600})
-		if q := r.b.queue.open[r.id]; q == nil || q.timing.objectiveAt-r.now < 299 {
-			t.Errorf("marked %v: another request was taken for a retry", marks)
-		}
+		t.Run(fmt.Sprintf("clients mark retries %v", marks), func(t *testing.T) {
+			set := testSettings()
+			set.Clients.MarksRetry = marks
+			h := newHarness(t, set, 1)
+			id, server := h.mustSend(idempotentClass, 5)
+			h.now += 200
+			h.handle(&ClientDisconnected{Request: id})
+			h.endAttempt(id, 0, server, StatusCancelled, 200)
+			h.id++
+			h.handle(&RequestArrived{Request: h.id, Class: idempotentClass, Key: 5, TimeLeftMs: 600, Retry: marks})
+			if open := h.b.queue.open[h.id]; open == nil || open.timing.objectiveAt-h.now > 101 {
+				t.Errorf("got retry %+v, want it open with 100 ms left of its objective", open)
+			}
+			h.id++
+			h.handle(&RequestArrived{Request: h.id, Class: idempotentClass, Key: 6, TimeLeftMs: 600})
+			if open := h.b.queue.open[h.id]; open == nil || open.timing.objectiveAt-h.now < 299 {
+				t.Errorf("got request with another key %+v, want it open with 300 ms left of its objective", open)
+			}
+		})
 	}
 }
