--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -81,7 +81,7 @@
 // checkAttempts checks the attempts that the requests have led to.
 func (c *faultyClient) checkAttempts(t *testing.T) {
 	t.Helper()
-	unopened(t, c.agent, make(chan string))
+	checkNothingForwarded(t, c.agent, make(chan string))
 	c.countAttempts()
 	for id, want := range c.want {
 		if got := c.attempts[id]; got < want.least || got > want.most {
--- /dev/null
+++ b/internal/agent/disconnect_test.go
@@ -0,0 +1,187 @@
+package agent
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"ploverreel/internal/agenttest"
+)
+
+// rejectingBackend is a stand-in that rejects its one request, when the test lets it.
+type rejectingBackend struct {
+	addr     string
+	received chan struct{} // closed once the request has arrived
+	answer   chan struct{} // closed by the test: the request is rejected
+}
+
+func startRejecting(t *testing.T) *rejectingBackend {
+	t.Helper()
+	b := &rejectingBackend{received: make(chan struct{}), answer: make(chan struct{})}
+	b.addr = rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
+			close(b.received)
+			<-b.answer
+			io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+		}
+	})
+	return b
+}
+
+// unansweredAddr is the address of a backend that accepts no connection, on an agent whose connects
+// holdConnects holds.
+const unansweredAddr = "127.0.0.1:1"
+
+// holdConnects holds an agent's connects to unansweredAddr until their contexts end. Closed are
+// began when one begins, and ended when it has ended.
+func holdConnects(agent *Agent) (began, ended chan struct{}) {
+	began, ended = make(chan struct{}), make(chan struct{})
+	connect := agent.loop.pool.DialContext
+	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if addr != unansweredAddr {
+			return connect(ctx, network, addr)
+		}
+		close(began)
+		<-ctx.Done()
+		close(ended)
+		return nil, ctx.Err()
+	}
+	return began, ended
+}
+
+// checkNextServed checks that the agent serves another client next, as the first whose request
+// reaches the backend.
+func checkNextServed(t *testing.T, base string, received chan string) {
+	t.Helper()
+	if status, _, _ := do(t, call(base, "order")); status != 200 {
+		t.Fatalf("got status %d for the next client, want 200", status)
+	}
+	if id := <-received; id == "left" {
+		t.Fatalf("got request %q forwarded, want only that of the next client", id)
+	}
+}
+
+// checkNothingForwarded waits until no request is in progress, and fails the test if a backend got
+// one.
+func checkNothingForwarded(t *testing.T, agent *Agent, received chan string) {
+	t.Helper()
+	agenttest.Eventually(t, "no request in progress", func() (none bool) {
+		agent.look(func(l *loop) { none = len(l.requests) == 0 })
+		return none
+	})
+	if len(received) > 0 {
+		t.Fatalf("got request %q forwarded for a client that has disconnected, want none", <-received)
+	}
+}
+
+// The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
+// settings say of cancelling, and whether or not more bytes arrived before the close.
+func TestAgentForwardsNothingForDisconnectedClient(t *testing.T) {
+	for _, more := range []struct{ name, text string }{
+		{"nothing sent after it", ""},
+		{"a byte sent after it", "G"},
+		{"a request sent after it", raw("look", "other")},
+		{"1000 requests sent after it", strings.Repeat(raw("look", "other"), 1000)},
+	} {
+		for _, cancelling := range []bool{true, false} {
+			for _, wait := range []string{"capacity", "connect", "retry"} {
+				t.Run(fmt.Sprintf("waits for %s, %s, cancelling %v", wait, more.name, cancelling), func(t *testing.T) {
+					playDisconnect(t, wait, more.text, cancelling)
+				})
+			}
+		}
+	}
+}
+
+// playDisconnect has a client disconnect after some more bytes, while its request waits for
+// capacity, a connect or a retry.
+func playDisconnect(t *testing.T, wait, more string, cancelling bool) {
+	backend, received := counted(t, 200, false)
+	rejecting := startRejecting(t)
+	conf := agenttest.Config(nowhere, map[string][]string{"capacity": nil, "connect": {unansweredAddr}, "retry": {rejecting.addr}}[wait]...)
+	conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
+	agent, base, _, _ := start(t, conf)
+	connectBegan, connectEnded := holdConnects(agent)
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "left"))
+	agenttest.Eventually(t, "the request in progress", func() bool { return agent.holds("left") })
+	switch wait {
+	case "connect":
+		<-connectBegan
+	case "retry":
+		<-rejecting.received
+		agent.applyList(2) // no endpoint remains
+		close(rejecting.answer)
+		agenttest.Eventually(t, "the attempt ended", func() bool { return agent.hasNoAttempt("left") })
+	}
+	io.WriteString(conn, more)
+	conn.Close()
+	if wait == "connect" {
+		agenttest.Receive(t, connectEnded, "the end of the connect for a client that has disconnected")
+	}
+	agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.holds("left") })
+	agent.applyList(3, readyHost(9, backend))
+	checkNextServed(t, base, received)
+}
+
+// A client that only shut down its sending side may still read: it is sent an error, never a 200
+// that no backend gave.
+func TestAgentAnswers502ToHalfClosedClient(t *testing.T) {
+	got := make(chan struct{})
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
+			close(got)
+			reader.ReadByte() // until the agent closes it
+		}
+	})
+	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "half"))
+	<-got
+	conn.(*net.TCPConn).CloseWrite()
+	if got := answered(t, conn); !strings.HasPrefix(got, "HTTP/1.1 502") || strings.Count(got, "HTTP/1.1") != 1 {
+		t.Fatalf("got %q, want one response with status 502", got)
+	}
+}
+
+// Requests read while another is in progress are answered in order, and none is lost.
+func TestAgentAnswersPipelinedRequestsInOrder(t *testing.T) {
+	got, release := make(chan string, 10), make(chan struct{})
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		for {
+			req, err := readRequest(reader)
+			if err != nil {
+				return
+			}
+			got <- req.Header.Get("Request-Id")
+			<-release
+			io.WriteString(conn, okAnswer)
+		}
+	})
+	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	conn := dial(t, base)
+	io.WriteString(conn, raw("order", "p1"))
+	if id := <-got; id != "p1" {
+		t.Fatalf("got request %q first, want p1", id)
+	}
+	io.WriteString(conn, raw("order", "p2")+raw("order", "p3"))
+	close(release)
+	reader := bufio.NewReader(conn)
+	for range 3 {
+		resp, err := http.ReadResponse(reader, nil)
+		if err != nil {
+			t.Fatalf("got %v, want three responses", err)
+		}
+		if body, err := io.ReadAll(resp.Body); err != nil || resp.StatusCode != 200 || string(body) != "done" {
+			t.Fatalf("got %d %q, %v; want 200 %q", resp.StatusCode, body, err, "done")
+		}
+	}
+	if second, third := <-got, <-got; second != "p2" || third != "p3" {
+		t.Fatalf("got requests %q and %q, want p2 and p3", second, third)
+	}
+}
--- a/internal/agent/client_table_test.go
+++ b/internal/agent/discovery_reload_test.go
@@ -22,10 +22,10 @@
 
 // A new discovery is watched and fetched from at once, late events of the old one are ignored, and
 // the versions of the new one may start lower. Backends stay known meanwhile.
-func TestReload(t *testing.T) {
-	asked := make(chan string, 10)
+func TestReloadSwitchesDiscovery(t *testing.T) {
+	calls := make(chan string, 10)
 	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		calls <- r.URL.RawQuery
 		<-r.Context().Done()
 	}))
 	t.Cleanup(discoveryServer.Close)
@@ -35,22 +35,22 @@
 	loop.watch.fetching, loop.watch.watching = true, true
 	reloadTo(t, loop, discoveryServer.Listener.Addr().String())
 	t.Cleanup(loop.watch.discovery.Close)
-	if got := map[string]bool{<-asked: true, <-asked: true}; !got[""] || !got["follow=1&since=0"] {
-		t.Fatalf("asked %v", got)
+	if got := map[string]bool{<-calls: true, <-calls: true}; !got[""] || !got["follow=1&since=0"] {
+		t.Fatalf("got calls %v, want a fetch and a watch from version 0", got)
 	}
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
 	loop.handle(watchEvent{list: listOf(42, false, endpoint)})
 	loop.handle(watchEnded{err: io.EOF})
 	loop.handle(endpointsFetched{list: listOf(42, true, endpoint)})
 	if !loop.watch.watching || !loop.watch.fetching || !loop.backends[endpointlist.AddressOf("s-0")].usable || loop.backends[endpointlist.AddressOf("s-0")].conns != before {
-		t.Fatal("a late word of the old discovery counted")
+		t.Fatal("got a late result of the old discovery applied, want it ignored")
 	}
 	loop.handle(watchEvent{list: listOf(3, false, endpoint), generation: 1})
 	if b := loop.backends[endpointlist.AddressOf("s-0")]; b != nil && b.usable || loop.watch.listVersion != 3 {
-		t.Fatal("the new discovery was not heard")
+		t.Fatalf("got version %d, want that of the new discovery, 3", loop.watch.listVersion)
 	}
 	disc := loop.watch.discovery
 	if reloadTo(t, loop, disc.Addr()); loop.watch.discovery != disc {
-		t.Fatal("the same discovery was taken for a new one")
+		t.Fatal("got the discovery replaced by one of the same address, want it kept")
 	}
 }
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -36,7 +36,7 @@
 // newAgent makes an agent that serves nothing yet; its loop ends with the test.
 func newAgent(t *testing.T, conf map[string]any) *Agent {
 	t.Helper()
-	agent, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	agent, err := New(parse(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -20,7 +20,7 @@
 // test in place of the clock.
 func restarted(t *testing.T, conf map[string]any, ln net.Listener) (a *Agent, base string, waited func()) {
 	t.Helper()
-	a, err := New(parse(t, conf), slog.New(looker{slog.DiscardHandler, make(chan func(), 1)}))
+	a, err := New(parse(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); a.server.Close(); a.stop() })
 	go a.Serve(ctx, ln)
-	return a, "http://" + ln.Addr().String(), func() { (<-over)(); a.handled() }
+	return a, "http://" + ln.Addr().String(), func() { (<-over)(); a.awaitLoop() }
 }
 
 func listen(t *testing.T) net.Listener {
@@ -80,11 +80,11 @@
 			c := dial(t, base)
 			io.WriteString(c, raw("order", "early"))
 			agenttest.Eventually(t, "its request queued", func() bool { return a.holds("early") })
-			a.told(2, readyHost(0, good))
+			a.applyList(2, readyHost(0, good))
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("got %v, %v with a backend known", resp, err)
 			}
-			a.told(3)
+			a.applyList(3)
 			if status := readiness(t, base); status != 200 {
 				t.Fatalf("/ready answered %d once all backends were gone", status)
 			}
@@ -103,7 +103,7 @@
 	if status, _, head := do(t, call(base, "order")); status != 503 || head.Get("Retry-After") != "0.6" {
 		t.Fatalf("answered %d, Retry-After %q", status, head.Get("Retry-After"))
 	}
-	a.told(2, readyHost(9, good))
+	a.applyList(2, readyHost(9, good))
 	if status, _, _ := do(t, call(base, "order")); status != 200 {
 		t.Fatalf("answered %d with a backend known", status)
 	}
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -86,7 +86,7 @@
 		}
 		break
 	}
-	a.handled()
+	a.awaitLoop()
 	close(got)
 	close(unanswered)
 	sent := map[string]bool{}
