--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -21,10 +21,10 @@
 
 // The timeout that a backend is sent counts from when the request's head was read: the time until
 // the handler ran is part of it.
-func TestDeadlineCountsFromTheRead(t *testing.T) {
-	told := make(chan string, 1)
+func TestRequestTimeoutCountsFromReadOfHead(t *testing.T) {
+	timeouts := make(chan string, 1)
 	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		told <- r.Header.Get("Request-Timeout")
+		timeouts <- r.Header.Get("Request-Timeout")
 	}))
 	t.Cleanup(backend.Close)
 	agent, _, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
@@ -36,9 +36,9 @@
 	w := httptest.NewRecorder()
 	agent.ServeHTTP(w, req.WithContext(context.WithValue(req.Context(), connKey{}, conn)))
 	if w.Code != 200 {
-		t.Fatalf("answered %d", w.Code)
+		t.Fatalf("got status %d, want 200", w.Code)
 	}
-	if left, err := parseTimeout(<-told, time.Minute); err != nil || left > 30*time.Second-held {
-		t.Fatalf("told %v of 30 s, %v after the head was read; %v", left, held, err)
+	if left, err := parseTimeout(<-timeouts, time.Minute); err != nil || left > 30*time.Second-held {
+		t.Fatalf("got timeout %v, %v; want %v at most, as the head was read %v ago", left, err, 30*time.Second-held, held)
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -70,6 +70,8 @@
 	NetConn() net.Conn
 }
 
+var _ clientConn = (*clientconn.Conn)(nil)
+
 // clientConnOf returns the connection that a request came on; nil: not one of a clientconn.Listener.
 func clientConnOf(r *http.Request) clientConn {
 	client, _ := r.Context().Value(connKey{}).(clientConn)
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -12,8 +12,9 @@
 	"ploverreel/internal/socket"
 )
 
-// Listen opens the clients' listener. Where that fails for want of a resource of this machine it
-// is retried for listenTimeout; its error is that of the last attempt.
+// Listen returns a listener on a TCP address. A listen that fails for want of a resource of this
+// machine is retried for listenTimeout, or until the context ends. The error is that of the last
+// try.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
 }
