--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -341,7 +341,7 @@
 			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
-			settings.RestTime = agenttest.Never
+			settings.SettleDelay = agenttest.Never
 			pool.Configure(settings)
 			if status, _, _ := do(t, call(base, "order")); status != 200 {
 				t.Fatalf("answered %d", status)
--- a/internal/backend/held_up_test.go
+++ b/internal/backend/held_up_test.go
@@ -18,9 +18,9 @@
 		name                         string
 		attempt, client, most, least time.Duration
 	}{
-		{name: "much of both", attempt: time.Hour, client: time.Hour, most: time.Hour - maxHoldUp, least: time.Hour - time.Minute},
-		{name: "less of the client", attempt: time.Hour, client: time.Minute, most: time.Minute - maxHoldUp, least: 10 * time.Second},
-		{name: "less of the attempt", attempt: time.Minute, client: time.Hour, most: time.Minute - maxHoldUp, least: 10 * time.Second},
+		{name: "much of both", attempt: time.Hour, client: time.Hour, most: time.Hour - maxSchedulingDelay, least: time.Hour - time.Minute},
+		{name: "less of the client", attempt: time.Hour, client: time.Minute, most: time.Minute - maxSchedulingDelay, least: 10 * time.Second},
+		{name: "less of the attempt", attempt: time.Minute, client: time.Hour, most: time.Minute - maxSchedulingDelay, least: 10 * time.Second},
 		{name: "little of the client", attempt: time.Hour, client: 800 * time.Millisecond, most: 700 * time.Millisecond, least: time.Millisecond},
 		{name: "very little of the client", attempt: time.Hour, client: 8 * time.Millisecond, most: 7 * time.Millisecond, least: time.Millisecond},
 		{name: "the client's time is over", attempt: time.Hour, client: -time.Second, most: time.Millisecond, least: time.Millisecond},
@@ -29,7 +29,7 @@
 			a := newAttempt(nil, http.MethodPost, test.attempt)
 			defer a.Cancel(nil)
 			a.request.Deadline = time.Now().Add(test.client)
-			if got := a.requestTimeout(); got > test.most || got < test.least {
+			if got := a.request.timeout(a.Deadline()); got > test.most || got < test.least {
 				t.Errorf("%v of the attempt and %v of the client are left: Request-Timeout %v", test.attempt, test.client, got)
 			}
 		})
--- a/internal/backend/idle_lifetime.go
+++ b/internal/backend/idle_lifetime.go
@@ -6,25 +6,28 @@
 )
 
 const (
-	// youngAge is the age up to which a connection's end under a request says nothing of its age;
-	// ageSteps is the number of steps above it, each longer by a factor of √2: up to 262 s.
+	// youngAge is the age up to which a connection that breaks says nothing of its age. ageSteps is
+	// the number of steps above it, each longer by a factor of √2: up to 262 s.
 	youngAge, ageSteps = 64 * time.Millisecond, 24
-	// ageHalfLife is after how long a count weighs half: ages that were given up are tried anew.
+	// ageHalfLife is the time in which a count decays to half: ages that were given up are tried
+	// again in time.
 	ageHalfLife = 10 * time.Second
 	// A step is too old if its connections broke at least minBreaks times and in more than
 	// breakFactor times the share of the young ones, plus breakShare.
 	minBreaks, breakFactor, breakShare = 3, 3, 0.1
 )
 
-// idleLifetimeEstimator learns how long connections may be idle. A backend, or a middlebox before
-// it, may drop them long before the keepalive time of the settings without a word; the next request
+// idleLifetimeEstimator learns how long connections may be idle. A backend, or a middlebox in
+// front of it, may drop them silently long before the idle timeout of the settings. The next request
 // then ends as a reset, and may have run.
 //
 // It is a histogram of reuses over the idle time, in geometric steps, whose counts decay by half in
 // each ageHalfLife (exponential forgetting). The limit is the lower bound of the first step whose
 // share of broken connections stands out against that of young ones, which break for other reasons.
-// Its constants are of this project, not from a publication: a few resets must be enough to act on,
-// and a single one must not be. The pool's lock guards it. Its zero value is ready for use.
+// Its constants are this project's, not from a publication: a few resets must be enough to act on,
+// and a single one must not be.
+//
+// The pool's mutex guards it. Its zero value is ready for use.
 type idleLifetimeEstimator struct {
 	young   reuseCount
 	steps   [ageSteps]reuseCount
@@ -35,17 +38,17 @@
 // before the first byte of an answer. The counts decay, and so are no whole numbers.
 type reuseCount struct{ reuses, broken float64 }
 
-// stepOf is the index of the step of an age, which must be at least youngAge.
+// stepOf returns the index of the step of an age, which must be at least youngAge.
 func stepOf(age time.Duration) int {
 	return min(int(2*math.Log2(float64(age)/float64(youngAge))), ageSteps-1)
 }
 
-// observe notes how the reuse of a connection went that had been idle for age.
-func (s *idleLifetimeEstimator) observe(age time.Duration, broke bool, now time.Time) {
-	s.decay(now)
-	count := &s.young
+// observe records how the reuse of a connection went that had been idle for age.
+func (e *idleLifetimeEstimator) observe(age time.Duration, broke bool, now time.Time) {
+	e.decay(now)
+	count := &e.young
 	if age >= youngAge {
-		count = &s.steps[stepOf(age)]
+		count = &e.steps[stepOf(age)]
 	}
 	count.reuses++
 	if broke {
@@ -53,38 +56,39 @@
 	}
 }
 
-// decay brings the counts to the present, at most ten times in a half-life.
-func (s *idleLifetimeEstimator) decay(now time.Time) {
-	if s.decayed.IsZero() {
-		s.decayed = now
+// decay ages the counts to the present, at most ten times in a half-life.
+func (e *idleLifetimeEstimator) decay(now time.Time) {
+	if e.decayed.IsZero() {
+		e.decayed = now
 	}
-	passed := now.Sub(s.decayed)
+	passed := now.Sub(e.decayed)
 	if passed <= ageHalfLife/10 {
 		return
 	}
 	keep := math.Exp2(-float64(passed) / float64(ageHalfLife))
-	s.young.scale(keep)
-	for i := range s.steps {
-		s.steps[i].scale(keep)
+	e.young.scale(keep)
+	for i := range e.steps {
+		e.steps[i].scale(keep)
 	}
-	s.decayed = now
+	e.decayed = now
 }
 
+// scale multiplies the counts.
 func (c *reuseCount) scale(factor float64) {
 	c.reuses *= factor
 	c.broken *= factor
 }
 
-// limit is how long a connection may have been idle to be used again, at most keepalive.
-func (s *idleLifetimeEstimator) limit(keepalive time.Duration) time.Duration {
-	usual := 0.0
-	if s.young.reuses > 0 {
-		usual = s.young.broken / s.young.reuses
+// limit returns how long a connection may have been idle to be used again: at most the idle timeout.
+func (e *idleLifetimeEstimator) limit(idleTimeout time.Duration) time.Duration {
+	youngShare := 0.0 // of the young connections that broke
+	if e.young.reuses > 0 {
+		youngShare = e.young.broken / e.young.reuses
 	}
-	for i, step := range s.steps {
-		if step.broken >= minBreaks && step.broken > step.reuses*(breakFactor*usual+breakShare) {
-			return min(keepalive, time.Duration(float64(youngAge)*math.Exp2(float64(i)/2)))
+	for i, step := range e.steps {
+		if step.broken >= minBreaks && step.broken > step.reuses*(breakFactor*youngShare+breakShare) {
+			return min(idleTimeout, time.Duration(float64(youngAge)*math.Exp2(float64(i)/2)))
 		}
 	}
-	return keepalive
+	return idleTimeout
 }
--- a/internal/backend/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -60,7 +60,7 @@
 		}
 		pool.mu.Lock()
 		for _, c := range backend.idle {
-			c.since = c.since.Add(-time.Second) // as if it had stood idle
+			c.idleSince = c.idleSince.Add(-time.Second) // as if it had stood idle
 		}
 		pool.mu.Unlock()
 	}
--- a/internal/backend/local_failure_test.go
+++ b/internal/backend/local_failure_test.go
@@ -41,11 +41,11 @@
 	pool.DialContext = (&agenttest.FailingDialer{Errno: syscall.ENFILE, Failures: 1}).DialContext
 	backend := pool.NewConns("127.0.0.1:1")
 	backend.openExtra(context.Background(), nil, nil)
-	if wait := time.Until(backend.noExtra); wait > time.Second {
+	if wait := time.Until(backend.extra.notBefore); wait > time.Second {
 		t.Errorf("none is opened for %v", wait)
 	}
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	if backend.openExtra(context.Background(), nil, nil); time.Until(backend.noExtra) < time.Minute {
+	if backend.openExtra(context.Background(), nil, nil); time.Until(backend.extra.notBefore) < time.Minute {
 		t.Error("one that the backend refused is tried again at once")
 	}
 }
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -55,25 +55,25 @@
 }
 
 // rests makes all idle connections rest however slow the test is.
-func (b *Conns) rests() {
-	b.pool.mu.Lock()
-	defer b.pool.mu.Unlock()
-	for _, c := range b.idle {
-		c.since = time.Now().Add(agenttest.Never)
+func (c *Conns) rests() {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	for _, conn := range c.idle {
+		conn.idleSince = time.Now().Add(agenttest.Never)
 	}
 }
 
-func (b *Conns) served(t *testing.T) {
+func (c *Conns) served(t *testing.T) {
 	t.Helper()
-	if res := newAttempt(b, http.MethodPost, agenttest.NoAnswerTimeout).Run(); res.Status != policy.StatusOK {
+	if res := newAttempt(c, http.MethodPost, agenttest.NoAnswerTimeout).Run(); res.Status != policy.StatusOK {
 		t.Fatalf("ended %d", res.Status)
 	}
 }
 
-func (b *Conns) idleAndOpen() (idle, open int) {
-	b.pool.mu.Lock()
-	defer b.pool.mu.Unlock()
-	return len(b.idle), b.pool.open
+func (c *Conns) idleAndOpen() (idle, open int) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	return len(c.idle), c.pool.open
 }
 
 // An attempt does not wait out the rest of the only connection: an extra one is opened, the
@@ -83,12 +83,12 @@
 	backend.served(t)
 	backend.rests()
 	first := backend.idle[0]
-	since := first.since
+	since := first.idleSince
 	backend.served(t)
 	if idle, open := backend.idleAndOpen(); idle != 2 || open != 2 || conns.begun.Load() != 2 {
 		t.Fatalf("%d idle of %d, %d opened", idle, open, conns.begun.Load())
 	}
-	if !first.since.Equal(since) || first.idleFor != 0 {
+	if !first.idleSince.Equal(since) || first.idleFor != 0 {
 		t.Error("the connection at rest was used, or its rest begun again")
 	}
 	backend.rests()
@@ -205,14 +205,14 @@
 	agenttest.Eventually(t, "the panic", func() bool {
 		backend.pool.mu.Lock()
 		defer backend.pool.mu.Unlock()
-		return backend.panicked != nil
+		return backend.extra.panicked != nil
 	})
 	rested <- time.Now()
 	if res := <-done; res.Status != policy.StatusOK || res.Panic == nil {
 		t.Fatalf("ended %d, broken by %v", res.Status, res.Panic)
 	}
-	if idle, open := backend.idleAndOpen(); idle != 1 || open != 1 || backend.opening {
-		t.Errorf("%d idle of %d, opening %v", idle, open, backend.opening)
+	if idle, open := backend.idleAndOpen(); idle != 1 || open != 1 || backend.extra.dialling {
+		t.Errorf("%d idle of %d, opening %v", idle, open, backend.extra.dialling)
 	}
 	backend.rests()
 	close(rested)
--- a/internal/backend/rest_test.go
+++ b/internal/backend/rest_test.go
@@ -48,7 +48,7 @@
 	}
 	backendPool.mu.Lock()
 	kept = g.idle[0]
-	kept.since = time.Now().Add(agenttest.Never) // so that it rests however slow the test is
+	kept.idleSince = time.Now().Add(agenttest.Never) // so that it rests however slow the test is
 	backendPool.mu.Unlock()
 	<-came
 	waits = newAttempt(g, http.MethodPost, agenttest.Never)
