--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -63,7 +63,7 @@
 	l.removeBackend(target)
 	request.open--
 	if outcome.Panic != nil {
-		l.log.Error("attempt ended", "err", outcome.Panic)
+		l.log.Error("attempt panicked", "err", outcome.Panic)
 	}
 	switch outcome.Status {
 	case policy.StatusLocalFailure, policy.StatusUnreachable:
