--- /dev/null
+++ b/internal/backend/outcome_test.go
@@ -0,0 +1,152 @@
+package backend
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
+	"ploverreel/policy"
+)
+
+func TestAttemptStatusOfFailedConnect(t *testing.T) {
+	for errno, want := range map[syscall.Errno]policy.Status{
+		syscall.ENFILE:        policy.StatusLocalFailure,
+		syscall.EADDRNOTAVAIL: policy.StatusLocalFailure,
+		syscall.EAGAIN:        policy.StatusLocalFailure,
+		syscall.EINTR:         policy.StatusLocalFailure,
+		syscall.ENETUNREACH:   policy.StatusUnreachable,
+		syscall.EHOSTUNREACH:  policy.StatusUnreachable,
+		syscall.ECONNREFUSED:  policy.StatusConnectFailed,
+		syscall.ETIMEDOUT:     policy.StatusConnectFailed,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			pool := newTestPool()
+			pool.DialContext = (&agenttest.FailingDialer{Errno: errno, Failures: 1}).DialContext
+			if got := runAttempt(pool.NewConns(unusedAddr)); got.Status != want || !errors.Is(got.Err, errno) {
+				t.Errorf("got status %d (%v), want %d (%v)", got.Status, got.Err, want, errno)
+			}
+			if pool.open != 0 {
+				t.Errorf("got %d connections counted as open, want 0", pool.open)
+			}
+		})
+	}
+}
+
+func TestAttemptStatusOfRefusedConnect(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := listener.Addr().String()
+	listener.Close()
+	pool := newTestPool()
+	if got := runAttempt(pool.NewConns(addr)); got.Status != policy.StatusConnectFailed {
+		t.Fatalf("got status %d, want %d", got.Status, policy.StatusConnectFailed)
+	}
+	if pool.open != 0 {
+		t.Fatalf("got %d connections counted as open, want 0", pool.open)
+	}
+}
+
+// Without a descriptor for a connection the request never ran, and its backend is not to blame.
+func TestAttemptWithoutSocketIsRejected(t *testing.T) {
+	pool := newTestPool()
+	pool.settings.MaxConns = 0
+	if got := runAttempt(pool.NewConns(unusedAddr)); got.Status != policy.StatusRejected || !errors.Is(got.Err, ErrNoSocket) {
+		t.Fatalf("got status %d (%v), want %d (%v)", got.Status, got.Err, policy.StatusRejected, ErrNoSocket)
+	}
+}
+
+// halfWriteConn takes half of each write and fails.
+type halfWriteConn struct{ net.Conn }
+
+func (halfWriteConn) Write(data []byte) (int, error) { return len(data) / 2, errors.New("broken") }
+
+// A request of which the last byte was not written never ran.
+func TestAttemptStatusOfIncompleteWrite(t *testing.T) {
+	addr, _ := agenttest.ByteCounter(t)
+	pool := newTestPool()
+	dial := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := dial(ctx, network, addr)
+		return halfWriteConn{conn}, err
+	}
+	if got := runAttempt(pool.NewConns(addr)); got.Status != policy.StatusConnectFailed {
+		t.Fatalf("got status %d, want %d", got.Status, policy.StatusConnectFailed)
+	}
+}
+
+// runOn runs an attempt on a connection. Its timeout is so long that Request-Timeout keeps its length.
+func runOn(conn *agenttest.ScriptedConn, method string) Result {
+	pool := newTestPool()
+	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
+	return newTestAttempt(pool.NewConns(unusedAddr), method, agenttest.Never).Run()
+}
+
+// A write that takes less than the request and returns no error has not sent it whole.
+func TestAttemptStatusOfShortWrite(t *testing.T) {
+	conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKAnswer), WriteEnd: 10, ReadEnd: -1}
+	if got := runOn(conn, http.MethodPost); got.Status != policy.StatusConnectFailed || !conn.Closed {
+		t.Errorf("got status %d, closed %v, want %d and true", got.Status, conn.Closed, policy.StatusConnectFailed)
+	}
+}
+
+// connErrnos are the errors with which a connection may break under a read or a write.
+var connErrnos = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
+
+// A request of which the last byte was not written never ran. One that was written whole may have
+// run, whatever the error of its write or of the reads of its answer. An answer that comes in the
+// smallest reads is whole. A connection that broke is closed.
+func TestAttemptStatusOfConnectionBrokenAtEachByte(t *testing.T) {
+	for _, method := range []string{http.MethodGet, http.MethodPost} {
+		whole := agenttest.NewScriptedConn(agenttest.OKAnswer)
+		if got := runOn(whole, method); got.Status != policy.StatusOK || string(got.Body) != "done" || whole.Closed {
+			t.Fatalf("%s: got status %d, body %q, closed %v, want %d, \"done\" and false",
+				method, got.Status, got.Body, whole.Closed, policy.StatusOK)
+		}
+		for _, errno := range connErrnos {
+			checkBrokenWrites(t, method, errno, whole.Written.Len())
+			// The last byte of an answer without a length is the end of the connection.
+			checkBrokenReads(t, method, errno, agenttest.OKAnswer, len(agenttest.OKAnswer))
+			checkBrokenReads(t, method, errno, answerWithoutLength, len(answerWithoutLength)+1)
+		}
+	}
+}
+
+// checkBrokenWrites breaks a connection at each byte of a request of a length, and behind it.
+func checkBrokenWrites(t *testing.T, method string, errno syscall.Errno, length int) {
+	t.Helper()
+	for at := range length + 1 {
+		conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKAnswer), Errno: errno, WriteEnd: at, ReadEnd: -1}
+		got := runOn(conn, method)
+		switch {
+		case at < length && !got.Status.NeverRan():
+			t.Errorf("%s: %v at byte %d of %d written: got status %d, want one that never ran", method, errno, at, length, got.Status)
+		case at == length && got.Status != policy.StatusReset:
+			t.Errorf("%s: %v with all %d bytes written: got status %d, want %d", method, errno, length, got.Status, policy.StatusReset)
+		case at < length && socket.IsLocalError(errno) != (got.Status == policy.StatusLocalFailure):
+			t.Errorf("%s: %v at byte %d written: got status %d, want %d for errors of this machine alone",
+				method, errno, at, got.Status, policy.StatusLocalFailure)
+		case !conn.Closed:
+			t.Errorf("%s: %v at byte %d written: got the connection kept, want it closed", method, errno, at)
+		}
+	}
+}
+
+// checkBrokenReads breaks a connection at each of so many reads of an answer.
+func checkBrokenReads(t *testing.T, method string, errno syscall.Errno, answer string, reads int) {
+	t.Helper()
+	for at := range reads {
+		conn := &agenttest.ScriptedConn{Answer: []byte(answer), Errno: errno, WriteEnd: -1, ReadEnd: at}
+		if got := runOn(conn, method); got.Status != policy.StatusReset || !conn.Closed {
+			t.Errorf("%s: %v at byte %d read of %q: got status %d, closed %v, want %d and true",
+				method, errno, at, answer, got.Status, conn.Closed, policy.StatusReset)
+		}
+	}
+}
--- /dev/null
+++ b/internal/backend/response_test.go
@@ -0,0 +1,177 @@
+package backend
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/policy"
+)
+
+// answerWithoutLength is an answer that lasts to the end of its connection.
+const answerWithoutLength = "HTTP/1.1 200 OK\r\n\r\ndone"
+
+// The status of an answer tells whether the request has run; in doubt it may have.
+func TestAttemptStatusFollowsAnswer(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string
+		want         policy.Status
+	}{
+		{"whole", agenttest.OKAnswer, policy.StatusOK},
+		{"missing", "", policy.StatusReset},
+		{"half the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone", policy.StatusReset},
+		{"half the chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", policy.StatusReset},
+		{"unknown length", answerWithoutLength, policy.StatusOK},
+		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.StatusReset},
+		{"length of gigabytes", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\ndone", policy.StatusReset},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone", policy.StatusReset},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone", policy.StatusReset},
+		{"no HTTP", "\x00\xff\x17noise\r\n\r\n", policy.StatusReset},
+		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 40), policy.StatusReset},
+		{"half a 503", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nx", policy.StatusReset},
+		{"behind 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + agenttest.OKAnswer, policy.StatusOK},
+		{"behind too many 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 100) + agenttest.OKAnswer, policy.StatusReset},
+		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n" + agenttest.OKAnswer, policy.StatusReset},
+		{"500", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
+		{"204", "HTTP/1.1 204 No\r\n\r\n", policy.StatusServerError},
+		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
+		{"503 not started", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", policy.StatusRejected},
+		{"504 not started", "HTTP/1.1 504 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", policy.StatusRejected},
+		{"500 not started", "HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			conns := newTestPool().NewConns(agenttest.RawBackend(t, answerOne(c.answer)))
+			defer conns.CloseIdle()
+			got := runAttempt(conns)
+			if got.Status != c.want {
+				t.Fatalf("got status %d (%v), want %d", got.Status, got.Err, c.want)
+			}
+			if ok := c.want == policy.StatusOK; (string(got.Body) == "done") != ok {
+				t.Fatalf("got body %q, want \"done\" with status %d alone", got.Body, policy.StatusOK)
+			}
+		})
+	}
+}
+
+// readCounter closes done when so many bytes were read from a connection.
+type readCounter struct {
+	net.Conn
+	left int
+	done chan struct{}
+	once sync.Once
+}
+
+func (c *readCounter) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
+	if c.left -= n; c.left <= 0 {
+		c.once.Do(func() { close(c.done) })
+	}
+	return n, err
+}
+
+// An end in order makes an answer without a length whole, a reset doesn't. Its connection is closed.
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
+	head := "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
+	for _, c := range []struct {
+		name, answer string
+		reset        bool
+		want         policy.Status
+		body         string
+	}{
+		{name: "whole", answer: head + "done", want: policy.StatusOK, body: "done"},
+		{name: "empty", answer: head, want: policy.StatusOK},
+		{name: "HTTP/1.0", answer: "HTTP/1.0 200 OK\r\n\r\ndone", want: policy.StatusOK, body: "done"},
+		{name: "longest", answer: head + strings.Repeat("x", maxAnswerBody), want: policy.StatusOK, body: strings.Repeat("x", maxAnswerBody)},
+		{name: "too long", answer: head + strings.Repeat("x", maxAnswerBody+1), want: policy.StatusReset},
+		{name: "reset", answer: head + "done", reset: true, want: policy.StatusReset},
+		{name: "reset before the body", answer: head, reset: true, want: policy.StatusReset},
+		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
+		{name: "500", answer: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.StatusServerError},
+		{name: "503 not started", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
+		{name: "503 not started and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			read := make(chan struct{}) // closed when the answer was read
+			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+				answerOne(c.answer)(conn, reader)
+				if c.reset {
+					<-read // else the reset could overtake what is to be read before it
+					_ = conn.(*net.TCPConn).SetLinger(0)
+				}
+			})
+			conns := newTestPool().NewConns(addr)
+			defer conns.CloseIdle()
+			dial := conns.pool.DialContext
+			conns.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				conn, err := dial(ctx, network, addr)
+				return &readCounter{Conn: conn, left: len(c.answer), done: read}, err
+			}
+			got := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+			if got.Status != c.want || string(got.Body) != c.body {
+				t.Fatalf("got status %d with %d bytes, want %d with %d", got.Status, len(got.Body), c.want, len(c.body))
+			}
+			if conns.pool.open != 0 {
+				t.Errorf("got %d connections open, want 0", conns.pool.open)
+			}
+		})
+	}
+}
+
+// What a backend sends beyond an answer must not answer the next request. Whether it comes with the
+// answer or behind it, its connection is not used again.
+func TestSurplusBytesAnswerNoRequest(t *testing.T) {
+	for _, c := range []struct {
+		name, surplus string
+		separate      bool // written behind the answer
+		attempts      int  // at once
+	}{
+		// Concurrent attempts wait for each other's connections. Where the surplus comes behind its
+		// answer, an attempt begins when that of the last was written.
+		{"second answer", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), false, 8},
+		{"second answer behind", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), true, 1},
+		{"noise", "\x00noise", false, 8},
+		{"noise behind", "\x00noise", true, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			written := make(chan struct{}, 100)
+			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+				for {
+					if _, err := agenttest.ReadRequest(reader); err != nil {
+						return
+					}
+					if c.separate {
+						io.WriteString(conn, agenttest.OKAnswer)
+						io.WriteString(conn, c.surplus)
+					} else {
+						io.WriteString(conn, agenttest.OKAnswer+c.surplus)
+					}
+					written <- struct{}{}
+				}
+			})
+			conns := newTestPool().NewConns(addr)
+			defer conns.CloseIdle()
+			var running sync.WaitGroup
+			for i := range c.attempts {
+				running.Add(1)
+				go func() {
+					defer running.Done()
+					for j := range 50 {
+						if got := runAttempt(conns); got.Status != policy.StatusOK || string(got.Body) != "done" {
+							t.Errorf("%s: got status %d, body %q, want %d and \"done\"",
+								fmt.Sprint(i, ".", j), got.Status, got.Body, policy.StatusOK)
+						}
+						<-written
+					}
+				}()
+			}
+			running.Wait()
+		})
+	}
+}
--- /dev/null
+++ b/internal/backend/settle_test.go
@@ -0,0 +1,194 @@
+package backend
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/socket"
+	"ploverreel/policy"
+)
+
+// settlingConn is a backend's only connection, which settles until the test says otherwise, with an
+// attempt that waits for it.
+type settlingConn struct {
+	conns    *Conns
+	conn     *pooledConn
+	attempt  *Attempt
+	result   chan Result
+	settled  chan time.Time // is closed to end the wait
+	surplus  chan string    // is written by the backend besides its answers
+	requests chan string    // the ids that the backend got
+}
+
+// newSettlingConn returns a settlingConn on which one request was answered.
+func newSettlingConn(t *testing.T) *settlingConn {
+	t.Helper()
+	s := &settlingConn{settled: make(chan time.Time), surplus: make(chan string), requests: make(chan string, 10)}
+	addr := agenttest.RawBackend(t, s.serve)
+	t.Cleanup(func() { close(s.surplus) })
+	pool := newTestPool()
+	waiting := make(chan struct{}, 10)
+	pool.after = func(time.Duration) <-chan time.Time {
+		waiting <- struct{}{}
+		return s.settled
+	}
+	s.conns = pool.NewConns(addr)
+	t.Cleanup(s.conns.CloseIdle)
+	if got := runAttempt(s.conns); got.Status != policy.StatusOK {
+		t.Fatalf("got status %d, want %d", got.Status, policy.StatusOK)
+	}
+	s.conns.keepSettling()
+	s.conn = s.conns.idle[0]
+	<-s.requests
+	s.attempt = newTestAttempt(s.conns, http.MethodPost, agenttest.Never)
+	s.attempt.request.RequestID = "next"
+	s.result = startAttempt(s.attempt)
+	<-waiting
+	return s
+}
+
+// serve answers all requests, and writes the surplus at any time after the first answer.
+func (s *settlingConn) serve(conn net.Conn, reader *bufio.Reader) {
+	for {
+		request, err := agenttest.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		s.requests <- request.Header.Get("Request-Id")
+		io.WriteString(conn, agenttest.OKAnswer)
+		go func() {
+			for text := range s.surplus {
+				io.WriteString(conn, text)
+			}
+		}()
+	}
+}
+
+// A second answer some milliseconds behind the first must not answer the next request.
+func TestLateSecondAnswerAnswersNoRequest(t *testing.T) {
+	s := newSettlingConn(t)
+	s.surplus <- strings.Replace(agenttest.OKAnswer, "done", "gone", 1)
+	agenttest.Eventually(t, "the second answer arrived", func() bool { return socket.Peek(s.conn.Conn) == socket.PeekUnread })
+	close(s.settled)
+	if got := <-s.result; got.Status != policy.StatusOK || string(got.Body) != "done" {
+		t.Fatalf("got status %d, body %q, want %d and \"done\"", got.Status, got.Body, policy.StatusOK)
+	}
+}
+
+// An attempt that is cancelled while it waits for a settling connection sends nothing and leaves the
+// connection to other attempts.
+func TestCancelEndsWaitForSettlingConnection(t *testing.T) {
+	s := newSettlingConn(t)
+	s.attempt.Cancel(ErrCancelled)
+	if got := <-s.result; got.Status != policy.StatusCancelled {
+		t.Fatalf("got status %d, want %d", got.Status, policy.StatusCancelled)
+	}
+	close(s.settled)
+	if len(s.requests) > 0 {
+		t.Fatalf("got request %q at the backend, want none", <-s.requests)
+	}
+	if idle, open := s.conns.counts(); idle != 1 || open != 1 {
+		t.Fatalf("got %d idle of %d connections, want 1 of 1", idle, open)
+	}
+}
+
+// socketClient is a Client that has left when its connection says so.
+type socketClient struct{ conn net.Conn }
+
+func (c socketClient) HasLeft() bool { return socket.PeerClosed(c.conn) }
+
+// newSocketClient returns both ends of a client's connection.
+func newSocketClient(t *testing.T) (remote net.Conn, client socketClient) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	remote = agenttest.Dial(t, listener.Addr().String())
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return remote, socketClient{conn}
+}
+
+// Whatever an attempt waited for, it checks the client last of all before the first byte: nothing is
+// sent for a client that has left meanwhile.
+func TestAttemptChecksClientBeforeFirstByte(t *testing.T) {
+	for wait, prepare := range map[string]func(t *testing.T, leave func()) (*Conns, <-chan int64){
+		"connect":             leaveDuringConnect,
+		"settling connection": leaveWhileSettling,
+		"extra connection":    leaveDuringExtraConnect,
+	} {
+		for how, disconnect := range agenttest.Disconnects {
+			t.Run(wait+", "+how, func(t *testing.T) {
+				remote, client := newSocketClient(t)
+				conns, read := prepare(t, func() {
+					disconnect(remote)
+					agenttest.Eventually(t, "the client's end arrived", client.HasLeft)
+				})
+				attempt := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout)
+				attempt.request.Client = client
+				if got := attempt.Run(); got.Status != policy.StatusNotSent || !attempt.withdraw() {
+					t.Fatalf("got status %d (%v), want %d of an attempt that never began", got.Status, got.Err, policy.StatusNotSent)
+				}
+				if read != nil {
+					if n := <-read; n != 0 {
+						t.Errorf("got %d bytes at the backend, want 0", n)
+					}
+				}
+			})
+		}
+	}
+}
+
+// leaveDuringConnect returns the connections to a backend, to which the first connect calls leave. It
+// sends on read how many bytes the backend got.
+func leaveDuringConnect(t *testing.T, leave func()) (conns *Conns, read <-chan int64) {
+	addr, read := agenttest.ByteCounter(t)
+	pool := newTestPool()
+	dial := pool.DialContext
+	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		leave()
+		return dial(ctx, network, addr)
+	}
+	return pool.NewConns(addr), read
+}
+
+// leaveWhileSettling returns the connections to a backend, of which the only one settles until leave
+// was called.
+func leaveWhileSettling(t *testing.T, leave func()) (*Conns, <-chan int64) {
+	conns, _, settled := newExtraConns(t)
+	serveOne(t, conns)
+	conns.keepSettling()
+	conns.pool.settings.ExtraConns = false
+	go func() {
+		leave()
+		settled <- time.Now()
+	}()
+	return conns, nil
+}
+
+// leaveDuringExtraConnect returns the connections to a backend, of which the only one settles. leave
+// is called while an extra one is being opened.
+func leaveDuringExtraConnect(t *testing.T, leave func()) (*Conns, <-chan int64) {
+	conns, dialer, _ := newExtraConns(t)
+	serveOne(t, conns)
+	conns.keepSettling()
+	dialer.held = make(chan struct{})
+	go func() {
+		agenttest.Eventually(t, "an extra connection is being opened", func() bool { return dialer.calls.Load() == 2 })
+		leave()
+		close(dialer.held)
+	}()
+	return conns, nil
+}
