--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -16,9 +16,9 @@
 	target  *listedBackend
 }
 
-// send starts an attempt in a goroutine of its own, which ends with the attempt's context: at its
-// timeout, when the attempt is cancelled, or with the loop's. Its end is posted once, also if it
-// could not begin: the module waits for the end of each attempt.
+// send starts an attempt in a goroutine of its own, which ends at the attempt's timeout, when the
+// attempt is cancelled, or with the loop's context. Its end is posted once, also if it could not
+// begin: the module waits for the end of each attempt.
 func (l *loop) send(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
@@ -44,7 +44,7 @@
 	go func() { l.post(attemptEnded{attempt: current, result: current.Run()}) }()
 }
 
-// newAttempt is an attempt with its times, which count from the decision.
+// newAttempt returns an attempt with its times, which count from the decision.
 func (l *loop) newAttempt(request *request, target *listedBackend, action *policy.Action) *attempt {
 	deadline := l.decidedAt.Add(config.Milliseconds(action.TimeoutMs))
 	created := &attempt{request: request, index: len(request.attempts), target: target,
@@ -55,7 +55,7 @@
 	return created
 }
 
-// onOutcome takes the end of an attempt: an OK answers the request, and the module is notified of
+// onOutcome handles the end of an attempt: an OK answers the request, and the module is notified of
 // each.
 func (l *loop) onOutcome(ended *attempt, outcome *backend.Result) {
 	request, target := ended.request, ended.target
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -3,12 +3,48 @@
 import (
 	"context"
 	"net"
+	"net/http"
 	"strings"
 	"testing"
+	"time"
 
+	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/internal/endpointlist"
+	"ploverreel/policy"
 )
 
+// newLoopAttempt makes an attempt as the loop keeps it, with a request of its own.
+func newLoopAttempt(target *listedBackend) *attempt {
+	created := &attempt{target: target, request: &request{answers: make(chan response, 1)}}
+	created.request.Request = backend.Request{Method: http.MethodPost, Target: "/order/u1", Host: "backend.local",
+		RequestID: "id1", Body: []byte("body")}
+	created.Attempt = backend.NewAttempt(context.Background(), target.conns, &created.request.Request, time.Now().Add(agenttest.Never))
+	target.attempts[created] = struct{}{}
+	return created
+}
+
+// The times of an action count from when the module's clock was read: a scheduling delay between that
+// and the send must not carry an attempt out of its window, nor past its deadline.
+func TestAttemptTimesCountFromDecision(t *testing.T) {
+	l := quietLoop(t, "127.0.0.1:1")
+	late := &request{id: 1, answers: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
+		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.Never)}}
+	l.requests[late.id] = late
+	l.decidedAt = time.Now().Add(-time.Minute)
+	const timeoutMs, beginWithinMs = 90_000, 30_000
+	action := policy.SendAttempt(late.id, endpointlist.AddressOf("s-0"), timeoutMs, beginWithinMs)
+	l.send(late, &action)
+	got := late.attempts[0]
+	defer got.Cancel(nil)
+	if !got.BeginBy.Before(time.Now()) {
+		t.Errorf("a minute after the decision: got %v left to begin, want none of 30 s", time.Until(got.BeginBy))
+	}
+	if left := time.Until(got.Deadline()); left > 30*time.Second {
+		t.Errorf("a minute after the decision: got %v left, want at most 30 s of 90 s", left)
+	}
+}
+
 func TestLoopLogsPanicOfAttempt(t *testing.T) {
 	l, text := loggingLoop(t, nowhere)
 	l.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"ploverreel/internal/backend"
 	"ploverreel/internal/discovery"
 	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
@@ -163,12 +162,3 @@
 		}
 	}
 }
-
-// withdraw stops the attempts of which no byte has gone out, and closes the connections that are
-// idle: a backend that drains, is gone or is another process now gets nothing more.
-func (b *listedBackend) withdraw() {
-	for attempt := range b.attempts {
-		attempt.Withdraw(backend.ErrEndpointDraining)
-	}
-	b.conns.CloseIdle()
-}
