--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -186,7 +186,7 @@
 			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
-			settings.RestTime = agenttest.Never
+			settings.SettleDelay = agenttest.Never
 			pool.Configure(settings)
 			if status, _, _ := do(t, call(base, "order")); status != 200 {
 				t.Fatalf("got status %d, want 200", status)
