--- /dev/null
+++ b/internal/docs/links_test.go
@@ -0,0 +1,65 @@
+package docs
+
+import (
+	"path"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// Links of README.md and the pages lead to files of the tree, and to headings that are there.
+func TestLinksLeadSomewhere(t *testing.T) {
+	all := readTree(t)
+	for _, name := range all.pages(t) {
+		for _, link := range linksOf(all.read(t, name)) {
+			file, anchor, _ := strings.Cut(link, "#")
+			target := path.Join(path.Dir(name), file)
+			if file == "" {
+				target = name
+			}
+			switch {
+			case strings.Contains(link, "://"):
+			case !all.paths[target]:
+				t.Errorf("%s: link %s: no such file", name, link)
+			case anchor != "" && !anchorsOf(all.read(t, target))[anchor]:
+				t.Errorf("%s: link %s: no such heading", name, link)
+			}
+		}
+	}
+}
+
+// Links and anchors are read as the hosts of repositories render them.
+func TestLinksAndAnchorsOfPages(t *testing.T) {
+	links := linksOf("See [a](B.md#c) and [`d`](#e).\n")
+	if len(links) != 2 || links[0] != "B.md#c" || links[1] != "#e" {
+		t.Errorf("got links %q, want B.md#c and #e", links)
+	}
+	anchors := anchorsOf("# What `it` is, in short\n## 503: many\nno # heading\n")
+	if len(anchors) != 2 || !anchors["what-it-is-in-short"] || !anchors["503-many"] {
+		t.Errorf("got anchors %v, want what-it-is-in-short and 503-many", anchors)
+	}
+}
+
+var (
+	linkForm    = regexp.MustCompile(`\]\(([^() ]+)\)`)
+	headingForm = regexp.MustCompile(`(?m)^#+ (.+)$`)
+	anchorDrops = regexp.MustCompile("[^a-z0-9 _-]")
+)
+
+// linksOf returns the targets of a page's links.
+func linksOf(text string) (targets []string) {
+	for _, link := range linkForm.FindAllStringSubmatch(text, -1) {
+		targets = append(targets, link[1])
+	}
+	return targets
+}
+
+// anchorsOf returns the anchors of a page's headings.
+func anchorsOf(text string) map[string]bool {
+	anchors := map[string]bool{}
+	for _, heading := range headingForm.FindAllStringSubmatch(text, -1) {
+		plain := anchorDrops.ReplaceAllString(strings.ToLower(heading[1]), "")
+		anchors[strings.ReplaceAll(plain, " ", "-")] = true
+	}
+	return anchors
+}
