--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
@@ -11,7 +12,7 @@
 	switch {
 	case in.err != nil:
 		l.log.Warn("discovery: fetch failed", "err", in.err)
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListFailed})
+		l.notify(&policy.DiscoveryFailed{})
 	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
 		l.applyEndpointList(policy.ListFull, &in.list)
 		l.watch.startTimes.fetched(l.nowMs())
@@ -19,14 +20,14 @@
 }
 
 // onWatchEvent applies a list that a watch delivered.
-func (l *loop) onWatchEvent(list *List) {
+func (l *loop) onWatchEvent(list *endpointlist.List) {
 	switch {
 	case list.Whole:
 		l.applyEndpointList(policy.ListFull, list)
 	case list.Seq > l.watch.listVersion:
 		l.applyEndpointList(policy.ListDelta, list)
 	default: // nothing new, and yet a sign that discovery is there
-		l.notify(&policy.Event{Kind: policy.EventEndpointList, List: policy.ListDelta})
+		l.notify(&policy.EndpointsUpdated{Kind: policy.ListDelta})
 	}
 	l.watch.startTimes.watched()
 }
@@ -37,11 +38,11 @@
 	l.watch.watching = false
 	l.watch.startTimes.unwatched(l.nowMs(), float64(l.watch.discovery.silence.Milliseconds()))
 	l.log.Warn("discovery: watch ended", "err", in.err)
-	how := policy.ListFailed
 	if in.endedAfterNotice {
-		how = policy.ListWatchEnded
+		l.notify(&policy.WatchEnded{})
+	} else {
+		l.notify(&policy.DiscoveryFailed{})
 	}
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: how})
 }
 
 // openWatch opens a watch for what changed after the list in force, unless one is open.
@@ -82,12 +83,12 @@
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
 // what is no longer ready, then for the module.
-func (l *loop) applyEndpointList(kind policy.ListKind, list *List) {
+func (l *loop) applyEndpointList(kind policy.ListKind, list *endpointlist.List) {
 	l.watch.listVersion = list.Seq
 	entries := make([]policy.Entry, len(list.Hosts))
 	listed := map[policy.Addr]bool{}
 	for i := range list.Hosts {
-		entries[i] = l.config.Names.entry(&list.Hosts[i])
+		entries[i] = l.config.Names.Entry(&list.Hosts[i])
 		listed[entries[i].Server] = true
 		l.updateBackend(&entries[i], &list.Hosts[i])
 	}
@@ -102,7 +103,7 @@
 		}
 		l.removeBackend(backend)
 	}
-	l.notify(&policy.Event{Kind: policy.EventEndpointList, List: kind, Entries: entries})
+	l.notify(&policy.EndpointsUpdated{Kind: kind, Entries: entries})
 	usable := false
 	for _, backend := range l.backends {
 		usable = usable || backend.usable
@@ -114,7 +115,7 @@
 }
 
 // updateBackend brings the backend of one entry up to date, and adds it if it is new.
-func (l *loop) updateBackend(entry *policy.Entry, host *Host) {
+func (l *loop) updateBackend(entry *policy.Entry, host *endpointlist.Host) {
 	gone := entry.Health == policy.HealthGone
 	current := l.backends[entry.Server]
 	if current == nil {
