--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -44,7 +44,8 @@
 // a space or a sign (commands, messages, types), words with a hyphen (flags, headers, commands), with a
 // slash in front (targets of requests) or outside the repository (../a, and K/a for the kit), words in
 // capitals (signals, variables of the environment), numbers. In blocks of code, which are commands and
-// diagrams, the same is asked of files, tests and words with a capital inside.
+// diagrams, the same is asked of files, tests and words with a capital inside or
+// behind a point.
 func TestPagesNameWhatExists(t *testing.T) {
 	all := readTree(t)
 	known := all.names()
@@ -107,7 +108,8 @@
 		}
 	}
 	for text, found := range map[string]bool{"maxItems": true, "maxSize": false, "queue.go": true, "stack.go": false,
-		"TestQueuePops": false, "clone": true, "Needs": true, "Queue.Push": true, "Queue.popAll": false} {
+		"TestQueuePops": false, "clone": true, "Needs": true, "Queue.Push": true, "Queue.popAll": false,
+		"Queue.Pop": false} {
 		if got := known.problem(word{text: text, inBlock: true}) == ""; got != found {
 			t.Errorf("%s in a block: got found %t, want %t", text, got, found)
 		}
@@ -315,7 +317,7 @@
 	nameForm   = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(?:[./][A-Za-z0-9_-]+)*(?:/|/?\.\.\.)?$`)
 	numbered   = regexp.MustCompile(`[0-9N]$`)
 	capitals   = regexp.MustCompile(`^[A-Z0-9_]+$`)
-	mixedCase  = regexp.MustCompile(`[a-z0-9][A-Z]`)
+	mixedCase  = regexp.MustCompile(`[a-z0-9]\.?[A-Z]`)
 	testPrefix = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
 )
 
