--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -16,6 +16,7 @@
 	"syscall"
 
 	"ploverreel/internal/agent"
+	"ploverreel/internal/clientconn"
 	"ploverreel/internal/config"
 )
 
@@ -51,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	listener, err := agent.Listen(ctx, conf.Listen)
+	listener, err := clientconn.Listen(ctx, conf.Listen)
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
 	}
@@ -60,14 +61,14 @@
 	if tracePeriod > 0 {
 		go func() {
 			if err := balancer.Trace(tracePeriod); err != nil {
-				log.Error("trace: not on", "err", err)
+				log.Error("trace not started", "err", err)
 			}
 		}()
 	}
 	if err := balancer.Serve(ctx, listener); err != nil {
 		return err
 	}
-	log.Info("ended")
+	log.Info("stopped")
 	return nil
 }
 
@@ -80,11 +81,11 @@
 			err = balancer.Reload(conf)
 		}
 		if err != nil {
-			log.Error("reload: the configuration at hand is kept", "err", err)
+			log.Error("reload rejected", "err", err)
 			continue
 		}
 		limit(conf.Limits)
-		log.Info("reload: the configuration is in force", "discovery", conf.Discovery)
+		log.Info("reload applied", "discovery", conf.Discovery)
 	}
 }
 
--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -5,6 +5,7 @@
 	"runtime/debug"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
@@ -56,8 +57,8 @@
 	case policy.ActionFetchEndpoints:
 		l.startFetch()
 	case policy.ActionCloseIdleConnections:
-		if backend := l.backends[action.Server]; backend != nil {
-			backend.conns.closeIdle()
+		if target := l.backends[action.Server]; target != nil {
+			target.conns.CloseIdle()
 		}
 	case policy.ActionLogText:
 		l.log.Info(action.Text)
@@ -74,8 +75,7 @@
 			return
 		}
 		if attempt := request.attempts[action.Attempt]; attempt != nil {
-			attempt.withdraw() // else its first byte could still cross this
-			attempt.cancel(errCancelled)
+			attempt.Cancel(backend.ErrCancelled)
 		}
 	case policy.ActionRejectRequest:
 		l.answer(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -10,12 +10,12 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"ploverreel/internal/agenttest"
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
@@ -113,9 +113,8 @@
 	conf := agenttest.Config(nowhere, stub.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
 	agent, base, _, _ := start(t, conf)
-	agent.clients.mu.Lock() // however slow the machine: its clients may write late, its handlers answer late
-	agent.clients.silentGrace, agent.clients.acquireTimeout = agenttest.Never, agenttest.Never
-	agent.clients.mu.Unlock()
+	// However slow the machine: its clients may write late, its handlers answer late.
+	agent.clients.SetPatience(agenttest.Never, agenttest.Never)
 	const over = 20
 	asked := minLimits.OpenRequests() + over
 	if asked <= minLimits.ClientSockets() {
@@ -178,8 +177,8 @@
 	good, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
 	dialling := make(chan struct{})
-	plain := agent.loop.pool.connect
-	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.DialContext
+	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr == good {
 			return plain(ctx, network, addr)
 		}
@@ -263,17 +262,16 @@
 	if b.conns != before {
 		t.Fatal("connections thrown away though nothing changed")
 	}
-	waits := newAttempt(before, http.MethodPost, agenttest.Never)
-	b.attempts[waits] = struct{}{}
+	waits := newLoopAttempt(b)
 	for i, change := range []func(){func() { endpoint.Dial = "127.0.0.1:2" }, func() { endpoint.BornMs = 7 }} {
 		change()
 		loop.handle(watchEvent{list: listOf(int64(3+i), false, endpoint)})
-		if loop.backends[endpointlist.AddressOf("s-0")] != b || b.conns == before || b.conns.dial != endpoint.Dial {
+		if loop.backends[endpointlist.AddressOf("s-0")] != b || b.conns == before || b.conns.Addr() != endpoint.Dial {
 			t.Fatal("the old connections were kept")
 		}
 		before = b.conns
 	}
-	if context.Cause(waits.ctx) != errEndpointDraining || waits.begin() {
+	if res := waits.Run(); res.Status != policy.StatusRejected { // not begun, as its backend drains
 		t.Fatal("an attempt that had not begun may still go to the old address")
 	}
 }
@@ -291,16 +289,13 @@
 	})
 	loop := quietLoop(t, addr)
 	target := loop.backends[endpointlist.AddressOf("s-0")]
-	target.conns.pool.idleTimeout = agenttest.Never
-	first := newAttempt(target.conns, http.MethodPost, agenttest.Never)
-	first.backend = target
-	if res := first.run(); res.status != policy.StatusOK {
-		t.Fatalf("ended %d", res.status)
+	settings := loop.pool.Settings()
+	settings.IdleTimeout = agenttest.Never
+	loop.pool.Configure(settings)
+	if res := newLoopAttempt(target).Run(); res.Status != policy.StatusOK {
+		t.Fatalf("ended %d", res.Status)
 	}
-	late := newAttempt(target.conns, http.MethodPost, agenttest.Never)
-	late.backend = target
-	late.request.answers = make(chan response, 1)
-	loop.handle(attemptEnded{attempt: late, result: result{status: policy.StatusTimeout}})
+	loop.handle(attemptEnded{attempt: newLoopAttempt(target), result: backend.Result{Status: policy.StatusTimeout}})
 	<-closed
 }
 
@@ -311,64 +306,6 @@
 	}
 }
 
-// scripted is a discovery whose watch sends lines and then stays open or ends.
-func scripted(t *testing.T, stay bool, lines ...string) (*discovery, chan input) {
-	release := make(chan struct{})
-	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		for _, line := range lines {
-			fmt.Fprintln(w, line)
-		}
-		w.(http.Flusher).Flush()
-		if stay {
-			select {
-			case <-release:
-			case <-r.Context().Done():
-			}
-		}
-	}))
-	t.Cleanup(func() { close(release); discoveryServer.Close() })
-	told := make(chan input, 100)
-	return newDiscovery(context.Background(), discoveryServer.Listener.Addr().String(), 0, func(in input) { told <- in }), told
-}
-
-const change = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
-
-// A watch ends at a malformed line, after the events of the lines before it.
-func TestMalformedLine(t *testing.T) {
-	disc, told := scripted(t, true, "", change, `{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`)
-	disc.silence = agenttest.Never
-	disc.watch(1, false)
-	if in := contentsOf(<-told); !is[watchEvent](in.input) || in.list.Seq != 2 || in.list.Hosts[0].Health != "draining" {
-		t.Fatalf("told %+v", in)
-	}
-	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
-// A watch without any line for too long is ended.
-func TestSilentWatch(t *testing.T) {
-	disc, told := scripted(t, true)
-	disc.silence = time.Millisecond
-	disc.watch(1, false)
-	if in := contentsOf(<-told); !is[watchEnded](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
-func TestFetch(t *testing.T) {
-	disc, told := scripted(t, false, strings.Replace(change, "false", "true", 1))
-	disc.fetch(false)
-	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err != nil || !in.list.Whole || in.list.Seq != 2 {
-		t.Fatalf("told %+v", in)
-	}
-	disc, told = scripted(t, false, "no list")
-	disc.fetch(false)
-	if in := contentsOf(<-told); !is[endpointsFetched](in.input) || in.err == nil {
-		t.Fatalf("told %+v", in)
-	}
-}
-
 // The module hears that a watch ended, and its next call goes out: in either mode, as on
 // sockets only who watches is told of a drain.
 func TestWatchIsAskedAgain(t *testing.T) {
@@ -377,7 +314,7 @@
 			asked := make(chan string, 10)
 			discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				asked <- r.URL.RawQuery
-				fmt.Fprintln(w, change)
+				fmt.Fprintln(w, agenttest.EndpointChange)
 			}))
 			t.Cleanup(discoveryServer.Close)
 			conf := agenttest.Config(discoveryServer.Listener.Addr().String(), "127.0.0.1:1")
--- a/internal/agent/client_left_test.go
+++ b/internal/agent/client_left_test.go
@@ -10,10 +10,8 @@
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/socket"
 )
 
 // leavings are the ways in which a client can disconnect.
@@ -125,7 +123,7 @@
 					out <- n
 				})
 				leave(conn)
-				agenttest.Eventually(t, "the leaving noticed by its handler", reader.clientGone.Load)
+				agenttest.Eventually(t, "the leaving noticed by its handler", reader.client.gone.Load)
 				close(release)
 				if n := <-out; n > 0 {
 					t.Fatal("an attempt made for a client that has left")
@@ -146,7 +144,7 @@
 // stalledConn is a client's connection of which no more than the first bytes are read until it is
 // released.
 type stalledConn struct {
-	*net.TCPConn
+	*trackedConn
 	got     atomic.Bool
 	release chan struct{}
 }
@@ -155,7 +153,7 @@
 	if c.got.Load() {
 		<-c.release
 	}
-	n, err := c.TCPConn.Read(p)
+	n, err := c.trackedConn.Read(p)
 	if n > 0 {
 		c.got.Store(true)
 	}
@@ -163,24 +161,24 @@
 }
 
 type stalledListener struct {
-	net.Listener
+	*trackingListener
 	release chan struct{}
 }
 
 func (l stalledListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	c, err := l.trackingListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &stalledConn{TCPConn: c.(*net.TCPConn), release: l.release}, nil
+	return &stalledConn{trackedConn: c.(*trackedConn), release: l.release}, nil
 }
 
 // lateConnect holds up connects to backends until the test releases them. Only the client's
 // connection tells an attempt then whether the client has disconnected.
 func lateConnect(agent *Agent) (dialling chan struct{}, up chan struct{}) {
 	dialling, up = make(chan struct{}, 10), make(chan struct{})
-	plain := agent.loop.pool.connect
-	agent.loop.pool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	plain := agent.loop.pool.DialContext
+	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling <- struct{}{}
 		<-up
 		return plain(ctx, network, addr)
@@ -188,19 +186,6 @@
 	return dialling, up
 }
 
-// clientEnded waits until a client's close has arrived in the agent's kernel.
-func clientEnded(t *testing.T, agent *Agent) {
-	t.Helper()
-	agenttest.Eventually(t, "the client's end", func() bool {
-		agent.clients.mu.Lock()
-		defer agent.clients.mu.Unlock()
-		for conn := range agent.clients.conns {
-			return socket.PeerClosed(conn.Conn)
-		}
-		return true
-	})
-}
-
 // unopened waits until no request is in progress, and fails the test if a backend got one.
 func unopened(t *testing.T, agent *Agent, came chan string) {
 	t.Helper()
@@ -219,16 +204,17 @@
 	for how, leave := range leavings {
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
-			read := make(chan struct{})
+			read, clients := make(chan struct{}), &trackingListener{}
 			agent, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
-				return stalledListener{ln, read}
+				clients.Listener = ln
+				return stalledListener{clients, read}
 			})
 			dialling, up := lateConnect(agent)
 			conn := dial(t, base)
 			io.WriteString(conn, raw("order", "left"))
 			<-dialling
 			leave(conn)
-			clientEnded(t, agent)
+			awaitClientClose(t, clients)
 			close(up)
 			unopened(t, agent, came)
 			close(read)
@@ -252,23 +238,22 @@
 					io.WriteString(conn, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
-			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+			agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
 			dialling, up := lateConnect(agent)
 			conn := dial(t, base)
-			io.WriteString(conn, raw("order", "p1")+raw("order", "p2"))
+			both := raw("order", "p1") + raw("order", "p2")
+			io.WriteString(conn, both)
 			<-dialling
 			up <- struct{}{}
 			if id := <-got; id != "p1" {
 				t.Fatalf("got %q", id)
 			}
 			io.WriteString(conn, "P") // and not the rest of the third
-			agenttest.Eventually(t, "a byte of the third read", func() bool {
-				return onlyConnIs(agent, func(conn *clientConn) bool { return conn.head.started && socket.Peek(conn.Conn) == socket.PeekNothing })
-			})
+			awaitRead(t, clients, len(both)+1)
 			close(release)
 			<-dialling // the second
 			leave(conn)
-			clientEnded(t, agent)
+			awaitClientClose(t, clients)
 			close(up)
 			unopened(t, agent, got)
 		})
@@ -303,7 +288,7 @@
 		t.Fatalf("the next client was answered %d", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	agenttest.Eventually(t, "all connections ended", func() bool { return agent.clients.count() == 0 })
+	agenttest.Eventually(t, "all connections ended", func() bool { return agent.clients.Count() == 0 })
 	if id := <-came; strings.HasPrefix(id, "left") {
 		t.Fatalf("sent %q on for a client that has left", id)
 	}
@@ -315,19 +300,15 @@
 func TestNothingIsSentForWhoLeftItsRequest(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, came := counted(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
 			t.Run(part+" "+how, func(t *testing.T) {
 				conn := dial(t, base)
 				io.WriteString(conn, text)
-				agenttest.Eventually(t, "its part read", func() bool {
-					return onlyConnIs(agent, func(conn *clientConn) bool {
-						return conn.received.Load() && socket.Peek(conn.Conn) == socket.PeekNothing
-					})
-				})
+				awaitRead(t, clients, len(text))
 				leavings[how](conn)
-				agenttest.Eventually(t, "its place free", func() bool { return agent.clients.count() == 0 })
+				agenttest.Eventually(t, "its place free", func() bool { return agent.clients.Count() == 0 })
 				unopened(t, agent, came)
 			})
 		}
@@ -340,30 +321,28 @@
 		t.Run(how, func(t *testing.T) {
 			addr, came := counted(t, 200, false)
 			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-			asked, rested := make(chan struct{}, 10), make(chan time.Time)
-			backendPool := agent.loop.pool
-			backendPool.after = func(time.Duration) <-chan time.Time {
-				asked <- struct{}{}
-				return rested
-			}
+			pool := agent.loop.pool
+			settings := pool.Settings()
+			settings.RestTime = agenttest.Never
+			pool.Configure(settings)
 			if status, _, _ := do(t, call(base, "order")); status != 200 {
 				t.Fatalf("answered %d", status)
 			}
 			<-came
-			backendPool.mu.Lock()
-			backendPool.idle.Front().Value.(*backendConn).since = time.Now().Add(agenttest.Never) // rests however slow the test is
-			connect := backendPool.connect
-			backendPool.connect = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				<-ctx.Done() // an extra connection that came up first would rightly be sent on
-				return connect(ctx, network, addr)
-			}
-			backendPool.mu.Unlock()
+			resting := make(chan struct{})
+			agent.look(func(*loop) {
+				dial := pool.DialContext
+				pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+					close(resting) // an extra connection is opened for a request that waits for one at rest
+					<-ctx.Done()   // one that came up would rightly be sent on
+					return dial(ctx, network, addr)
+				}
+			})
 			conn := dial(t, base)
 			io.WriteString(conn, raw("order", "left"))
-			<-asked
+			<-resting
 			leave(conn)
 			agenttest.Eventually(t, "the leaving noticed", func() bool { return !agent.holds("left") })
-			close(rested)
 			unopened(t, agent, came)
 		})
 	}
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -1,17 +1,33 @@
 package agent
 
 import (
+	"ploverreel/internal/backend"
+	"ploverreel/internal/discovery"
 	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
+// discoveryResults returns the function that posts the results of one discovery's calls to the loop.
+func (l *loop) discoveryResults(generation int) func(discovery.Result) {
+	return func(result discovery.Result) {
+		switch result := result.(type) {
+		case discovery.Fetched:
+			l.post(endpointsFetched{generation: generation, list: result.List, err: result.Err})
+		case discovery.WatchEvent:
+			l.post(watchEvent{generation: generation, list: result.List})
+		case discovery.WatchEnded:
+			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.EndedAfterNotice})
+		}
+	}
+}
+
 // onEndpointsFetched applies a whole list that was fetched, or notifies the module that the fetch
 // failed.
 func (l *loop) onEndpointsFetched(in *endpointsFetched) {
 	l.watch.fetching = false
 	switch {
 	case in.err != nil:
-		l.log.Warn("discovery: fetch failed", "err", in.err)
+		l.log.Warn("endpoint list fetch failed", "err", in.err, "discovery", l.watch.discovery.Addr())
 		l.notify(&policy.DiscoveryFailed{})
 	case in.list.Seq >= l.watch.listVersion: // the watch may have delivered more meanwhile
 		l.applyEndpointList(policy.ListFull, &in.list)
@@ -36,11 +52,12 @@
 // opened.
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
-	l.watch.startTimes.unwatched(l.nowMs(), float64(l.watch.discovery.silence.Milliseconds()))
-	l.log.Warn("discovery: watch ended", "err", in.err)
+	l.watch.startTimes.unwatched(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
 	if in.endedAfterNotice {
+		l.log.Warn("endpoint list watch ended", "err", in.err, "discovery", l.watch.discovery.Addr())
 		l.notify(&policy.WatchEnded{})
 	} else {
+		l.log.Warn("endpoint list watch failed", "err", in.err, "discovery", l.watch.discovery.Addr())
 		l.notify(&policy.DiscoveryFailed{})
 	}
 }
@@ -49,7 +66,7 @@
 func (l *loop) openWatch() {
 	if !l.watch.watching {
 		l.watch.watching = true
-		go l.watch.discovery.watch(l.watch.listVersion, false)
+		go l.watch.discovery.Watch(l.watch.listVersion, discovery.NoRetry)
 	}
 }
 
@@ -57,7 +74,7 @@
 func (l *loop) startFetch() {
 	if !l.watch.fetching {
 		l.watch.fetching = true
-		go l.watch.discovery.fetch(false)
+		go l.watch.discovery.Fetch(discovery.NoRetry)
 	}
 }
 
@@ -67,18 +84,18 @@
 // those of the one before.
 func (l *loop) switchDiscovery(addr string) {
 	former := l.watch.discovery
-	if addr == former.addr {
+	if addr == former.Addr() {
 		return
 	}
-	l.log.Info("discovery: changed", "from", former.addr, "to", addr)
-	former.close()
-	current := newDiscovery(l.ctx, addr, former.generation+1, l.post)
-	current.firstWordTimeout, current.hedgeAfter = former.firstWordTimeout, former.hedgeAfter
+	l.log.Info("discovery address changed", "previous", former.Addr(), "discovery", addr)
+	former.Close()
+	l.watch.generation++
+	current := discovery.New(l.ctx, addr, former.Placement(), l.discoveryResults(l.watch.generation))
 	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.watch.startTimes.unwatched(l.nowMs(), 0)
-	go current.fetch(true)
-	go current.watch(0, true)
+	go current.Fetch(discovery.RetryNew)
+	go current.Watch(0, discovery.RetryNew)
 }
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
@@ -94,19 +111,19 @@
 	}
 	l.watch.startTimes.translate(entries, l.nowMs())
 	l.watch.startTimes.forget(l.backends)
-	for addr, backend := range l.backends {
+	for addr, target := range l.backends {
 		if kind != policy.ListDelta && !listed[addr] {
-			backend.usable = false
+			target.usable = false
 		}
-		if !backend.usable {
-			backend.withdraw()
+		if !target.usable {
+			target.withdraw()
 		}
-		l.removeBackend(backend)
+		l.removeBackend(target)
 	}
 	l.notify(&policy.EndpointsUpdated{Kind: kind, Entries: entries})
 	usable := false
-	for _, backend := range l.backends {
-		usable = usable || backend.usable
+	for _, target := range l.backends {
+		usable = usable || target.usable
 	}
 	l.ready.hasEndpoint.Store(usable || l.ready.waitOver)
 	if l.watch.onApplied != nil {
@@ -122,38 +139,36 @@
 		if gone {
 			return
 		}
-		current = &backend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
+		current = &listedBackend{addr: entry.Server, attempts: map[*attempt]struct{}{}}
 		l.backends[entry.Server] = current
 	}
-	if !gone && (current.conns == nil || current.conns.dial != host.Dial || current.bornMs != host.BornMs) {
+	if !gone && (current.conns == nil || current.conns.Addr() != host.Dial || current.bornMs != host.BornMs) {
 		// Connections to another address or to the process before are of no use, and what has not
 		// begun there must not.
 		if current.conns != nil {
 			current.withdraw()
-			current.conns.close()
+			current.conns.Close()
 		}
-		current.bornMs, current.conns = host.BornMs, l.pool.newBackendConns(host.Dial)
+		current.bornMs, current.conns = host.BornMs, l.pool.NewConns(host.Dial)
 	}
 	current.usable = entry.Health == policy.HealthReady
 }
 
 // removeBackend forgets a backend that is not to be sent to and has no attempt in flight.
-func (l *loop) removeBackend(backend *backend) {
-	if !backend.usable && len(backend.attempts) == 0 {
-		backend.conns.close()
-		if l.backends[backend.addr] == backend {
-			delete(l.backends, backend.addr)
+func (l *loop) removeBackend(target *listedBackend) {
+	if !target.usable && len(target.attempts) == 0 {
+		target.conns.Close()
+		if l.backends[target.addr] == target {
+			delete(l.backends, target.addr)
 		}
 	}
 }
 
 // withdraw stops the attempts of which no byte has gone out, and closes the connections that are
 // idle: a backend that drains, is gone or is another process now gets nothing more.
-func (b *backend) withdraw() {
+func (b *listedBackend) withdraw() {
 	for attempt := range b.attempts {
-		if attempt.withdraw() {
-			attempt.cancel(errEndpointDraining)
-		}
+		attempt.Withdraw(backend.ErrEndpointDraining)
 	}
-	b.conns.closeIdle()
+	b.conns.CloseIdle()
 }
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -51,9 +51,9 @@
 		a.reject(w, r, err)
 		return
 	}
-	defer a.bodyBytes.Add(-int64(len(req.body)))
+	defer a.bodyBytes.Add(-int64(len(req.Body)))
 	if client != nil {
-		req.client = client.Conn
+		req.client.conn = client.NetConn()
 	}
 	if !a.hasTimeFor(req) {
 		a.writeNotRun(w, conf)
@@ -65,12 +65,12 @@
 // beginRequest takes the request of a client's connection, which is nil in tests that call the
 // handler alone. It returns when the request was received: when its head was read, if that is
 // known, and not when the handler came to run, as the client's deadline doesn't wait for that.
-func (a *Agent) beginRequest(w http.ResponseWriter, client *clientConn) time.Time {
+func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
 		return now
 	}
-	receivedAt, last := a.clients.beginRequest(client)
+	receivedAt, last := client.BeginRequest()
 	if last {
 		w.Header().Set("Connection", "close")
 	}
@@ -96,20 +96,20 @@
 // progress, and reports whether the request can be answered in time. One that can't never ran.
 func (a *Agent) hasTimeFor(req *request) bool {
 	if began := a.shutdownAt.Load(); began != nil {
-		if last := began.Add(a.lastAnswerAfter()); last.Before(req.deadline) {
-			req.deadline = last
+		if last := began.Add(a.lastAnswerAfter()); last.Before(req.Deadline) {
+			req.Deadline = last
 		}
 		if time.Since(*began) >= shutdownRejectAfter {
 			return false
 		}
 	}
-	return time.Until(req.deadline) > guardMargin
+	return time.Until(req.Deadline) > guardMargin
 }
 
 // forward posts a request to the loop and writes its response. It waits no longer than the client
 // does, as the loop may be busy, its queue full, or its decision lost in a panic.
 func (a *Agent) forward(w http.ResponseWriter, r *http.Request, req *request) {
-	guard := time.NewTimer(time.Until(req.deadline) - guardMargin)
+	guard := time.NewTimer(time.Until(req.Deadline) - guardMargin)
 	defer guard.Stop()
 	queue := a.loop.inputs // nil once the request is posted, so that it is posted once
 	for {
@@ -150,7 +150,7 @@
 // loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are
 // abandoned, so these goroutines are no more than the requests that the loop and its queue hold.
 func (a *Agent) abandon(req *request) {
-	req.clientGone.Store(true) // seen at once, however long the loop's queue is
+	req.client.gone.Store(true) // seen at once, however long the loop's queue is
 	gone := clientDisconnected{request: req}
 	select {
 	case a.loop.inputs <- gone:
@@ -175,7 +175,7 @@
 	invalid := &requestError{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &invalid)
 	if client := clientConnOf(r); client != nil {
-		a.clients.setStage(client, stageRejected)
+		client.MarkRejected()
 	}
 	// The server reads the rest of the body before it closes the connection.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -213,7 +213,7 @@
 
 // writeResponse writes a final response as its HTTP status.
 func (a *Agent) writeResponse(w http.ResponseWriter, response response) {
-	if !a.clients.mayKeepAlive() {
+	if !a.clients.MayKeepAlive() {
 		w.Header().Set("Connection", "close")
 	}
 	switch response.status {
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/internal/endpointlist"
 )
@@ -24,7 +25,7 @@
 	// attemptEnded brings the end of an attempt, of which there is exactly one each.
 	attemptEnded struct {
 		attempt *attempt
-		result  result
+		result  backend.Result
 	}
 
 	// timerFired is the end of a timer that the module asked for, by the module's token.
@@ -51,7 +52,7 @@
 	watchEnded struct {
 		generation       int
 		err              error // why it ended
-		endedAfterNotice bool  // it had worked until then, see watchResult.endedAfterNotice
+		endedAfterNotice bool  // it had worked until then, see discovery.WatchEnded
 	}
 )
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -9,7 +9,9 @@
 	"sync/atomic"
 	"time"
 
+	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
+	"ploverreel/internal/discovery"
 	"ploverreel/internal/fielderror"
 	"ploverreel/policy"
 )
@@ -45,8 +47,8 @@
 	requests map[policy.RequestID]*request
 	nextID   policy.RequestID
 	seenIDs  *seenIDs
-	backends map[policy.Addr]*backend
-	pool     *pool
+	backends map[policy.Addr]*listedBackend
+	pool     *backend.Pool
 
 	watch watchState
 	ready readyState
@@ -57,16 +59,17 @@
 
 // watchState is what the loop knows of discovery and of the endpoint list in force.
 type watchState struct {
-	discovery   *discovery // the one that is called now
-	watching    bool       // a watch is open or being opened
-	fetching    bool       // a fetch is under way
-	listVersion int64      // version of the list in force; 0 after a change of discovery
+	discovery   *discovery.Client // the one that is called now
+	generation  int               // number of discoveries before it, which tells its results from theirs
+	watching    bool              // a watch is open or being opened
+	fetching    bool              // a fetch is under way
+	listVersion int64             // version of the list in force; 0 after a change of discovery
 	startTimes  *startTimes
 	onApplied   func(seq int64, whole bool) // is notified of each list in force; may be nil
 }
 
 // isCurrent reports whether the discovery of this generation is the one that is called now.
-func (w *watchState) isCurrent(generation int) bool { return generation == w.discovery.generation }
+func (w *watchState) isCurrent(generation int) bool { return generation == w.generation }
 
 // readyState is what /ready answers by.
 type readyState struct {
@@ -93,17 +96,17 @@
 		after:    time.AfterFunc,
 		requests: map[policy.RequestID]*request{},
 		seenIDs:  newSeenIDs(0),
-		backends: map[policy.Addr]*backend{},
-		pool:     newPool((&net.Dialer{KeepAlive: -1}).DialContext, 0, 0, 0),
+		backends: map[policy.Addr]*listedBackend{},
+		pool:     backend.NewPool((&net.Dialer{KeepAlive: -1}).DialContext, backend.Settings{}),
 		watch:    watchState{startTimes: newStartTimes()},
 		log:      log,
 	}
 	l.applyLimits()
-	l.watch.discovery = newDiscovery(ctx, conf.Discovery, 0, l.post)
-	l.watch.discovery.firstWordTimeout = firstWordTimeout
+	placement := discovery.Shared
 	if settings.Membership == policy.MembershipWatched {
-		l.watch.discovery.hedgeAfter = localHedgeDelay // elsewhere each call is work for it
+		placement = discovery.Local
 	}
+	l.watch.discovery = discovery.New(ctx, conf.Discovery, placement, l.discoveryResults(0))
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.perform()
 	l.applyEndpointList(policy.ListCached, &conf.Known)
@@ -120,8 +123,12 @@
 	// Where the settings price connections, waiting some milliseconds for one that comes to rest
 	// costs less than a new one: an answer within its latency objective is worth no less for it.
 	newConnsAreFree := settings.Prices.Handshake == 0 && settings.Prices.Connection == 0
-	l.pool.configure(connectTimeout, config.Milliseconds(settings.Limits.KeepaliveMs/2), l.config.Limits.BackendSockets(),
-		newConnsAreFree)
+	l.pool.Configure(backend.Settings{
+		ConnectTimeout: connectTimeout,
+		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / 2),
+		MaxConns:       l.config.Limits.BackendSockets(),
+		ExtraConns:     newConnsAreFree,
+	})
 	l.seenIDs.keep = max(l.seenIDs.keep, l.config.MaxDeadline()+time.Second) // longer than any request is open
 	l.watch.startTimes.tolerance = settings.Contract.StartToleranceMs()
 }
--- a/internal/agent/client_listener.go
+++ b/internal/clientconn/listener.go
@@ -1,4 +1,4 @@
-package agent
+package clientconn
 
 import (
 	"context"
@@ -18,6 +18,7 @@
 	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
 }
 
+// listenWith is Listen by a function that opens the listener and one that waits.
 func listenWith(ctx context.Context, open func() (net.Listener, error), after func(time.Duration) <-chan time.Time) (net.Listener, error) {
 	for retries := listenTimeout / acceptRetryDelay; ; retries-- {
 		ln, err := open()
@@ -38,30 +39,30 @@
 	return socket.IsLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// clientListener enters each connection that it accepts in the client connection table.
-type clientListener struct {
+// Listener is a net.Listener that enters each connection that it accepts in the client connection
+// table. Its connections are of type *Conn.
+type Listener struct {
 	net.Listener
-	table     *clientTable
+	table     *Table
 	closeOnce sync.Once
-	closed    chan struct{} // closed with the listener; nil: no Accept is waiting
+	closed    chan struct{} // closed with the listener
 	log       *slog.Logger
 	failures  int       // failed accepts so far
 	logged    time.Time // when a failure was last logged
 	after     func(time.Duration) <-chan time.Time
 }
 
-func newClientListener(ln net.Listener, table *clientTable, log *slog.Logger) *clientListener {
-	return &clientListener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
+// NewListener returns a Listener that accepts from ln and logs failed accepts.
+func NewListener(ln net.Listener, table *Table, log *slog.Logger) *Listener {
+	return &Listener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
 }
 
 // Close closes the listener. Both the graceful shutdown and the http server call it; the second
 // call returns no error, or an agent that shut down in order would exit with one.
-func (l *clientListener) Close() (err error) {
+func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
-		if l.closed != nil {
-			close(l.closed)
-		}
+		close(l.closed)
 	})
 	return err
 }
@@ -70,7 +71,7 @@
 // is full: a connection left in the kernel's queue would have its request count as received with
 // nobody to answer it. One that gets no slot in acquireWait is closed. Only the listener's close
 // ends Accept with an error.
-func (l *clientListener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.acceptNext()
 		if err != nil {
@@ -85,7 +86,7 @@
 // acceptNext accepts a connection, however often that fails first. Linux returns errors of the
 // network and of the new connection from accept; neither these nor an exhausted descriptor table
 // say anything of the connections that follow.
-func (l *clientListener) acceptNext() (net.Conn, error) {
+func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
@@ -101,19 +102,19 @@
 }
 
 // noteFailure counts a failed accept, and logs it at most once in acceptLogInterval.
-func (l *clientListener) noteFailure(err error) {
+func (l *Listener) noteFailure(err error) {
 	l.failures++
 	if now := time.Now(); l.logged.IsZero() || now.Sub(l.logged) >= acceptLogInterval {
 		l.logged = now
-		l.log.Warn("accept failed, is tried again", "err", err, "failures", l.failures)
+		l.log.Warn("accept failed, retrying", "err", err, "failures", l.failures)
 	}
 }
 
 // acquireSlot waits for a slot for a new connection, and closes the connection if there is none in
 // time. The listener's close doesn't end the wait, which is short: the connection was accepted, and
 // its request may have arrived. It counts as waiting meanwhile, so that a shutdown waits for it.
-func (l *clientListener) acquireSlot(conn net.Conn) *clientConn {
-	client := &clientConn{Conn: conn, table: l.table, stageSince: time.Now()}
+func (l *Listener) acquireSlot(conn net.Conn) *Conn {
+	client := &Conn{Conn: conn, table: l.table, stageSince: time.Now()}
 	l.table.addWaiting(1)
 	defer l.table.addWaiting(-1)
 	for !l.table.acquire(client, time.Now()) {
