--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -24,9 +24,9 @@
 		latency: latency, retries: retries}
 }
 
-// isIn reports whether the endpoint is of the tier for the request and may be sent it at all.
-func (e *eligibility) isIn(tier int, endpoint *endpoint, request *request) bool {
-	return e.tierOf(endpoint, request) == tier && e.retries.maySend(request, endpoint)
+// maySend reports whether the request may be sent to the endpoint at all.
+func (e *eligibility) maySend(request *request, endpoint *endpoint) bool {
+	return e.retries.maySend(request, endpoint)
 }
 
 // tierOf returns the endpoint's tier for the request, from 0, the best.
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -48,11 +48,13 @@
 			if got := h.b.eligible.tierOf(target, test.request); got != test.want {
 				t.Errorf("got tier %d, want %d", got, test.want)
 			}
-			if !h.b.eligible.isIn(test.want, target, h.sendableRequest(test.request.class)) {
-				t.Errorf("got the endpoint not in tier %d, want it there", test.want)
+			sendable := h.sendableRequest(test.request.class)
+			if !h.b.eligible.maySend(sendable, target) {
+				t.Error("got a request that may not be sent to the endpoint, want it allowed in any tier")
 			}
-			if h.b.eligible.isIn(test.want+1, target, h.sendableRequest(test.request.class)) {
-				t.Errorf("got the endpoint in tier %d too, want it in %d alone", test.want+1, test.want)
+			sendable.closed = true
+			if h.b.eligible.maySend(sendable, target) {
+				t.Error("closed request: got it allowed to be sent, want it not")
 			}
 		})
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -77,7 +77,7 @@
 	request.placement.tierWeight = 0
 	for _, endpoint := range s.endpoints.all {
 		seen++
-		if !s.eligible.isIn(tier, endpoint, request) {
+		if s.eligible.tierOf(endpoint, request) != tier || !s.eligible.maySend(request, endpoint) {
 			continue
 		}
 		if inTier++; inTier > subset && len(scored) > 0 {
