--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -22,7 +22,7 @@
 func (l *loop) decide(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.log.Error("panic in the module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
+			l.log.Error("panic in decision module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
 			actions = l.balancer.Decided()
 		}
 	}()
@@ -43,7 +43,7 @@
 // carryOut carries out one action. A panic costs that action alone: those behind it belong to other
 // requests, and the module relies on them.
 func (l *loop) carryOut(action *policy.Action) {
-	defer l.recovered("action", int(action.Kind))
+	defer l.recoverAction(action.Kind)
 	switch action.Kind {
 	case policy.ActionSendAttempt, policy.ActionCancelAttempt, policy.ActionRejectRequest, policy.ActionFailRequest:
 		if request := l.requests[action.Request]; request != nil {
@@ -61,7 +61,15 @@
 			target.conns.CloseIdle()
 		}
 	case policy.ActionLogText:
-		l.log.Info(action.Text)
+		l.log.Info("decision module message", "text", action.Text)
+	}
+}
+
+// recoverAction logs a panic while an action was carried out, if there is one, and lets the loop go on.
+// It is to be deferred.
+func (l *loop) recoverAction(kind policy.ActionKind) {
+	if p := recover(); p != nil {
+		l.log.Error("panic in event loop", "action", int(kind), "panic", p, "stack", string(debug.Stack()))
 	}
 }
 
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -83,7 +83,7 @@
 // onHandlerPanic logs a panic of the handler, abandons its request, if that was read, and answers
 // with 500 unless a response was begun.
 func (a *Agent) onHandlerPanic(w *responseWriter, req *request, reason any) {
-	a.log.Error("panic in a handler", "panic", reason, "stack", string(debug.Stack()))
+	a.log.Error("panic in request handler", "panic", reason, "stack", string(debug.Stack()))
 	if req != nil {
 		a.abandon(req)
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -162,7 +162,7 @@
 // handle takes one input. A panic costs the request at hand its decision, and its
 // handler's timer answers it: one bad event must not end all other requests.
 func (l *loop) handle(in input) {
-	defer l.recovered("input", in)
+	defer l.recoverInput(in)
 	switch in := in.(type) {
 	case requestArrived:
 		l.onRequest(in.request)
@@ -199,7 +199,7 @@
 func (l *loop) onReadyWaitOver() {
 	l.ready.waitOver = true
 	if !l.ready.hasEndpoint.Swap(true) {
-		l.log.Warn("ready though no backend is known", "after", readyWithin)
+		l.log.Warn("ready without a known backend", "duration", readyWithin)
 	}
 }
 
@@ -223,15 +223,10 @@
 	return nil
 }
 
-// recovered logs a panic, if there is one, and lets the loop go on. It is to be deferred. Of an
-// input its type is logged.
-func (l *loop) recovered(key string, subject any) {
-	p := recover()
-	if p == nil {
-		return
+// recoverInput logs a panic while an input was handled, if there is one, with the type of the input,
+// and lets the loop go on. It is to be deferred.
+func (l *loop) recoverInput(in input) {
+	if p := recover(); p != nil {
+		l.log.Error("panic in event loop", "input", fmt.Sprintf("%T", in), "panic", p, "stack", string(debug.Stack()))
 	}
-	if in, ok := subject.(input); ok {
-		subject = fmt.Sprintf("%T", in)
-	}
-	l.log.Error("panic in the loop", key, subject, "panic", p, "stack", string(debug.Stack()))
 }
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -55,7 +55,7 @@
 func (l *loop) trace() {
 	l.log.Info("trace", l.tracer.attributes(l.balancer.Snapshot(l.nowMs()))...)
 	if l.tracer.lines++; l.tracer.lines >= maxTraceLines {
-		l.log.Warn("trace: ends", "lines", l.tracer.lines)
+		l.log.Warn("trace stopped at its line limit", "lines", l.tracer.lines)
 		return
 	}
 	l.after(l.tracer.every, func() { l.post(traceDue{}) })
@@ -63,11 +63,11 @@
 
 // attributes are those of one line: counts are those since the line before.
 func (t *tracer) attributes(state policy.Snapshot) []any {
-	all := []any{"limit", rounded(state.Limit), "floor", rounded(state.Floor), "out", state.Inflight, "stuck", state.Stalled,
-		"held", state.Queued, "retryBudget", rounded(state.RetryBudget), "calm", rounded(state.UncontendedLatency),
+	all := []any{"limit", rounded(state.Limit), "floor", rounded(state.Floor), "inFlight", state.Inflight, "stalled", state.Stalled,
+		"queued", state.Queued, "retryBudget", rounded(state.RetryBudget), "uncontendedLatency", rounded(state.UncontendedLatency),
 		"latency", rounded(state.Latency), t.outcomes(state.Outcomes)}
 	for rank, tier := range state.Tiers {
-		all = append(all, slog.Group(fmt.Sprint("tier", rank), "servers", tier.Endpoints, "cold", tier.WarmingUp, "room", tier.WithCapacity))
+		all = append(all, slog.Group(fmt.Sprint("tier", rank), "endpoints", tier.Endpoints, "warmingUp", tier.WarmingUp, "withCapacity", tier.WithCapacity))
 	}
 	classes := state.Classes[:min(len(state.Classes), maxTraceClasses)]
 	if len(t.last) != len(classes) { // the first line, or one after a change of the classes
@@ -75,9 +75,9 @@
 	}
 	for i, class := range classes {
 		now, was := class.Counts, t.last[i]
-		all = append(all, slog.Group(class.Name, "asked", now.Requests-was.Requests, "sent", now.Attempts-was.Attempts,
-			"served", now.Served-was.Served, "inTime", now.WithinObjective-was.WithinObjective, "refused", now.Rejected-was.Rejected,
-			"failed", now.Failed-was.Failed, "held", class.Queued, "expectedMs", rounded(class.ExpectedMs)))
+		all = append(all, slog.Group(class.Name, "requests", now.Requests-was.Requests, "attempts", now.Attempts-was.Attempts,
+			"served", now.Served-was.Served, "withinObjective", now.WithinObjective-was.WithinObjective, "rejected", now.Rejected-was.Rejected,
+			"failed", now.Failed-was.Failed, "queued", class.Queued, "expectedMs", rounded(class.ExpectedMs)))
 		t.last[i] = now
 	}
 	return all
@@ -87,10 +87,10 @@
 func (t *tracer) outcomes(now policy.OutcomeCounts) slog.Attr {
 	was := t.ended
 	t.ended = now
-	return slog.Group("ended", "ok", now.OK-was.OK, "error", now.ServerError-was.ServerError, "full", now.Rejected-was.Rejected,
-		"timeout", now.Timeout-was.Timeout, "connect", now.ConnectFailed-was.ConnectFailed, "reset", now.Reset-was.Reset,
-		"cancelled", now.Cancelled-was.Cancelled, "moot", now.NotSent-was.NotSent,
-		"local", now.LocalFailure-was.LocalFailure, "unreachable", now.Unreachable-was.Unreachable)
+	return slog.Group("ended", "ok", now.OK-was.OK, "serverError", now.ServerError-was.ServerError, "rejected", now.Rejected-was.Rejected,
+		"timeout", now.Timeout-was.Timeout, "connectFailed", now.ConnectFailed-was.ConnectFailed, "reset", now.Reset-was.Reset,
+		"cancelled", now.Cancelled-was.Cancelled, "notSent", now.NotSent-was.NotSent,
+		"localFailure", now.LocalFailure-was.LocalFailure, "unreachable", now.Unreachable-was.Unreachable)
 }
 
 // rounded is a figure to three places, which keeps lines short.
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -39,14 +39,14 @@
 		t.Fatalf("%d lines, %d times due:\n%s", len(lines), due, text.String())
 	}
 	class := l.config.Settings.Classes[0].Name
-	for i, want := range []string{class + ".asked=0", class + ".asked=1", class + ".asked=0"} {
-		if !strings.Contains(lines[i], want) || !strings.Contains(lines[i], "tier0.servers=2") {
-			t.Errorf("line %d lacks %s or the servers: %s", i, want, lines[i])
+	for i, want := range []string{class + ".requests=0", class + ".requests=1", class + ".requests=0"} {
+		if !strings.Contains(lines[i], want) || !strings.Contains(lines[i], "tier0.endpoints=2") {
+			t.Errorf("line %d lacks %s or the endpoints: %s", i, want, lines[i])
 		}
 	}
 	l.tracer.lines = maxTraceLines - 1
 	l.handle(traceDue{})
-	if due != 3 || !strings.Contains(text.String(), "trace: ends") {
+	if due != 3 || !strings.Contains(text.String(), "trace stopped at its line limit") {
 		t.Error("the trace goes on past its bound")
 	}
 }
