--- a/internal/agent/listed_backend.go
+++ b/internal/agent/listed_backend.go
@@ -6,11 +6,11 @@
 	"ploverreel/policy"
 )
 
-// listedBackend is one server of the endpoint list. The loop owns it; its connections are shared with
-// the goroutines of its attempts and guarded by the pool.
+// listedBackend is one server of the endpoint list. The loop owns it. Its connections are shared with
+// the goroutines of its attempts.
 type listedBackend struct {
 	addr     policy.Addr
-	bornMs   float64 // the start time that discovery gave, by the servers' clock in ms
+	bornMs   float64 // the start time that discovery gave, by the servers' clock
 	usable   bool    // it is listed as ready: attempts may be sent to it
 	conns    *backend.Conns
 	attempts map[*attempt]struct{} // in flight
@@ -31,7 +31,7 @@
 	b.bornMs, b.conns = host.BornMs, pool.NewConns(host.Dial)
 }
 
-// withdraw stops the attempts of which no byte has gone out, and closes the idle connections: a
+// withdraw cancels the attempts of which no byte was written, and closes the idle connections: a
 // backend that drains, is gone or has been restarted gets nothing more.
 func (b *listedBackend) withdraw() {
 	for attempt := range b.attempts {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -72,6 +72,8 @@
 	NetConn() net.Conn
 }
 
+var _ clientConn = (*clientconn.Conn)(nil)
+
 // clientConnOf returns the connection that a request came on; nil if it is none of a
 // clientconn.Listener.
 func clientConnOf(r *http.Request) clientConn {
