--- a/cmd/ploverreel/descriptors_test.go
+++ b/cmd/ploverreel/descriptors_test.go
@@ -6,210 +6,195 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"sync"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// outage is a discovery that is down at an address of its own until it comes back: refusing, as
-// nobody listens, silent once a connection is up, or unreachable, so that none comes up.
-type outage struct {
-	addr string
-	fd   int
-	back *http.Server
-	told atomic.Int32 // watches that were told the list
+const (
+	testSockets    = 64 // the fewest that a configuration may have
+	backendSockets = 19 // how many of them are for connections to backends
+)
+
+// blockingBackend is a backend that doesn't answer requests whose id begins with "block" until it is
+// released.
+type blockingBackend struct {
+	addr    net.Addr
+	blocked chan struct{} // one element for each request that waits
+	release func()
 }
 
-func newOutage(t *testing.T, how string) *outage {
+func startBlockingBackend(t *testing.T) *blockingBackend {
 	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	o := &outage{fd: fd}
-	t.Cleanup(func() {
-		if o.back == nil {
-			syscall.Close(fd)
-		} else {
-			o.back.Close()
+	blocked, released := make(chan struct{}, 100), make(chan struct{})
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if strings.HasPrefix(r.Header.Get("Request-Id"), "block") {
+			blocked <- struct{}{}
+			<-released
 		}
-	})
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
+		fmt.Fprint(w, "done")
+	}))
+	b := &blockingBackend{addr: server.Listener.Addr(), blocked: blocked, release: sync.OnceFunc(func() { close(released) })}
+	t.Cleanup(server.Close)
+	t.Cleanup(b.release) // before the server closes, also when the test fails
+	return b
+}
+
+// listOf returns an endpoint list with n backends at one address.
+func listOf(name string, n int, addr net.Addr) string {
+	hosts := []string{}
+	for i := range n {
+		hosts = append(hosts, fmt.Sprintf(`{"host":"%s-%d","dial":%q,"site":"a","class":"k","health":"ready","share":1}`,
+			name, i, addr))
 	}
-	at, err := syscall.Getsockname(fd)
+	return `{"seq":7,"whole":true,"hosts":[` + strings.Join(hosts, ",") + `]}`
+}
+
+// limitedAgent is the program with no more descriptors than its limits.sockets, and a client of it
+// that opens a connection for each request.
+type limitedAgent struct {
+	*program
+	backend *blockingBackend
+	client  *http.Client
+}
+
+func startLimitedAgent(t *testing.T, backend *blockingBackend, discovery string) *limitedAgent {
+	t.Helper()
+	agent := &limitedAgent{backend: backend, client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	listen := freeAddress(t)
+	agent.program = startProgram(t, listen, agent.config(listen, discovery), fmt.Sprint(descriptorsVariable, "=", testSockets))
+	agent.awaitReady(t)
+	return agent
+}
+
+// config returns the configuration with a discovery.
+func (a *limitedAgent) config(listen, discovery string) string {
+	longDeadlines := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":50000,"giveUpMs":60000`, 1)
+	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":%d},
+ "settings":%s,"known":%s}`, listen, discovery, testSockets, longDeadlines, listOf("old", backendSockets+1, a.backend.addr))
+}
+
+// request sends a request and returns its status and body, or the error.
+func (a *limitedAgent) request(id string) string {
+	req, _ := http.NewRequest(http.MethodPost, "http://"+a.listen+"/order", strings.NewReader("x"))
+	req.Header.Set("Request-Id", id)
+	req.Header.Set("Request-Timeout", "60000m")
+	resp, err := a.client.Do(req)
 	if err != nil {
-		t.Fatal(err)
+		return err.Error()
 	}
-	o.addr = fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
-	if how == "refusing" {
-		return o
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return err.Error()
 	}
-	backlog := 128
-	if how == "unreachable" {
-		backlog = 0 // one connection fills it, and the system drops what asks for another
+	return fmt.Sprint(resp.StatusCode, " ", string(body))
+}
+
+// checkReady checks that /ready is answered with 200.
+func (a *limitedAgent) checkReady(t *testing.T, when string) {
+	t.Helper()
+	resp, err := a.client.Get("http://" + a.listen + "/ready")
+	if err != nil {
+		t.Fatalf("%s: got /ready %v, want an answer; log:\n%s", when, err, a.log)
 	}
-	if err := syscall.Listen(fd, backlog); err != nil {
-		t.Fatal(err)
+	resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		t.Fatalf("%s: got /ready %d, want %d", when, resp.StatusCode, http.StatusOK)
 	}
-	if how == "unreachable" {
-		c, err := net.Dial("tcp", o.addr)
+}
+
+// openIdleClients opens more clients' connections than there are descriptors. Every other one sends a
+// request, and is idle after its response; the rest send nothing.
+func (a *limitedAgent) openIdleClients(t *testing.T, idPrefix string) {
+	t.Helper()
+	for i := range 2 * testSockets {
+		conn, err := net.DialTimeout("tcp", a.listen, time.Minute)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
+		if i%2 != 0 {
+			continue
+		}
+		fmt.Fprintf(conn, "POST /order HTTP/1.1\r\nHost: b\r\nRequest-Id: %s%d\r\nRequest-Timeout: 60000m\r\nContent-Length: 0\r\n\r\n", idPrefix, i)
+		if _, err := io.ReadFull(conn, make([]byte, len("HTTP/1.1 200"))); err != nil {
+			t.Fatalf("%s client %d: got %v, want an answer; log:\n%s", idPrefix, i, err, a.log)
+		}
 	}
-	return o
 }
 
-// comeBack lets discovery tell its list, in full, to whoever asks or watches.
-func (o *outage) comeBack(t *testing.T, list string) {
+// openSilentClients opens more clients' connections than there are descriptors, which send nothing.
+// Some may not come up.
+func (a *limitedAgent) openSilentClients(t *testing.T) {
+	for range 3 * testSockets {
+		if conn, err := net.DialTimeout("tcp", a.listen, time.Minute); err == nil {
+			t.Cleanup(func() { conn.Close() })
+		}
+	}
+}
+
+// blockBackendConnections sends requests until all connections to backends wait for an answer. The
+// answers are sent on the channel.
+func (a *limitedAgent) blockBackendConnections(t *testing.T) (answers chan string) {
 	t.Helper()
-	if err := syscall.Listen(o.fd, 128); err != nil {
-		t.Fatal(err)
+	answers = make(chan string, backendSockets)
+	for i := range backendSockets {
+		go func() { answers <- a.request(fmt.Sprint("block", i)) }()
 	}
-	f := os.NewFile(uintptr(o.fd), "discovery")
-	ln, err := net.FileListener(f)
-	f.Close()
-	if err != nil {
-		t.Fatal(err)
+	a.eventually(t, "all connections to backends in use", func() bool { return len(a.backend.blocked) == backendSockets })
+	return answers
+}
+
+// moveDiscovery reloads the configuration with one discovery after the other.
+func (a *limitedAgent) moveDiscovery(t *testing.T, addrs ...string) {
+	t.Helper()
+	for i, addr := range addrs {
+		a.reload(t, a.config(a.listen, addr))
+		a.eventually(t, "another discovery", func() bool {
+			return strings.Count(a.log.String(), "discovery address changed") == i+1
+		})
 	}
-	o.back = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fmt.Fprintln(w, list)
-		if r.URL.RawQuery != "" {
-			w.(http.Flusher).Flush()
-			o.told.Add(1)
-			<-r.Context().Done()
-		}
-	})}
-	go o.back.Serve(ln)
 }
 
-// Idle clients in all places, requests on all connections to backends, and a discovery that
-// is down and moves: the program opens no more than limits.sockets, which is all that the
-// system lets it open here, and /ready, discovery's calls and the backends find theirs.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
-	const sockets, toBackends = 64, 19 // the least that a configuration may have, and what is kept of it
-	for _, how := range []string{"refusing", "silent", "unreachable"} {
-		t.Run(how, func(t *testing.T) {
-			held, release := make(chan struct{}, 100), make(chan struct{})
-			open := sync.OnceFunc(func() { close(release) })
-			backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if strings.HasPrefix(r.Header.Get("Request-Id"), "hold") {
-					held <- struct{}{}
-					<-release
-				}
-				fmt.Fprint(w, "done")
-			}))
-			t.Cleanup(backend.Close)
-			t.Cleanup(open)
-			renewed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				fmt.Fprint(w, "renewed")
+// With idle clients in all slots, requests on all connections to backends, and a discovery that is
+// down and moves, the program opens no more than limits.sockets descriptors, which is all that the
+// system lets it open here. /ready, the calls to discovery and the backends get theirs.
+func TestProgramStaysWithinItsDescriptors(t *testing.T) {
+	for _, kind := range []outageKind{refusing, silent, unreachable} {
+		t.Run(string(kind)+" discovery", func(t *testing.T) {
+			first, second := newOutage(t, kind), newOutage(t, kind)
+			backend := startBlockingBackend(t)
+			listed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				fmt.Fprint(w, "listed later")
 			}))
-			t.Cleanup(renewed.Close)
-			hosts := func(name string, n int, at net.Addr) string {
-				all := []string{}
-				for i := range n {
-					all = append(all, fmt.Sprintf(`{"host":"%s-%d","dial":%q,"site":"a","class":"k","health":"ready","share":1}`,
-						name, i, at))
-				}
-				return `{"seq":7,"whole":true,"hosts":[` + strings.Join(all, ",") + `]}`
-			}
-			listen := freeAddress(t)
-			configFor := func(discovery string) string {
-				long := strings.NewReplacer(`"aimMs":500,"giveUpMs":1000`, `"aimMs":50000,"giveUpMs":60000`).Replace(settings)
-				return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":%d},
- "settings":%s,"known":%s}`, listen, discovery, sockets, long, hosts("old", toBackends+1, backend.Listener.Addr()))
-			}
-			first, second := newOutage(t, how), newOutage(t, how)
-			cmd, out, path := child(t, configFor(first.addr), fmt.Sprint("MOLEPADDLE_DESCRIPTORS=", sockets))
-			awaitReady(t, listen, out)
-			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			ask := func(id string) string {
-				req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/order", strings.NewReader("x"))
-				req.Header.Set("Request-Id", id)
-				req.Header.Set("Request-Timeout", "60000m")
-				resp, err := client.Do(req)
-				if err != nil {
-					return err.Error()
-				}
-				defer resp.Body.Close()
-				body, err := io.ReadAll(resp.Body)
-				if err != nil {
-					return err.Error()
-				}
-				return fmt.Sprint(resp.StatusCode, " ", string(body))
-			}
-			ready := func(when string) {
-				t.Helper()
-				resp, err := client.Get("http://" + listen + "/ready")
-				if err != nil {
-					t.Fatalf("%s: %v; it said %s", when, err, out)
-				}
-				resp.Body.Close()
-				if resp.StatusCode != http.StatusOK {
-					t.Fatalf("%s: /ready answered %d", when, resp.StatusCode)
-				}
-			}
-			idle := func(kind string) { // more of them than there are descriptors
-				for i := range 2 * sockets {
-					c, err := net.DialTimeout("tcp", listen, time.Minute)
-					if err != nil {
-						t.Fatal(err)
-					}
-					t.Cleanup(func() { c.Close() })
-					if i%2 == 0 {
-						fmt.Fprintf(c, "POST /order HTTP/1.1\r\nHost: b\r\nRequest-Id: %s%d\r\nRequest-Timeout: 60000m\r\nContent-Length: 0\r\n\r\n", kind, i)
-						if _, err := io.ReadFull(c, make([]byte, len("HTTP/1.1 200"))); err != nil {
-							t.Fatalf("%s client %d: %v; it said %s", kind, i, err, out)
-						}
-					}
-				}
-			}
-			idle("idle")
-			ready("with idle clients")
-			answered := make(chan string, toBackends)
-			for i := range toBackends {
-				go func() { answered <- ask(fmt.Sprint("hold", i)) }()
-			}
-			eventually(t, "all connections to backends in use", out, func() bool { return len(held) == toBackends })
-			for range 3 * sockets { // these say nothing
-				if c, err := net.DialTimeout("tcp", listen, time.Minute); err == nil {
-					t.Cleanup(func() { c.Close() })
-				}
-			}
-			ready("with requests on all connections to backends")
-			for i, discovery := range []string{second.addr, first.addr, second.addr, first.addr} {
-				write(t, path, configFor(discovery))
-				if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-					t.Fatal(err)
-				}
-				eventually(t, "another discovery", out, func() bool {
-					return strings.Count(out.String(), "discovery address changed") == i+1
-				})
-			}
-			ready("while discovery moves")
-			first.comeBack(t, hosts("new", 3, renewed.Listener.Addr()))
-			eventually(t, "a watch opened", out, func() bool { return first.told.Load() > 0 })
-			open()
-			for range toBackends {
-				if said := <-answered; said != "200 done" {
-					t.Errorf("a held request was answered %s", said)
+			t.Cleanup(listed.Close)
+			agent := startLimitedAgent(t, backend, first.addr)
+			agent.openIdleClients(t, "idle")
+			agent.checkReady(t, "with idle clients")
+			answers := agent.blockBackendConnections(t)
+			agent.openSilentClients(t)
+			agent.checkReady(t, "with requests on all connections to backends")
+			agent.moveDiscovery(t, second.addr, first.addr, second.addr, first.addr)
+			agent.checkReady(t, "while discovery moves")
+			first.recover(t, listOf("new", 3, listed.Listener.Addr()))
+			agent.eventually(t, "a watch opened", func() bool { return first.watches.Load() > 0 })
+			backend.release()
+			for range backendSockets {
+				if got := <-answers; got != "200 done" {
+					t.Errorf("a blocked request: got %s, want 200 done", got)
 				}
 			}
-			idle("again")
+			agent.openIdleClients(t, "again")
 			n := 0
-			eventually(t, "a request served by a backend of the new list", out, func() bool {
+			agent.eventually(t, "a request served by a backend of the new list", func() bool {
 				n++
-				return ask(fmt.Sprint("last", n)) == "200 renewed"
+				return agent.request(fmt.Sprint("last", n)) == "200 listed later"
 			})
-			ready("with discovery back")
-			if strings.Contains(out.String(), "too many open files") {
-				t.Errorf("it said %s", out)
+			agent.checkReady(t, "after discovery has recovered")
+			if strings.Contains(agent.log.String(), "too many open files") {
+				t.Errorf("got the descriptors used up, want some left; log:\n%s", agent.log)
 			}
 		})
 	}
