--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -27,7 +27,7 @@
 // The times of an action count from when the module's clock was read: a scheduling delay between that
 // and the send must not carry an attempt out of its window, nor past its deadline.
 func TestAttemptTimesCountFromDecision(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
+	l := newTestLoop(t, "127.0.0.1:1")
 	late := &request{id: 1, answers: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
 		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.Never)}}
 	l.requests[late.id] = late
--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -16,14 +16,14 @@
 // Clients that send one request and keep their connections without end must not use up all slots:
 // above the limit connections close with their response.
 func TestAgentClosesConnectionsAboveKeptLimit(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	slots, _ := agent.clients.Limits()
 	agent.clients.Resize(slots, 3)
 	kept := 0
 	for i := range 10 {
-		conn := dial(t, base)
-		io.WriteString(conn, raw("order", fmt.Sprint("keep", i)))
+		conn := agenttest.Dial(t, base)
+		io.WriteString(conn, agenttest.RequestText("order", fmt.Sprint("keep", i)))
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("got response %v, %v; want status 200", resp, err)
@@ -41,7 +41,7 @@
 // Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
 // on the connection reach a backend.
 func TestAgentRejectsMalformedRequests(t *testing.T) {
-	addr, came := counted(t, 200, false)
+	addr, came := agenttest.IDBackend(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	head := func(extra ...string) string {
 		return "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: bad1\r\nRequest-Timeout: 30000m\r\n" +
@@ -73,9 +73,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			conn := dial(t, base)
+			conn := agenttest.Dial(t, base)
 			go io.WriteString(conn, text)
-			got := answered(t, conn)
+			got := agenttest.ReadToEnd(t, conn)
 			if got != "" && !strings.HasPrefix(got, "HTTP/1.1 4") && !strings.HasPrefix(got, "HTTP/1.1 5") {
 				t.Errorf("got %q, want an error or nothing", got)
 			}
@@ -96,19 +96,19 @@
 	if got := clientconn.HeadTimeout + bodyTimeout; got > 2700*time.Millisecond {
 		t.Fatalf("got %v until a client that sends nothing is closed, want less than 3 s", got)
 	}
-	addr, _ := counted(t, 200, false)
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	if got := answered(t, dial(t, base)); got != "" {
+	if got := agenttest.ReadToEnd(t, agenttest.Dial(t, base)); got != "" {
 		t.Fatalf("got %q, want nothing for a client that sent nothing", got)
 	}
 }
 
 // A graceful shutdown doesn't wait for incomplete requests and silent connections.
 func TestShutdownDoesNotWaitForIncompleteRequests(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr)) // the deadline of its classes is 30 s
-	dial(t, base)
-	half := dial(t, base)
+	agenttest.Dial(t, base)
+	half := agenttest.Dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
 	agenttest.Eventually(t, "two connections accepted", func() bool { return agent.clients.Count() == 2 })
 	stop()
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -41,7 +41,7 @@
 
 func newFaultyClient(t *testing.T) *faultyClient {
 	t.Helper()
-	addr, received := counted(t, 200, false)
+	addr, received := agenttest.IDBackend(t, 200, false)
 	c := &faultyClient{received: received, attempts: map[string]int{}, want: map[string]attemptBounds{}}
 	c.next.Store(&agenttest.NoFault)
 	c.agent, c.base, _, _ = startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
@@ -52,7 +52,7 @@
 
 // requestText returns a request with a body, after which the connection closes.
 func (*faultyClient) requestText(id string) string {
-	return strings.Replace(raw("order", id), "\r\n\r\n", "\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", 1)
+	return strings.Replace(agenttest.RequestText("order", id), "\r\n\r\n", "\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", 1)
 }
 
 // send sends a request over a connection with a fault, and returns what arrived until its end.
@@ -62,10 +62,10 @@
 	id := fmt.Sprintf("f%06d", lastID.Add(1))
 	c.want[id] = want
 	c.next.Store(&fault)
-	conn := dial(t, c.base)
+	conn := agenttest.Dial(t, c.base)
 	defer conn.Close()
 	io.WriteString(conn, c.requestText(id))
-	said := answered(t, conn)
+	said := agenttest.ReadToEnd(t, conn)
 	conn.Close()
 	agenttest.Eventually(t, "its slot free", func() bool { return c.agent.clients.Count() == 0 })
 	return said
@@ -151,7 +151,7 @@
 
 // However accept fails and however often, the agent serves the next connection.
 func TestAgentServesAfterFailedAccepts(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -160,8 +160,8 @@
 			_, base, _, ended := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
 				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
 			})
-			conn := dial(t, base)
-			io.WriteString(conn, raw("order", fmt.Sprint("accepted", lastID.Add(1))))
+			conn := agenttest.Dial(t, base)
+			io.WriteString(conn, agenttest.RequestText("order", fmt.Sprint("accepted", lastID.Add(1))))
 			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != 200 {
--- a/internal/agent/disconnect_queue_test.go
+++ b/internal/agent/disconnect_queue_test.go
@@ -20,7 +20,7 @@
 func queueRequest(t *testing.T, agent *Agent, client net.Conn, backend string) (*request, chan struct{}) {
 	agent.applyList(2, readyHost(9, backend))
 	release := agent.occupyLoop()
-	io.WriteString(client, raw("order", "left"))
+	io.WriteString(client, agenttest.RequestText("order", "left"))
 	arrived := takeQueued[requestArrived](t, agent)
 	agent.loop.post(arrived)
 	return arrived.request, release
@@ -31,7 +31,7 @@
 func queueRejectedAttempt(t *testing.T, agent *Agent, client net.Conn, backend string) (*request, chan struct{}) {
 	rejecting := startRejecting(t)
 	agent.applyList(2, readyHost(1, rejecting.addr))
-	io.WriteString(client, raw("order", "left"))
+	io.WriteString(client, agenttest.RequestText("order", "left"))
 	<-rejecting.received
 	agent.applyList(3, readyHost(1, rejecting.addr), readyHost(9, backend))
 	release := agent.occupyLoop()
@@ -43,7 +43,7 @@
 
 // queueEndpointList queues the first endpoint list, for which the module has queued the request.
 func queueEndpointList(t *testing.T, agent *Agent, client net.Conn, backend string) (waiting *request, release chan struct{}) {
-	io.WriteString(client, raw("order", "left"))
+	io.WriteString(client, agenttest.RequestText("order", "left"))
 	agenttest.Eventually(t, "the request queued", func() bool { return agent.holds("left") })
 	agent.look(func(l *loop) {
 		for _, waiting = range l.requests {
@@ -60,9 +60,9 @@
 	for name, queue := range queuedInputs {
 		for how, disconnect := range agenttest.Disconnects {
 			t.Run(name+", "+how, func(t *testing.T) {
-				backend, received := counted(t, 200, false)
+				backend, received := agenttest.IDBackend(t, 200, false)
 				agent, base, _, _ := start(t, agenttest.Config(nowhere))
-				conn := dial(t, base)
+				conn := agenttest.Dial(t, base)
 				waiting, release := queue(t, agent, conn, backend)
 				attempts := make(chan int, 1)
 				agent.postLook(func(l *loop) { attempts <- attemptsInFlight(l) })
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -23,8 +23,8 @@
 func startRejecting(t *testing.T) *rejectingBackend {
 	t.Helper()
 	b := &rejectingBackend{received: make(chan struct{}), answer: make(chan struct{})}
-	b.addr = rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := readRequest(reader); err == nil {
+	b.addr = agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := agenttest.ReadRequest(reader); err == nil {
 			close(b.received)
 			<-b.answer
 			io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
@@ -85,8 +85,8 @@
 	for _, more := range []struct{ name, text string }{
 		{"nothing sent after it", ""},
 		{"a byte sent after it", "G"},
-		{"a request sent after it", raw("look", "other")},
-		{"1000 requests sent after it", strings.Repeat(raw("look", "other"), 1000)},
+		{"a request sent after it", agenttest.RequestText("look", "other")},
+		{"1000 requests sent after it", strings.Repeat(agenttest.RequestText("look", "other"), 1000)},
 	} {
 		for _, cancelling := range []bool{true, false} {
 			for _, wait := range []string{"capacity", "connect", "retry"} {
@@ -101,14 +101,14 @@
 // playDisconnect has a client disconnect after some more bytes, while its request waits for
 // capacity, a connect or a retry.
 func playDisconnect(t *testing.T, wait, more string, cancelling bool) {
-	backend, received := counted(t, 200, false)
+	backend, received := agenttest.IDBackend(t, 200, false)
 	rejecting := startRejecting(t)
 	conf := agenttest.Config(nowhere, map[string][]string{"capacity": nil, "connect": {unansweredAddr}, "retry": {rejecting.addr}}[wait]...)
 	conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
 	agent, base, _, _ := start(t, conf)
 	connectBegan, connectEnded := holdConnects(agent)
-	conn := dial(t, base)
-	io.WriteString(conn, raw("order", "left"))
+	conn := agenttest.Dial(t, base)
+	io.WriteString(conn, agenttest.RequestText("order", "left"))
 	agenttest.Eventually(t, "the request in progress", func() bool { return agent.holds("left") })
 	switch wait {
 	case "connect":
@@ -133,18 +133,18 @@
 // that no backend gave.
 func TestAgentAnswers502ToHalfClosedClient(t *testing.T) {
 	got := make(chan struct{})
-	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := readRequest(reader); err == nil {
+	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := agenttest.ReadRequest(reader); err == nil {
 			close(got)
 			reader.ReadByte() // until the agent closes it
 		}
 	})
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	conn := dial(t, base)
-	io.WriteString(conn, raw("order", "half"))
+	conn := agenttest.Dial(t, base)
+	io.WriteString(conn, agenttest.RequestText("order", "half"))
 	<-got
 	conn.(*net.TCPConn).CloseWrite()
-	if got := answered(t, conn); !strings.HasPrefix(got, "HTTP/1.1 502") || strings.Count(got, "HTTP/1.1") != 1 {
+	if got := agenttest.ReadToEnd(t, conn); !strings.HasPrefix(got, "HTTP/1.1 502") || strings.Count(got, "HTTP/1.1") != 1 {
 		t.Fatalf("got %q, want one response with status 502", got)
 	}
 }
@@ -152,24 +152,24 @@
 // Requests read while another is in progress are answered in order, and none is lost.
 func TestAgentAnswersPipelinedRequestsInOrder(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
-	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(reader)
+			req, err := agenttest.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			got <- req.Header.Get("Request-Id")
 			<-release
-			io.WriteString(conn, okAnswer)
+			io.WriteString(conn, agenttest.OKAnswer)
 		}
 	})
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	conn := dial(t, base)
-	io.WriteString(conn, raw("order", "p1"))
+	conn := agenttest.Dial(t, base)
+	io.WriteString(conn, agenttest.RequestText("order", "p1"))
 	if id := <-got; id != "p1" {
 		t.Fatalf("got request %q first, want p1", id)
 	}
-	io.WriteString(conn, raw("order", "p2")+raw("order", "p3"))
+	io.WriteString(conn, agenttest.RequestText("order", "p2")+agenttest.RequestText("order", "p3"))
 	close(release)
 	reader := bufio.NewReader(conn)
 	for range 3 {
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -66,15 +66,15 @@
 func TestAgentForwardsNothingForUnreadDisconnect(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
-			addr, received := counted(t, 200, false)
+			addr, received := agenttest.IDBackend(t, 200, false)
 			read, clients := make(chan struct{}), &trackingListener{}
 			agent, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
 				clients.Listener = ln
 				return stalledListener{clients, read}
 			})
 			began, proceed := delayConnects(agent)
-			conn := dial(t, base)
-			io.WriteString(conn, raw("order", "left"))
+			conn := agenttest.Dial(t, base)
+			io.WriteString(conn, agenttest.RequestText("order", "left"))
 			<-began
 			disconnect(conn)
 			awaitClientClose(t, clients)
@@ -94,17 +94,17 @@
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
 			got, release := make(chan string, 10), make(chan struct{})
-			addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-				if req, err := readRequest(reader); err == nil {
+			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+				if req, err := agenttest.ReadRequest(reader); err == nil {
 					got <- req.Header.Get("Request-Id")
 					<-release
-					io.WriteString(conn, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
+					io.WriteString(conn, strings.Replace(agenttest.OKAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
 			agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
 			began, proceed := delayConnects(agent)
-			conn := dial(t, base)
-			both := raw("order", "p1") + raw("order", "p2")
+			conn := agenttest.Dial(t, base)
+			both := agenttest.RequestText("order", "p1") + agenttest.RequestText("order", "p2")
 			io.WriteString(conn, both)
 			<-began
 			proceed <- struct{}{}
@@ -126,8 +126,8 @@
 // Nothing is forwarded for a client that disconnects in the head, in the body or right after its
 // request, here with all of it there before the connection is accepted.
 func TestAgentForwardsNothingForDisconnectBeforeAccept(t *testing.T) {
-	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
-	addr, received := counted(t, 200, false)
+	whole := strings.Replace(agenttest.RequestText("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
+	addr, received := agenttest.IDBackend(t, 200, false)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 			if how == "end of its sending" && len(text) < len(whole) {
 				continue // it reads its response, that the request is incomplete
 			}
-			conn := dial(t, base)
+			conn := agenttest.Dial(t, base)
 			io.WriteString(conn, strings.ReplaceAll(text, "left", fmt.Sprint("left", i, strings.ReplaceAll(how, " ", "_"))))
 			disconnect(conn)
 		}
@@ -161,13 +161,13 @@
 // Nothing is forwarded for a client that disconnects while the agent waits for the rest of its
 // request, and its slot is free again.
 func TestAgentForwardsNothingForIncompleteRequest(t *testing.T) {
-	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
-	addr, received := counted(t, 200, false)
+	whole := strings.Replace(agenttest.RequestText("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
+	addr, received := agenttest.IDBackend(t, 200, false)
 	agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
 			t.Run(part+" "+how, func(t *testing.T) {
-				conn := dial(t, base)
+				conn := agenttest.Dial(t, base)
 				io.WriteString(conn, text)
 				awaitRead(t, clients, len(text))
 				agenttest.Disconnects[how](conn)
@@ -182,7 +182,7 @@
 func TestAgentForwardsNothingForDisconnectDuringSettleDelay(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
-			addr, received := counted(t, 200, false)
+			addr, received := agenttest.IDBackend(t, 200, false)
 			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
@@ -197,12 +197,12 @@
 				dial := pool.DialContext
 				pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					close(resting) // an extra connection is opened for a request that waits for one at rest
-					<-ctx.Done()   // one that received up would rightly be sent on
+					<-ctx.Done()   // one that came up would rightly be sent on
 					return dial(ctx, network, addr)
 				}
 			})
-			conn := dial(t, base)
-			io.WriteString(conn, raw("order", "left"))
+			conn := agenttest.Dial(t, base)
+			io.WriteString(conn, agenttest.RequestText("order", "left"))
 			<-resting
 			disconnect(conn)
 			agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.holds("left") })
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -67,7 +67,7 @@
 		"not in whole": listOf(2, true),
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := quietLoop(t, "127.0.0.1:1")
+			l := newTestLoop(t, "127.0.0.1:1")
 			b := l.backends[endpointlist.AddressOf("s-0")]
 			waits := newLoopAttempt(b)
 			l.handle(watchEvent{list: list})
--- a/internal/agent/discovery_reload_test.go
+++ b/internal/agent/discovery_reload_test.go
@@ -29,7 +29,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(discoveryServer.Close)
-	loop := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2")
+	loop := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	loop.watch.listVersion = 41
 	before := loop.backends[endpointlist.AddressOf("s-0")].conns
 	loop.watch.fetching, loop.watch.watching = true, true
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -75,7 +75,7 @@
 
 // The loop tells the results of one discovery from those of another by their generation.
 func TestDiscoveryResultsCarryTheirGeneration(t *testing.T) {
-	l := quietLoop(t)
+	l := newTestLoop(t)
 	deliver := l.discoveryResults(3)
 	list := listOf(7, true)
 	for _, c := range []struct {
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"testing"
@@ -13,82 +12,101 @@
 	"ploverreel/policy"
 )
 
-// The handler answers by itself if the loop never does.
-func TestGuard(t *testing.T) {
-	conf := parse(t, agenttest.Config(nowhere))
-	agent, err := New(conf, slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
+func TestAgentServesEachClass(t *testing.T) {
+	addr, _ := agenttest.IDBackend(t, 200, false)
+	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	for _, class := range []string{"look", "send", "order"} {
+		if status, body, _ := do(t, call(base, class)); status != 200 || body != "done" {
+			t.Fatalf("class %s: got %d %q, want 200 %q", class, status, body, "done")
+		}
+	}
+	if status := readiness(t, base); status != 200 {
+		t.Fatalf("/ready: got status %d, want 200", status)
 	}
-	defer agent.stop() // the loop does not run
+}
+
+func TestHandlerAnswersWithoutTheLoop(t *testing.T) {
+	agent := newAgent(t, agenttest.Config(nowhere)) // its loop doesn't run
 	req := call("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Header.Set("Request-Timeout", "20m")
-	rec := httptest.NewRecorder()
-	agent.ServeHTTP(rec, req)
-	if rec.Code != http.StatusGatewayTimeout {
-		t.Fatalf("answered %d", rec.Code)
+	recorder := httptest.NewRecorder()
+	agent.ServeHTTP(recorder, req)
+	if recorder.Code != http.StatusGatewayTimeout {
+		t.Fatalf("got status %d, want %d", recorder.Code, http.StatusGatewayTimeout)
 	}
 	if first, second := <-agent.loop.inputs, <-agent.loop.inputs; !is[requestArrived](first) || !is[clientDisconnected](second) {
-		t.Fatalf("the loop was told %T, %T", first, second)
+		t.Fatalf("got inputs %T and %T, want requestArrived and clientDisconnected", first, second)
 	}
 }
 
 // The decision module's last answer comes before the handler's own, however short the interval
 // between its turns: only the module's has a Retry-After.
-func TestLastWordIsTheModules(t *testing.T) {
-	for left, margin := range map[time.Duration]time.Duration{
-		agenttest.Never: fallbackMargin + decisionMargin, 40 * time.Second: fallbackMargin + decisionMargin, 8 * time.Millisecond: 2 * time.Millisecond,
+func TestModuleDeadlineIsBeforeHandlers(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		left, margin time.Duration
+	}{
+		{"an hour left", agenttest.Never, fallbackMargin + decisionMargin},
+		{"40 s left", 40 * time.Second, fallbackMargin + decisionMargin},
+		{"8 ms left, a quarter of it", 8 * time.Millisecond, 2 * time.Millisecond},
 	} {
-		t.Run(left.String(), func(t *testing.T) {
-			loop := quietLoop(t, "127.0.0.1:1")
-			r := &request{config: loop.config, class: 2, tenant: -1, answers: make(chan response, 1), Request: backend.Request{
-				Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "last", Deadline: time.Now().Add(left)}}
+		t.Run(c.name, func(t *testing.T) {
+			l := newTestLoop(t, nowhere)
+			r := newTestRequest(l.config, "last", time.Now().Add(c.left))
 			before := time.Until(r.Deadline)
-			loop.handle(requestArrived{request: r})
+			l.handle(requestArrived{request: r})
 			sent := false
-			for _, act := range loop.actions {
-				if act.Kind == policy.ActionSendAttempt && act.Request == r.id {
-					sent = true
-					if told := config.Milliseconds(act.DelayMs); told > before-margin*9/10 {
-						t.Errorf("an attempt of a request with %v left may take %v", before, told)
-					}
+			for _, action := range l.actions {
+				if action.Kind != policy.ActionSendAttempt || action.Request != r.id {
+					continue
+				}
+				sent = true
+				if got, want := config.Milliseconds(action.DelayMs), before-c.margin*9/10; got > want {
+					t.Errorf("got an attempt of %v with %v left, want at most %v", got, before, want)
 				}
 			}
-			if !sent && left > time.Second {
-				t.Errorf("a request with %v left was not sent", left)
+			if !sent && c.left > time.Second {
+				t.Errorf("got no attempt with %v left, want one", c.left)
 			}
 		})
 	}
 }
 
+// newTestRequest returns a request of the class "order" as the handler posts it.
+func newTestRequest(conf *config.Config, id string, deadline time.Time) *request {
+	return &request{config: conf, class: 2, tenant: -1, answers: make(chan response, 2), Request: backend.Request{
+		Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: id, Deadline: deadline}}
+}
+
 // A request with no time left never ran: it is rejected with a Retry-After.
-func TestNoTimeLeft(t *testing.T) {
-	addr, came := counted(t, 200, false)
+func TestHandlerRejectsRequestWithoutTimeLeft(t *testing.T) {
+	addr, received := agenttest.IDBackend(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	req := call(base, "order")
 	req.Header.Set("Request-Timeout", "1u")
-	if status, _, head := do(t, req); status != 503 || head.Get("Retry-After") != "0.6" || len(came) > 0 {
-		t.Fatalf("answered %d, Retry-After %q, %d sent on", status, head.Get("Retry-After"), len(came))
+	status, _, header := do(t, req)
+	checkRejected(t, status, header)
+	if len(received) > 0 {
+		t.Fatalf("got %d requests forwarded, want 0", len(received))
 	}
 }
 
-// explodes is a body that panics when it is read.
-type explodes struct{}
+// panickingBody is a body that panics when it is read.
+type panickingBody struct{}
 
-func (explodes) Read([]byte) (int, error) { panic("boom") }
+func (panickingBody) Read([]byte) (int, error) { panic("boom") }
 
-func (explodes) Close() error { return nil }
+func (panickingBody) Close() error { return nil }
 
-// A request whose handler panics is answered.
-func TestHandlerPanic(t *testing.T) {
+func TestHandlerAnswersAfterPanic(t *testing.T) {
 	agent := newAgent(t, agenttest.Config(nowhere))
 	req := call("http://b", "order")
 	req.RequestURI = "/order/u1"
-	req.Body = explodes{}
-	rec := httptest.NewRecorder()
-	agent.ServeHTTP(rec, req)
-	if rec.Code != http.StatusInternalServerError {
-		t.Fatalf("answered %d", rec.Code)
+	req.Body = panickingBody{}
+	recorder := httptest.NewRecorder()
+	agent.ServeHTTP(recorder, req)
+	if recorder.Code != http.StatusInternalServerError {
+		t.Fatalf("got status %d, want %d", recorder.Code, http.StatusInternalServerError)
 	}
 }
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,11 +12,19 @@
 	"strings"
 	"sync/atomic"
 	"testing"
+	"time"
 
 	"ploverreel/internal/agenttest"
 	"ploverreel/internal/config"
+	"ploverreel/internal/endpointlist"
 )
 
+// nowhere is the address of a discovery or a backend that refuses connections.
+const nowhere = "127.0.0.1:1"
+
+// clientTimeout is how long a raw client waits for a response before its test fails.
+const clientTimeout = 20 * time.Second
+
 // minLimits has the smallest descriptor limit that a configuration may have.
 var minLimits = config.Limits{Sockets: config.MinSockets}
 
@@ -33,7 +42,23 @@
 	return parsed
 }
 
-// newAgent makes an agent that serves nothing yet; its loop ends with the test.
+// listOf returns an endpoint list.
+func listOf(seq int64, whole bool, hosts ...endpointlist.Host) endpointlist.List {
+	return endpointlist.List{Seq: seq, Whole: whole, Hosts: hosts}
+}
+
+// newTestLoop returns a loop with these backends, which ends with the test. It doesn't run: the test
+// handles its inputs.
+func newTestLoop(t *testing.T, backends ...string) *loop {
+	t.Helper()
+	l, err := newLoop(t.Context(), parse(t, agenttest.Config(nowhere, backends...)), slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// newAgent returns an agent that serves nothing yet. Its loop ends with the test.
 func newAgent(t *testing.T, conf map[string]any) *Agent {
 	t.Helper()
 	agent, err := New(parse(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
@@ -44,47 +69,59 @@
 	return agent
 }
 
-// start serves an agent until the test ends; stop is its SIGTERM, ended gets what Serve returns.
-func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
-	t.Helper()
-	return startOn(t, conf, func(ln net.Listener) net.Listener { return ln })
-}
-
-// startOn is start with a listener that wrap makes of the agent's.
-func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
+// listen returns a listener that is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
 	t.Helper()
-	agent = newAgent(t, conf)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// serve serves an agent on the listener until the test ends. stop is its SIGTERM, and ended gets what
+// Serve returns.
+func serve(t *testing.T, agent *Agent, listener net.Listener) (base string, stop func(), ended chan error) {
+	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
-	go func() { ended <- agent.Serve(ctx, wrap(ln)) }()
+	go func() { ended <- agent.Serve(ctx, listener) }()
 	t.Cleanup(func() {
 		stop()
 		agent.server.Close()
 		agent.stop()
 	})
-	return agent, "http://" + ln.Addr().String(), stop, ended
+	return "http://" + listener.Addr().String(), stop, ended
+}
+
+// start makes an agent and serves it, see serve.
+func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
+	t.Helper()
+	return startOn(t, conf, func(listener net.Listener) net.Listener { return listener })
+}
+
+// startOn is start with a listener that wrap makes of the agent's.
+func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
+	t.Helper()
+	agent = newAgent(t, conf)
+	base, stop, ended = serve(t, agent, wrap(listen(t)))
+	return agent, base, stop, ended
 }
 
 // lastID counts up, so that every request has an id of its own.
 var lastID atomic.Int64
 
-// call is a valid request of a class.
+// call returns a valid request of a class.
 func call(base, class string) *http.Request {
-	method := http.MethodPost
+	method, body := http.MethodPost, io.Reader(strings.NewReader("body"))
 	if class == "look" {
-		method = http.MethodGet
+		method, body = http.MethodGet, nil
 	}
-	req, err := http.NewRequest(method, base+"/"+class+"/u1", strings.NewReader("body"))
+	req, err := http.NewRequest(method, base+"/"+class+"/u1", body)
 	if err != nil {
 		panic(err)
 	}
-	if class == "look" {
-		req.Body, req.ContentLength = nil, 0
-	}
 	req.Header.Set("Request-Id", fmt.Sprint("id", lastID.Add(1)))
 	req.Header.Set("Request-Timeout", "30000m")
 	if class == "send" {
@@ -93,34 +130,63 @@
 	return req
 }
 
+// do sends a request, and returns the status, the body and the header of the response.
 func do(t *testing.T, req *http.Request) (int, string, http.Header) {
 	t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("got %v, want a response", err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("got %v, want a complete response", err)
 	}
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// nowhere is the address of a discovery that refuses connections.
-const nowhere = "127.0.0.1:1"
+// doAsync sends a request on a connection of its own, in the background, and sends the status of the
+// response on the channel. It fails the test, and sends 0, if there is none.
+func doAsync(t *testing.T, req *http.Request) <-chan int {
+	statuses := make(chan int, 1)
+	go func() {
+		resp, err := new(http.Transport).RoundTrip(req)
+		if err != nil {
+			t.Errorf("got %v, want a response", err)
+			statuses <- 0
+			return
+		}
+		resp.Body.Close()
+		statuses <- resp.StatusCode
+	}()
+	return statuses
+}
 
-// dial opens a client's connection by hand.
-func dial(t *testing.T, base string) net.Conn {
+// checkStatus sends a valid request of the class "order" and checks the status of the response.
+func checkStatus(t *testing.T, base string, want int, when string) {
 	t.Helper()
-	return agenttest.Dial(t, base)
+	if status, _, _ := do(t, call(base, "order")); status != want {
+		t.Fatalf("%s: got status %d, want %d", when, status, want)
+	}
 }
 
-// answered reads all that comes on a connection until it ends.
-func answered(t *testing.T, conn net.Conn) string {
+// checkResponse reads a response and checks its status.
+func checkResponse(t *testing.T, reader *bufio.Reader, want int) *http.Response {
 	t.Helper()
-	return agenttest.ReadToEnd(t, conn)
+	resp, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		t.Fatalf("got %v, want a response", err)
+	}
+	if resp.StatusCode != want {
+		t.Fatalf("got status %d, want %d", resp.StatusCode, want)
+	}
+	return resp
 }
 
-// raw is the text of a complete request without a body.
-func raw(class, id string) string { return agenttest.RequestText(class, id) }
+// checkRejected checks that a response has status 503 and the configuration's longest Retry-After.
+func checkRejected(t *testing.T, status int, header http.Header) {
+	t.Helper()
+	if got := header.Get("Retry-After"); status != http.StatusServiceUnavailable || got != "0.6" {
+		t.Fatalf("got status %d with Retry-After %q, want %d with 0.6", status, got, http.StatusServiceUnavailable)
+	}
+}
--- a/internal/agent/inputs_test.go
+++ b/internal/agent/inputs_test.go
@@ -13,24 +13,24 @@
 	return ok
 }
 
-// An input costs at most one allocation on its way through the queue, and none where it is a pointer.
+// An input costs at most one allocation on its way through the queue, and none if it is a pointer.
 func TestInputsCostAtMostOneAllocation(t *testing.T) {
 	l := &loop{ctx: context.Background(), inputs: make(chan input, 1)}
-	sent, ended := &request{}, &attempt{}
+	arrived, ended := &request{}, &attempt{}
 	for _, c := range []struct {
 		name string
 		post func()
-		most float64
+		want float64
 	}{
-		{"a request", func() { l.post(requestArrived{request: sent}) }, 0},
-		{"a client's end", func() { l.post(clientDisconnected{request: sent}) }, 0},
+		{"a request", func() { l.post(requestArrived{request: arrived}) }, 0},
+		{"a client's disconnect", func() { l.post(clientDisconnected{request: arrived}) }, 0},
 		{"an attempt's end", func() { l.post(attemptEnded{attempt: ended}) }, 1},
 		{"a timer", func() { l.post(timerFired{token: 1 << 20}) }, 1},
 		{"a list", func() { l.post(watchEvent{list: endpointlist.List{Seq: 1}}) }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := testing.AllocsPerRun(100, func() { c.post(); <-l.inputs }); got > c.most {
-				t.Errorf("%v allocations, at most %v allowed", got, c.most)
+			if got := testing.AllocsPerRun(100, func() { c.post(); <-l.inputs }); got > c.want {
+				t.Errorf("got %v allocations, want at most %v", got, c.want)
 			}
 		})
 	}
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -11,7 +11,7 @@
 	"ploverreel/internal/agenttest"
 )
 
-// heapMB is what the heap holds once what is garbage is collected.
+// heapMB returns the size of the heap after a garbage collection.
 func heapMB() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -19,15 +19,15 @@
 	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
-// An agent of a fleet of 1,024 agents whose list names 1,024 servers serves each request, with
-// far less memory than the smallest limit that the operators give.
-func TestLargeListIsServedWithinTheMemoryLimit(t *testing.T) {
-	const servers, agents, requests, limitMB = 1024, 1024, 1000, 32
+// An agent in a fleet of 1,024 agents whose list has 1,024 backends serves each request, with far less
+// memory than the smallest limit that operators give.
+func TestAgentServesLargeListWithinMemoryLimit(t *testing.T) {
+	const backends, agents, requests, limitMB = 1024, 1024, 1000, 32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, r.Header.Get("Request-Id"))
 	}))
 	t.Cleanup(backend.Close)
-	dials := make([]string, servers)
+	dials := make([]string, backends)
 	for i := range dials {
 		dials[i] = backend.Listener.Addr().String()
 	}
@@ -36,7 +36,7 @@
 	conf["limits"] = map[string]any{"cores": 1, "memory_mb": limitMB, "sockets": 1024}
 	set := conf["settings"].(map[string]any)
 	set["replicasOfMe"], set["index"] = agents, agents-1
-	a, base, _, _ := start(t, conf)
+	agent, base, _, _ := start(t, conf)
 	conf, dials = nil, nil
 	for i := range requests {
 		class := []string{"look", "send", "order"}[i%3]
@@ -44,11 +44,11 @@
 		req.URL.Path = fmt.Sprintf("/%s/key%d", class, i%700)
 		id := req.Header.Get("Request-Id")
 		if status, body, _ := do(t, req); status != 200 || strings.TrimSpace(body) != id {
-			t.Fatalf("request %d of class %s: answered %d %q", i, class, status, body)
+			t.Fatalf("request %d of class %s: got %d %q, want 200 %q", i, class, status, body, id)
 		}
 	}
 	if grown := heapMB() - before; grown > limitMB/2 {
-		t.Errorf("the heap has grown by %.1f MB, the limit is %d MB", grown, limitMB)
+		t.Errorf("got a heap that has grown by %.1f MB, want half the limit of %d MB at most", grown, limitMB)
 	}
-	runtime.KeepAlive(a)
+	runtime.KeepAlive(agent)
 }
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -1,82 +1,132 @@
 package agent
 
 import (
+	"fmt"
 	"net/http"
+	"strings"
 	"testing"
 	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/backend"
+	"ploverreel/internal/endpointlist"
 	"ploverreel/policy"
 )
 
-// A panic in the midst of the module's actions costs none of the others: what was to be sent and
-// was not ends as an attempt that never ran, each request gets one answer, and nothing stays taken.
-func TestPanicAmongActions(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
+// A panic in the loop loses one input only.
+func TestLoopServesAfterPanic(t *testing.T) {
+	addr, _ := agenttest.IDBackend(t, 200, false)
+	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent.loop.post(requestArrived{request: nil})
+	checkStatus(t, base, http.StatusOK, "after a panic")
+}
+
+// A panic amid the module's actions costs none of the others: an attempt that could not be sent ends
+// as one that never ran, each request gets one response, and nothing stays in flight.
+func TestLoopAnswersEachRequestAfterPanicsInActions(t *testing.T) {
+	l := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
-	for range 3 {
-		r := &request{config: l.config, class: 2, answers: make(chan response, 2), Request: backend.Request{
-			Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: "id" + string(rune('a'+len(requests))),
-			Deadline: time.Now().Add(agenttest.Never)}}
-		requests = append(requests, r)
+	for i := range 3 {
+		requests = append(requests, newTestRequest(l.config, fmt.Sprint("id", i), time.Now().Add(agenttest.Never)))
 	}
-	for _, b := range l.backends {
-		b.attempts = nil // a write to it panics
+	for _, target := range l.backends {
+		target.attempts = nil // a write to it panics
 	}
 	for _, r := range requests {
 		l.handle(requestArrived{request: r})
-		for len(l.followUps) > 0 {
-			var in input
-			in, l.followUps = l.followUps[0], l.followUps[1:]
-			l.handle(in)
-		}
+		l.handleFollowUps()
 	}
 	for i, r := range requests {
 		select {
-		case a := <-r.answers:
-			if a.status != policy.StatusRejected {
-				t.Errorf("request %d was answered %d", i, a.status)
+		case got := <-r.answers:
+			if got.status != policy.StatusRejected {
+				t.Errorf("request %d: got status %d, want %d", i, got.status, policy.StatusRejected)
 			}
 		default:
-			t.Errorf("request %d was not answered", i)
+			t.Errorf("request %d: got no response, want one", i)
 		}
 		if len(r.answers) > 0 || r.inFlight != 0 {
-			t.Errorf("request %d: %d more answers, %d attempts in flight", i, len(r.answers), r.inFlight)
+			t.Errorf("request %d: got %d more responses and %d attempts in flight, want none", i, len(r.answers), r.inFlight)
 		}
 	}
-	if s := l.balancer.Snapshot(l.nowMs()); s.Inflight != 0 || s.Queued != 0 || len(l.requests) != 0 {
-		t.Errorf("%d in flight, %d queued, %d requests", s.Inflight, s.Queued, len(l.requests))
+	if got := l.balancer.Snapshot(l.nowMs()); got.Inflight != 0 || got.Queued != 0 {
+		t.Errorf("got %d requests in flight and %d queued in the module, want none", got.Inflight, got.Queued)
+	}
+	if len(l.requests) != 0 {
+		t.Errorf("got %d open requests, want 0", len(l.requests))
 	}
 }
 
-// An action that panics does not take those behind it with it.
-func TestActionsBehindAPanic(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
-	r := &request{id: 7, answers: make(chan response, 1)}
-	l.requests[1], l.requests[7] = nil, r
+func TestLoopCarriesOutActionsBehindPanic(t *testing.T) {
+	l := newTestLoop(t, "127.0.0.1:1")
+	rejected := &request{id: 7, answers: make(chan response, 1)}
+	l.requests[1], l.requests[7] = nil, rejected
 	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // cancelling it panics
 	l.actions = []policy.Action{policy.CancelAttempt(2, 0), policy.RejectRequest(7, 0)}
 	func() {
 		defer func() { _ = recover() }()
 		l.perform()
 	}()
-	if len(r.answers) != 1 {
-		t.Error("the refusal behind a panic was lost")
+	if len(rejected.answers) != 1 {
+		t.Errorf("got %d responses by the action behind a panic, want 1", len(rejected.answers))
+	}
+}
+
+// A panic is logged with what was handled then, and the loop goes on.
+func TestLoopLogsPanics(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		provoke func(*loop)
+		want    string
+	}{
+		{"in an input", func(l *loop) { l.handle(requestArrived{}) }, `msg="panic in event loop" input=agent.requestArrived panic=`},
+		{"in an action", func(l *loop) {
+			l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}}
+			l.actions = []policy.Action{policy.CancelAttempt(2, 0)}
+			l.perform()
+		}, `msg="panic in event loop" action=` + fmt.Sprint(int(policy.ActionCancelAttempt)) + ` panic=`},
+		{"in the module", func(l *loop) { l.notify((*policy.RequestArrived)(nil)) },
+			`msg="panic in decision module" event=RequestArrived panic=`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, log := loggingLoop(t, nowhere)
+			c.provoke(l)
+			got := log.String()
+			if !strings.HasPrefix(got, "level=ERROR "+c.want) || !strings.Contains(got, " stack=") {
+				t.Errorf("got log\n%s, want an error with %s and a stack", got, c.want)
+			}
+			if strings.Count(got, "\n") != 1 {
+				t.Errorf("got log\n%s, want one line", got)
+			}
+			l.handle(watchEvent{list: listOf(2, true)})
+			if backend := l.backends[endpointlist.AddressOf("s-0")]; backend != nil {
+				t.Error("got a list after the panic not applied, want it applied")
+			}
+		})
+	}
+}
+
+// What the module has to say is an attribute of a constant message.
+func TestLoopLogsTextOfModule(t *testing.T) {
+	l, log := loggingLoop(t, nowhere)
+	l.actions = []policy.Action{policy.LogText("all is well")}
+	l.perform()
+	want := `level=INFO msg="decision module message" text="all is well"`
+	if got := strings.TrimSpace(log.String()); got != want {
+		t.Errorf("got log\n%s, want\n%s", got, want)
 	}
 }
 
 // A panic in a change of the configuration is the error that its caller gets.
-func TestReloadThatPanics(t *testing.T) {
-	l := quietLoop(t, "127.0.0.1:1")
+func TestReloadReturnsPanicAsError(t *testing.T) {
+	l := newTestLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
 	l.handle(reloadRequested{done: done}) // no configuration at all
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Error("taken for a success")
+			t.Error("got no error of a reload that panics, want one")
 		}
 	default:
-		t.Error("no error was sent")
+		t.Error("got no result of a reload that panics, want an error")
 	}
 }
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -12,86 +12,93 @@
 	"ploverreel/internal/agenttest"
 )
 
+// bodyOf returns a body of n bytes.
+func bodyOf(n int) io.ReadCloser { return io.NopCloser(strings.NewReader(strings.Repeat("x", n))) }
+
 // An invalid request gets a 4xx other than 429, as it fails again when retried, and reaches no
 // backend.
-func TestBadInput(t *testing.T) {
-	addr, came := counted(t, 200, false)
+func TestAgentRefusesInvalidRequests(t *testing.T) {
+	addr, received := agenttest.IDBackend(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	for name, change := range map[string]func(r *http.Request){
-		"unknown class":    func(r *http.Request) { r.URL.Path = "/nothing/u1" },
-		"root":             func(r *http.Request) { r.URL.Path = "/" },
-		"method":           func(r *http.Request) { r.Method = http.MethodPut },
-		"no Request-Id":    func(r *http.Request) { r.Header.Del("Request-Id") },
-		"no timeout":       func(r *http.Request) { r.Header.Del("Request-Timeout") },
-		"unit":             func(r *http.Request) { r.Header.Set("Request-Timeout", "480") },
-		"negative timeout": func(r *http.Request) { r.Header.Set("Request-Timeout", "-1m") },
-		"huge timeout":     func(r *http.Request) { r.Header.Set("Request-Timeout", "99999999999999m") },
-		"no key":           func(r *http.Request) { r.Header.Del("Idempotency-Key") },
+		"unknown class":      func(r *http.Request) { r.URL.Path = "/nothing/u1" },
+		"no class":           func(r *http.Request) { r.URL.Path = "/" },
+		"wrong method":       func(r *http.Request) { r.Method = http.MethodPut },
+		"no Request-Id":      func(r *http.Request) { r.Header.Del("Request-Id") },
+		"no timeout":         func(r *http.Request) { r.Header.Del("Request-Timeout") },
+		"no unit":            func(r *http.Request) { r.Header.Set("Request-Timeout", "480") },
+		"negative timeout":   func(r *http.Request) { r.Header.Set("Request-Timeout", "-1m") },
+		"huge timeout":       func(r *http.Request) { r.Header.Set("Request-Timeout", "99999999999999m") },
+		"no idempotency key": func(r *http.Request) { r.Header.Del("Idempotency-Key") },
 		"long body": func(r *http.Request) {
-			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody+1))), maxBody+1
+			r.Body, r.ContentLength = bodyOf(maxBody+1), maxBody+1
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			req := call(base, "send")
 			change(req)
 			if status, _, _ := do(t, req); status < 400 || status > 499 || status == 429 {
-				t.Errorf("answered %d", status)
+				t.Errorf("got status %d, want a 4xx other than 429", status)
 			}
 		})
 	}
 	longest := call(base, "send")
-	longest.Body, longest.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", maxBody))), maxBody
+	longest.Body, longest.ContentLength = bodyOf(maxBody), maxBody
 	longest.Header.Set("Request-Id", "longest")
 	if status, _, _ := do(t, longest); status != 200 {
-		t.Errorf("a body of 64 KiB: answered %d", status)
+		t.Errorf("a body of 64 KiB: got status %d, want 200", status)
 	}
-	if id := <-came; id != "longest" || len(came) > 0 {
-		t.Errorf("bad input reached the backend")
+	if id := <-received; id != "longest" || len(received) > 0 {
+		t.Errorf("got request %q and %d more forwarded, want only the valid one", id, len(received))
 	}
 }
 
 // A path without a last segment has no key: such requests must not all hash to the same backend.
-func TestNoKey(t *testing.T) {
+func TestReadRequestTakesKeyFromPath(t *testing.T) {
 	agent := newAgent(t, agenttest.Config(nowhere))
-	for path, keyed := range map[string]bool{"/order": false, "/order/": false, "/order/u1": true, "/order/a/u1": true} {
+	for path, wantKey := range map[string]bool{"/order": false, "/order/": false, "/order/u1": true, "/order/a/u1": true} {
 		t.Run(path, func(t *testing.T) {
 			req := call("http://b", "order")
 			req.RequestURI, req.URL.Path = path, path
 			req.Body = http.NoBody
 			req.ContentLength = 0
 			got, err := agent.readRequest(agent.config.Load(), httptest.NewRecorder(), req, time.Now())
-			if err != nil || (got.keyHash != 0) != keyed {
-				t.Errorf("%+v, %v", got, err)
+			if err != nil {
+				t.Fatalf("got %v, want no error", err)
+			}
+			if (got.keyHash != 0) != wantKey {
+				t.Errorf("got key hash %d, want one other than 0: %v", got.keyHash, wantKey)
 			}
 		})
 	}
 }
 
-// The longest timeout accepted follows from the settings: a class may have a deadline of minutes.
-func TestDeadlinesOfTheSettings(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+// The longest timeout that is accepted follows from the settings, where a class may have a deadline of
+// minutes. It holds for all classes.
+func TestAgentAcceptsTimeoutsUpToLongestDeadline(t *testing.T) {
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	conf := agenttest.Config(nowhere, addr)
-	conf["settings"].(map[string]any)["classes"].([]any)[2].(map[string]any)["giveUpMs"] = 300000
+	agenttest.Set(conf, 300000, "settings", "classes", 2, "giveUpMs")
 	_, base, _, _ := start(t, conf)
 	for text, want := range map[string]int{
 		"75000m": 200, "300000m": 200, "300000000u": 200, // within the longest class's
 		"300001m": 400, "18446744073709551615m": 400, "-75000m": 400, "75000": 400, "m": 400,
 	} {
-		for class, want := range map[string]int{"order": want, "look": want} {
+		for _, class := range []string{"order", "look"} {
 			t.Run(class+" "+text, func(t *testing.T) {
 				req := call(base, class)
 				req.Header.Set("Request-Timeout", text)
-				if status, said, _ := do(t, req); status != want {
-					t.Errorf("answered %d %q, want %d", status, said, want)
+				if status, body, _ := do(t, req); status != want {
+					t.Errorf("got status %d %q, want %d", status, body, want)
 				}
 			})
 		}
 	}
 }
 
-// What is refused before the loop is a requestError with its HTTP status, and its text names the
-// header or the part at fault.
-func TestRequestErrors(t *testing.T) {
+// A request that is refused before the loop has a requestError with its HTTP status, whose text names
+// the header or the part at fault.
+func TestReadRequestErrorsNameTheFault(t *testing.T) {
 	agent := newAgent(t, agenttest.Config(nowhere))
 	for _, test := range []struct {
 		name   string
@@ -130,11 +137,53 @@
 				t.Errorf("got %d %q, want %d %q", refused.status, err, test.status, test.reason)
 			}
 			if wantRetryAfter := test.status == http.StatusServiceUnavailable; (refused.retryAfter > 0) != wantRetryAfter {
-				t.Errorf("Retry-After of %v with %d", refused.retryAfter, refused.status)
+				t.Errorf("got Retry-After %v with status %d, want any: %v", refused.retryAfter, refused.status, wantRetryAfter)
 			}
 			if after := agent.bodyBytes.Load(); after != before {
-				t.Errorf("%d bytes of bodies are counted as in memory, before it were %d", after, before)
+				t.Errorf("got %d bytes of bodies in memory, want the %d from before", after, before)
 			}
 		})
 	}
 }
+
+func TestKeyHashDiffersAndIsNeverZero(t *testing.T) {
+	if keyHash("u1") == keyHash("u2") || keyHash("") == 0 {
+		t.Fatalf("got hashes %d and %d of two keys and %d of none, want three that differ and none that is 0",
+			keyHash("u1"), keyHash("u2"), keyHash(""))
+	}
+}
+
+func TestParseTimeoutTakesBothUnits(t *testing.T) {
+	for text, want := range map[string]time.Duration{"480m": 480 * time.Millisecond, "1u": time.Microsecond, "60000m": time.Minute} {
+		if got, err := parseTimeout(text, time.Minute); err != nil || got != want {
+			t.Errorf("%q: got %v, %v; want %v", text, got, err, want)
+		}
+	}
+	for _, text := range []string{"", "m", "0m", "-1m", "+1m", "1.5m", "1s", "60001m", "60000001u"} {
+		if got, err := parseTimeout(text, time.Minute); err == nil {
+			t.Errorf("%q: got %v, want an error", text, got)
+		}
+	}
+}
+
+func TestIsPlainToken(t *testing.T) {
+	for name, c := range map[string]struct {
+		text string
+		want bool
+	}{
+		"empty":           {"", false},
+		"one character":   {"x", true},
+		"longest":         {strings.Repeat("x", maxTokenLen), true},
+		"too long":        {strings.Repeat("x", maxTokenLen+1), false},
+		"a space":         {"a b", false},
+		"a line break":    {"a\nb", false},
+		"last of ASCII":   {"~", true},
+		"a control":       {"\x7f", false},
+		"not ASCII":       {"\u00e9", false},
+		"all punctuation": {"!#$%&'*+-.^_`|:/", true},
+	} {
+		if got := isPlainToken(c.text); got != c.want {
+			t.Errorf("%s: got %v, want %v", name, got, c.want)
+		}
+	}
+}
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"syscall"
@@ -16,38 +14,23 @@
 	"ploverreel/internal/config"
 )
 
-// restarted serves an agent on the listener. What ends its wait for a backend comes to the
-// test in place of the clock.
-func restarted(t *testing.T, conf map[string]any, ln net.Listener) (a *Agent, base string, waited func()) {
+// startOnListener serves an agent on a listener. Its ready timeout expires when the test calls expire.
+func startOnListener(t *testing.T, conf map[string]any, listener net.Listener) (agent *Agent, base string, expire func()) {
 	t.Helper()
-	a, err := New(parse(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	over := make(chan func(), 1)
-	a.loop.afterFunc = func(d time.Duration, f func()) *time.Timer {
-		if d != readyTimeout {
-			t.Errorf("waits %v", d)
+	agent = newAgent(t, conf)
+	timers := make(chan func(), 1)
+	agent.loop.afterFunc = func(delay time.Duration, call func()) *time.Timer {
+		if delay != readyTimeout {
+			t.Errorf("got a timer of %v, want %v", delay, readyTimeout)
 		}
-		over <- f
+		timers <- call
 		return nil
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(func() { stop(); a.server.Close(); a.stop() })
-	go a.Serve(ctx, ln)
-	return a, "http://" + ln.Addr().String(), func() { (<-over)(); a.awaitLoop() }
-}
-
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
+	base, _, _ = serve(t, agent, listener)
+	return agent, base, func() { (<-timers)(); agent.awaitLoop() }
 }
 
+// readiness returns the status of /ready.
 func readiness(t *testing.T, base string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, base+"/ready", nil)
@@ -58,94 +41,144 @@
 	return status
 }
 
-// Where discovery is down, silent or refusing, an agent that knows no backend is ready a while
-// after its start all the same. It queues what comes then, sends it on as soon as it knows a backend,
-// and stays ready.
-func TestReadyWithoutDiscovery(t *testing.T) {
+// checkReadiness checks the status of /ready.
+func checkReadiness(t *testing.T, base string, want int, when string) {
+	t.Helper()
+	if got := readiness(t, base); got != want {
+		t.Fatalf("%s: got /ready %d, want %d", when, got, want)
+	}
+}
+
+// While discovery is down, an agent that knows no backend is ready some time after its start all the
+// same. It queues the requests that come then, forwards them as soon as it knows a backend, and stays
+// ready.
+func TestAgentIsReadyWithoutDiscovery(t *testing.T) {
 	if readyTimeout > 5*time.Second {
-		t.Fatal("restarted agents have to be ready within 6 s, and their start takes a part of it")
+		t.Fatalf("got a ready timeout of %v, want 5s at most: restarted agents have to be ready within 6 s", readyTimeout)
 	}
-	silent := listen(t) // accepted by the system, and never answered
+	silent := listen(t) // the kernel accepts, and nobody answers
 	for name, discovery := range map[string]string{"silent": silent.Addr().String(), "refusing": nowhere} {
-		t.Run(name, func(t *testing.T) {
-			good, _ := counted(t, 200, false)
-			a, base, waited := restarted(t, agenttest.Config(discovery), listen(t))
-			if status := readiness(t, base); status != http.StatusServiceUnavailable {
-				t.Fatalf("/ready answered %d to begin with", status)
+		t.Run(name+" discovery", func(t *testing.T) {
+			backend, _ := agenttest.IDBackend(t, 200, false)
+			agent, base, expire := startOnListener(t, agenttest.Config(discovery), listen(t))
+			checkReadiness(t, base, http.StatusServiceUnavailable, "at the start")
+			expire()
+			checkReadiness(t, base, http.StatusOK, "after the ready timeout")
+			conn := agenttest.Dial(t, base)
+			io.WriteString(conn, agenttest.RequestText("order", "early"))
+			agenttest.Eventually(t, "the request queued", func() bool { return agent.holds("early") })
+			agent.applyList(2, readyHost(0, backend))
+			checkResponse(t, bufio.NewReader(conn), http.StatusOK)
+			agent.applyList(3)
+			checkReadiness(t, base, http.StatusOK, "after all backends are gone")
+		})
+	}
+}
+
+func TestReadyTimeoutIsLoggedWithoutBackend(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		backend bool
+		want    string
+	}{
+		{"no backend", false, `level=WARN msg="ready without a known backend" duration=5s` + "\n"},
+		{"a backend", true, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l, log := loggingLoop(t, nowhere) // with a backend
+			if !c.backend {
+				l.handle(watchEvent{list: listOf(2, true)})
 			}
-			waited()
-			if status := readiness(t, base); status != 200 {
-				t.Fatalf("/ready answered %d after the wait", status)
+			if got := l.ready.isReady.Load(); got != c.backend {
+				t.Errorf("before the timeout: got ready %v, want %v", got, c.backend)
 			}
-			c := dial(t, base)
-			io.WriteString(c, raw("order", "early"))
-			agenttest.Eventually(t, "its request queued", func() bool { return a.holds("early") })
-			a.applyList(2, readyHost(0, good))
-			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-				t.Fatalf("got %v, %v with a backend known", resp, err)
+			l.handle(readyTimeoutExpired{})
+			if got := log.String(); got != c.want {
+				t.Errorf("got log %q, want %q", got, c.want)
 			}
-			a.applyList(3)
-			if status := readiness(t, base); status != 200 {
-				t.Fatalf("/ready answered %d once all backends were gone", status)
+			if !l.ready.isReady.Load() {
+				t.Error("after the timeout: got the agent not ready, want it ready")
 			}
 		})
 	}
 }
 
-// An agent that was given servers long gone is ready at once, rejects what reaches none of
-// them, and serves when it knows of others.
-func TestReadyWithServersLongGone(t *testing.T) {
-	good, _ := counted(t, 200, false)
-	a, base, _ := restarted(t, agenttest.Config(nowhere, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), listen(t))
-	if status := readiness(t, base); status != 200 {
-		t.Fatalf("/ready answered %d", status)
-	}
-	if status, _, head := do(t, call(base, "order")); status != 503 || head.Get("Retry-After") != "0.6" {
-		t.Fatalf("answered %d, Retry-After %q", status, head.Get("Retry-After"))
-	}
-	a.applyList(2, readyHost(9, good))
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
-		t.Fatalf("answered %d with a backend known", status)
-	}
+// An agent whose configured backends can't be reached is ready at once, rejects the requests that
+// reach none of them, and serves when it knows another.
+func TestAgentIsReadyWithUnreachableBackends(t *testing.T) {
+	backend, _ := agenttest.IDBackend(t, 200, false)
+	agent, base, _ := startOnListener(t, agenttest.Config(nowhere, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), listen(t))
+	checkReadiness(t, base, http.StatusOK, "at the start")
+	status, _, header := do(t, call(base, "order"))
+	checkRejected(t, status, header)
+	agent.applyList(2, readyHost(9, backend))
+	checkStatus(t, base, http.StatusOK, "with a backend known")
 }
 
-// An agent that starts before a full backlog of clients, more than it has places for, answers
-// the one behind them all, and serves each that asked: those that say nothing make room.
-func TestReadyBehindAFullBacklog(t *testing.T) {
-	const backlog, every = 128, 16 // as many asked as may be open at once
-	good, _ := counted(t, 200, false)
-	ln := listen(t)
-	raws, err := ln.(*net.TCPListener).SyscallConn()
+// setBacklog sets how many connections the kernel accepts ahead of a listener.
+func setBacklog(t *testing.T, listener net.Listener, backlog int) {
+	t.Helper()
+	conn, err := listener.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := raws.Control(func(fd uintptr) { err = syscall.Listen(int(fd), backlog) }); err != nil {
-		t.Fatal(err)
+	if controlErr := conn.Control(func(fd uintptr) { err = syscall.Listen(int(fd), backlog) }); controlErr != nil {
+		t.Fatal(controlErr)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := "http://" + ln.Addr().String()
-	asked := []net.Conn{}
+}
+
+// An agent that starts with a full backlog of clients, more than it has slots for, answers the one
+// behind them all, and serves each that sent a request: clients that send nothing make room.
+func TestAgentAnswersBehindFullBacklog(t *testing.T) {
+	const backlog, every = 128, 16 // one client in so many sends a request
+	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.OpenRequests() {
+		t.Fatalf("got %d clients of which %d send, want more than %d of which %d send at most",
+			backlog, backlog/every, minLimits.ClientSockets(), minLimits.OpenRequests())
+	}
+	backend, _ := agenttest.IDBackend(t, 200, false)
+	listener := listen(t)
+	setBacklog(t, listener, backlog)
+	senders := []net.Conn{}
 	for i := range backlog {
-		c := dial(t, base)
+		conn := agenttest.Dial(t, listener.Addr().String())
 		if i%every == 0 {
-			io.WriteString(c, raw("order", fmt.Sprint("backlog", lastID.Add(1))))
-			asked = append(asked, c)
+			io.WriteString(conn, agenttest.RequestText("order", fmt.Sprint("backlog", lastID.Add(1))))
+			senders = append(senders, conn)
 		}
 	}
-	conf := agenttest.Config(nowhere, good)
-	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
-	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.OpenRequests() {
-		t.Fatal("these fit into the places, or these may not be open at once")
+	conf := agenttest.Config(nowhere, backend)
+	agenttest.Set(conf, config.MinSockets, "limits", "sockets")
+	_, base, _ := startOnListener(t, conf, listener)
+	checkReadiness(t, base, http.StatusOK, "behind the backlog")
+	for i, conn := range senders {
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || resp.StatusCode != 200 {
+			t.Fatalf("client %d: got %v, %v; want status 200", i, resp, err)
+		}
+	}
+}
+
+func TestReadyStateStaysReadyAfterTimeout(t *testing.T) {
+	var state readyState
+	state.update(true)
+	if !state.isReady.Load() {
+		t.Error("with an endpoint: got not ready, want ready")
 	}
-	restarted(t, conf, ln)
-	if status := readiness(t, base); status != 200 {
-		t.Fatalf("/ready answered %d", status)
+	state.update(false)
+	if state.isReady.Load() {
+		t.Error("without an endpoint: got ready, want not ready")
 	}
-	for i, c := range asked {
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("client %d got %v, %v", i, resp, err)
-		}
+	if !state.timeOut() {
+		t.Error("at the timeout: got false, want it reported that the timeout made the agent ready")
+	}
+	state.update(false)
+	if !state.isReady.Load() {
+		t.Error("without an endpoint after the timeout: got not ready, want ready")
+	}
+	if state.timeOut() {
+		t.Error("at a second timeout: got true, want the agent to be ready already")
 	}
 }
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -11,154 +11,156 @@
 	"time"
 
 	"ploverreel/internal/agenttest"
-	"ploverreel/internal/backend"
 	"ploverreel/internal/config"
 	"ploverreel/policy"
 )
 
-// classOf is a class of the settings.
-func classOf(name, effect string, giveUpMs int) map[string]any {
+// testClass returns the JSON object of a class of the settings.
+func testClass(name, effect string, giveUpMs int) map[string]any {
 	return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": giveUpMs, "credit": 1,
 		"effect": effect, "group": "all", "keyTtlMs": 20000}
 }
 
-// changed is the configuration with other settings; a value of nil takes the key away.
-func changed(conf map[string]any, settings map[string]any) map[string]any {
-	conf, set := maps.Clone(conf), maps.Clone(conf["settings"].(map[string]any))
-	maps.Copy(set, settings)
-	conf["settings"] = set
+// withSettings returns the configuration with some settings replaced.
+func withSettings(conf map[string]any, replaced map[string]any) map[string]any {
+	conf, settings := maps.Clone(conf), maps.Clone(conf["settings"].(map[string]any))
+	maps.Copy(settings, replaced)
+	conf["settings"] = settings
 	return conf
 }
 
-// Other classes, limits and sockets are in force at once. What is open is answered under the
-// terms it was taken with, what comes next goes by the new ones, and the agent stays ready.
-func TestSettingsChangeUnderLoad(t *testing.T) {
-	asked, turn := make(chan string, 10), make(chan struct{})
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+// steppedBackend answers one request each time that the test lets it.
+func steppedBackend(t *testing.T) (addr string, received chan string, answer chan struct{}) {
+	received, answer = make(chan string, 10), make(chan struct{})
+	addr = agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := agenttest.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			asked <- req.URL.Path
-			<-turn
-			io.WriteString(c, okAnswer)
+			received <- req.URL.Path
+			<-answer
+			io.WriteString(conn, agenttest.OKAnswer)
 		}
 	})
+	return addr, received, answer
+}
+
+// Other classes, limits and sockets are in force at once. Open requests are answered under the
+// settings that they were read under, later ones go by the new ones, and the agent stays ready.
+func TestReloadAppliesSettingsUnderLoad(t *testing.T) {
+	addr, received, answer := steppedBackend(t)
 	conf := agenttest.Config(nowhere, addr)
-	a, base, _, _ := start(t, conf)
-	answered := make(chan int, 1)
-	go func() {
-		status, _, _ := do(t, call(base, "order"))
-		answered <- status
-	}()
-	if path := <-asked; path != "/order/u1" {
-		t.Fatalf("asked %s", path)
-	}
-	next := changed(conf, map[string]any{"classes": []any{classOf("fresh", "single_shot", 300000),
-		classOf("send", "guarded", 30000), classOf("look", "free", 30000)}})
-	next["limits"] = map[string]any{"cores": 1, "memory_mb": 96, "sockets": 512}
-	if err := a.Reload(parse(t, next)); err != nil {
-		t.Fatal(err)
+	agent, base, _, _ := start(t, conf)
+	open := doAsync(t, call(base, "order"))
+	if got := <-received; got != "/order/u1" {
+		t.Fatalf("got a request of %s, want /order/u1", got)
 	}
-	if status, _, _ := do(t, call(base, "order")); status != http.StatusNotFound {
-		t.Errorf("a class that is no more is answered %d", status)
+	limits := config.Limits{Sockets: 512}
+	next := withSettings(conf, map[string]any{"classes": []any{testClass("fresh", "single_shot", 300000),
+		testClass("send", "guarded", 30000), testClass("look", "free", 30000)}})
+	next["limits"] = map[string]any{"cores": 1, "memory_mb": 96, "sockets": limits.Sockets}
+	if err := agent.Reload(parse(t, next)); err != nil {
+		t.Fatalf("got %v, want the configuration applied", err)
 	}
-	resp, err := http.Get(base + "/ready")
-	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("ready: %v, %v", resp, err)
-	}
-	resp.Body.Close()
-	close(turn)
-	if status := <-answered; status != http.StatusOK {
-		t.Errorf("what was open is answered %d", status)
+	checkStatus(t, base, http.StatusNotFound, "a class that was removed")
+	checkReadiness(t, base, http.StatusOK, "after the reload")
+	close(answer)
+	if got := <-open; got != http.StatusOK {
+		t.Errorf("a request from before the reload: got status %d, want 200", got)
 	}
 	for class, timeout := range map[string]string{"fresh": "300000m", "look": "20000m"} {
 		req := call(base, class)
 		req.Header.Set("Request-Timeout", timeout)
-		if status, said, _ := do(t, req); status != http.StatusOK {
-			t.Errorf("%s is answered %d %q", class, status, said)
+		if status, body, _ := do(t, req); status != http.StatusOK {
+			t.Errorf("class %s: got %d %q, want 200", class, status, body)
 		}
 	}
-	if slots, _ := a.clients.Limits(); slots != (config.Limits{Sockets: 512}).ClientSockets() {
-		t.Errorf("got %d slots for clients, want %d", slots, (config.Limits{Sockets: 512}).ClientSockets())
+	if got, _ := agent.clients.Limits(); got != limits.ClientSockets() {
+		t.Errorf("got %d slots for clients, want %d", got, limits.ClientSockets())
 	}
-	a.look(func(l *loop) {
-		if l.pool.Settings().MaxConns != (config.Limits{Sockets: 512}).BackendSockets() || l.seenIDs.keep < 300*time.Second {
-			t.Errorf("%d connections, ids known for %v", l.pool.Settings().MaxConns, l.seenIDs.keep)
+	agent.look(func(l *loop) {
+		if got := l.pool.Settings().MaxConns; got != limits.BackendSockets() {
+			t.Errorf("got %d connections to backends, want %d", got, limits.BackendSockets())
+		}
+		if l.seenIDs.keep < 300*time.Second {
+			t.Errorf("got ids remembered for %v, want 5m0s at least", l.seenIDs.keep)
 		}
 	})
 }
 
-// A configuration takes all or nothing: what can't change without a restart is named, and
-// neither its classes nor its discovery are in force.
-func TestReloadTakesAllOrNothing(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+// A configuration is applied whole or not at all: what can't change without a restart is named, and
+// neither the classes nor the discovery of that configuration are in force.
+func TestReloadAppliesAllOrNothing(t *testing.T) {
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	conf := agenttest.Config(nowhere, addr)
-	a, base, _, _ := start(t, conf)
-	fresh := map[string]any{"classes": []any{classOf("fresh", "single_shot", 30000)}}
-	for key, spoil := range map[string]func(c map[string]any){
-		"name":                     func(c map[string]any) { c["name"] = "n1" },
-		"listen":                   func(c map[string]any) { c["listen"] = "127.0.0.1:1" },
-		"settings: membershipMode": func(c map[string]any) { c["settings"].(map[string]any)["membershipMode"] = "on_request" },
-		"settings: index":          func(c map[string]any) { c["settings"].(map[string]any)["index"] = 3 },
-		"settings: failureDomains": func(c map[string]any) {
-			c["settings"].(map[string]any)["failureDomains"] = []any{"b", "a"}
-		},
-		"settings: shapes": func(c map[string]any) { c["settings"].(map[string]any)["shapes"] = []any{"other"} },
+	agent, base, _, _ := start(t, conf)
+	classes := map[string]any{"classes": []any{testClass("fresh", "single_shot", 30000)}}
+	for _, c := range []struct {
+		field string
+		value any
+		path  []any
+	}{
+		{"name", "n1", []any{"name"}},
+		{"listen", "127.0.0.1:1", []any{"listen"}},
+		{"settings: membershipMode", "on_request", []any{"settings", "membershipMode"}},
+		{"settings: index", 3, []any{"settings", "index"}},
+		{"settings: failureDomains", []any{"b", "a"}, []any{"settings", "failureDomains"}},
+		{"settings: shapes", []any{"other"}, []any{"settings", "shapes"}},
 	} {
-		next := changed(conf, fresh)
-		next["discovery"] = "127.0.0.1:2"
-		spoil(next)
-		err := a.Reload(parse(t, next))
-		if err == nil || !strings.HasPrefix(err.Error(), "config: "+key+": ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", key, err)
-		}
-		if status, _, _ := do(t, call(base, "order")); status != http.StatusOK {
-			t.Errorf("%s: the class at hand is answered %d", key, status)
-		}
-		a.look(func(l *loop) {
-			if l.watch.discovery.Addr() != nowhere {
-				t.Errorf("%s: another discovery is asked", key)
+		t.Run(c.field, func(t *testing.T) {
+			next := withSettings(conf, classes)
+			next["discovery"] = "127.0.0.1:2"
+			agenttest.Set(next, c.value, c.path...)
+			err := agent.Reload(parse(t, next))
+			if err == nil || !strings.HasPrefix(err.Error(), "config: "+c.field+": ") || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got error %v, want one line that names %s", err, c.field)
 			}
+			checkStatus(t, base, http.StatusOK, "the class in force")
+			agent.look(func(l *loop) {
+				if got := l.watch.discoveryAddr(); got != nowhere {
+					t.Errorf("got discovery %s, want %s", got, nowhere)
+				}
+			})
 		})
 	}
-	next := changed(conf, fresh)
-	next["settings"].(map[string]any)["failureDomains"] = []any{"a", "b", "c"} // one more
-	if err := a.Reload(parse(t, next)); err != nil {
-		t.Errorf("one more zone: %v", err)
+	next := withSettings(conf, classes)
+	agenttest.Set(next, []any{"a", "b", "c"}, "settings", "failureDomains")
+	if err := agent.Reload(parse(t, next)); err != nil {
+		t.Errorf("one more failure domain: got %v, want it applied", err)
 	}
 }
 
-// A request that was read just before other settings came is decided under its class's new number,
-// and rejected, as it never ran, where its class is no more or has another effect.
-func TestRequestReadUnderTheSettingsBefore(t *testing.T) {
+// A request that was read just before other settings came is decided under its class's new number. It
+// is rejected, as it never ran, if its class was removed or has another effect.
+func TestReloadRenumbersClassesOfRequestsReadBefore(t *testing.T) {
 	conf := agenttest.Config(nowhere, "127.0.0.1:1")
 	for _, c := range []struct {
-		name    string
-		classes []any
-		class   int // -1: rejected
+		name      string
+		classes   []any
+		wantClass int // -1: rejected
 	}{
-		{"another place", []any{classOf("look", "free", 30000), classOf("order", "single_shot", 30000)}, 1},
-		{"no more", []any{classOf("look", "free", 30000)}, -1},
-		{"another effect", []any{classOf("order", "guarded", 30000)}, -1},
+		{"another number", []any{testClass("look", "free", 30000), testClass("order", "single_shot", 30000)}, 1},
+		{"removed", []any{testClass("look", "free", 30000)}, -1},
+		{"another effect", []any{testClass("order", "guarded", 30000)}, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := quietLoop(t, "127.0.0.1:1")
-			old := l.config
+			l := newTestLoop(t, "127.0.0.1:1")
+			r := newTestRequest(l.config, "x", time.Now().Add(agenttest.Never))
 			done := make(chan error, 1)
-			l.handle(reloadRequested{config: parse(t, changed(conf, map[string]any{"classes": c.classes})), done: done})
+			l.handle(reloadRequested{config: parse(t, withSettings(conf, map[string]any{"classes": c.classes})), done: done})
 			if err := <-done; err != nil {
-				t.Fatal(err)
+				t.Fatalf("got %v, want the configuration applied", err)
 			}
-			r := &request{config: old, class: 2, answers: make(chan response, 1),
-				Request: backend.Request{RequestID: "x", Deadline: time.Now().Add(agenttest.Never)}}
 			l.handle(requestArrived{request: r})
-			if c.class >= 0 && (r.class != c.class || len(r.attempts) != 1) {
-				t.Errorf("class %d, %d attempts", r.class, len(r.attempts))
+			if c.wantClass < 0 {
+				if len(r.answers) != 1 || (<-r.answers).status != policy.StatusRejected || len(r.attempts) > 0 {
+					t.Errorf("got %d attempts, want the request rejected without one", len(r.attempts))
+				}
+				return
 			}
-			if c.class < 0 && (len(r.answers) != 1 || (<-r.answers).status != policy.StatusRejected || len(r.attempts) > 0) {
-				t.Error("not rejected")
+			if r.class != c.wantClass || len(r.attempts) != 1 {
+				t.Errorf("got class %d and %d attempts, want class %d and 1", r.class, len(r.attempts), c.wantClass)
 			}
 		})
 	}
--- a/internal/agent/reload_errors_test.go
+++ b/internal/agent/reload_errors_test.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"log/slog"
 	"testing"
 
 	"ploverreel/internal/agenttest"
@@ -9,7 +8,7 @@
 
 // The texts are an interface: they are pinned word for word.
 func TestReloadErrorIsOneLineWithTheField(t *testing.T) {
-	a, _, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
+	agent, _, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
 	for _, c := range []struct {
 		name  string
 		value any
@@ -26,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			conf := agenttest.Config(nowhere, "127.0.0.1:1")
 			agenttest.Set(conf, c.value, c.path...)
-			if err := a.Reload(parse(t, conf)); err == nil || err.Error() != c.want {
+			if err := agent.Reload(parse(t, conf)); err == nil || err.Error() != c.want {
 				t.Errorf("got error\n%v, want\n%s", err, c.want)
 			}
 		})
@@ -34,12 +33,9 @@
 }
 
 func TestReloadOfAStoppedAgentFails(t *testing.T) {
-	ended, err := New(parse(t, agenttest.Config(nowhere)), slog.New(slog.DiscardHandler))
-	if err != nil {
-		t.Fatal(err)
-	}
-	ended.stop()
-	if err := ended.Reload(parse(t, agenttest.Config(nowhere))); err == nil || err.Error() != "config: the agent has ended" {
+	agent := newAgent(t, agenttest.Config(nowhere))
+	agent.stop()
+	if err := agent.Reload(parse(t, agenttest.Config(nowhere))); err == nil || err.Error() != "config: the agent has ended" {
 		t.Errorf("got error %v, want config: the agent has ended", err)
 	}
 }
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -14,94 +14,127 @@
 	"ploverreel/internal/config"
 )
 
-// Configurations in a row, each with other limits and another order of the classes, cost no request
-// its answer: what was read is answered, and what was not is not sent on.
-func TestReloadsInARow(t *testing.T) {
+// reloadConfigs returns two configurations that differ in their limits and in the order of the
+// classes.
+func reloadConfigs(t *testing.T, conf map[string]any) (configs []*config.Config) {
+	t.Helper()
+	look, order, send := testClass("look", "free", 30000), testClass("order", "single_shot", 30000), testClass("send", "guarded", 30000)
+	for _, c := range []struct {
+		sockets int
+		classes []any
+	}{
+		{config.MinSockets, []any{look, order, send}},
+		{1024, []any{order, look, send}},
+	} {
+		next := withSettings(conf, map[string]any{"classes": c.classes})
+		next["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": c.sockets}
+		configs = append(configs, parse(t, next))
+	}
+	return configs
+}
+
+// persistentClient sends requests one after the other, and connects again where its connection closes.
+type persistentClient struct {
+	t      *testing.T
+	base   string
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (c *persistentClient) connect() {
+	c.conn = agenttest.Dial(c.t, c.base)
+	c.reader = bufio.NewReader(c.conn)
+}
+
+// send sends a request and reports whether it was answered. A response must have status 200.
+func (c *persistentClient) send(id string) bool {
+	if c.conn == nil {
+		c.connect()
+	}
+	_ = c.conn.SetReadDeadline(time.Now().Add(clientTimeout))
+	io.WriteString(c.conn, agenttest.RequestText("order", id))
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err == nil {
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode != 200 {
+			c.t.Errorf("request %s: got status %d, want 200", id, resp.StatusCode)
+		}
+	}
+	if err != nil || resp.Close {
+		c.conn.Close()
+		c.connect()
+	}
+	return err == nil
+}
+
+// reloadUntil reloads one configuration after the other until done is closed.
+func reloadUntil(t *testing.T, agent *Agent, configs []*config.Config, done <-chan struct{}) {
+	t.Helper()
+	for i := 0; ; i++ {
+		if err := agent.Reload(configs[i%len(configs)]); err != nil {
+			t.Errorf("reload %d: got %v, want no error", i, err)
+		}
+		select {
+		case <-done:
+			return
+		default:
+		}
+	}
+}
+
+// Reloads in a row, each with other limits and another order of the classes, cost no request its
+// response: a request that was read is answered, and one that was not is not forwarded.
+func TestReloadsLoseNoRequest(t *testing.T) {
 	const clients, requests = 6, 30
-	got := make(chan string, 2*clients*requests)
-	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	received := make(chan string, 2*clients*requests)
+	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := readRequest(r)
+			req, err := agenttest.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			got <- req.Header.Get("Request-Id")
-			io.WriteString(c, okAnswer)
+			received <- req.Header.Get("Request-Id")
+			io.WriteString(conn, agenttest.OKAnswer)
 		}
 	})
 	conf := agenttest.Config(nowhere, addr)
-	a, base, _, _ := start(t, conf)
-	var configs []*config.Config
-	for i, sockets := range []int{config.MinSockets, 1024} {
-		classes := []any{classOf("look", "free", 30000), classOf("order", "single_shot", 30000), classOf("send", "guarded", 30000)}
-		if i == 1 {
-			classes[0], classes[1] = classes[1], classes[0]
-		}
-		next := changed(conf, map[string]any{"classes": classes})
-		next["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": sockets}
-		configs = append(configs, parse(t, next))
-	}
-	var wait sync.WaitGroup
+	agent, base, _, _ := start(t, conf)
+	var sending sync.WaitGroup
 	unanswered := make(chan string, clients*requests)
-	for client := range clients {
-		wait.Add(1)
+	for i := range clients {
+		sending.Add(1)
 		go func() {
-			defer wait.Done()
-			c := dial(t, base)
-			r := bufio.NewReader(c)
-			for i := range requests {
-				id := fmt.Sprintf("row-%d-%d", client, i)
-				_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-				io.WriteString(c, raw("order", id))
-				resp, err := http.ReadResponse(r, nil)
-				if err != nil {
+			defer sending.Done()
+			client := persistentClient{t: t, base: base}
+			for n := range requests {
+				if id := fmt.Sprintf("reload-%d-%d", i, n); !client.send(id) {
 					unanswered <- id
-				} else {
-					io.Copy(io.Discard, resp.Body)
-					if resp.StatusCode != 200 {
-						t.Errorf("%s answered %d", id, resp.StatusCode)
-					}
-				}
-				if err != nil || resp.Close {
-					c.Close()
-					c = dial(t, base)
-					r = bufio.NewReader(c)
 				}
 			}
 		}()
 	}
 	done := make(chan struct{})
 	go func() {
-		wait.Wait()
+		sending.Wait()
 		close(done)
 	}()
-	for i := 0; ; i++ {
-		if err := a.Reload(configs[i%2]); err != nil {
-			t.Error(err)
-		}
-		select {
-		case <-done:
-		default:
-			continue
-		}
-		break
-	}
-	a.awaitLoop()
-	close(got)
+	reloadUntil(t, agent, reloadConfigs(t, conf), done)
+	agent.awaitLoop()
+	close(received)
 	close(unanswered)
-	sent := map[string]bool{}
-	for id := range got {
-		if sent[id] {
-			t.Errorf("%s was sent on twice", id)
+	forwarded := map[string]bool{}
+	for id := range received {
+		if forwarded[id] {
+			t.Errorf("request %s: got it forwarded twice, want once", id)
 		}
-		sent[id] = true
+		forwarded[id] = true
 	}
 	for id := range unanswered {
-		if sent[id] {
-			t.Errorf("%s was sent on and not answered", id)
+		if forwarded[id] {
+			t.Errorf("request %s: got it forwarded and not answered, want an answer", id)
 		}
 	}
-	if len(sent) < clients*requests/2 {
-		t.Errorf("%d of %d requests were sent on", len(sent), clients*requests)
+	if len(forwarded) < clients*requests/2 {
+		t.Errorf("got %d of %d requests forwarded, want half of them at least", len(forwarded), clients*requests)
 	}
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -15,8 +15,8 @@
 	"ploverreel/internal/agenttest"
 )
 
-// listening reports whether the agent still accepts connections.
-func listening(base string) bool {
+// accepts reports whether the agent still accepts connections.
+func accepts(base string) bool {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(base, "http://"))
 	if err == nil {
 		conn.Close()
@@ -24,94 +24,149 @@
 	return err == nil
 }
 
+// startBlocking starts a backend that answers when release is closed, and sends the Request-Timeout of
+// each request on received.
+func startBlocking(t *testing.T) (addr string, received chan string, release chan struct{}) {
+	t.Helper()
+	received, release = make(chan string, 10), make(chan struct{})
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		received <- r.Header.Get("Request-Timeout")
+		<-release
+		fmt.Fprint(w, "done")
+	}))
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String(), received, release
+}
+
+// awaitEnd waits for the agent's end, and checks that it is one without an error.
+func awaitEnd(t *testing.T, ended <-chan error) {
+	t.Helper()
+	if err := agenttest.Receive(t, ended, "the agent's end"); err != nil {
+		t.Fatalf("got the agent's end with %v, want no error", err)
+	}
+}
+
 // A shutdown waits for a request whose head was read, also if nothing else is in progress: it came
 // on an accepted connection.
-func TestLeaveWaitsForWhatIsBeingRead(t *testing.T) {
-	addr, _ := counted(t, 200, false)
+func TestShutdownWaitsForRequestBeingRead(t *testing.T) {
+	addr, _ := agenttest.IDBackend(t, 200, false)
 	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr))
-	conn := dial(t, base)
-	text := strings.Replace(raw("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
+	conn := agenttest.Dial(t, base)
+	text := strings.Replace(agenttest.RequestText("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
 	stop()
-	agenttest.Eventually(t, "leaving", func() bool { return agent.shutdownAt.Load() != nil })
+	agenttest.Eventually(t, "the shutdown begun", func() bool { return agent.shutdownAt.Load() != nil })
 	io.WriteString(conn, text+"half")
-	agenttest.Eventually(t, "no more connections", func() bool { return !listening(base) })
+	agenttest.Eventually(t, "no connections accepted", func() bool { return !accepts(base) })
 	// Far longer than shutdownSettleTime: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
-		t.Errorf("ended with half a request read: %v", err)
+		t.Errorf("got the agent's end, %v, with half a request read; want it to wait", err)
 	case <-time.After(4 * shutdownSettleTime):
 	}
 	io.WriteString(conn, "rest")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil || !resp.Close {
-		t.Fatalf("got %v, %v; want an answer and the connection's end", resp, err)
-	}
-	if err := <-ended; err != nil {
-		t.Fatal(err)
+		t.Fatalf("got response %v, %v; want one with Connection: close", resp, err)
 	}
+	awaitEnd(t, ended)
 }
 
 // A request so late after SIGTERM that SIGKILL might find it unanswered is rejected at once and not
 // forwarded.
-func TestLateRequestsAreRefused(t *testing.T) {
-	addr, came := counted(t, 200, false)
+func TestShutdownRejectsLateRequests(t *testing.T) {
+	addr, received := agenttest.IDBackend(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	long := time.Now().Add(-shutdownRejectAfter)
-	agent.shutdownAt.Store(&long)
-	status, _, head := do(t, call(base, "order"))
-	if status != http.StatusServiceUnavailable || head.Get("Retry-After") != "0.6" || len(came) > 0 {
-		t.Fatalf("answered %d, Retry-After %q, %d sent on", status, head.Get("Retry-After"), len(came))
+	began := time.Now().Add(-shutdownRejectAfter)
+	agent.shutdownAt.Store(&began)
+	status, _, header := do(t, call(base, "order"))
+	checkRejected(t, status, header)
+	if len(received) > 0 {
+		t.Fatalf("got %d requests forwarded, want 0", len(received))
 	}
 }
 
 // SIGTERM before the agent serves, with no request in progress, ends it without an error.
-func TestLeaveBeforeServing(t *testing.T) {
+func TestShutdownBeforeServing(t *testing.T) {
 	agent := newAgent(t, agenttest.Config(nowhere))
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if err := agent.Serve(ctx, ln); err != nil {
-		t.Fatal(err)
+	if err := agent.Serve(ctx, listen(t)); err != nil {
+		t.Fatalf("got %v, want no error", err)
 	}
 }
 
 // After SIGTERM requests on new connections are still answered, those in progress are finished, and
 // the agent ends without an error.
-func TestLeave(t *testing.T) {
-	got, release := make(chan struct{}, 2), make(chan struct{})
-	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- struct{}{}
-		<-release
-		fmt.Fprint(w, "done")
-	}))
-	t.Cleanup(backend.Close)
-	agent, base, stop, ended := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
-	answers := make(chan *http.Response, 2)
-	ask := func() {
+func TestShutdownAnswersRequestsInProgress(t *testing.T) {
+	addr, received, release := startBlocking(t)
+	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr))
+	responses := make(chan *http.Response, 2)
+	send := func() {
 		resp, err := http.DefaultTransport.RoundTrip(call(base, "look"))
 		if err != nil {
-			t.Error(err)
+			t.Errorf("got %v, want a response", err)
 		}
-		answers <- resp
+		responses <- resp
 	}
-	go ask()
-	<-got
+	go send()
+	<-received
 	stop()
-	for agent.shutdownAt.Load() == nil {
-		time.Sleep(time.Millisecond)
-	}
-	go ask() // on a new connection, as the first is in use
-	<-got
+	agenttest.Eventually(t, "the shutdown begun", func() bool { return agent.shutdownAt.Load() != nil })
+	go send() // on a new connection, as the first is in use
+	<-received
 	close(release)
 	for range 2 {
-		if resp := <-answers; resp == nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("answered %v, want 200 with Connection: close", resp)
+		if resp := <-responses; resp == nil || resp.StatusCode != 200 || !resp.Close {
+			t.Errorf("got response %v, want 200 with Connection: close", resp)
+		}
+	}
+	awaitEnd(t, ended)
+}
+
+// captureTimer has the agent hand its timer to the test in place of the clock, and checks its delay.
+func captureTimer(t *testing.T, agent *Agent, want time.Duration) (timers chan func()) {
+	timers = make(chan func(), 1)
+	agent.afterFunc = func(delay time.Duration, call func()) *time.Timer {
+		if delay != want {
+			t.Errorf("got a timer of %v, want %v", delay, want)
 		}
+		timers <- call
+		return time.NewTimer(agenttest.Never)
 	}
-	if err := <-ended; err != nil {
-		t.Fatal(err)
+	return timers
+}
+
+// A request that SIGKILL, 3.7 s after SIGTERM, would find unanswered is answered before, and a request
+// after SIGTERM is forwarded with no more time than until then.
+func TestShutdownAnswersBeforeKill(t *testing.T) {
+	const lastResponse = 3600 * time.Millisecond // after SIGTERM
+	addr, received, release := startBlocking(t)
+	t.Cleanup(func() { close(release) })
+	agent := newAgent(t, agenttest.Config(nowhere, addr))
+	timers := captureTimer(t, agent, lastResponse)
+	base, stop, ended := serve(t, agent, listen(t))
+	var readers []*bufio.Reader
+	open := func() net.Conn {
+		conn := agenttest.Dial(t, base)
+		_ = conn.SetReadDeadline(time.Now().Add(clientTimeout))
+		readers = append(readers, bufio.NewReader(conn))
+		return conn
+	}
+	io.WriteString(open(), agenttest.RequestText("order", "before"))
+	<-received
+	late := open()
+	agenttest.Eventually(t, "both connections accepted", func() bool { return agent.clients.Count() == 2 })
+	stop()
+	reachDrainDeadline := <-timers
+	io.WriteString(late, agenttest.RequestText("order", "after"))
+	if got, err := parseTimeout(<-received, time.Minute); err != nil || got > lastResponse {
+		t.Errorf("got Request-Timeout %v, %v of a request after SIGTERM; want at most %v", got, err, lastResponse)
+	}
+	reachDrainDeadline()
+	for _, reader := range readers {
+		if resp := checkResponse(t, reader, http.StatusGatewayTimeout); !resp.Close {
+			t.Fatal("got a response that keeps the connection, want Connection: close")
+		}
 	}
+	awaitEnd(t, ended)
 }
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -7,12 +7,11 @@
 	"net/http"
 	"net/http/httptest"
 	"testing"
-	"time"
 
 	"ploverreel/internal/agenttest"
 )
 
-// A simulated agent watches as any does, reports each list that is in force, and ends with its
+// A simulated agent watches like any agent, reports each list that is put in force, and ends with its
 // context. The list of its configuration is not reported.
 func TestSimulatedAgentReportsListsInForce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,17 +33,12 @@
 		ended <- RunSimulated(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- report{seq, whole} })
 	}()
 	for _, want := range []report{{7, true}, {8, false}} {
-		select {
-		case got := <-lists:
-			if got != want {
-				t.Fatalf("reported %+v, want %+v", got, want)
-			}
-		case <-time.After(agenttest.NoAnswerTimeout):
-			t.Fatal("reported nothing")
+		if got := agenttest.Receive(t, lists, "a report of a list"); got != want {
+			t.Fatalf("got report %+v, want %+v", got, want)
 		}
 	}
 	stop()
 	if err := <-ended; err != nil {
-		t.Fatal(err)
+		t.Fatalf("got the end %v, want no error", err)
 	}
 }
