--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -40,8 +40,8 @@
 // a space or a sign (commands, messages, types), words with a hyphen (flags, headers, commands), with a
 // slash in front (targets of requests) or outside the repository (../a, and K/a for the kit), words in
 // capitals (signals, variables of the environment), numbers. In blocks of code, which are commands and
-// diagrams, the same is asked of files, tests and words with a capital inside or
-// behind a point.
+// diagrams, the same is asked of files, tests, words with a capital inside or behind
+// a point, and members of types and packages.
 func TestPagesNameWhatExists(t *testing.T) {
 	all := readTree(t)
 	known := all.names()
@@ -105,7 +105,7 @@
 	}
 	for text, found := range map[string]bool{"maxItems": true, "maxSize": false, "queue.go": true, "stack.go": false,
 		"TestQueuePops": false, "clone": true, "Needs": true, "Queue.Push": true, "Queue.popAll": false,
-		"Queue.Pop": false} {
+		"Queue.Pop": false, "Queue.limit": true, "Queue.size": false} {
 		if got := known.problem(word{text: text, inBlock: true}) == ""; got != found {
 			t.Errorf("%s in a block: got found %t, want %t", text, got, found)
 		}
@@ -181,7 +181,7 @@
 // problem says why a text in code type names nothing; "" if it names something or is no name.
 func (n *names) problem(w word) string {
 	text := brackets.ReplaceAllString(w.text, "")
-	if w.inBlock && !isTestName(text) && path.Ext(text) != ".go" && !mixedCase.MatchString(text) {
+	if w.inBlock && !n.isNameInBlock(text) {
 		return ""
 	}
 	text = strings.TrimPrefix(text, "./")
@@ -210,6 +210,12 @@
 	return missing("no such name", n.words[text] || n.texts[text])
 }
 
+// isNameInBlock reports whether a word of a block of code is looked up.
+func (n *names) isNameInBlock(text string) bool {
+	owner, _, isMember := strings.Cut(text, ".")
+	return isTestName(text) || path.Ext(text) == ".go" || mixedCase.MatchString(text) || isMember && n.members[owner] != nil
+}
+
 // missing returns the problem unless the name was found.
 func missing(problem string, found bool) string {
 	if found {
