--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,7 +22,7 @@
 )
 
 func TestServed(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	for _, class := range []string{"look", "send", "order"} {
 		if status, body, _ := do(t, call(base, class)); status != 200 || body != "done" {
@@ -55,7 +55,7 @@
 			var addrs []string
 			var came []chan string
 			for range 5 {
-				addr, ids := agenttest.IDBackend(t, test.status, test.notStarted)
+				addr, ids := counted(t, test.status, test.notStarted)
 				addrs, came = append(addrs, addr), append(came, ids)
 			}
 			_, base, _, _ := start(t, agenttest.Config(nowhere, addrs...))
@@ -79,8 +79,8 @@
 
 // A backend's incomplete answer is not forwarded, whole or in part.
 func TestBrokenAnswerFails(t *testing.T) {
-	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := agenttest.ReadRequest(reader); err == nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
@@ -92,7 +92,7 @@
 
 // A panic in the loop loses one input only.
 func TestLoopPanic(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	agent.loop.post(requestArrived{request: nil})
 	if status, _, _ := do(t, call(base, "order")); status != 200 {
@@ -155,8 +155,8 @@
 // The attempt of a client that has disconnected is cancelled.
 func TestClientGone(t *testing.T) {
 	got, ended := make(chan struct{}), make(chan struct{})
-	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := agenttest.ReadRequest(reader); err != nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err != nil {
 			return
 		}
 		close(got)
@@ -174,7 +174,7 @@
 // A backend that begins to drain during the connect to it is sent nothing, and the request is sent
 // to another.
 func TestDrainWhileDialling(t *testing.T) {
-	good, came := agenttest.IDBackend(t, 200, false)
+	good, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
 	dialling := make(chan struct{})
 	plain := agent.loop.pool.DialContext
@@ -280,9 +280,9 @@
 // is used again.
 func TestTimeoutDropsIdle(t *testing.T) {
 	closed := make(chan struct{})
-	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := agenttest.ReadRequest(reader); err == nil {
-			io.WriteString(conn, agenttest.OKAnswer)
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
+			io.WriteString(conn, okAnswer)
 			reader.ReadByte()
 			close(closed)
 		}
--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -16,7 +16,7 @@
 // Clients that send one request and keep their connections without end must not use up all slots:
 // above the limit connections close with their response.
 func TestAgentClosesConnectionsAboveKeptLimit(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	slots, _ := agent.clients.Limits()
 	agent.clients.Resize(slots, 3)
@@ -41,7 +41,7 @@
 // Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
 // on the connection reach a backend.
 func TestAgentRejectsMalformedRequests(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
+	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	head := func(extra ...string) string {
 		return "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: bad1\r\nRequest-Timeout: 30000m\r\n" +
@@ -96,7 +96,7 @@
 	if got := clientconn.HeadTimeout + bodyTimeout; got > 2700*time.Millisecond {
 		t.Fatalf("got %v until a client that sends nothing is closed, want less than 3 s", got)
 	}
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	if got := answered(t, dial(t, base)); got != "" {
 		t.Fatalf("got %q, want nothing for a client that sent nothing", got)
@@ -105,7 +105,7 @@
 
 // A graceful shutdown doesn't wait for incomplete requests and silent connections.
 func TestShutdownDoesNotWaitForIncompleteRequests(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr)) // the deadline of its classes is 30 s
 	dial(t, base)
 	half := dial(t, base)
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -41,7 +41,7 @@
 
 func newFaultyClient(t *testing.T) *faultyClient {
 	t.Helper()
-	addr, received := agenttest.IDBackend(t, 200, false)
+	addr, received := counted(t, 200, false)
 	c := &faultyClient{received: received, attempts: map[string]int{}, want: map[string]attemptBounds{}}
 	c.next.Store(&agenttest.NoFault)
 	c.agent, c.base, _, _ = startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
@@ -151,7 +151,7 @@
 
 // However accept fails and however often, the agent serves the next connection.
 func TestAgentServesAfterFailedAccepts(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	for _, errno := range acceptErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/agent/disconnect_queue_test.go
+++ b/internal/agent/disconnect_queue_test.go
@@ -60,7 +60,7 @@
 	for name, queue := range queuedInputs {
 		for how, disconnect := range agenttest.Disconnects {
 			t.Run(name+", "+how, func(t *testing.T) {
-				backend, received := agenttest.IDBackend(t, 200, false)
+				backend, received := counted(t, 200, false)
 				agent, base, _, _ := start(t, agenttest.Config(nowhere))
 				conn := dial(t, base)
 				waiting, release := queue(t, agent, conn, backend)
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -23,8 +23,8 @@
 func startRejecting(t *testing.T) *rejectingBackend {
 	t.Helper()
 	b := &rejectingBackend{received: make(chan struct{}), answer: make(chan struct{})}
-	b.addr = agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := agenttest.ReadRequest(reader); err == nil {
+	b.addr = rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
 			close(b.received)
 			<-b.answer
 			io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
@@ -101,7 +101,7 @@
 // playDisconnect has a client disconnect after some more bytes, while its request waits for
 // capacity, a connect or a retry.
 func playDisconnect(t *testing.T, wait, more string, cancelling bool) {
-	backend, received := agenttest.IDBackend(t, 200, false)
+	backend, received := counted(t, 200, false)
 	rejecting := startRejecting(t)
 	conf := agenttest.Config(nowhere, map[string][]string{"capacity": nil, "connect": {unansweredAddr}, "retry": {rejecting.addr}}[wait]...)
 	conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
@@ -133,8 +133,8 @@
 // that no backend gave.
 func TestAgentAnswers502ToHalfClosedClient(t *testing.T) {
 	got := make(chan struct{})
-	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		if _, err := agenttest.ReadRequest(reader); err == nil {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+		if _, err := readRequest(reader); err == nil {
 			close(got)
 			reader.ReadByte() // until the agent closes it
 		}
@@ -152,15 +152,15 @@
 // Requests read while another is in progress are answered in order, and none is lost.
 func TestAgentAnswersPipelinedRequestsInOrder(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
-	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+	addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			req, err := agenttest.ReadRequest(reader)
+			req, err := readRequest(reader)
 			if err != nil {
 				return
 			}
 			got <- req.Header.Get("Request-Id")
 			<-release
-			io.WriteString(conn, agenttest.OKAnswer)
+			io.WriteString(conn, okAnswer)
 		}
 	})
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -66,7 +66,7 @@
 func TestAgentForwardsNothingForUnreadDisconnect(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
-			addr, received := agenttest.IDBackend(t, 200, false)
+			addr, received := counted(t, 200, false)
 			read, clients := make(chan struct{}), &trackingListener{}
 			agent, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
 				clients.Listener = ln
@@ -94,11 +94,11 @@
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
 			got, release := make(chan string, 10), make(chan struct{})
-			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-				if req, err := agenttest.ReadRequest(reader); err == nil {
+			addr := rawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
+				if req, err := readRequest(reader); err == nil {
 					got <- req.Header.Get("Request-Id")
 					<-release
-					io.WriteString(conn, strings.Replace(agenttest.OKAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
+					io.WriteString(conn, strings.Replace(okAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
 			agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
@@ -127,7 +127,7 @@
 // request, here with all of it there before the connection is accepted.
 func TestAgentForwardsNothingForDisconnectBeforeAccept(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
-	addr, received := agenttest.IDBackend(t, 200, false)
+	addr, received := counted(t, 200, false)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 // request, and its slot is free again.
 func TestAgentForwardsNothingForIncompleteRequest(t *testing.T) {
 	whole := strings.Replace(raw("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
-	addr, received := agenttest.IDBackend(t, 200, false)
+	addr, received := counted(t, 200, false)
 	agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
@@ -182,7 +182,7 @@
 func TestAgentForwardsNothingForDisconnectDuringSettleDelay(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
-			addr, received := agenttest.IDBackend(t, 200, false)
+			addr, received := counted(t, 200, false)
 			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -236,7 +236,7 @@
 // Clients that stop in the middle of a request and stay connected get an error or a close: also if
 // the head is invalid, the timeout short, or the request the second on its connection.
 func TestStoppedRequestsEnd(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
+	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	long := strings.Replace(raw("order", "half"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalf", 1)
 	short := strings.Replace(long, "30000m", "20m", 1)
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -64,7 +64,7 @@
 
 // A request with no time left never ran: it is rejected with a Retry-After.
 func TestNoTimeLeft(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
+	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	req := call(base, "order")
 	req.Header.Set("Request-Timeout", "1u")
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -15,7 +15,7 @@
 // An invalid request gets a 4xx other than 429, as it fails again when retried, and reaches no
 // backend.
 func TestBadInput(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
+	addr, came := counted(t, 200, false)
 	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	for name, change := range map[string]func(r *http.Request){
 		"unknown class":    func(r *http.Request) { r.URL.Path = "/nothing/u1" },
@@ -69,7 +69,7 @@
 
 // The longest timeout accepted follows from the settings: a class may have a deadline of minutes.
 func TestDeadlinesOfTheSettings(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	conf := agenttest.Config(nowhere, addr)
 	conf["settings"].(map[string]any)["classes"].([]any)[2].(map[string]any)["giveUpMs"] = 300000
 	_, base, _, _ := start(t, conf)
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -68,7 +68,7 @@
 	silent := listen(t) // accepted by the system, and never answered
 	for name, discovery := range map[string]string{"silent": silent.Addr().String(), "refusing": nowhere} {
 		t.Run(name, func(t *testing.T) {
-			good, _ := agenttest.IDBackend(t, 200, false)
+			good, _ := counted(t, 200, false)
 			a, base, waited := restarted(t, agenttest.Config(discovery), listen(t))
 			if status := readiness(t, base); status != http.StatusServiceUnavailable {
 				t.Fatalf("/ready answered %d to begin with", status)
@@ -95,7 +95,7 @@
 // An agent that was given servers long gone is ready at once, rejects what reaches none of
 // them, and serves when it knows of others.
 func TestReadyWithServersLongGone(t *testing.T) {
-	good, _ := agenttest.IDBackend(t, 200, false)
+	good, _ := counted(t, 200, false)
 	a, base, _ := restarted(t, agenttest.Config(nowhere, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), listen(t))
 	if status := readiness(t, base); status != 200 {
 		t.Fatalf("/ready answered %d", status)
@@ -113,7 +113,7 @@
 // the one behind them all, and serves each that asked: those that say nothing make room.
 func TestReadyBehindAFullBacklog(t *testing.T) {
 	const backlog, every = 128, 16 // as many asked as may be open at once
-	good, _ := agenttest.IDBackend(t, 200, false)
+	good, _ := counted(t, 200, false)
 	ln := listen(t)
 	raws, err := ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -34,15 +34,15 @@
 // terms it was taken with, what comes next goes by the new ones, and the agent stays ready.
 func TestSettingsChangeUnderLoad(t *testing.T) {
 	asked, turn := make(chan string, 10), make(chan struct{})
-	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			req, err := agenttest.ReadRequest(r)
+			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
 			asked <- req.URL.Path
 			<-turn
-			io.WriteString(c, agenttest.OKAnswer)
+			io.WriteString(c, okAnswer)
 		}
 	})
 	conf := agenttest.Config(nowhere, addr)
@@ -93,7 +93,7 @@
 // A configuration takes all or nothing: what can't change without a restart is named, and
 // neither its classes nor its discovery are in force.
 func TestReloadTakesAllOrNothing(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	conf := agenttest.Config(nowhere, addr)
 	a, base, _, _ := start(t, conf)
 	fresh := map[string]any{"classes": []any{classOf("fresh", "single_shot", 30000)}}
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -19,14 +19,14 @@
 func TestReloadsInARow(t *testing.T) {
 	const clients, requests = 6, 30
 	got := make(chan string, 2*clients*requests)
-	addr := agenttest.RawBackend(t, func(c net.Conn, r *bufio.Reader) {
+	addr := rawBackend(t, func(c net.Conn, r *bufio.Reader) {
 		for {
-			req, err := agenttest.ReadRequest(r)
+			req, err := readRequest(r)
 			if err != nil {
 				return
 			}
 			got <- req.Header.Get("Request-Id")
-			io.WriteString(c, agenttest.OKAnswer)
+			io.WriteString(c, okAnswer)
 		}
 	})
 	conf := agenttest.Config(nowhere, addr)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -27,7 +27,7 @@
 // A shutdown waits for a request whose head was read, also if nothing else is in progress: it came
 // on an accepted connection.
 func TestLeaveWaitsForWhatIsBeingRead(t *testing.T) {
-	addr, _ := agenttest.IDBackend(t, 200, false)
+	addr, _ := counted(t, 200, false)
 	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr))
 	conn := dial(t, base)
 	text := strings.Replace(raw("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
@@ -54,7 +54,7 @@
 // A request so late after SIGTERM that SIGKILL might find it unanswered is rejected at once and not
 // forwarded.
 func TestLateRequestsAreRefused(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
+	addr, came := counted(t, 200, false)
 	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
 	long := time.Now().Add(-shutdownRejectAfter)
 	agent.shutdownAt.Store(&long)
