--- a/internal/agenttest/scriptedconn.go
+++ b/internal/agenttest/scriptedconn.go
@@ -2,11 +2,9 @@
 
 import (
 	"bytes"
-	"context"
 	"io"
 	"net"
 	"os"
-	"sync/atomic"
 	"syscall"
 	"time"
 )
@@ -63,18 +61,3 @@
 
 // SetDeadline does nothing.
 func (c *ScriptedConn) SetDeadline(time.Time) error { return nil }
-
-// FailingDialer opens connections, of which the first Failures fail with Errno.
-type FailingDialer struct {
-	Errno    syscall.Errno
-	Failures int32
-	Calls    atomic.Int32 // so far
-}
-
-// DialContext fails, or opens a connection as a net.Dialer does.
-func (d *FailingDialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
-	if d.Calls.Add(1) <= d.Failures {
-		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", d.Errno)}
-	}
-	return (&net.Dialer{}).DialContext(ctx, network, addr)
-}
