--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -10,7 +10,7 @@
 // once, in a goroutine of the attempt's own; it ends with the attempt's context.
 //
 // Where no whole answer came, Result.Err is an *Error. It wraps one of ErrNoSocket, ErrLate,
-// ErrClientGone, ErrWithdrawn, *WriteError, *AnswerError and *PanicError, or the error of the
-// connect. Of an answer that is spoilt in any way nothing is believed, and in doubt an attempt may
-// have run.
+// ErrClientGone, ErrWithdrawn, *WriteError, *AnswerError and *PanicError, or the error of the connect
+// or of the context. If any part of an answer is wrong, none of it is used. In doubt a request counts
+// as one that may have run.
 package backend
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -16,8 +16,7 @@
 	// ExtraConns lets a connection be opened while the only one of a backend settles, so that an
 	// attempt needn't wait for that.
 	ExtraConns bool
-	// SettleDelay is how long a connection stays unused after an answer. Zero means
-	// defaultSettleDelay.
+	// SettleDelay is how long a connection stays unused after an answer; zero: 10 ms.
 	SettleDelay time.Duration
 }
 
