--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -148,3 +148,33 @@
 		t.Fatal("got a connection from a closed listener, want an error")
 	}
 }
+
+// A connection that gets no slot in time is closed, and the next one is accepted all the same.
+func TestListenerClosesConnectionWithoutSlot(t *testing.T) {
+	table, ln, now := NewTable(1, 1), listen(t), time.Now()
+	table.SetPatience(silentConnGrace, 0)
+	active := &Conn{stage: stageActive, stageSince: now}
+	add(t, table, active, now)
+	listener := NewListener(ln, table, slog.New(slog.DiscardHandler))
+	accepted := make(chan net.Conn, 1)
+	go func() {
+		conn, err := listener.Accept()
+		if err != nil {
+			t.Errorf("got %v, want a connection", err)
+		}
+		accepted <- conn
+	}()
+	if got := agenttest.ReadToEnd(t, agenttest.Dial(t, ln.Addr().String())); got != "" {
+		t.Errorf("got %q, want the connection closed without a response", got)
+	}
+	active.Close()
+	next := agenttest.Dial(t, ln.Addr().String())
+	conn := agenttest.Receive(t, accepted, "the next connection")
+	if conn.RemoteAddr().String() != next.LocalAddr().String() {
+		t.Errorf("got connection of %v, want that of %v", conn.RemoteAddr(), next.LocalAddr())
+	}
+	if got := table.Count(); got != 1 {
+		t.Errorf("got %d connections, want 1", got)
+	}
+	conn.Close()
+}
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -1,6 +1,7 @@
 package clientconn
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -140,3 +141,66 @@
 	table.reapIdle(time.Now())
 	agenttest.Eventually(t, "all reaped", func() bool { return table.Count() == 0 })
 }
+
+// ReapIdleUntil reaps in intervals, and returns when its context ends.
+func TestReapIdleUntilEndsWithContext(t *testing.T) {
+	table := NewTable(10, 1)
+	server := serve(t, table)
+	for i := range 2 {
+		server.request(t, fmt.Sprint("kept", i))
+	}
+	table.Resize(10, 0)
+	agenttest.Eventually(t, "all idle", func() bool { return ageIdle(table, false) })
+	ctx, stop := context.WithCancel(t.Context())
+	ended := make(chan struct{})
+	go func() {
+		table.ReapIdleUntil(ctx)
+		close(ended)
+	}()
+	agenttest.Eventually(t, "all reaped", func() bool { return table.Count() == 0 })
+	select {
+	case <-ended:
+		t.Error("got ReapIdleUntil ended before its context, want it to go on")
+	default:
+	}
+	stop()
+	agenttest.Receive(t, ended, "the end of ReapIdleUntil")
+}
+
+// CloseIdle ends a new connection on which nothing has arrived only where that is asked for.
+func TestCloseIdleSparesNewConnections(t *testing.T) {
+	table, conn := NewTable(1, 1), &Conn{stageSince: time.Now()}
+	add(t, table, conn, time.Now())
+	if table.CloseIdle(false); conn.closing {
+		t.Error("got a new connection ended, want it kept")
+	}
+	if table.CloseIdle(true); !conn.closing {
+		t.Error("got a new connection kept, want it ended")
+	}
+	if got := table.Count(); got != 1 {
+		t.Errorf("got %d connections, want 1 until the server has closed it", got)
+	}
+}
+
+// Resize is in force for the next connection, and what is above a lowered limit stays.
+func TestTableResizeKeepsConnections(t *testing.T) {
+	table, now := NewTable(2, 2), time.Now()
+	for range 2 {
+		add(t, table, &Conn{stage: stageActive, stageSince: now}, now)
+	}
+	table.Resize(1, 1)
+	if maxConns, maxKeptIdle := table.Limits(); maxConns != 1 || maxKeptIdle != 1 {
+		t.Errorf("got limits %d and %d, want 1 and 1", maxConns, maxKeptIdle)
+	}
+	if got := table.Count(); got != 2 {
+		t.Errorf("got %d connections, want 2", got)
+	}
+	if table.MayKeepAlive() {
+		t.Error("got connections kept alive above the limit, want them closed with their response")
+	}
+	table.Resize(3, 2)
+	add(t, table, &Conn{stageSince: now}, now)
+	if !table.MayKeepAlive() {
+		t.Error("got connections closed with their response within the limit, want them kept alive")
+	}
+}
