--- a/internal/agent/loop_inspector_test.go
+++ b/internal/agent/loop_inspector_test.go
@@ -71,7 +71,7 @@
 func (a *Agent) holds(id string) (found bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
-			found = found || r.RequestID == id && !r.answered
+			found = found || r.RequestID == id && !r.closed
 		}
 	})
 	return found
@@ -81,7 +81,7 @@
 func (a *Agent) hasNoAttempt(id string) (none bool) {
 	a.look(func(l *loop) {
 		for _, r := range l.requests {
-			none = none || r.RequestID == id && r.open == 0
+			none = none || r.RequestID == id && r.inFlight == 0
 		}
 	})
 	return none
