--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -1,7 +1,7 @@
-// Command ploverreel is one load-balancing agent on sockets. EDGE_CONFIG names its configuration;
-// EDGE_TRACE, a duration such as "1s", has it log the module's state so far apart. SIGHUP reloads the
-// configuration, SIGTERM ends the agent in order. An error at the start is one line on standard error,
-// with exit code 1.
+// Command ploverreel is one load-balancing agent on sockets. EDGE_CONFIG names the file of its
+// configuration; EDGE_TRACE, a duration such as "1s", has it log the decision module's state at that
+// interval. SIGHUP reloads the configuration, and SIGTERM shuts the agent down gracefully. An error at
+// the start is one line on standard error, with exit code 1.
 package main
 
 import (
@@ -20,6 +20,15 @@
 	"ploverreel/internal/config"
 )
 
+const (
+	// gcPercent lets the heap grow well past the usual twice before a collection: the live heap is a
+	// few MB, and collections cost time.
+	gcPercent = 400
+	// heapShare is the part of the memory limit that the heap may take. The limit also counts stacks
+	// and the program.
+	heapShare = 0.6
+)
+
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "ploverreel:", err)
@@ -27,8 +36,8 @@
 	}
 }
 
-// run is the program: it reads the configuration, listens, and serves until SIGTERM or an interrupt.
-// SIGHUP reloads the configuration. Its error is one line.
+// run reads the configuration, listens, and serves until SIGTERM or an interrupt. Its error is one
+// line.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -39,14 +48,12 @@
 	if err != nil {
 		return err
 	}
-	tracePeriod, err := config.ParseTrace(os.Getenv("EDGE_TRACE"))
+	traceInterval, err := config.ParseTrace(os.Getenv("EDGE_TRACE"))
 	if err != nil {
 		return err
 	}
-	// The live heap is a few MB, so it may grow well past the usual twice, which saves
-	// collections.
-	debug.SetGCPercent(400)
-	limit(conf.Limits)
+	debug.SetGCPercent(gcPercent)
+	applyLimits(conf.Limits)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("agent", conf.Name)
 	balancer, err := agent.New(conf, log)
 	if err != nil {
@@ -58,9 +65,9 @@
 	}
 	go reloadOn(reload, path, balancer, log)
 	log.Info("started", "listen", conf.Listen, "backends", len(conf.Known.Hosts))
-	if tracePeriod > 0 {
+	if traceInterval > 0 {
 		go func() {
-			if err := balancer.Trace(tracePeriod); err != nil {
+			if err := balancer.Trace(traceInterval); err != nil {
 				log.Error("trace not started", "err", err)
 			}
 		}()
@@ -72,8 +79,8 @@
 	return nil
 }
 
-// reloadOn puts the configuration at path in force at each signal, and keeps the one in force when
-// the new one has an error. It never returns: its goroutine lives as long as the process.
+// reloadOn reloads the configuration at path at each signal. If that fails, the configuration in force
+// stays. It never returns: its goroutine lives as long as the process.
 func reloadOn(signals <-chan os.Signal, path string, balancer *agent.Agent, log *slog.Logger) {
 	for range signals {
 		conf, err := config.Load(path)
@@ -84,15 +91,14 @@
 			log.Error("reload rejected", "err", err)
 			continue
 		}
-		limit(conf.Limits)
+		applyLimits(conf.Limits)
 		log.Info("reload applied", "discovery", conf.Discovery)
 	}
 }
 
-// limit keeps the process to the limits. The machine may have more cores than the agent may
-// use; more threads than cores would only wait for each other. The heap must stay well below the
-// limit of memory, which counts stacks and the program too.
-func limit(limits config.Limits) {
+// applyLimits keeps the process within the limits of cores and memory. The machine may have more cores
+// than the agent may use, and more threads than cores would only wait for each other.
+func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores)), 1))
-	debug.SetMemoryLimit(int64(limits.MemoryMB * 0.6 * (1 << 20)))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * heapShare * (1 << 20)))
 }
--- a/cmd/ploverreel/program_test.go
+++ b/cmd/ploverreel/program_test.go
@@ -50,10 +50,13 @@
 		listen, discovery, settings, backend)
 }
 
-// freeAddress returns an address on which nothing listens.
+// freeAddress returns an address on which nothing listens. Its host is a loopback address of this
+// process's own: on 127.0.0.1 the kernel may give the port to a connection of another process before the
+// program listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	pid := os.Getpid()
+	free, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+pid>>16&0x7f, pid>>8&0xff, 1+pid&0x7f))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +88,10 @@
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.cmd.Process.Kill() })
+	t.Cleanup(func() {
+		_ = p.cmd.Process.Kill()
+		_ = p.cmd.Wait() // an error if the test has waited
+	})
 	return p
 }
 
