--- a/internal/agent/clock_offset_test.go
+++ b/internal/agent/clock_offset_test.go
@@ -13,10 +13,7 @@
 func TestStartTimesMeasureOffsetByQuickestNotice(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
-			f := newWatchedFleet(t)
-			f.machine.step = step
-			f.startAgent()
-			f.notifyWhole()
+			f := startWatchedFleet(t, step)
 			tolerance := config.Milliseconds(f.loop.startTimes.tolerance).Truncate(time.Millisecond)
 			if want := 1714 * time.Millisecond; tolerance != want { // of the settings: from 0.3 in 8 s
 				t.Fatalf("got a tolerance of %v, want %v", tolerance, want)
@@ -48,9 +45,7 @@
 func TestStartTimesBoundStepOfBackendClock(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 1714 * time.Millisecond, 1715 * time.Millisecond, time.Minute, time.Hour} {
 		t.Run(fmt.Sprint("back by ", back), func(t *testing.T) {
-			f := newWatchedFleet(t)
-			f.startAgent()
-			f.notifyWhole()
+			f := startWatchedFleet(t, 0)
 			f.notify(false, f.startBackend("s-0", 0))
 			f.machine.pass(time.Second)
 			stepped := f.startBackend("s-1", 0)
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -104,10 +104,7 @@
 func TestStartTimesAfterTimeWithoutWatch(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
-			f := newWatchedFleet(t)
-			f.machine.step = step
-			f.startAgent()
-			f.notifyWhole()
+			f := startWatchedFleet(t, step)
 			f.machine.pass(time.Minute)
 			f.loop.handle(watchEnded{err: io.EOF, endedAfterNotice: true})
 			f.startBackend("s-0", 0)
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -48,6 +48,16 @@
 	return f
 }
 
+// startWatchedFleet returns a fleet whose agent has started with its wall clock off by the step, and has
+// been notified of the list.
+func startWatchedFleet(t *testing.T, step time.Duration) *watchedFleet {
+	f := newWatchedFleet(t)
+	f.machine.step = step
+	f.startAgent()
+	f.notifyWhole()
+	return f
+}
+
 // startBackend starts a backend, or restarts it, so long ago. The agent isn't notified.
 func (f *watchedFleet) startBackend(name string, ago time.Duration) endpointlist.Host {
 	at := f.machine.real.Add(-ago)
