--- /dev/null
+++ b/cmd/fleetbench/flags_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"ploverreel/internal/fleet"
+)
+
+// parse returns what a command line is read as.
+func parse(t *testing.T, args ...string) *commands {
+	t.Helper()
+	var cmd commands
+	if _, err := newParser(&cmd).Parse(args); err != nil {
+		t.Fatalf("%q: got error %v, want it read", args, err)
+	}
+	return &cmd
+}
+
+// Flags that were renamed are still read by their former names, with the same meaning.
+func TestFlagsKeepTheirFormerNames(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		former, now []string
+	}{
+		{"scenarios", []string{"fleet", "--days=calm,zone"}, []string{"fleet", "--scenarios=calm,zone"}},
+		{"settings scope", []string{"fleet", "--told", "service"}, []string{"fleet", "--settings-scope", "service"}},
+		{"objective", []string{"path", "--aim=300ms"}, []string{"path", "--objective=300ms"}},
+		{"faults", []string{"control", "--troubles"}, []string{"control", "--faults"}},
+		{"no faults, as a value", []string{"control", "--troubles=false"}, []string{"control", "--faults=false"}},
+	} {
+		if got, want := parse(t, c.former...), parse(t, c.now...); !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %q got %+v, want %+v as by %q", c.name, c.former, got, want, c.now)
+		}
+	}
+	for _, c := range []struct {
+		args []string
+		want bool
+	}{
+		{[]string{"control"}, true}, {[]string{"control", "--no-faults"}, false}, {[]string{"control", "--no-troubles"}, false},
+	} {
+		if got := parse(t, c.args...).Control.playsFaults(); got != c.want {
+			t.Errorf("%q: got faults played %v, want %v", c.args, got, c.want)
+		}
+	}
+	cmd := parse(t, "fleet", "--days=calm,zone", "--told=service")
+	if got, want := cmd.Fleet.Scenarios, []string{"calm", "zone"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("--days: got scenarios %q, want %q", got, want)
+	}
+	if got, want := cmd.Fleet.SettingsScope, []string{"service"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("--told: got settings scope %q, want %q", got, want)
+	}
+}
+
+// The arguments in the committed results, which have the flags' names of their time, and those that the same run's
+// result would have now are read alike.
+func TestFlagsOfCommittedResultsAreRead(t *testing.T) {
+	results, err := fleet.LoadResults(filepath.Join("..", "..", "bench", "results"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(results) == 0 {
+		t.Fatal("got no results, want the committed ones")
+	}
+	for name, result := range results {
+		stored := parse(t, append([]string{result.Bench}, result.Args...)...)
+		var args []string
+		switch result.Bench {
+		case "control":
+			args = stored.Control.args()
+		case "path":
+			args = stored.Path.args()
+		case "fleet":
+			args = stored.Fleet.args()
+		case "coldstart":
+			args = stored.Coldstart.args()
+		case "decide":
+			continue // its flags have their first names
+		default:
+			t.Errorf("%s: got subcommand %q, want one that is known", name, result.Bench)
+			continue
+		}
+		if again := parse(t, append([]string{result.Bench}, args...)...); !reflect.DeepEqual(again, stored) {
+			t.Errorf("%s: %q is read as %+v, want %+v as %q", name, args, again, stored, result.Args)
+		}
+	}
+}
--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -22,24 +22,29 @@
 
 	Decide         decideCmd         `cmd:"" help:"Measure the decision module alone: time and bytes for each event."`
 	Path           pathCmd           `cmd:"" help:"Real agents between a load generator and stand-in servers: what a call costs on its path."`
-	Control        controlCmd        `cmd:"" help:"Changes of the list: time until in force, and costs of agents and discovery."`
+	Control        controlCmd        `cmd:"" help:"Changes of the endpoint list: time until in force, and costs of agents and discovery."`
 	ControlProcess controlProcessCmd `cmd:"" hidden:""`
-	Fleet          fleetCmd          `cmd:"" help:"Play the whole fleet in virtual time, on days on which things fail."`
+	Fleet          fleetCmd          `cmd:"" help:"Play the whole fleet in virtual time, in scenarios in which things fail."`
 	Coldstart      coldstartCmd      `cmd:"" help:"Play the start of a whole service: the slow-start budget by agents and load."`
 	Report         reportCmd         `cmd:"" help:"Write the tables of the capacity page from the results."`
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run is the program; it returns 0, 1 for a run that failed or 2 for arguments that make
-// no sense.
-func run(args []string) int {
-	var cmd commands
-	parser, err := kong.New(&cmd, kong.Name("fleetbench"), kong.UsageOnError(),
+// newParser returns a parser of the command line into cmd. It panics if the tags of commands are invalid.
+func newParser(cmd *commands) *kong.Kong {
+	parser, err := kong.New(cmd, kong.Name("fleetbench"), kong.UsageOnError(),
 		kong.Description("Measures the agent in a large fleet. Every subcommand writes one JSON result; 'report' makes the tables of docs/CAPACITY.md of them."))
 	if err != nil {
 		panic(err)
 	}
+	return parser
+}
+
+// run is the program; it returns its exit code: 0, 1 for a run that failed, or 2 for invalid arguments.
+func run(args []string) int {
+	var cmd commands
+	parser := newParser(&cmd)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	parsed, err := parser.Parse(args)
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -93,7 +93,7 @@
 	case p.Answer <= 0 || p.Answer > maxAnswer:
 		return fleet.Usage("answer", "must be above 0 and at most %v, is %v", maxAnswer, p.Answer)
 	case p.Objective <= 0 || p.Objective > maxObjective:
-		return fleet.Usage("aim", "must be above 0 and at most %v, is %v", maxObjective, p.Objective)
+		return fleet.Usage("objective", "must be above 0 and at most %v, is %v", maxObjective, p.Objective)
 	case p.Calls < 1 || float64(p.Calls) > p.rate()*longestRun.Seconds():
 		return fleet.Usage("seconds", "must be above 0 and at most %.0f", longestRun.Seconds())
 	case p.Warmup < 0 || float64(p.Warmup) > p.rate()*longestRun.Seconds():
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -89,7 +89,7 @@
 		request.final = true
 		if model.now-request.arrivedAt <= model.cfg.Settings.Classes[request.class].LatencyObjectiveMs {
 			model.second().WithinObjective++
-			model.shares.addServed(request)
+			model.goodputs.addServed(request)
 			model.secondOf(request.arrivedAt).Served++
 		}
 	}
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -101,7 +101,7 @@
 	agent.requests[request.id] = request
 	if request.retries == 0 {
 		model.second().Requests++
-		model.shares.addRequest(request)
+		model.goodputs.addRequest(request)
 	}
 	timeLeftMs := model.clientTimeoutMs(request.class)
 	agent.handle(policy.Event{Kind: policy.EventRequest, Request: request.id, Class: request.class, Tenant: request.tenant,
--- a/internal/fleet/model/config.go
+++ b/internal/fleet/model/config.go
@@ -37,10 +37,10 @@
 	WorkSpread float64
 	// Hinted has clients send an estimate of a request's work where WorkSpread is above 0.
 	Hinted bool
-	// StaleStart has an agent that starts anew on the start day use the endpoint list of before the
+	// StaleStart has an agent that starts anew in the start scenario use the endpoint list of before the
 	// start until it is notified of the change.
 	StaleStart bool
-	// RestartS is within how many seconds of the start day's start each agent starts once more;
+	// RestartS is within how many seconds of the start scenario's start each agent starts once more;
 	// 0: none does.
 	RestartS float64
 	// ServesAbandoned has servers work on attempts that no agent waits for any more.
@@ -55,7 +55,7 @@
 	KeepArrivals bool
 }
 
-// Settings are those of a plain deployment: one class of idempotent requests.
+// Settings returns those of a plain deployment: one class of idempotent requests.
 func Settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{{Name: "free", LatencyObjectiveMs: 300, DeadlineMs: 1500, Effect: policy.EffectIdempotent, PriorityWeight: 1}},
@@ -70,8 +70,8 @@
 	return s
 }
 
-// ConfigOf is the fleet of that size whose servers have so many cores and, asked by all,
-// the load: the part of their time in which they work.
+// ConfigOf returns the fleet of that size whose servers have so many cores and, under its whole rate, the load:
+// the part of their time in which they work. Its error is a *fleet.UsageError.
 func ConfigOf(size fleet.Size, cores int, load float64) (Config, error) {
 	switch {
 	case cores < 1 || cores > 1024:
@@ -87,7 +87,8 @@
 	return cfg, nil
 }
 
-// Validate reports a fleet in which some service has no caller or no server.
+// Validate returns a *fleet.UsageError for a fleet in which some service has no caller or no server, and for a
+// field that is out of range.
 func (cfg *Config) Validate() error {
 	switch {
 	case cfg.Agents < cfg.Services:
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -4,9 +4,9 @@
 	"ploverreel/policy"
 )
 
-// The sizes and times of the days' faults.
+// The sizes and times of the scenarios' faults.
 const (
-	// SettleS is how many seconds a day plays before its fault and before it is counted.
+	// SettleS is how many seconds a scenario plays before its fault and before it is counted.
 	SettleS = 2.0
 	// detectionMs is after what time discovery reports a machine that went silent.
 	detectionMs = 2000.0
@@ -16,16 +16,16 @@
 	halfLossMs = 5000.0
 	// racks is how many racks a zone's machines stand in, lostRack the index of the one that is lost.
 	racks, lostRack = 14, 3
-	// replacedShare is the part of the servers replaced on an ordinary day, here all within replaceMs.
+	// replacedShare is the part of the servers replaced in an ordinary deployment, here all within replaceMs.
 	replacedShare, replaceMs = 0.08, 3000.0
 	// burstFactor multiplies the rate for burstMs while a zone warms up; restartedShare is the part
 	// of the agents that start anew then.
 	burstFactor, burstMs, restartedShare = 1.5, 3000.0, 0.1
-	// drainS is how many seconds a day plays after its last request.
+	// drainS is how many seconds a scenario plays after its last request.
 	drainS = 1.5
 )
 
-// inZone are the servers of a zone that are up.
+// inZone returns the servers of a zone that are up.
 func (m *Model) inZone(zone int) []*server {
 	var all []*server
 	for _, server := range m.servers {
@@ -36,10 +36,10 @@
 	return all
 }
 
-// loseMachines has machines vanish, and discovery report it after detectionMs.
+// loseMachines has the machines of servers fail, and discovery report it after detectionMs.
 func (m *Model) loseMachines(servers []*server) {
 	for _, server := range servers {
-		server.vanish()
+		server.failSilently()
 	}
 	m.after(detectionMs, func() {
 		for _, server := range servers {
@@ -60,7 +60,7 @@
 	m.loseMachines(rack)
 }
 
-// lostZonePeak is the factor of the other zones' rate while one is lost.
+// lostZonePeak returns the factor of the other zones' rate while one is lost.
 func lostZonePeak(cfg *Config) float64 { return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1) }
 
 // loseZone takes the first zone's servers and agents; the traffic of its clients goes to the others.
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -45,7 +45,7 @@
 	queue        queue
 	seconds      []Count
 	waits        *waitHistogram
-	shares       *shares
+	goodputs     *goodputs
 	viewsAt      float64 // when the delayed view was last refreshed
 	lastRequest  policy.RequestID
 	rateFactor   float64 // by which the clients' rate is multiplied now
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), now: Start, rateFactor: 1,
-		isolated: make([]bool, cfg.Regions), waits: newWaitHistogram(), shares: newShares(&cfg), viewsAt: math.Inf(-1)}
+		isolated: make([]bool, cfg.Regions), waits: newWaitHistogram(), goodputs: newGoodputs(&cfg), viewsAt: math.Inf(-1)}
 	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // apart, so that the layout leaves the play's draws alone
 	servers, agents := divide(cfg.Servers, cfg.Services), divide(cfg.Agents, cfg.Services)
 	for k := range cfg.Services {
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -12,7 +12,7 @@
 // its own.
 type scheduled interface{ fire(m *Model) }
 
-// call is an action of the days and tests, of which there are few.
+// call is an action of the scenarios and tests, of which there are few.
 type call func()
 
 func (c call) fire(*Model) { c() }
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -27,7 +27,7 @@
 	speed           float64       // of a core, 1 is full speed
 	startedAt       float64       // in ms; it warms up from here on, as the contract says; 0: it is warm
 	down            bool          // refuses connections
-	silent          bool          // its machine has vanished: what is sent to it is lost
+	silent          bool          // its machine has failed: what is sent to it is lost
 	listed          policy.Health // its health in the endpoint list, if it is not down
 	process         int           // number of its present process
 	queue           []*attempt    // waiting; those that are no longer queued are skipped
@@ -203,8 +203,8 @@
 	s.queue, s.busy, s.overloadedSince, s.slowed = nil, 0, 0, false
 }
 
-// vanish is the end of a server's machine: nothing more comes from it.
-func (s *server) vanish() {
+// failSilently is the failure of a server's machine: nothing more comes from it.
+func (s *server) failSilently() {
 	s.silent = true
 	s.stop()
 }
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -29,7 +29,7 @@
 	Notes    []string  `json:"notes,omitempty"`
 }
 
-// Case is one thing played or measured: a point of a fitted line, a day, a fault.
+// Case is one thing played or measured: a point of a fitted line, a scenario, a fault.
 type Case struct {
 	Name    string             `json:"name"`
 	Params  map[string]float64 `json:"params,omitempty"` // what it was played at, e.g. servers
