--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Help is the long text of --help.
+// Help returns the text that --help prints under the summary.
 func (*coldstartCmd) Help() string {
 	text := "All servers and all agents of one service start at once, in virtual time. A case is a variant and a number " +
 		"of agents; it has, for each load, the largest load of a warming server over its slow-start budget, the warming servers " +
--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -34,7 +34,7 @@
 	NoTroubles bool          `name:"no-troubles" hidden:"" help:"The former name of --no-faults."` // kong has no aliases of what a flag's negation is
 }
 
-// Help is shown under the subcommand.
+// Help returns the text that --help prints under the summary.
 func (c *controlCmd) Help() string {
 	return `Runs simulated agents (the real watch code and module, no clients) in a few processes against stand-ins of discovery, one process each, all on the loopback. Measures how long changes of the list take to be in force and what they cost an agent and a stand-in; then a stand-in killed, a tenth of the agents restarted, discovery silent, a zone lost and back, and a region cut off. Takes some five minutes at the target size; --no-sweep and --no-faults shorten it.`
 }
--- a/cmd/fleetbench/decide.go
+++ b/cmd/fleetbench/decide.go
@@ -17,7 +17,7 @@
 	output     `embed:""`
 }
 
-// Help is the long text of --help.
+// Help returns the text that --help prints under the summary.
 func (*decideCmd) Help() string {
 	return `One balancer, no sockets: it is driven through virtual time, with seeded requests that come at an agent's even part of
 the rate (RATE divided by AGENTS) and are answered after 5 ms. Measured are the processor time (us) and the bytes
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -25,7 +25,7 @@
 	Jobs          int      `help:"Scenarios played at the same time; each takes one core." default:"2"`
 }
 
-// Help is the long text of the subcommand.
+// Help returns the text that --help prints under the summary.
 func (*fleetCmd) Help() string {
 	text := "Every agent is one module of its own, every server a queue, and time is virtual: a run prints the same " +
 		"figures for the same seed on any machine. Each agent calls one service and lists that one's servers; calls at all depths " +
--- a/cmd/fleetbench/path.go
+++ b/cmd/fleetbench/path.go
@@ -28,7 +28,7 @@
 	Warmup     float64       `help:"Seconds of calls before that." default:"5"`
 }
 
-// Help returns what --help prints beside the flags.
+// Help returns the text that --help prints under the summary.
 func (c *pathCmd) Help() string {
 	return `Starts real agents as processes, with a load generator before and stand-in servers behind them,
 and compares the calls through them with direct calls that run at the same time: added latency,
--- a/cmd/fleetbench/report.go
+++ b/cmd/fleetbench/report.go
@@ -18,7 +18,7 @@
 	Check   bool   `help:"Write nothing; exit 1 if the page's tables are not those of the results."`
 }
 
-// Help is the long text of --help.
+// Help returns the text that --help prints under the summary.
 func (*reportCmd) Help() string {
 	return `The page's lines '<!-- fleetbench:NAME -->' and '<!-- /fleetbench -->' hold the tables of the result NAME.json.
 What is between them is made anew, the rest stays. An unfinished or foreign result, or a section without its result,
--- a/cmd/fleetbench/summary.go
+++ b/cmd/fleetbench/summary.go
@@ -30,8 +30,8 @@
 	{"RSS MB", "rss", 1.0 / (1 << 20), "%.1f"},
 }
 
-// writeSummary writes a table of text with a row for each case; a figure that a case doesn't
-// have is "-".
+// writeSummary writes a table of text with a row for each case; "-" stands for a
+// figure that a case does not have.
 func writeSummary(w io.Writer, cases []fleet.Case, columns []summaryColumn) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "case\t")
--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -102,6 +102,7 @@
 // since returns the same moment for every agent.
 func since(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
 
+// sleep waits for d, or until the context is done, whose cause it returns then.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/fleet/controlplane/delays.go
+++ b/internal/fleet/controlplane/delays.go
@@ -15,6 +15,7 @@
 	without   int                     // agents, over all versions, that did not get theirs
 }
 
+// newDelays returns delays without any.
 func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
 
 // add takes in one version: for each of the agents the time from begin until it is in force there.
--- a/internal/fleet/controlplane/directory.go
+++ b/internal/fleet/controlplane/directory.go
@@ -10,25 +10,25 @@
 	"ploverreel/internal/agent"
 )
 
-// errSilent says that a directory tells nothing now.
+// errSilent is the error of a directory that serves nothing now.
 var errSilent = errors.New("list: silent")
 
-// maxTexts bounds the texts that a directory keeps for the next reader of the same.
+// maxTexts bounds the encoded lists that a directory keeps for the next reader of the same.
 const maxTexts = 1024
 
-// directory is a list of servers with its versions: the bench's, which is the truth, and
-// each stand-in's copy. Servers that are gone stay in it, as changes have to name them.
+// directory is a versioned endpoint list: the bench's, which is the source of truth, or a stand-in's copy of it.
+// Servers that are gone stay in it, as changes have to name them. Its methods may be called by any goroutine.
 type directory struct {
 	mu         sync.Mutex
 	seq        int64
-	first      int64    // the version that it began with: it can't tell changes since an older one
+	first      int64    // the version that it began with: it has no changes since an older one
 	names      []string // in the order in which they came
 	hosts      map[string]*versionedHost
 	scope      func(host string) int // the scope that a server belongs to; nil: there is one
-	texts      map[textKey][]byte    // texts of the version at hand
+	texts      map[textKey][]byte    // lists of the current version as JSON
 	changed    chan struct{}         // closed at the next change of version or of silence
 	silent     bool
-	lastUpdate time.Time // when the source last said anything
+	lastUpdate time.Time // when the source last sent an update
 }
 
 type versionedHost struct {
@@ -36,18 +36,19 @@
 	seq int64 // of its last change
 }
 
-// textKey is what a reader needs: the list of its scope since the version that it has.
+// textKey is what a list was encoded for: a scope, and the version that the reader has.
 type textKey struct {
 	scope int
 	since int64
 }
 
+// newDirectory returns an empty directory; scope may be nil.
 func newDirectory(scope func(string) int) *directory {
 	return &directory{hosts: map[string]*versionedHost{}, scope: scope, texts: map[textKey][]byte{},
 		changed: make(chan struct{}), lastUpdate: time.Now()}
 }
 
-// take applies a list, whole or a change, and wakes who waits.
+// take applies a list, whole or a change, and wakes the readers.
 func (d *directory) take(l *agent.List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,35 +70,36 @@
 	d.wake()
 }
 
-// silence makes the directory tell nothing, or go on.
-func (d *directory) silence(on bool) {
+// setSilent makes the directory serve nothing, or go on.
+func (d *directory) setSilent(silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = on
+	d.silent = silent
 	d.wake()
 }
 
+// wake ends the waits for a change. The caller holds the mutex.
 func (d *directory) wake() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// age is how long ago the source last said anything.
+// age returns how long ago the source last sent an update.
 func (d *directory) age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Since(d.lastUpdate)
 }
 
-// state is what a reader may know at once.
+// state returns the version, whether the directory is silent, and a channel that is closed when either changes.
 func (d *directory) state() (seq int64, silent bool, changed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.seq, d.silent, d.changed
 }
 
-// text gives the line that tells a scope's changes after a version, and the version that it
-// leads to. After a version that the directory never had it is the whole list.
+// text returns the line with a scope's changes after a version, and the version that it leads to. After a version
+// that the directory never had it is the whole list. The error is errSilent while the directory is silent.
 func (d *directory) text(scope int, since int64) ([]byte, int64, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -44,7 +44,7 @@
 	CutEvery   time.Duration // between the changes that a cut-off region misses
 	Limit      time.Duration // waited for a version to be in force
 	Sweep      bool          // smaller fleets and lists too, for the slopes
-	Faults     bool          // play the faults too, at the size asked for
+	Faults     bool          // play the faults too, at the full size
 }
 
 // What the memory of an agent is taken to be before a run: a fixed part, and what each entry
@@ -54,7 +54,7 @@
 	spareFiles             = 64 // of a process, beside the watches
 )
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range or asks for more
+// Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
 // memory, processes or descriptors than the machine has.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
@@ -98,7 +98,7 @@
 	return p.fits()
 }
 
-// with is the plan with a part of the agents, who start as densely, and a part of the servers.
+// with returns the plan with a part of the agents, which start as densely, and a part of the servers.
 func (p *Plan) with(agents, servers float64) Plan {
 	part := *p
 	part.Size.Agents = int(agents * float64(p.Size.Agents))
@@ -107,7 +107,7 @@
 	return part
 }
 
-// fits refuses what would pass the machine's memory, processes or descriptors.
+// fits returns a *fleet.UsageError if the run would need more memory, processes or descriptors than there are.
 func (p *Plan) fits() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
@@ -133,9 +133,10 @@
 	return nil
 }
 
+// ceil returns n divided by parts, rounded up.
 func ceil(n, parts int) int { return (n + parts - 1) / parts }
 
-// scopes is how many different lists a stand-in has to tell.
+// scopes returns how many different lists a stand-in serves.
 func (p *Plan) scopes() int {
 	if p.Scope == ScopeService {
 		return p.Size.Services
@@ -160,15 +161,16 @@
 	return p.Spread * time.Duration(agent) / time.Duration(p.Size.Agents)
 }
 
+// zoneOf returns the zone of a server or an agent, regionOf the region of a zone.
 func (p *Plan) zoneOf(i int) int      { return i % p.Size.Zones }
 func (p *Plan) regionOf(zone int) int { return zone * p.Size.Regions / p.Size.Zones }
 
-// standInOf is the stand-in whose address an agent's configuration names: one of its region.
+// standInOf returns the stand-in whose address an agent's configuration names: one of its region.
 func (p *Plan) standInOf(agent int) int {
 	return p.regionOf(p.zoneOf(agent))*p.StandIns + agent/p.Size.Zones%p.StandIns
 }
 
-// agentsOf counts the agents of a stand-in.
+// agentsOf returns the number of agents of a stand-in.
 func (p *Plan) agentsOf(standIn int) int {
 	n := 0
 	for i := range p.Size.Agents {
@@ -179,7 +181,7 @@
 	return n
 }
 
-// services gives each server its service, unevenly: one each, then the first services more.
+// services returns the service of each server. Services are uneven: each has one server at least, the first more.
 func (p *Plan) services() []int {
 	rng := rand.New(rand.NewPCG(p.Size.Seed, 1))
 	sum, until := 0.0, make([]float64, p.Size.Services)
@@ -198,10 +200,10 @@
 	return of
 }
 
-// serverName is a server's name in the list. The agent hashes it.
+// serverName returns a server's name in the list. The agent hashes it.
 func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*2654435761) }
 
-// hosts is the list at the start. Nobody dials its addresses.
+// hosts returns the list at the start. Nobody dials its addresses.
 func (p *Plan) hosts() []agent.Host {
 	hosts := make([]agent.Host, p.Size.Servers)
 	for i := range hosts {
@@ -211,9 +213,10 @@
 	return hosts
 }
 
+// zoneName returns a zone's name in the list and in the settings.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// config is the configuration of an agent.
+// config returns the configuration of an agent.
 func (p *Plan) config(index int, discovery string) ([]byte, error) {
 	zones := make([]string, p.Size.Zones)
 	for z := range zones {
--- a/internal/fleet/controlplane/ports.go
+++ b/internal/fleet/controlplane/ports.go
@@ -6,11 +6,12 @@
 	"syscall"
 )
 
-// reservation keeps a port of the loopback for stand-ins that come and go: its socket is
-// bound and does not listen, so that calls are refused while no stand-in is there, and no
-// other socket of the machine gets the port meanwhile.
+// reservation keeps a port of the loopback for stand-ins that are killed and replaced: its socket is bound and
+// does not listen, so that calls are refused while no stand-in runs, and no other socket of the machine gets
+// the port meanwhile.
 type reservation struct{ fd, port int }
 
+// reserve reserves a free port.
 func reserve() (reservation, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -34,4 +35,5 @@
 	return reservation{}, fmt.Errorf("port: %w", err)
 }
 
+// release frees the port.
 func (r reservation) release() { _ = syscall.Close(r.fd) }
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -25,7 +25,7 @@
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
 // Command returns a Spawn that starts the program with the arguments, followed by the role. Each
-// process has one core for Go code, as the bench shares its machine. The Spawn's errors name the role.
+// process has one core for Go code, as the bench shares its machine. Errors of the Spawn name the role.
 func Command(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
--- a/internal/fleet/controlplane/protocol.go
+++ b/internal/fleet/controlplane/protocol.go
@@ -33,7 +33,7 @@
 	Error  string  `json:"error,omitempty"`
 	Usage  usage   `json:"usage"`
 	Counts counts  `json:"counts"`
-	AgeMs  int64   `json:"age_ms,omitempty"` // since the source of truth last said anything
+	AgeMs  int64   `json:"age_ms,omitempty"` // since the source of truth last sent an update
 	Events []event `json:"events,omitempty"`
 	LateMs float64 `json:"late_ms,omitempty"` // report: the longest wait for a processor since the last
 }
--- a/internal/fleet/controlplane/reports.go
+++ b/internal/fleet/controlplane/reports.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// pollEvery is how often agents' processes are asked what has come to be in force.
+	// pollEvery is how often the agents' processes are polled for what came to be in force.
 	pollEvery = 100 * time.Millisecond
 	// progressEvery is how often a wait for a version is logged.
 	progressEvery = 5 * time.Second
--- a/internal/fleet/controlplane/serve.go
+++ b/internal/fleet/controlplane/serve.go
@@ -17,8 +17,8 @@
 // Serve runs a process of the bench in one role, RoleStandIn or RoleAgents: it reads commands, one
 // JSON object each, from in and writes a reply to out for each. It returns nil when in ends, as it
 // does when the bench ends, or when the context is done; and an error for an unknown role, for
-// what is no command, or if a reply can't be written. A command that fails is no error of Serve:
-// its reply says so.
+// input that is no command, or if a reply can't be written. A command that fails is no error of Serve:
+// its reply holds the error.
 func Serve(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -12,10 +12,10 @@
 	"ploverreel/internal/agent"
 )
 
-// maxEvents bounds what is kept between two reports.
+// maxEvents bounds the events that are kept between two reports.
 const maxEvents = 1 << 20
 
-// event tells that a version of the list is in force at an agent.
+// event is the moment at which a version of the list came to be in force at an agent.
 type event struct {
 	Agent int   `json:"a"`
 	Seq   int64 `json:"s"`
@@ -44,7 +44,7 @@
 			return reply{}, errors.New("agents: no port for each")
 		}
 		h.plan, h.ports, h.stops = cmd.Plan, map[int]int{}, map[int]context.CancelFunc{}
-		// What an agent warns of, such as each watch that ends, is the run's purpose.
+		// Warnings of agents, as of each watch that ends, are expected in a run.
 		h.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
 		for i, a := range cmd.Agents {
 			h.ports[a] = cmd.Ports[i]
@@ -74,8 +74,8 @@
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
 
-// start runs an agent that knows of no server yet, a while from now.
-func (h *simulatedAgents) start(ctx context.Context, index int, late time.Duration) error {
+// start runs an agent that has no endpoint list yet, after a delay.
+func (h *simulatedAgents) start(ctx context.Context, index int, delay time.Duration) error {
 	text, err := h.plan.config(index, fmt.Sprintf("127.0.0.1:%d", h.ports[index]))
 	if err != nil {
 		return fmt.Errorf("agent %d: %w", index, err)
@@ -89,7 +89,7 @@
 	go func() {
 		defer h.group.Done()
 		select {
-		case <-time.After(late):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return
 		}
@@ -116,6 +116,7 @@
 	h.events = append(h.events, e)
 }
 
+// fail keeps an error for the next report.
 func (h *simulatedAgents) fail(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -24,7 +24,7 @@
 	list   *directory
 	server []*http.Server
 	count  counts
-	peak   peak
+	peak   callPeak
 }
 
 // counts is what a stand-in served since its start. Bytes are those of HTTP, without the
@@ -32,21 +32,22 @@
 type counts struct {
 	Calls      int64 `json:"calls"`
 	Lists      int64 `json:"lists"`      // whole lists and changes written
-	Heartbeats int64 `json:"lives"`      // empty lines
+	Heartbeats int64 `json:"heartbeats"` // empty lines
 	Bytes      int64 `json:"bytes"`      // written
 	BytesRead  int64 `json:"bytes_read"` // of calls
 	CallsPeak  int64 `json:"calls_peak"` // most calls in a second since the last report
 }
 
-// peak finds the second with the most calls.
-type peak struct {
+// callPeak counts the calls of a second and keeps the most.
+type callPeak struct {
 	mu     sync.Mutex
 	second int64
 	calls  int64
 	most   int64
 }
 
-func (p *peak) call() {
+// add counts a call now.
+func (p *callPeak) add() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := time.Now().Unix(); now != p.second {
@@ -56,7 +57,8 @@
 	p.most = max(p.most, p.calls)
 }
 
-func (p *peak) take() int64 {
+// take returns the most calls of a second since the last call of take.
+func (p *callPeak) take() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := p.most
@@ -103,7 +105,7 @@
 	case opList:
 		return reply{}, s.take(cmd.List)
 	case opSilence:
-		s.list.silence(cmd.Silent)
+		s.list.setSilent(cmd.Silent)
 		return reply{}, nil
 	case opReport:
 		n := counts{Calls: atomic.LoadInt64(&s.count.Calls), Lists: atomic.LoadInt64(&s.count.Lists),
@@ -114,6 +116,7 @@
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
 
+// take applies a list from the bench.
 func (s *standIn) take(text []byte) error {
 	var l agent.List
 	if err := json.Unmarshal(text, &l); err != nil {
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// open takes up the list and listens.
+// open takes the first list and listens at the ports of the command.
 func (s *standIn) open(cmd *command) error {
 	var scope func(string) int
 	if cmd.Plan.Scope == ScopeService {
@@ -162,7 +165,7 @@
 // open watches.
 func (s *standIn) serve(w http.ResponseWriter, r *http.Request, scope int) {
 	atomic.AddInt64(&s.count.Calls, 1)
-	s.peak.call()
+	s.peak.add()
 	follow, since := r.FormValue("follow") == "1", int64(0)
 	if follow {
 		var err error
@@ -176,11 +179,11 @@
 	notified := false
 	for {
 		seq, silent, changed := s.list.state()
-		// The first list goes out at once, also where it holds no change: it is the first word.
+		// The first list goes out at once, also without a change: it answers the call.
 		if !silent && (!notified || seq != since) {
 			to, err := s.notify(w, scope, since)
 			switch {
-			case errors.Is(err, errSilent): // it fell silent in this moment
+			case errors.Is(err, errSilent): // it became silent meanwhile
 			case err != nil || !follow:
 				return
 			default:
@@ -217,6 +220,7 @@
 	return seq, nil
 }
 
+// write writes a part of an answer and flushes it.
 func (s *standIn) write(w http.ResponseWriter, text []byte) error {
 	if _, err := w.Write(text); err != nil {
 		return err
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -17,7 +17,7 @@
 const delayProbeEvery = 20 * time.Millisecond
 
 // schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
-// the machine's, which others use too. A measured time can't be told apart from a wait of that length.
+// the machine's, which others use too. A measured time of that length may be such a wait.
 type schedulingDelay struct {
 	mu   sync.Mutex
 	most time.Duration
--- a/internal/fleet/datapath/agent_config.go
+++ b/internal/fleet/datapath/agent_config.go
@@ -49,6 +49,7 @@
 	}
 }
 
+// zone returns a zone's name.
 func zone(i int) string { return fmt.Sprint("z", i) }
 
 // list returns the endpoint list of a hop's servers, dealt out over the zones.
--- a/internal/fleet/datapath/load.go
+++ b/internal/fleet/datapath/load.go
@@ -15,7 +15,7 @@
 const (
 	longestUs = 600_000_000
 	digits    = 3
-	keys      = 10_000 // that the calls are about
+	keys      = 10_000 // of the calls
 )
 
 // callStats counts how the calls of one kind ended, and their latencies.
@@ -31,10 +31,12 @@
 	firstErr  error
 }
 
+// newCallStats returns counts without a call.
 func newCallStats() *callStats {
 	return &callStats{latency: hdrhistogram.New(1, longestUs, digits), sendDelay: hdrhistogram.New(1, longestUs, digits)}
 }
 
+// begin counts a call that is sent, so long after it was due.
 func (t *callStats) begin(sendDelay time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,6 +45,7 @@
 	t.peak = max(t.peak, t.open)
 }
 
+// end counts how a call ended.
 func (t *callStats) end(status int, err error, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,14 +67,14 @@
 	}
 }
 
-// ms is a quantile of the served calls' times, in ms.
+// ms returns a quantile, in percent, of the served calls' latencies, in ms.
 func (t *callStats) ms(quantile float64) float64 {
 	return float64(t.latency.ValueAtQuantile(quantile)) / 1000
 }
 
-// stream sends calls at times drawn at random, whether earlier ones are answered or not, and
-// waits for all. A call's time counts from when it was sent: as none waits for another,
-// nothing is hidden by that, and how late it was sent is the load generator's own.
+// stream sends calls at random times, whether earlier ones are answered or not (an open loop), and waits for all.
+// A call's latency counts from when it was sent. As no call waits for another, that hides nothing: a late send
+// is the load generator's delay, which sendDelay has.
 func (t *callStats) stream(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -15,9 +15,9 @@
 
 const (
 	// processBytes and serverBytes are what an agent's process and a stand-in server are
-	// held to take at most; the check of the machine's memory needs no more than the order.
+	// assumed to take at most; the check of the machine's memory needs the order of magnitude alone.
 	processBytes, serverBytes = 64 << 20, 64 << 10
-	// longestRun bounds one case: it would be an argument that was meant otherwise.
+	// longestRun bounds one case: more is taken for a mistake in an argument.
 	longestRun = time.Hour
 	// maxAnswer is the longest answer time; the objectives that follow from it stay within what
 	// an agent takes for a deadline.
@@ -49,7 +49,7 @@
 // service returns the size of a service when all are alike: what an agent of a deep call lists.
 func (p *Plan) service() int { return max(p.Size.Servers/p.Size.Services, 1) }
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range or asks for more
+// Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
 // memory, processes or descriptors than the machine has.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
--- a/internal/fleet/datapath/process.go
+++ b/internal/fleet/datapath/process.go
@@ -114,14 +114,14 @@
 	}
 }
 
-// death is the error of an agent that has ended by itself.
+// death returns the error of an agent that has ended by itself.
 func (a *process) death() error {
 	return fmt.Errorf("an agent ended: %w; it said: %s", errors.Join(errDied, a.err), strings.TrimSpace(a.stderr.String()))
 }
 
 var errDied = errors.New("died")
 
-// kill ends the agent at once and waits for its end.
+// kill ends the agent at once and waits until it has ended.
 func (a *process) kill() {
 	_ = a.cmd.Process.Kill() // an error means that it has ended
 	<-a.ended
--- a/internal/fleet/datapath/run.go
+++ b/internal/fleet/datapath/run.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// addFit adds the slope of a family's figure, if there are sizes enough for one.
+// addFit adds the line of a family's figure, unless there are too few sizes for one.
 func addFit(log *slog.Logger, r *fleet.Result, cases []fleet.Case, figure, over string, target float64, replicas int) {
 	f, err := fleet.FitLine(cases, figure, over, target)
 	if err != nil {
@@ -52,6 +52,7 @@
 	r.Fits = append(r.Fits, f)
 }
 
+// value returns a figure of a case, 0 if it has none.
 func value(c fleet.Case, name string) float64 {
 	v, _ := c.Figure(name)
 	return v
--- a/internal/fleet/datapath/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -105,7 +105,7 @@
 	w.Header()["Date"] = nil
 	w.Header().Set("Content-Length", strconv.Itoa(bodyBytes))
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, answerBody) // an error means that the caller has gone
+	_, _ = io.WriteString(w, answerBody) // an error means that the caller has disconnected
 }
 
 // sleep reports false if the context ended first.
@@ -121,7 +121,7 @@
 }
 
 // newDiscovery starts a stand-in of discovery that serves one list, which never changes, and
-// gives its address. It ends with the context.
+// returns its address. It ends with the context.
 func newDiscovery(ctx context.Context, list agent.List) (addr string, err error) {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -159,6 +159,7 @@
 	opened atomic.Int64   // connections
 }
 
+// newCaller returns a caller of the addresses.
 func newCaller(ids *atomic.Uint64, addrs []string) *caller {
 	c := &caller{ids: ids}
 	dialer := net.Dialer{}
--- a/internal/fleet/fit.go
+++ b/internal/fleet/fit.go
@@ -19,9 +19,9 @@
 	Slope    float64   `json:"slope"`
 	Fixed    float64   `json:"fixed"`
 	Residual float64   `json:"residual"`           // root of the mean squared miss, as a part of the mean value
-	Target   float64   `json:"target"`             // the size that the page asks about
+	Target   float64   `json:"target"`             // the size that the line is extended to
 	AtTarget float64   `json:"at_target"`          // the line's value there
-	Measured *float64  `json:"measured,omitempty"` // the run's value there, where one fits the machine
+	Measured *float64  `json:"measured,omitempty"` // the run's value there; nil: the run has none
 }
 
 // FitLine fits a straight line by least squares to the figure over the parameter of those cases that have
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Machine describes the machine that a result was measured on; a field that it does not tell is empty.
+// Machine describes the machine that a result was measured on; a field that can't be read is empty.
 type Machine struct {
 	CPU      string  `json:"cpu"`
 	Cores    int     `json:"cores"`
@@ -18,6 +18,7 @@
 	Go       string  `json:"go"`
 }
 
+// machine returns the description of this machine.
 func machine() Machine {
 	return Machine{CPU: procField("/proc/cpuinfo", "model name"), Cores: runtime.NumCPU(),
 		MemoryGB: float64(MemoryBytes()>>20) / 1024, OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// procField is the first value of a field in a file of lines of the form 'field : value'.
+// procField returns the first value of a field in a file of lines of the form 'field : value'.
 func procField(path, field string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return ""
 }
 
-// commit is the commit of the sources in the current folder, with "+" where they had changes
+// commit returns the commit of the sources in the current folder, with "+" where they had changes
 // outside the journal and the results; "" outside of a checkout.
 func commit() string {
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -33,6 +33,7 @@
 	Connects        int // attempts whose agent had no idle connection to the server
 }
 
+// add adds another count; of the maxima it keeps the larger.
 func (c *Count) add(other *Count) {
 	c.Requests += other.Requests
 	c.Served += other.Served
--- /dev/null
+++ b/internal/fleet/model/goodput.go
@@ -0,0 +1,85 @@
+package model
+
+import (
+	"math"
+
+	"ploverreel/internal/fleet"
+	"ploverreel/policy"
+)
+
+// goodput counts requests and those of them that were served within their latency objective.
+type goodput struct{ offered, served int }
+
+// share returns the part served, from 0 to 1.
+func (g goodput) share() float64 { return float64(g.served) / float64(max(g.offered, 1)) }
+
+// goodputs counts the goodput of each class, tenant and effect, of the requests that first came from a time
+// on.
+type goodputs struct {
+	classes []policy.Class
+	from    float64 // in ms
+	class   []goodput
+	tenant  []goodput
+	effect  map[policy.Effect]*goodput
+}
+
+// newGoodputs returns counts of all requests, whenever they come.
+func newGoodputs(cfg *Config) *goodputs {
+	g := &goodputs{classes: cfg.Settings.Classes, from: math.Inf(-1), class: make([]goodput, len(cfg.Settings.Classes)),
+		tenant: make([]goodput, max(len(cfg.Settings.Tenants), 1)), effect: map[policy.Effect]*goodput{}}
+	for _, c := range g.classes {
+		g.effect[c.Effect] = &goodput{}
+	}
+	return g
+}
+
+// begin starts to count anew, with requests that come from the time from on.
+func (g *goodputs) begin(cfg *Config, from float64) {
+	*g = *newGoodputs(cfg)
+	g.from = from
+}
+
+// of returns the counts of a request's class, tenant and effect.
+func (g *goodputs) of(r *request) []*goodput {
+	if r.arrivedAt < g.from {
+		return nil
+	}
+	return []*goodput{&g.class[r.class], &g.tenant[r.tenant], g.effect[g.classes[r.class].Effect]}
+}
+
+// addRequest counts a request that came.
+func (g *goodputs) addRequest(r *request) {
+	for _, c := range g.of(r) {
+		c.offered++
+	}
+}
+
+// addServed counts a request that was served within its latency objective.
+func (g *goodputs) addServed(r *request) {
+	for _, c := range g.of(r) {
+		c.served++
+	}
+}
+
+// servedOf is the prefix of the names of the figures of classes, effects and tenants.
+const servedOf = "served of "
+
+// addGoodputs adds the goodput of each class, tenant and effect, where there are several.
+func (m *Model) addGoodputs(result *fleet.Case) {
+	settings := &m.cfg.Settings
+	if len(settings.Classes) > 1 {
+		for i, class := range settings.Classes {
+			result.Add(servedOf+"class "+class.Name, "share", m.goodputs.class[i].share())
+		}
+		for _, effect := range []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent} {
+			if counted := m.goodputs.effect[effect]; counted != nil {
+				result.Add(servedOf+"effect "+string(effect), "share", counted.share())
+			}
+		}
+	}
+	if len(settings.Tenants) > 1 {
+		for i, tenant := range settings.Tenants {
+			result.Add(servedOf+"tenant "+tenant.Name, "share", m.goodputs.tenant[i].share())
+		}
+	}
+}
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -62,6 +62,7 @@
 	notified bool    // its agent was notified of the start
 }
 
+// add counts an arrival in the window.
 func (l *warmupLoad) add(came arrival) {
 	l.arrivals = append(l.arrivals, came)
 	l.work += came.work
@@ -82,7 +83,7 @@
 	}
 }
 
-// entry is the server's line in the endpoint list.
+// entry returns the server's line in the endpoint list.
 func (s *server) entry() policy.Entry {
 	entry := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
 	if s.down {
@@ -91,7 +92,7 @@
 	return entry
 }
 
-// ramp is the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
+// ramp returns the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
 // within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
@@ -101,7 +102,7 @@
 	return 1
 }
 
-// capacity is the part of its full speed at which a server works now.
+// capacity returns the part of its full speed at which a server works now.
 func (s *server) capacity(now float64) float64 {
 	speed := s.speed * s.ramp(now)
 	if s.slowed {
@@ -110,7 +111,7 @@
 	return speed
 }
 
-// fire queues the attempt at its server, or ends it where the server or the way to it is gone.
+// fire queues the attempt at its server, or ends it where the server or the link to it is down.
 func (r *attemptArrived) fire(model *Model) {
 	attempt := (*attempt)(r)
 	server, agent := attempt.server, attempt.request.agent
@@ -119,7 +120,7 @@
 		if !connected {
 			model.schedule(attempt.sentAt+model.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
 		}
-		return // on a connection nothing tells it from a slow answer
+		return // on an open connection the agent can't distinguish it from a slow answer
 	}
 	if model.cfg.KeepArrivals {
 		server.arrivalTimes = append(server.arrivalTimes, model.now)
@@ -147,7 +148,7 @@
 	server.serve()
 }
 
-// budget is how many requests of mean work a server that warms up bears in a window that began at
+// budget returns how many requests of mean work a server that warms up bears in a window that began at
 // began: the contract's multiple of what it can serve then, with two standard deviations of a Poisson
 // count for chance, three where the budget is small.
 func (s *server) budget(began float64) float64 {
@@ -233,7 +234,7 @@
 	}
 }
 
-// serve gives free cores the next attempts in the queue.
+// serve starts the next attempts in the queue on free cores.
 func (s *server) serve() {
 	model := s.m
 	if s.pending < maxPendingPerCore*model.cfg.Cores {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -19,8 +19,8 @@
 
 var startLine = regexp.MustCompile(`^<!-- fleetbench:([a-z0-9][a-z0-9-]*) -->$`)
 
-// differs is from which part a line's value at the target and the measured one are flagged.
-const differs = 0.25
+// flaggedDifference is the relative difference above which the measured value at the target is flagged.
+const flaggedDifference = 0.25
 
 // LoadResults reads the results of a folder, by their files' names without '.json'. One that
 // is unfinished or foreign is an error that names its file. A folder that isn't there is empty.
@@ -82,8 +82,8 @@
 	return strings.Join(out, "\n"), names, nil
 }
 
-// Tables are the result's tables in Markdown, with the run that gave them under each: one for
-// each set of cases that have the same figures, and one of the fits.
+// Tables returns the result's tables in Markdown, with the run that measured them under each: one for each set
+// of cases with the same figures, and one of the fits. file is the result's name.
 func (r *Result) Tables(file string) string {
 	var out strings.Builder
 	var sets [][]Case
@@ -109,7 +109,7 @@
 	return out.String()
 }
 
-// run says in a line which run gave a table.
+// run returns the line under a table that describes the run.
 func (r *Result) run(file string) string {
 	commit := r.Commit
 	if commit == "" {
@@ -121,7 +121,7 @@
 		number(r.TookS))
 }
 
-// call is the run's command with its size.
+// call returns the run's command line with its size.
 func (r *Result) call() string {
 	call := strings.Join(append([]string{"fleetbench", r.Bench}, r.Args...), " ")
 	s := r.Size
@@ -130,12 +130,13 @@
 		s.Zones, number(s.Rate), s.Depth, s.Seed)
 }
 
+// sameFigures reports whether two cases have figures of the same names and units.
 func sameFigures(a, b []Figure) bool {
 	return slices.EqualFunc(a, b, func(x, y Figure) bool { return x.Name == y.Name && x.Unit == y.Unit })
 }
 
-// caseTable has a row for each case and a column for each figure. Parameters that half of
-// the cases share stand under the table, in a row only where it differs.
+// caseTable returns a table with a row for each case and a column for each figure. Parameters that half of the
+// cases share stand under the table, and in a row only where it differs.
 func caseTable(cases []Case, run string) string {
 	usual, rest := usualParams(cases)
 	head := []string{"case", "at"}
@@ -165,8 +166,7 @@
 	return table(head, rows) + "\n" + run + "\n\n"
 }
 
-// usualParams are the parameters with the value that at least half of several cases share,
-// and their text.
+// usualParams returns the parameters with the value that at least half of several cases share, and their text.
 func usualParams(cases []Case) (map[string]float64, string) {
 	count := map[string]map[float64]int{}
 	for _, c := range cases {
@@ -189,7 +189,7 @@
 	return usual, (&Case{Params: usual}).paramsBut(nil)
 }
 
-// paramsBut is the text of the case's parameters that are not the usual ones.
+// paramsBut returns the text of the case's parameters that are not the usual ones.
 func (c *Case) paramsBut(usual map[string]float64) string {
 	var parts []string
 	for name, value := range c.Params {
@@ -201,6 +201,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// fitTable returns a table with a row for each fit.
 func fitTable(fits []Fit, run string) string {
 	head := []string{"figure", "over", "sizes", "slope x size + fixed", "residual", "target", "line there", "measured there",
 		"measured / line"}
@@ -221,7 +222,7 @@
 			if f.AtTarget != 0 {
 				ratio = number(*f.Measured / f.AtTarget)
 			}
-			if math.Abs(*f.Measured-f.AtTarget) > differs*math.Abs(f.AtTarget) {
+			if math.Abs(*f.Measured-f.AtTarget) > flaggedDifference*math.Abs(f.AtTarget) {
 				ratio = "**" + ratio + ", differs**"
 			}
 		}
@@ -232,7 +233,7 @@
 	return table(head, rows) + "\nA residual is the root of the mean squared miss, as a part of the mean. " + run + "\n\n"
 }
 
-// table is a table in Markdown; its first column is text, the others are aligned to the right.
+// table returns a table in Markdown; its first column is text, the others are aligned to the right.
 func table(head []string, rows [][]string) string {
 	var out strings.Builder
 	line := func(cells []string) {
@@ -250,11 +251,12 @@
 	return out.String()
 }
 
-// cell is text that can't end its cell, its line or its section.
+// cell returns the text without what would end its cell, its line or its section.
 func cell(text string) string {
 	return strings.NewReplacer("|", "/", "\n", " ", "\r", " ", "<!--", "", "-->", "").Replace(text)
 }
 
+// withUnit returns the heading of a figure.
 func withUnit(name, unit string) string {
 	if unit == "" || unit == "count" {
 		return name
@@ -262,7 +264,7 @@
 	return name + " (" + unit + ")"
 }
 
-// number has three significant digits, or all of a whole number.
+// number returns the text of a number: three significant digits, or all of a whole number.
 func number(x float64) string {
 	if x == math.Trunc(x) && math.Abs(x) < 1e9 {
 		return strconv.FormatFloat(x, 'f', -1, 64)
--- a/internal/fleet/replace_file.go
+++ b/internal/fleet/replace_file.go
@@ -64,6 +64,7 @@
 	return errors.Join(opened.Sync(), opened.Close())
 }
 
+// replaceFile is ReplaceFile on any file system.
 func replaceFile(files fileSystem, path string, data []byte) error {
 	dir := filepath.Dir(path)
 	temporary, err := files.CreateTemp(dir, filepath.Base(path)+".tmp-*")
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -21,14 +21,14 @@
 // MaxProcesses is how many processes a run may start at most.
 const MaxProcesses = 300
 
-// Bounds of what a size may ask for: far above the fleet that is planned for.
+// Bounds of a size, far above the fleet that is planned for.
 const (
 	maxCount = 100_000
 	maxRate  = 1e8
 	maxDepth = 100
 )
 
-// Target is the fleet that the system has to carry in two years.
+// Target returns the size of the fleet that the system has to carry in two years.
 func Target() Size {
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
