--- /dev/null
+++ b/internal/fleet/controlplane/directory_test.go
@@ -0,0 +1,48 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"ploverreel/internal/agent"
+)
+
+// A directory serves the changes since a version that it had, and else the whole list.
+func TestDirectoryServesChangesSinceKnownVersion(t *testing.T) {
+	host := func(i int, health string) agent.Host { return agent.Host{Host: serverName(i), Health: health} }
+	d := newDirectory(nil)
+	d.take(&agent.List{Seq: 5, Whole: true, Hosts: []agent.Host{host(0, "ready"), host(1, "ready")}})
+	d.take(&agent.List{Seq: 6, Hosts: []agent.Host{host(0, "gone")}})
+	d.take(&agent.List{Seq: 7, Hosts: []agent.Host{host(2, "ready")}})
+	for _, c := range []struct {
+		since int64
+		whole bool
+		names string
+	}{
+		{0, true, "1 2"}, {4, true, "1 2"}, {5, false, "0 2"}, {6, false, "2"}, {7, false, ""}, {8, true, "1 2"},
+	} {
+		for range 2 { // the second list is the one that was kept
+			text, seq, err := d.text(0, c.since)
+			var l agent.List
+			if err == nil {
+				err = json.Unmarshal(text, &l)
+			}
+			if err != nil || seq != 7 || l.Seq != 7 || l.Whole != c.whole {
+				t.Fatalf("since %d: got error %v, version %d, list %+v, want version 7, whole %v", c.since, err, seq, l, c.whole)
+			}
+			var names []string
+			for i := range 3 {
+				for _, h := range l.Hosts {
+					if h.Host == serverName(i) {
+						names = append(names, fmt.Sprint(i))
+					}
+				}
+			}
+			if got := strings.Join(names, " "); got != c.names || len(names) != len(l.Hosts) {
+				t.Errorf("since %d: got servers %q, want %q", c.since, got, c.names)
+			}
+		}
+	}
+}
