--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -31,7 +31,7 @@
 	Limit      time.Duration `help:"How long a change is waited for at most." default:"60s"`
 	Sweep      bool          `help:"Run smaller fleets and lists too, and fit the slopes." default:"true" negatable:""`
 	Faults     bool          `help:"Play the faults at the full size. Formerly --troubles." aliases:"troubles" default:"true" negatable:""`
-	NoTroubles bool          `name:"no-troubles" hidden:"" help:"The former name of --no-faults."` // kong has no aliases of what a flag's negation is
+	NoTroubles bool          `name:"no-troubles" hidden:"" help:"The former name of --no-faults."` // kong has no alias of a negation
 }
 
 // Help returns the text that --help prints under the summary.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -46,7 +46,7 @@
 		default:
 			balancer := instances[record.Instance]
 			if balancer == nil {
-				return nil // dead or never started: nothing more is owed
+				return nil // it was killed or never started
 			}
 			actions = balancer.Handle(now, record.Event, actions[:0])
 		}
--- /dev/null
+++ b/internal/fleet/controlplane/case_test.go
@@ -0,0 +1,25 @@
+package controlplane
+
+import (
+	"context"
+	"errors"
+	"testing"
+)
+
+// A step that fails keeps the later ones of its case from running, and its error is the case's.
+func TestCaseRunStopsAtFirstError(t *testing.T) {
+	f := newFleetRun(smallPlan(), nil, nil)
+	c := f.newCase(t.Context(), "failing")
+	cause := errors.New("a step failed")
+	ran := 0
+	step := func(err error) { c.do(func(context.Context) error { ran++; return err }) }
+	step(nil)
+	step(cause)
+	step(errors.New("another step failed"))
+	if v := c.change(); v != (version{}) {
+		t.Errorf("got version %+v of a change after the error, want none", v)
+	}
+	if ran != 2 || !errors.Is(c.err, cause) {
+		t.Errorf("got %d steps run and error %v, want 2 and %v", ran, c.err, cause)
+	}
+}
--- a/internal/fleet/controlplane/delays.go
+++ b/internal/fleet/controlplane/delays.go
@@ -12,7 +12,7 @@
 // delays are how long versions took to be in force, over agents and versions.
 type delays struct {
 	histogram *hdrhistogram.Histogram // in microseconds
-	without   int                     // agents, over all versions, that did not get theirs
+	without   int                     // agents, over all versions, that did not get the version
 }
 
 // newDelays returns delays without any.
