--- a/cmd/ploverreel/program_test.go
+++ b/cmd/ploverreel/program_test.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// logBuffer is what the program writes. It may be read while the program runs.
+// logBuffer collects what the program writes. It may be read while the program runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -6,7 +6,7 @@
 	"ploverreel/policy"
 )
 
-// watchState is what the loop knows of discovery and of the endpoint list in force.
+// watchState holds the discovery that is called and the version of the endpoint list in force.
 type watchState struct {
 	discovery   *discovery.Client // the one that is called now
 	generation  int               // number of discoveries before it, which tells its results from theirs
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -81,7 +81,7 @@
 	return w.ResponseRecorder.Header()
 }
 
-// withBody gives a request a body of 4 bytes.
+// withBody adds a body of 4 bytes to a request.
 func withBody(req *http.Request, body io.ReadCloser) *http.Request {
 	req.Body, req.ContentLength = body, 4
 	return req
--- a/internal/agent/listed_backend.go
+++ b/internal/agent/listed_backend.go
@@ -21,7 +21,7 @@
 	return b.conns != nil && b.conns.Addr() == host.Dial && b.bornMs == host.BornMs
 }
 
-// reconnect gives the backend new connections to the host's address and process. The former ones are
+// reconnect replaces the backend's connections by new ones to the host's address and process. The former ones are
 // of no use any more, and an attempt that has not begun on them must not.
 func (b *listedBackend) reconnect(pool *backend.Pool, host *endpointlist.Host) {
 	if b.conns != nil {
--- a/internal/agent/ready.go
+++ b/internal/agent/ready.go
@@ -13,7 +13,7 @@
 // time is left, and within 10 s in general.
 const readyTimeout = 5 * time.Second
 
-// readyState is what /ready answers by. It belongs to the loop, but for isReady.
+// readyState decides the answer to /ready. It belongs to the loop, but for isReady.
 type readyState struct {
 	isReady  atomic.Bool // a backend can be sent to, or timedOut
 	timedOut bool        // readyTimeout is over
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -32,7 +32,7 @@
 	progress
 }
 
-// progress is what has become of a request. It belongs to the loop.
+// progress records how far a request has come. It belongs to the loop.
 type progress struct {
 	closed   bool       // it was answered, or its client has disconnected
 	attempts []*attempt // an element is nil where this machine failed the attempt, as may happen often
@@ -63,8 +63,8 @@
 	retryAfter  time.Duration // if it was rejected; 0: none is given
 }
 
-// renumber gives a request that was read under another configuration the numbers that its class and
-// its tenant have now. It reports whether the class still exists with the same effect.
+// renumber sets the class and the tenant of a request that was read under another configuration to the
+// numbers that they have now. It reports whether the class still exists with the same effect.
 func (l *loop) renumber(request *request) bool {
 	if request.config == l.config {
 		return true
@@ -135,7 +135,7 @@
 	l.removeIfDone(request)
 }
 
-// answer gives a request its one response, unless it is closed.
+// answer sends a request its one response, unless it is closed.
 func (l *loop) answer(request *request, answer response) {
 	if !request.closed {
 		l.closeRequest(request)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -64,7 +64,7 @@
 // connKey is the key of the client's connection in the context of a request.
 type connKey struct{}
 
-// clientConn is what the handler needs of the connection that a request came on. It is a
+// clientConn is the part of the connection that a request came on which the handler uses. It is a
 // *clientconn.Conn, or a stand-in of a test.
 type clientConn interface {
 	BeginRequest() (receivedAt time.Time, last bool)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,7 +7,7 @@
 	otherSockets = 16
 )
 
-// Limits is what the machine allows the process. Its methods divide the descriptors: each returns
+// Limits holds the resources that the process may use. Its methods divide the descriptors: each returns
 // how many of Sockets are for one use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
--- a/internal/discovery/results.go
+++ b/internal/discovery/results.go
@@ -2,7 +2,7 @@
 
 import "ploverreel/internal/endpointlist"
 
-// Result is what a call brings: a Fetched, a WatchEvent or a WatchEnded.
+// Result is the outcome of a call, or a part of it: a Fetched, a WatchEvent or a WatchEnded.
 type Result interface {
 	isResult()
 }
--- a/internal/docs/log_lines_test.go
+++ b/internal/docs/log_lines_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// logLine is what is said of one message of the log, by the code or by the page.
+// logLine describes one message of the log, by the code or by the page.
 type logLine struct {
 	level      string
 	attributes []string // sorted, each once; those of a group as "group.key"
--- a/internal/docs/log_page_test.go
+++ b/internal/docs/log_page_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// logPage is what the operations page says of the log.
+// logPage holds the part of the operations page that is about the log.
 type logPage struct {
 	lines  map[string]logLine
 	common []string // keys of every line
--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -130,7 +130,7 @@
 	inBlock bool // a word of a block of code
 }
 
-// blockWord is what a block is split into: names, with points and slashes inside.
+// blockWord matches one word of a block: names, with points and slashes inside.
 var blockWord = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*(?:[./][A-Za-z0-9_]+)*`)
 
 // wordsOf returns the texts in code type of a page, but for those in generated tables, which
--- a/internal/fleet/controlplane/directory.go
+++ b/internal/fleet/controlplane/directory.go
@@ -36,7 +36,7 @@
 	seq int64 // of its last change
 }
 
-// textKey is what a list was encoded for: a scope, and the version that the reader has.
+// textKey identifies an encoded list: a scope, and the version that the reader has.
 type textKey struct {
 	scope int
 	since int64
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -26,7 +26,7 @@
 	ScopeService = "service"
 )
 
-// Plan is what a run plays; the command line of 'fleetbench control' explains each field. Spans are
+// Plan describes a run; the command line of 'fleetbench control' explains each field. Spans are
 // of real time.
 type Plan struct {
 	Size       fleet.Size
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -27,7 +27,7 @@
 	peak   callPeak
 }
 
-// counts is what a stand-in served since its start. Bytes are those of HTTP, without the
+// counts holds what a stand-in has served since its start. Bytes are those of HTTP, without the
 // headers below it.
 type counts struct {
 	Calls      int64 `json:"calls"`
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -45,7 +45,7 @@
 	return float64(most) / float64(time.Millisecond)
 }
 
-// usage is what a process has taken of the machine.
+// usage holds the resources that a process has used.
 type usage struct {
 	CPUMs     float64 `json:"cpu_ms"` // user and system, since its start
 	RSS       float64 `json:"rss"`    // bytes, now
--- a/internal/fleet/datapath/measurement.go
+++ b/internal/fleet/datapath/measurement.go
@@ -11,7 +11,7 @@
 	"ploverreel/internal/fleet"
 )
 
-// measurement is what the measured calls of a scenario gave.
+// measurement holds the results of the measured calls of a scenario.
 type measurement struct {
 	scenario        scenario
 	testbed         *testbed
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -29,7 +29,7 @@
 	maxValue                     = 100_000 // of a list's length, of replicas and of requests open
 )
 
-// Plan is what is to be measured; the command line of 'fleetbench path' explains each field.
+// Plan describes the measurement; the command line of 'fleetbench path' explains each field.
 type Plan struct {
 	Size      fleet.Size
 	Agent     string        // path of the agent's binary
--- a/internal/fleet/datapath/testbed.go
+++ b/internal/fleet/datapath/testbed.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// testbed is what runs for one scenario: agents, servers and callers.
+// testbed holds the agents, servers and callers of one scenario.
 type testbed struct {
 	agents       []*process
 	hops         []*standIns // behind agents, the first hop first
--- a/internal/fleet/datapath/usage.go
+++ b/internal/fleet/datapath/usage.go
@@ -12,7 +12,7 @@
 // ticksPerS is the unit of the processor times in /proc.
 const ticksPerS = 100
 
-// usage is what an agent has used so far.
+// usage holds the resources that an agent has used so far.
 type usage struct {
 	cpu       time.Duration
 	rss, peak float64 // bytes
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -31,7 +31,7 @@
 	workBefore uint64
 }
 
-// meterMode is what a meter measures.
+// meterMode says which quantity a meter measures.
 type meterMode uint8
 
 const (
@@ -40,7 +40,7 @@
 	counting // of bytes; too slow for times
 )
 
-// handle gives the balancer the event and measures what that costs.
+// handle passes the event to the balancer and measures its cost.
 func (m *meter) handle(b *policy.Balancer, now float64, kind eventKind, event policy.Event,
 	out []policy.Action) []policy.Action {
 	k := &m.perKind[kind]
--- a/internal/fleet/decisions/player.go
+++ b/internal/fleet/decisions/player.go
@@ -156,7 +156,7 @@
 	return len(shares) - 1
 }
 
-// list gives the balancer an endpoint list.
+// list passes an endpoint list to the balancer.
 func (p *player) list(kind policy.ListKind, entries []policy.Entry, as eventKind) {
 	p.handle(as, &policy.EndpointsUpdated{Kind: kind, Entries: entries})
 }
@@ -170,7 +170,7 @@
 	p.list(policy.ListDelta, p.entries[len(p.entries)-1:], delta)
 }
 
-// handle gives the balancer an event, measures that, and performs the actions.
+// handle passes an event to the balancer, measures its cost, and performs the actions.
 func (p *player) handle(kind eventKind, event policy.Event) {
 	p.perform(p.meter.handle(p.balancer, p.now, kind, event, p.actions[:0]))
 }
--- a/internal/fleet/decisions/workload.go
+++ b/internal/fleet/decisions/workload.go
@@ -16,7 +16,7 @@
 // Shares of the requests by class and by tenant.
 var classShares, tenantShares = []float64{0.7, 0.2, 0.1}, []float64{0.6, 0.25, 0.15}
 
-// workload is what one balancer is played with.
+// workload describes the load that is played to one balancer.
 type workload struct {
 	servers   int     // listed
 	replicas  int     // agents of the fleet
--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -24,7 +24,7 @@
 	a.handle(&policy.EndpointsUpdated{Kind: policy.ListCached, Entries: a.client.list()})
 }
 
-// handle gives the decider an event and performs its actions. These may end attempts, and so call
+// handle passes an event to the decider and performs its actions. These may end attempts, and so call
 // handle again: each depth has its own slice of actions.
 func (a *agent) handle(event policy.Event) {
 	if a.ended {
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -39,7 +39,7 @@
 	inFlight   *attempt // nil: none
 }
 
-// start gives the client a new process of the agent, which has no state yet. Its error is that of
+// start starts a new process of the client's agent, which has no state yet. Its error is that of
 // policy.New.
 func (c *client) start() error {
 	model := c.m
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -29,7 +29,7 @@
 	return policy.New(settings, seed)
 }
 
-// serverView is what was seen of a server.
+// serverView holds the last known state of a server.
 type serverView struct {
 	up           bool
 	pending      int     // on it when it was seen, and sent to it since
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -16,7 +16,7 @@
 	FigureMaxPending          = "server's queue, most"
 )
 
-// Count is what happened in one second, all agents together.
+// Count counts the events of one second, all agents together.
 type Count struct {
 	Requests        int // without retries by the clients
 	Served          int // of these, answered within their latency objective, be it in a later second
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -8,7 +8,7 @@
 	action scheduled
 }
 
-// scheduled is what an event does. Its types are pointers, so that an event costs no allocation of
+// scheduled is the effect of an event. Its types are pointers, so that an event costs no allocation of
 // its own.
 type scheduled interface{ fire(m *Model) }
 
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -9,7 +9,7 @@
 	"ploverreel/internal/fleet"
 )
 
-// Scenario is what happens to a fleet while it is played: a fault, or none.
+// Scenario describes what happens to a fleet while it is played: a fault, or none.
 type Scenario struct {
 	Name     string
 	Help     string
--- a/internal/fleet/replace_file.go
+++ b/internal/fleet/replace_file.go
@@ -29,7 +29,7 @@
 	return replaceFile(osFileSystem{}, path, data)
 }
 
-// fileSystem is what replaceFile needs of the operating system; tests make its calls fail.
+// fileSystem holds the calls of the operating system that replaceFile makes; tests make its calls fail.
 type fileSystem interface {
 	CreateTemp(dir, pattern string) (temporaryFile, error)
 	Rename(from, to string) error
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -12,7 +12,7 @@
 // resultForm is the form of the results' files; report refuses any other.
 const resultForm = "ploverreel fleetbench 1"
 
-// Result is what one run of a subcommand measured, in the form of its JSON file.
+// Result holds the measurements of one run of a subcommand, in the form of its JSON file.
 type Result struct {
 	Form     string    `json:"form"`
 	Bench    string    `json:"bench"` // the subcommand
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -10,7 +10,7 @@
 	"ploverreel/policy"
 )
 
-// Kind is what a record of a batch is about.
+// Kind says which event of the wire a record of a batch holds.
 type Kind uint8
 
 // The kinds of records.
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -16,7 +16,7 @@
 	tcpCloseWait = 8
 )
 
-// PeekResult is what Peek finds on a connection.
+// PeekResult says what Peek found on a connection.
 type PeekResult int8
 
 // The results of Peek.
