--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -69,10 +69,10 @@
 }
 
 // countServed takes an answer into the failure rate.
-func (h *endpointHealth) countServed() { h.failureRate -= outcomeWeight * h.failureRate }
+func (h *endpointHealth) countServed() { h.failureRate -= outcomeSmoothing * h.failureRate }
 
 // countFailed takes a failure into the failure rate.
-func (h *endpointHealth) countFailed() { h.failureRate += outcomeWeight * (1 - h.failureRate) }
+func (h *endpointHealth) countFailed() { h.failureRate += outcomeSmoothing * (1 - h.failureRate) }
 
 // takeBackEjection counts one ejection less.
 func (h *endpointHealth) takeBackEjection() {
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -3,9 +3,10 @@
 
 package policy
 
-// silentAfter is after how many expected answer times without an answer an endpoint is taken to be
-// silent, divided by its attempts in flight up to silentAttempts.
-const silentAfter, silentAttempts = 8, 3
+// silenceFactor multiplies the expected answer time of a request: an endpoint that has answered
+// nothing for the product is silent. The time is divided by the number of the endpoint's attempts in
+// flight, up to maxSilenceDivisor.
+const silenceFactor, maxSilenceDivisor = 8, 3
 
 // onEndpointsUpdated applies a change of the list.
 func (b *Balancer) onEndpointsUpdated(event *EndpointsUpdated) {
@@ -73,13 +74,13 @@
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		inFlight, health := endpoint.traffic.inFlight, &endpoint.health
-		soon := silentAfter / float64(max(min(len(inFlight), silentAttempts), 1))
+		soon := silenceFactor / float64(max(min(len(inFlight), maxSilenceDivisor), 1))
 		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], soon) {
 			b.outliers.eject(endpoint, true)
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, soon) {
-				b.releaseStalled(attempt, b.unansweredFor(attempt, silentAfter))
+				b.releaseStalled(attempt, b.unansweredFor(attempt, silenceFactor))
 			}
 		}
 	}
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -7,24 +7,27 @@
 )
 
 const (
-	// A change of the list counts as notified after notifyWithinMs, whatever went wrong before.
-	// Discovery serves calls in turn, and one that has waited for watchCallMaxMs fails.
-	// watchCallMarginMs is the time that remains for the way and for what the list sets off.
-	notifyWithinMs, watchCallMaxMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
-	// watchStaggerMs is how far apart the agents of a small fleet call that start together: those
-	// of large fleets take all the time that they have.
+	// notifyDeadlineMs is the time, in ms, after which an agent is held to know a change of the
+	// list, whatever failed before. maxWatchCallMs bounds how long a call waits, in ms: discovery
+	// serves calls in turn, and a call that has waited this long fails. watchCallMarginMs is the
+	// time reserved for network delay and for processing the list, in ms.
+	notifyDeadlineMs, maxWatchCallMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
+	// watchStaggerMs times the number of agents is the time, in ms, over which a small fleet spreads
+	// its calls when its agents start together. Large fleets use all the time that is allowed.
 	watchStaggerMs = 75.0
-	// A watch on the agent's own machine costs nothing: localWatchDelayMs and
-	// localWatchMaxDelayMs only keep its calls from spinning.
+	// localWatchDelayMs and localWatchMaxDelayMs bound the first and the longest delay, in ms,
+	// before a call to discovery on the agent's own machine. Such calls cost nothing; the delays
+	// only prevent a busy loop.
 	localWatchDelayMs, localWatchMaxDelayMs = 100.0, 500.0
-	// firstWatchBackoffMs is the span of the wait after a first failed call: a shorter one would
-	// come back to a queue that is as long as it was.
-	firstWatchBackoffMs = 1000.0
-	// watchEndedBackoffMs is the same after a watch that had notified has ended: what it missed
-	// counts as notified some 2 s later, the call included.
+	// initialWatchBackoffMs bounds the backoff after the first failed call, in ms. After a shorter
+	// backoff the call would meet a queue that is still as long as before.
+	initialWatchBackoffMs = 1000.0
+	// watchEndedBackoffMs bounds the backoff, in ms, after the end of a watch that had delivered
+	// something. The agent is held to know what the watch missed some 2 s later, and the next call
+	// has to end by then.
 	watchEndedBackoffMs = 1000.0
-	// minFetchGapMs is the shortest time between two fetches of the whole list.
-	minFetchGapMs = 1000.0
+	// minFetchIntervalMs is the minimum time between two fetches of the whole list, in ms.
+	minFetchIntervalMs = 1000.0
 )
 
 // watchScheduler decides when discovery is called.
@@ -52,7 +55,7 @@
 		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
 		turn := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
-		most := min(w.set.Contract.DrainGraceMs, notifyWithinMs-watchCallMaxMs-watchCallMarginMs)
+		most := min(w.set.Contract.DrainGraceMs, notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
 		w.watchAfter(turn * w.spreadMs(most))
 	}
 }
@@ -69,14 +72,14 @@
 // onFailed sets the time of the next call after one that failed.
 func (w *watchScheduler) onFailed() {
 	w.failures++
-	w.retry(w.failures, firstWatchBackoffMs)
+	w.retry(w.failures, initialWatchBackoffMs)
 }
 
 // onEnded sets the time of the next call after a watch that had notified has ended. One that
 // ends again and again as soon as it has notified is no better than calls that fail.
 func (w *watchScheduler) onEnded() {
 	w.failures = 0
-	if w.now-w.startedAt < notifyWithinMs/2 {
+	if w.now-w.startedAt < notifyDeadlineMs/2 {
 		w.shortWatches++
 	} else {
 		w.shortWatches = 1
@@ -93,15 +96,15 @@
 
 // retry sets the time of the next call after failures in a row: a backoff with jitter that
 // doubles from spanMs. The last call may have failed at the very moment in which discovery came
-// back, so what it took, the wait and the next call are together less than notifyWithinMs.
+// back, so what it took, the wait and the next call are together less than notifyDeadlineMs.
 func (w *watchScheduler) retry(failures int, spanMs float64) {
 	if w.set.Membership == MembershipWatched {
 		most := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
 		w.watchAfter(w.rng.Float64() * most)
 		return
 	}
-	most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - (w.now - w.startedAt)
-	spanMs = min(spanMs*math.Pow(2, float64(failures-1)), max(most, firstWatchBackoffMs))
+	most := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.startedAt)
+	spanMs = min(spanMs*math.Pow(2, float64(failures-1)), max(most, initialWatchBackoffMs))
 	w.watchAfter(spanMs * (0.5 + w.rng.Float64()/2))
 }
 
@@ -121,7 +124,7 @@
 	if w.set.Membership != MembershipPushed {
 		return
 	}
-	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchGapMs) {
+	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchIntervalMs) {
 		w.fetchedAt = w.now
 		w.do(FetchEndpoints())
 	}
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -56,7 +56,7 @@
 			for _, callMs := range []float64{0, 2000, 2500} {
 				t.Run(fmt.Sprintf("%s, %d agents, calls take %.0f ms", mode, agents, callMs), func(t *testing.T) {
 					b, _ := startWatching(t, watchSettings(mode, agents-1, agents), uint64(agents-1))
-					most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - callMs
+					most := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - callMs
 					if mode == MembershipWatched {
 						most = localWatchMaxDelayMs
 					}
@@ -131,8 +131,8 @@
 					_, delayMs := startWatching(t, set, uint64(index))
 					last = max(last, delayMs)
 				}
-				if last > graceMs || last > 6000-watchCallMaxMs {
-					t.Errorf("got the last call after %v ms, want it within the grace and %v ms", last, 6000-watchCallMaxMs)
+				if last > graceMs || last > 6000-maxWatchCallMs {
+					t.Errorf("got the last call after %v ms, want it within the grace and %v ms", last, 6000-maxWatchCallMs)
 				}
 			})
 		}
@@ -222,7 +222,7 @@
 				call(t, b, now)
 				b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // nothing new
 				delayMs := callDelay(t, b, now+1200, &WatchEnded{})
-				most := min(1000*math.Pow(2, max(float64(i-1), 0)), notifyWithinMs-watchCallMaxMs-1200)
+				most := min(1000*math.Pow(2, max(float64(i-1), 0)), notifyDeadlineMs-maxWatchCallMs-1200)
 				if least := min(last/2, 500); delayMs > most || delayMs < least {
 					t.Fatalf("after %d short watches: got a delay of %v ms, want %v to %v", i+1, delayMs, least, most)
 				}
@@ -267,7 +267,7 @@
 	t.Helper()
 	const most = 6000 - watchCallMarginMs
 	b, delayMs := startWatching(t, watchSettings(MembershipOnRequest, index, agents), uint64(index))
-	if delayMs+watchCallMaxMs > most {
+	if delayMs+maxWatchCallMs > most {
 		t.Fatalf("agent %d: got a first call after %v ms, want it done within %v ms", index, delayMs, most)
 	}
 	now := 0.0
@@ -275,7 +275,7 @@
 		call(t, b, now)
 		now += callMs
 		delayMs = callDelay(t, b, now, &DiscoveryFailed{})
-		if callMs+delayMs+watchCallMaxMs > most+1e-6 {
+		if callMs+delayMs+maxWatchCallMs > most+1e-6 {
 			t.Fatalf("agent %d, failure %d: got a delay of %v ms, want the next call done within %v ms", index, failure, delayMs, most)
 		}
 		if delayMs < 500 {
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -5,24 +5,29 @@
 import "slices"
 
 const (
-	// firstLocalBackoffMs is the time to the next attempt after this machine failed one: a table
-	// of the system or a range of ports has entries to give again as soon as anybody closes something.
-	// It doubles once, and up to as much again is added at random, since all agents of a machine
-	// fail together. At most 20 ms keeps what waits within a small part of the usual latency
-	// objectives.
-	firstLocalBackoffMs, lastLocalBackoffMs = 5.0, 10.0
-	// settledAfterMs is after how long an attempt that is still in flight is taken to have got its
-	// connection: errors of this machine come back from the system call, at once.
-	settledAfterMs = 2 * lastLocalBackoffMs
-	// unlimitedWindow is the window of trials from which on attempts are not bounded any more.
-	unlimitedWindow = 16
-	// localMemoryMs is after how long without a failure of this machine none is expected any more:
-	// many times the longest backoff.
-	localMemoryMs = 1000.0
-	// maxReachResults bounds the endpoints whose latest results are kept while some are unreachable.
+	// initialLocalBackoffMs is the backoff, in ms, after an attempt that failed on this machine. It
+	// is short because a system table or a range of ports has free entries again as soon as any
+	// process closes something. The backoff doubles once, up to maxLocalBackoffMs. Jitter of up to
+	// the same time is added, since all agents of a machine fail together. The total of at most 20 ms
+	// delays queued requests by a small part of the usual latency objectives.
+	initialLocalBackoffMs, maxLocalBackoffMs = 5.0, 10.0
+	// connectedAfterMs is the age, in ms, at which an attempt in flight is assumed to have its
+	// connection: the system call reports errors of this machine at once.
+	connectedAfterMs = 2 * maxLocalBackoffMs
+	// maxTrialWindow is the window of trials, in attempts, at which attempts are no longer limited.
+	maxTrialWindow = 16
+	// localFailureExpiryMs is the time, in ms, after the latest failure of this machine at which the
+	// limit ends without a trial. It is many times the longest backoff.
+	localFailureExpiryMs = 1000.0
+	// maxReachResults bounds the number of endpoints whose latest results are kept while some
+	// endpoint is unreachable.
 	maxReachResults = 16
-	// defaultReachMs is for how long an endpoint counts as unreachable where no connect timeout is set.
-	defaultReachMs = 1000.0
+	// defaultReachExpiryMs is the time, in ms, for which a result is kept if no connect timeout is
+	// set.
+	defaultReachExpiryMs = 1000.0
+	// minUnreachableEndpoints is the number of unreachable endpoints below which the failure is
+	// attributed to the endpoints and not to this machine.
+	minUnreachableEndpoints = 2
 )
 
 // localFailure bounds the attempts while this machine fails them. All requests share one backoff
@@ -60,12 +65,12 @@
 	if l.row == 0 {
 		return true
 	}
-	if l.now-l.failedAt > localMemoryMs {
+	if l.now-l.failedAt > localFailureExpiryMs {
 		l.reset()
 		return true
 	}
 	for i := 0; i < len(l.trials); {
-		if trial := l.trials[i]; l.now-trial.sentAt >= settledAfterMs {
+		if trial := l.trials[i]; l.now-trial.sentAt >= connectedAfterMs {
 			l.succeeded(trial)
 		} else {
 			i++
@@ -89,7 +94,7 @@
 	if !l.removeTrial(attempt) {
 		return
 	}
-	if l.window *= 2; l.window >= unlimitedWindow {
+	if l.window *= 2; l.window >= maxTrialWindow {
 		l.reset()
 	}
 }
@@ -108,7 +113,7 @@
 	l.removeTrial(attempt)
 	if l.row == 0 || attempt.sentAt >= l.failedAt { // else it was sent before the failure that is known
 		l.row++
-		backoff := min(firstLocalBackoffMs*float64(l.row), lastLocalBackoffMs)
+		backoff := min(initialLocalBackoffMs*float64(l.row), maxLocalBackoffMs)
 		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
 }
@@ -149,7 +154,7 @@
 func (l *localFailure) expireReach() {
 	span := l.set.Limits.ConnectTimeoutMs
 	if span <= 0 {
-		span = defaultReachMs
+		span = defaultReachExpiryMs
 	}
 	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
 }
@@ -163,7 +168,7 @@
 			lost++
 		}
 	}
-	return lost >= 2 && 2*lost > len(l.reach)
+	return lost >= minUnreachableEndpoints && 2*lost > len(l.reach)
 }
 
 // noteReach keeps the latest result of each endpoint, the oldest first.
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -81,7 +81,7 @@
 				}
 				// One backoff is 5 ms at the least and 10 ms after the first; two more went out before
 				// it was known that the machine is at fault.
-				if most := int(ms/lastLocalBackoffMs) + 4; m.failed > most {
+				if most := int(ms/maxLocalBackoffMs) + 4; m.failed > most {
 					t.Errorf("got %d failed attempts, want %d at most", m.failed, most)
 				}
 				if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
@@ -219,8 +219,8 @@
 	})
 	t.Run("in flight", func(t *testing.T) {
 		m, last, actions := newTrialMachine(t)
-		open := func(int) int { return unlimitedWindow }
-		playTrials(t, m, last, actions, open, func(RequestID) []Action { return m.tick(settledAfterMs) })
+		open := func(int) int { return maxTrialWindow }
+		playTrials(t, m, last, actions, open, func(RequestID) []Action { return m.tick(connectedAfterMs) })
 	})
 }
 
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -7,24 +7,30 @@
 )
 
 const (
-	// outcomeWeight is the weight of an attempt in its endpoint's failure rate and in the share of
-	// unanswered attempts.
-	outcomeWeight = 0.05
-	// minCommonFailureRate is the least median failure rate with which failures are the fleet's,
-	// not an endpoint's.
+	// outcomeSmoothing is the smoothing factor of two moving averages over attempts: the failure
+	// rate of an endpoint and the share of unanswered attempts.
+	outcomeSmoothing = 0.05
+	// minCommonFailureRate is the median failure rate, as a share of attempts, at and above which
+	// failures are attributed to the fleet and not to a single endpoint.
 	minCommonFailureRate = 0.01
-	// maxCommonFailureFactor is how many times the median an endpoint's failure rate may be then.
+	// maxCommonFailureFactor bounds the failure rate of a single endpoint in that case, as a
+	// multiple of the median. An endpoint with a higher rate is an outlier.
 	maxCommonFailureFactor = 3
-	// maxUnansweredShare is the share of attempts that went unanswered up to their objective from
-	// which on that is the fleet's, not an endpoint's.
+	// minMedianEndpoints is the number of usable endpoints from which on the median failure rate is
+	// used: with one or two it says nothing.
+	minMedianEndpoints = 3
+	// maxUnansweredShare is the share of attempts without an answer by their latency objective at
+	// and above which the cause is attributed to the fleet and not to a single endpoint.
 	maxUnansweredShare = 0.5
-	// maxHealthChecks bounds the health checks under way at once.
+	// maxHealthChecks bounds the number of concurrent health checks.
 	maxHealthChecks = 2
-	// maxConsecutiveEjections bounds the doubling of the ejection time, maxEjectionMs that time.
+	// maxConsecutiveEjections bounds the ejection count, and so how often the ejection time doubles.
+	// maxEjectionMs bounds the ejection time, in ms.
 	maxConsecutiveEjections, maxEjectionMs = 5, 60000.0
-	// servedPerEjection is how many served requests take back an ejection, for each that counts.
+	// servedPerEjection times the ejection count is the number of served requests after which the
+	// ejection count is reduced by one.
 	servedPerEjection = 16
-	// rejectedWindowCut is what an endpoint that rejected an attempt keeps of its window.
+	// rejectedWindowCut multiplies the window of an endpoint that rejected an attempt.
 	rejectedWindowCut = 0.7
 )
 
@@ -131,7 +137,7 @@
 		}
 	}
 	d.failureRates = rates
-	if len(rates) < 3 {
+	if len(rates) < minMedianEndpoints {
 		return 0
 	}
 	slices.Sort(rates)
@@ -150,7 +156,7 @@
 			unanswered = 1
 		}
 	}
-	d.unanswered += outcomeWeight * (unanswered - d.unanswered)
+	d.unanswered += outcomeSmoothing * (unanswered - d.unanswered)
 }
 
 // mostUnanswered reports whether so many attempts go unanswered that it is not an endpoint's fault.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -120,11 +120,11 @@
 	memberships = []string{MembershipPushed, MembershipOnRequest, MembershipWatched}
 )
 
-// maxMs bounds times and other figures: what is longer than years overflows where it becomes a
-// duration.
+// maxMs bounds times, in ms, and other figures. It is about three years: much longer times overflow
+// when they are converted to a duration.
 const maxMs = 1e11
 
-// validate reports the first setting that makes no sense, by its key.
+// validate returns an error that names the key of the first invalid setting.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
