--- a/policy/settings.go
+++ b/policy/settings.go
@@ -1,4 +1,4 @@
-// This file holds the settings of an agent and which of them make sense.
+// This file declares the settings of an agent and validates them.
 
 package policy
 
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Settings holds what an agent is configured with. The JSON keys are those of the wire.
+// Settings is the configuration of an agent. The JSON keys are those used on the wire.
 type Settings struct {
 	Classes    []Class   `json:"classes"`
 	Tenants    []Tenant  `json:"tenants"` // may be empty
@@ -21,99 +21,100 @@
 		MarksRetry bool `json:"marksRetry"` // clients mark their retries
 	} `json:"clients"`
 	FamilyInfo struct {
-		WarmKeys bool `json:"warmKeys"` // a server that lately served a key serves it with less work
+		WarmKeys bool `json:"warmKeys"` // a server that served a key recently needs less work for it
 	} `json:"familyInfo"`
 	Index           int     `json:"index"`          // number of this agent, from 0
 	Replicas        int     `json:"replicasOfMe"`   // number of agents
-	OverQuotaWeight float64 `json:"overShareWorth"` // part of its priority that a request beyond quota keeps
-	RoundMs         float64 `json:"roundMs"`        // longest time that events are gathered
+	OverQuotaWeight float64 `json:"overShareWorth"` // factor on the priority of a request beyond its quota
+	RoundMs         float64 `json:"roundMs"`        // longest time for which events are batched
 	Weights         string  `json:"weights"`        // of Entry.Weight: "off", "nominal", "rough" or "live"
-	WeightBy        string  `json:"worthBy"`        // priority counts per "request" or per "work"
+	WeightBy        string  `json:"worthBy"`        // unit of the priority: per "request" or per "work"
 	Zone            int     `json:"zone"`           // index of this agent's zone
 }
 
 // Class is one class of requests.
 type Class struct {
 	Name               string  `json:"name"`
-	LatencyObjectiveMs float64 `json:"aimMs"` // an answer within this time earns the whole weight
-	// ObjectiveStretch is how far the objective grows with a request's hinted work, as a multiple
-	// of it, up to the deadline.
+	LatencyObjectiveMs float64 `json:"aimMs"` // an answer within this time earns the full weight
+	// ObjectiveStretch multiplies a request's hinted work. The product is added to the latency
+	// objective, up to the deadline.
 	ObjectiveStretch float64 `json:"aimStretch"`
 	DeadlineMs       float64 `json:"giveUpMs"` // how long a client waits, over all its tries
 	Effect           Effect  `json:"effect"`
-	Group            Group   `json:"group"` // of EffectIdempotentWithKey
-	// IdempotencyWindowMs is for how long the Group drops repeats, from the send of the first
-	// attempt that may have run.
+	Group            Group   `json:"group"` // only for EffectIdempotentWithKey
+	// IdempotencyWindowMs is the time for which the servers of the Group drop repeats. It starts
+	// when the first attempt that may have run is sent.
 	IdempotencyWindowMs float64 `json:"keyTtlMs"`
 	PriorityWeight      float64 `json:"credit"`
-	LateWeight          float64 `json:"lateShare"` // part of it that an answer after the objective earns
-	Streamed            bool    `json:"streamed"`  // answers come as streams
+	LateWeight          float64 `json:"lateShare"` // share of it for an answer after the objective
+	Streamed            bool    `json:"streamed"`  // responses are streamed
 }
 
-// Tenant is a customer with a share of what the servers can do.
+// Tenant is a customer with a quota of the servers' capacity.
 type Tenant struct {
 	Name       string  `json:"name"`
 	QuotaPerS  float64 `json:"quotaPerS"` // requests a second, over all agents
-	QuotaShare float64 `json:"portion"`   // part of all requests, from 0 to 1
+	QuotaShare float64 `json:"portion"`   // share of all requests, from 0 to 1
 }
 
-// Limits holds what a deployment permits an agent.
+// Limits holds what a deployment allows an agent to do.
 type Limits struct {
 	Cancellation     bool    `json:"cancelling"`       // attempts may be cancelled
-	ConnectTimeoutMs float64 `json:"connectTimeoutMs"` // after which a connect fails; 0: not told
-	KeepaliveMs      float64 `json:"keepaliveMs"`      // after which idle connections close; 0: none are kept
-	MaxAttempts      int     `json:"maxAttempts"`      // of one request
-	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`  // longest advice to wait that a client heeds
+	ConnectTimeoutMs float64 `json:"connectTimeoutMs"` // time after which a connect fails; 0: not given
+	KeepaliveMs      float64 `json:"keepaliveMs"`      // idle time until a connection closes; 0: at once
+	MaxAttempts      int     `json:"maxAttempts"`      // attempts of one request
+	MaxRetryAfterMs  float64 `json:"maxRetryAfterMs"`  // longest Retry-After that a client respects
 	HedgedRequests   bool    `json:"parallelTries"`    // two attempts of a request may be in flight; not used
-	HealthChecks     bool    `json:"probing"`          // servers may be checked beside the requests
+	HealthChecks     bool    `json:"probing"`          // servers may be sent health checks besides requests
 	RetryAfter       bool    `json:"retryAfter"`       // clients are told how long to wait
 	MaxOpenRequests  int     `json:"openCap"`          // requests an agent may have open; 0: any number
 }
 
-// Contract holds the figures of what servers and clients are owed.
+// Contract holds the figures of the contract with servers and clients.
 type Contract struct {
-	AnswerSlackMs    float64 `json:"answerSlackMs"` // how long past its deadline a final answer still counts
-	PollWithinMs     float64 `json:"askWithinMs"`   // age after which a list that is polled counts as old
-	SlowStartFrom    float64 `json:"coldFrom"`      // part of its capacity that a new server has
-	SlowStartMs      float64 `json:"coldMs"`        // age at which it has all of it
-	DrainGraceMs     float64 `json:"drainGraceMs"`  // within which sends to a draining server must end
-	OverloadMultiple float64 `json:"fallMultiple"`  // multiple of its capacity that overloads a new server,
-	OverloadWindowMs float64 `json:"tipAfterMs"`    // if sent for this time
+	AnswerSlackMs    float64 `json:"answerSlackMs"` // time past its deadline in which a final answer counts
+	PollWithinMs     float64 `json:"askWithinMs"`   // age from which on a polled list is out of date
+	SlowStartFrom    float64 `json:"coldFrom"`      // share of its capacity that a new server has
+	SlowStartMs      float64 `json:"coldMs"`        // age at which a new server has its full capacity
+	DrainGraceMs     float64 `json:"drainGraceMs"`  // time within which sends to a draining server must end
+	OverloadMultiple float64 `json:"fallMultiple"`  // load that overloads a new server, by its capacity
+	OverloadWindowMs float64 `json:"tipAfterMs"`    // time under that load after which it is overloaded
 }
 
-// Prices are points taken off the result, each times its share or rate.
+// Prices are points that are subtracted from the result. Each price multiplies the share or the rate
+// that its comment names.
 type Prices struct {
-	CrossZone   float64 `json:"crossZone"`      // attempts at servers of other zones, by first attempts
-	Handshake   float64 `json:"handshake"`      // new connections, by first attempts
-	Connection  float64 `json:"connection"`     // mean open connections, over 100 times the servers
-	LateFail    float64 `json:"lateFail"`       // weight left unserved once its objective had passed
-	HealthCheck float64 `json:"probe"`          // health checks, by first attempts
-	Waste       float64 `json:"waste"`          // work of servers that served no answer, by the work offered
-	Membership  float64 `json:"membershipMode"` // lines of lists sent, over 100 times the first attempts
+	CrossZone   float64 `json:"crossZone"`      // attempts at servers of other zones, per first attempt
+	Handshake   float64 `json:"handshake"`      // new connections, per first attempt
+	Connection  float64 `json:"connection"`     // mean open connections, per 100 times the servers
+	LateFail    float64 `json:"lateFail"`       // weight left unserved after its objective had passed
+	HealthCheck float64 `json:"probe"`          // health checks, per first attempt
+	Waste       float64 `json:"waste"`          // work of servers that served no answer, per work offered
+	Membership  float64 `json:"membershipMode"` // lines of lists sent, per 100 times the first attempts
 }
 
 // Objective holds the weights of the result's components.
 type Objective struct {
-	Whole       float64 `json:"whole"`       // weight served of the whole day
-	WorstWindow float64 `json:"worstWindow"` // the same in the worst 10 s
-	WorstClass  float64 `json:"worstClass"`  // of the class served worst
-	WorstTenant float64 `json:"worstTenant"` // of the tenant served worst, within its quota
+	Whole       float64 `json:"whole"`       // weight served over the whole day
+	WorstWindow float64 `json:"worstWindow"` // weight served in the worst 10 s
+	WorstClass  float64 `json:"worstClass"`  // weight served of the worst class
+	WorstTenant float64 `json:"worstTenant"` // weight served of the worst tenant, within its quota
 }
 
-// How changes of the endpoint list reach an agent.
+// The ways in which changes of the endpoint list reach an agent.
 const (
-	MembershipPushed    = "pushed"     // by themselves
-	MembershipOnRequest = "on_request" // to who watches or polls; each call is work for discovery
-	MembershipWatched   = "watched"    // to who watches, at no cost
+	MembershipPushed    = "pushed"     // discovery pushes each change
+	MembershipOnRequest = "on_request" // the agent watches or polls; each call is work for discovery
+	MembershipWatched   = "watched"    // the agent watches, at no cost
 )
 
 // Report names the values of the servers' load reports.
 type Report struct {
 	How   string   `json:"how"`   // "inline", "on_probe" or "off"
-	Names []string `json:"names"` // in the order of the events' Report
+	Names []string `json:"names"` // in the order of the Report field of events
 }
 
-// The values that settings may hold.
+// The valid values of settings.
 var (
 	effects     = []Effect{EffectIdempotent, EffectIdempotentWithKey, EffectNonIdempotent}
 	groups      = []Group{GroupAll, GroupZone, GroupCell}
@@ -148,7 +149,7 @@
 	return s.validateFigures()
 }
 
-// validate reports the first setting of the class that makes no sense; index is its index.
+// validate returns an error that names the first invalid setting of the class with the given index.
 func (c *Class) validate(index int) error {
 	at := func(key string) string { return fmt.Sprintf("settings: classes[%d].%s", index, key) }
 	switch {
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// validate reports the first setting of the tenant that makes no sense; index is its index.
+// validate returns an error that names the first invalid setting of the tenant with the given index.
 func (t *Tenant) validate(index int) error {
 	switch {
 	case !(t.QuotaShare >= 0):
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// validateFigures reports the first figure that must be from 0 to maxMs and isn't.
+// validateFigures returns an error that names the first figure that is not between 0 and maxMs.
 func (s *Settings) validateFigures() error {
 	for _, figure := range []struct {
 		key   string
