--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,12 +1,12 @@
-// This file holds the actions: what one agent is to do.
+// This file declares the actions that the Balancer returns for its agent to carry out.
 
 package policy
 
-// ActionKind says what an Action is, and so which of its fields count.
+// ActionKind says what an Action does. It also determines which of its fields are set.
 type ActionKind uint8
 
-// The kinds of actions, each with the constructor that says what it means. Their order is fixed, as
-// logs print their numbers.
+// The kinds of actions. The comment names the constructor, which documents the kind. The order is
+// fixed because logs print the numbers.
 const (
 	ActionSendAttempt          ActionKind = iota + 1 // SendAttempt
 	ActionCancelAttempt                              // CancelAttempt
@@ -20,60 +20,63 @@
 	ActionCloseIdleConnections                       // CloseIdleConnections
 )
 
-// Action is something the agent is to do, in the order given. It is made by the constructor of its
-// kind, which sets the fields that count; the others are zero. It is one struct for all kinds and no
-// interface, as each value in an interface would be an allocation.
+// Action is something the agent has to do. Actions are carried out in the order in which they are
+// returned. The constructor of its kind sets the fields that the kind uses; the others are zero.
+// Action is one struct for all kinds and not an interface, because each value in an interface would
+// cost an allocation.
 type Action struct {
 	Kind    ActionKind
-	Server  Addr      // that an attempt, a health check or a closing of connections is for
-	Request RequestID // that an attempt or an answer belongs to
-	Token   uint32    // of a timer
+	Server  Addr      // target of an attempt, a health check or a closing of connections
+	Request RequestID // request of an attempt or an answer
+	Token   uint32    // token of a timer
 	Attempt int       // number of a cancelled attempt among the request's, from 0
 
-	TimeoutMs     float64 // after which an attempt is given up
-	BeginWithinMs float64 // after which an attempt must not begin any more; 0: it may at any time
-	RetryAfterMs  float64 // after which a retry of a rejected request is welcome
-	DelayMs       float64 // after which a timer fires
-	Text          string  // for the log
+	TimeoutMs     float64 // time after which the agent gives up on an attempt
+	BeginWithinMs float64 // time after which an attempt must not begin any more; 0: no bound
+	RetryAfterMs  float64 // time after which a client may retry a rejected request
+	DelayMs       float64 // delay of a timer
+	Text          string  // text for the log
 }
 
 // SendAttempt returns the action to send a request to a server, and to give up on an answer after
-// timeoutMs. The attempt's number is how many of the request came before. One that can't begin within
-// beginWithinMs, as its connection comes up late, must not begin at all and ends with StatusNotSent;
-// with 0 it may begin at any time. The Balancer waits for its AttemptEnded in any case.
+// timeoutMs. The number of the attempt is the number of the request's attempts before it. If the
+// attempt cannot begin within beginWithinMs, because its connection is established late, it must not
+// begin at all and ends with StatusNotSent. With 0 it may begin at any time. The Balancer expects an
+// AttemptEnded in any case.
 func SendAttempt(request RequestID, server Addr, timeoutMs, beginWithinMs float64) Action {
 	return Action{Kind: ActionSendAttempt, Request: request, Server: server, TimeoutMs: timeoutMs,
 		BeginWithinMs: beginWithinMs}
 }
 
 // CancelAttempt returns the action to cancel an attempt in flight, by its number among the request's
-// attempts. Its AttemptEnded still comes.
+// attempts. The Balancer still expects its AttemptEnded.
 func CancelAttempt(request RequestID, attempt int) Action {
 	return Action{Kind: ActionCancelAttempt, Request: request, Attempt: attempt}
 }
 
-// RejectRequest returns the action to answer a request with a rejection: a retry is harmless, and
-// welcome after retryAfterMs.
+// RejectRequest returns the action to answer a request with a rejection. A retry by the client is
+// safe, and it may be sent after retryAfterMs.
 func RejectRequest(request RequestID, retryAfterMs float64) Action {
 	return Action{Kind: ActionRejectRequest, Request: request, RetryAfterMs: retryAfterMs}
 }
 
-// FailRequest returns the action to answer a request with a failure: it may have run.
+// FailRequest returns the action to answer a request with a failure. The request may have run.
 func FailRequest(request RequestID) Action {
 	return Action{Kind: ActionFailRequest, Request: request}
 }
 
-// CheckHealth returns the action to check the health of a server, which leads to a HealthCheckEnded.
+// CheckHealth returns the action to check the health of a server. The Balancer expects a
+// HealthCheckEnded.
 func CheckHealth(server Addr) Action {
 	return Action{Kind: ActionCheckHealth, Server: server}
 }
 
-// SetTimer returns the action to hand in a TimerFired of the token after delayMs.
+// SetTimer returns the action to pass in a TimerFired with the token after delayMs.
 func SetTimer(delayMs float64, token uint32) Action {
 	return Action{Kind: ActionSetTimer, DelayMs: delayMs, Token: token}
 }
 
-// OpenWatch returns the action to watch the endpoint list, unless a watch is open.
+// OpenWatch returns the action to open a watch of the endpoint list, unless one is open.
 func OpenWatch() Action { return Action{Kind: ActionOpenWatch} }
 
 // FetchEndpoints returns the action to fetch the whole endpoint list once.
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,30 +1,30 @@
-// Package policy decides, for one agent of a load-balancing sidecar, where each request of its
-// client goes: which endpoint, when, for how long, whether again, and when to give up. It is a
-// state machine without I/O: the caller hands in events with a clock and carries out the actions
-// that come back, in order.
+// Package policy makes the load-balancing decisions of one agent, a sidecar of a client. For each
+// request of the client it decides which endpoint the request is sent to, when, with which timeout,
+// whether it is retried, and when the agent gives up. The package is a state machine without I/O: the
+// caller passes in events and the time, and carries out the returned actions in order.
 //
-// Balancer is the facade. Each of its components holds the decisions of one concern, in a file of
-// that name; events.go holds what it is notified of, actions.go what it decides on, types.go what
-// both are about, settings.go the settings. All times are in milliseconds of the agent's clock, which
-// begins anywhere and never goes back.
+// Balancer is the facade. Each of its components makes the decisions of one concern, in a file of
+// that name. The events are in events.go, the actions in actions.go, the types that both use in
+// types.go, and the settings in settings.go. All times are in milliseconds of the agent's clock. The
+// clock starts at an arbitrary value and never goes back.
 package policy
 
-// Addr names a server: four bytes of address and a port. It has no meaning beyond equality and is
-// sent back exactly as it came.
+// Addr identifies a server: four bytes of address and a port. The package only compares it, and
+// returns it unchanged.
 type Addr [6]byte
 
-// RequestID names one try of a client; an id is never used twice.
+// RequestID identifies one try of a client. An id is never reused.
 type RequestID uint32
 
-// State is the health of a listed endpoint as an agent sees it.
+// State is the health of a listed endpoint as the agent knows it.
 type State uint8
 
 // The four states, best first.
 const (
-	StateConnected        State = iota // it has answered
-	StateUnknown                       // listed, and nothing is known of it
-	StateUnhealthyPending              // ejected for long enough, to be validated
-	StateUnhealthy                     // ejected
+	StateConnected        State = iota // the endpoint has answered
+	StateUnknown                       // the endpoint is listed, and nothing else is known of it
+	StateUnhealthyPending              // the ejection time is over, the endpoint is to be validated
+	StateUnhealthy                     // the endpoint is ejected
 )
 
 // Effect says whether a request of a class may run more than once.
@@ -33,7 +33,7 @@
 // The effects a class may have.
 const (
 	EffectIdempotent        Effect = "free"        // safe to repeat
-	EffectIdempotentWithKey Effect = "guarded"     // a group of servers drops repeats, for a time
+	EffectIdempotentWithKey Effect = "guarded"     // a group of servers drops repeats for some time
 	EffectNonIdempotent     Effect = "single_shot" // must never run twice
 )
 
@@ -43,32 +43,32 @@
 // The groups a class of EffectIdempotentWithKey may have.
 const (
 	GroupAll  Group = "all"  // all servers
-	GroupZone Group = "zone" // those of the zone of the first attempt
-	GroupCell Group = "cell" // those of the cell of the first attempt
+	GroupZone Group = "zone" // the servers in the zone of the first attempt
+	GroupCell Group = "cell" // the servers in the cell of the first attempt
 )
 
-// Health is the health of a server by the endpoint list.
+// Health is the health of a server according to the endpoint list.
 type Health uint8
 
 // The health of a listed server.
 const (
-	HealthDraining Health = iota // takes nothing new and finishes what it has
-	HealthReady                  // takes requests
-	HealthGone                   // no longer there
+	HealthDraining Health = iota // accepts no new requests and finishes those in progress
+	HealthReady                  // accepts requests
+	HealthGone                   // no longer exists
 )
 
 // Entry is one line of the endpoint list.
 type Entry struct {
 	Server      Addr
 	Zone        int     // index of its zone
-	Cell        int     // cell within which repeats may be dropped, see GroupCell
+	Cell        int     // its cell, see GroupCell
 	MachineKind int     // index of its kind of machine
 	StartedMs   float64 // clock time of the latest start of its process; 0: long past
 	Health      Health
 	Weight      float64 // hint of its capacity, see Settings.Weights; 0 counts as 1
 }
 
-// Status is how an attempt or a health check ended.
+// Status is the outcome of an attempt or a health check.
 type Status uint16
 
 // The statuses.
@@ -79,14 +79,13 @@
 	StatusTimeout       Status = 303 // no answer within Action.TimeoutMs
 	StatusConnectFailed Status = 304 // no connection to the server
 	StatusReset         Status = 305 // the connection broke
-	StatusCancelled     Status = 306 // CancelAttempt, or the client disconnected
-	StatusNotSent       Status = 307 // beyond a limit, or its request was finished
-	// StatusLocalFailure is an attempt that this machine could not make, as a table or a range of
-	// ports of its own was exhausted: it never ran, and says nothing of its server.
+	StatusCancelled     Status = 306 // it was cancelled by CancelAttempt, or the client disconnected
+	StatusNotSent       Status = 307 // a limit was reached, or its request was finished
+	// StatusLocalFailure means that this machine could not make the attempt, because a table or a
+	// port range of its own was exhausted. The attempt never ran and says nothing about its server.
 	StatusLocalFailure Status = 308
-	// StatusUnreachable is an attempt whose connect failed as there is no route to the server: it
-	// never ran. Whether that is the server's failure or this machine's is decided
-	// here.
+	// StatusUnreachable means that the connect failed because there is no route to the server. The
+	// attempt never ran. This package decides whether the failure is the server's or this machine's.
 	StatusUnreachable Status = 309
 )
 
