--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -1,16 +1,15 @@
-// This file holds what is known of one endpoint. Each part of it belongs to the component that
-// decides by it, and changes by the methods here.
+// This file declares the state of one endpoint. Each part of the state belongs to the component that
+// uses it for its decisions, and is changed by the methods in this file.
 
 package policy
 
 import "slices"
 
-// endpoint is what the agent knows of one listed server. Times are those of the agent's clock,
-// in ms.
+// endpoint is the agent's state of one listed server. Times are in ms of the agent's clock.
 type endpoint struct {
 	id          Addr
 	hash        uint64 // of the address, for rendezvous hashing
-	order       uint64 // position among the endpoints, in an order of this agent's own
+	order       uint64 // sort key among the endpoints; each agent has an order of its own
 	zone        int
 	cell        int
 	machineKind int
@@ -24,8 +23,8 @@
 	score       float64 // for the request that is being placed; lower is better
 }
 
-// update takes over what the endpoint list says of the server. When its process started is for
-// slowStart to take over.
+// update applies an entry of the endpoint list, except for the start of the process, which slowStart
+// applies.
 func (e *endpoint) update(entry *Entry) {
 	e.zone, e.cell, e.machineKind = entry.Zone, entry.Cell, entry.MachineKind
 	e.usable = entry.Health == HealthReady
@@ -35,12 +34,12 @@
 	}
 }
 
-// load returns the number of attempts that the endpoint may be working on for this agent.
+// load returns the number of this agent's attempts that the endpoint may be working on.
 func (e *endpoint) load() int { return len(e.traffic.inFlight) + e.traffic.abandoned }
 
-// windowOpen reports whether the endpoint's window lets another attempt in. A window under one is
-// kept by pausing: with many agents even one attempt of each can be too much, and an endpoint that
-// was overloaded needs idle time to recover.
+// windowOpen reports whether the endpoint's window allows another attempt. A window below 1 is
+// enforced by a pause between attempts. With many agents even one attempt of each can be too much,
+// and an endpoint that was overloaded needs idle time to recover.
 func (e *endpoint) windowOpen(now float64) bool {
 	if e.load() >= max(int(e.window.size), 1) {
 		return false
@@ -48,48 +47,48 @@
 	return e.window.size >= 1 || now-e.traffic.sentAt >= e.latency.lastMs/e.window.size
 }
 
-// endpointSlowStart is how far an endpoint's process has warmed up. It belongs to slowStart.
+// endpointSlowStart is the slow start state of an endpoint. It belongs to slowStart.
 type endpointSlowStart struct {
-	listedAt  float64 // start of its process by the endpoint list
-	startedAt float64 // the same, or later where a restart is assumed
-	warming   bool    // in slowStart.warming
-	allowance float64 // work it may still be sent while it is warming up, in mean requests
+	listedAt  float64 // start of its process according to the endpoint list
+	startedAt float64 // the same, or later if a restart is assumed
+	warming   bool    // the endpoint is in slowStart.warming
+	allowance float64 // work that it may still be sent while it is warming up, in mean requests
 }
 
-// endpointHealth is an endpoint's state and what led to it. It belongs to outlierDetector.
+// endpointHealth is an endpoint's state and the history behind it. It belongs to outlierDetector.
 type endpointHealth struct {
 	state                State
-	since                float64 // when the state was entered
-	silent               bool    // ejected for silence, not for an answer
-	unreachableAt        float64 // first failed connect since its last answer; 0: none
-	consecutiveEjections int     // recent ejections; sets the ejection time
-	failureRate          float64 // recent share of attempts that failed after they may have run
+	since                float64 // time at which the state was entered
+	silent               bool    // ejected because it did not answer, not because of an answer
+	unreachableAt        float64 // time of the first failed connect since its last answer; 0: none
+	consecutiveEjections int     // number of recent ejections; determines the ejection time
+	failureRate          float64 // moving average of the attempts that failed after they may have run
 	served               int     // requests served since consecutiveEjections last changed
-	checking             bool    // a health check is under way
+	checking             bool    // a health check is in progress
 }
 
-// countServed takes an answer into the failure rate.
+// countServed updates the failure rate after an answer.
 func (h *endpointHealth) countServed() { h.failureRate -= outcomeSmoothing * h.failureRate }
 
-// countFailed takes a failure into the failure rate.
+// countFailed updates the failure rate after a failure.
 func (h *endpointHealth) countFailed() { h.failureRate += outcomeSmoothing * (1 - h.failureRate) }
 
-// takeBackEjection counts one ejection less.
+// takeBackEjection reduces the ejection count by one.
 func (h *endpointHealth) takeBackEjection() {
 	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
 }
 
-// endpointTraffic is what this agent has sent to an endpoint and what came back.
+// endpointTraffic records this agent's attempts at an endpoint and the times of its answers.
 type endpointTraffic struct {
 	inFlight       []*attempt // oldest first
-	abandoned      int        // attempts it may still work on though nobody waits for them
+	abandoned      int        // attempts that it may still work on although nobody waits for them
 	answeredSentAt float64    // send time of the latest-sent attempt that it has answered
-	heardAt        float64    // when it last answered anything
-	sentAt         float64    // when the last attempt was sent
-	meanGapMs      float64    // mean time between attempts; 0: unknown
+	heardAt        float64    // time of its last response of any kind
+	sentAt         float64    // time at which the last attempt was sent
+	meanGapMs      float64    // moving average of the time between attempts; 0: unknown
 }
 
-// send notes an attempt that is sent.
+// send records an attempt that is sent.
 func (t *endpointTraffic) send(sent *attempt) {
 	t.inFlight = append(t.inFlight, sent)
 	if t.sentAt > 0 {
@@ -98,62 +97,64 @@
 	t.sentAt = sent.sentAt
 }
 
-// remove takes out an attempt that has ended.
+// remove removes an attempt that has ended.
 func (t *endpointTraffic) remove(ended *attempt) {
 	if i := slices.Index(t.inFlight, ended); i >= 0 {
 		t.inFlight = slices.Delete(t.inFlight, i, i+1)
 	}
 }
 
-// heard notes a sign of life at the time now.
+// heard records a response of any kind, at the time now.
 func (t *endpointTraffic) heard(now float64) { t.heardAt = now }
 
-// heardSince reports whether the endpoint has answered anything after the attempt was sent.
+// heardSince reports whether the endpoint has responded after the attempt was sent.
 func (t *endpointTraffic) heardSince(attempt *attempt) bool { return t.heardAt > attempt.sentAt }
 
-// answered notes that the endpoint has answered an attempt, and so has passed those sent before it.
+// answered records that the endpoint has answered an attempt. Attempts that were sent before it are
+// then no longer in the endpoint's queue.
 func (t *endpointTraffic) answered(attempt *attempt) {
 	t.answeredSentAt = max(t.answeredSentAt, attempt.sentAt)
 }
 
-// abandon notes an attempt that nobody waits for any more and that may still run.
+// abandon counts an attempt that nobody waits for any more but that may still run.
 func (t *endpointTraffic) abandon() { t.abandoned++ }
 
-// settleAbandoned notes that an abandoned attempt is over.
+// settleAbandoned counts an abandoned attempt as finished.
 func (t *endpointTraffic) settleAbandoned() { t.abandoned-- }
 
-// endpointLatency is an endpoint's answer times. mean and recent are parts of the latency
+// endpointLatency holds an endpoint's answer times. mean and recent are fractions of the latency
 // objective. It belongs to latencyTracker.
 type endpointLatency struct {
 	mean     float64
-	samples  int     // answers that mean was learnt from
-	recent   float64 // by the last answers, as of recentAt
+	samples  int     // number of answers in mean
+	recent   float64 // moving average over the last answers, as of recentAt
 	recentAt float64
 	lastMs   float64 // last answer time
 }
 
-// forgetMean forgets the mean answer time.
+// forgetMean resets the mean answer time.
 func (l *endpointLatency) forgetMean() { l.mean, l.samples = 0, 0 }
 
-// answered notes the last answer time.
+// answered records the last answer time.
 func (l *endpointLatency) answered(rttMs float64) { l.lastMs = rttMs }
 
-// endpointWindow bounds the attempts that an endpoint may hold of this agent.
+// endpointWindow is a congestion window: it bounds this agent's attempts at an endpoint.
 type endpointWindow struct {
 	size  float64
-	cutAt float64 // when it was last reduced
+	cutAt float64 // time of its last decrease
 }
 
-// cut reduces the window to the factor given, not under least.
+// cut decreases the window: it multiplies it by factor, but not to less than least.
 func (w *endpointWindow) cut(now, factor, least float64) {
 	w.size, w.cutAt = min(w.size, max(w.size*factor, least)), now
 }
 
-// grow opens the window after an answer in good time: by about one attempt a round trip.
+// grow increases the window after an answer in good time, by about one attempt a round trip
+// (additive increase). A window below 1 at most doubles.
 func (w *endpointWindow) grow() { w.size += min(1/w.size, w.size) }
 
-// halve reduces the window of an endpoint that was ejected, not under one attempt.
+// halve halves the window of an endpoint that was ejected, but not to less than one attempt.
 func (w *endpointWindow) halve() { w.size = max(w.size/2, 1) }
 
-// restart sets the window of a process of which nothing is known.
+// restart sets the window for a new process, of which nothing is known.
 func (w *endpointWindow) restart() { w.size = 1 }
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -1,4 +1,4 @@
-// This file holds the set of listed endpoints.
+// This file implements the set of listed endpoints.
 
 package policy
 
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// endpointSet holds the listed endpoints and those of them that need attention.
+// endpointSet holds the listed endpoints, and the subsets of them that are ejected or busy.
 type endpointSet struct {
 	*environment
 	all     orderedEndpoints
-	ejected orderedEndpoints // in a state after StateUnknown
-	busy    orderedEndpoints // with attempts in flight
+	ejected orderedEndpoints // endpoints whose state is worse than StateUnknown
+	busy    orderedEndpoints // endpoints with attempts in flight
 	byAddr  map[Addr]*endpoint
-	epoch   uint64 // counts changes of tiers and of the list
-	ready   int    // endpoints listed as ready
+	epoch   uint64 // incremented when a tier or the list changes
+	ready   int    // number of endpoints listed as ready
 }
 
 // newEndpointSet returns an empty set.
@@ -23,12 +23,11 @@
 	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
 }
 
-// contains reports whether the endpoint is listed; a process that was listed again under its address
-// is another one.
+// contains reports whether the endpoint is listed. It is false for an endpoint that was removed and
+// whose address was listed again.
 func (s *endpointSet) contains(endpoint *endpoint) bool { return s.byAddr[endpoint.id] == endpoint }
 
-// add takes an endpoint into the list of which nothing is known but when its process started, in
-// ms.
+// add adds an endpoint to the list. Only the start of its process, in ms, is known.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
 	endpoint := &endpoint{id: addr, hash: mix(hashAddr(addr)),
 		health:    endpointHealth{state: StateUnknown, since: s.now},
@@ -40,10 +39,10 @@
 	return endpoint
 }
 
-// listChanged notes that the list is about to change.
+// listChanged starts a new epoch, because the list is about to change.
 func (s *endpointSet) listChanged() { s.epoch++ }
 
-// keepListed takes all endpoints that a whole list doesn't name for not usable.
+// keepListed marks all endpoints as unusable that a whole list does not name.
 func (s *endpointSet) keepListed(listed map[Addr]bool) {
 	s.countWork(s.all)
 	for _, endpoint := range s.all {
@@ -51,8 +50,8 @@
 	}
 }
 
-// removeGone counts the ready endpoints and drops those that are no longer listed and have
-// nothing in flight; forgotten is called for each.
+// removeGone counts the ready endpoints. It removes the endpoints that are not usable, have no
+// attempts in flight and no health check in progress, and calls forgotten for each of them.
 func (s *endpointSet) removeGone(forgotten func(*endpoint)) {
 	s.ready = 0
 	s.countWork(s.all)
@@ -71,13 +70,13 @@
 	})
 }
 
-// attemptSent notes an attempt that is sent to its endpoint.
+// attemptSent records an attempt that is sent to its endpoint.
 func (s *endpointSet) attemptSent(sent *attempt) {
 	sent.endpoint.traffic.send(sent)
 	s.busy.insert(sent.endpoint)
 }
 
-// attemptEnded notes that an attempt is no longer in flight.
+// attemptEnded records that an attempt is no longer in flight.
 func (s *endpointSet) attemptEnded(ended *attempt) {
 	ended.endpoint.traffic.remove(ended)
 	if len(ended.endpoint.traffic.inFlight) == 0 {
@@ -85,8 +84,8 @@
 	}
 }
 
-// setEjected moves an endpoint among the ejected ones or from them; tiers change with that, and from
-// one state of an ejected endpoint to another.
+// setEjected adds an endpoint to the ejected ones or removes it from them. Either changes the tiers.
+// So does a change from one ejected state to another.
 func (s *endpointSet) setEjected(endpoint *endpoint, ejected bool) {
 	_, was := s.ejected.find(endpoint)
 	if was || ejected {
@@ -100,24 +99,24 @@
 	}
 }
 
-// orderedEndpoints is a set of endpoints in the agent's own order.
+// orderedEndpoints is a set of endpoints, sorted by endpoint.order.
 type orderedEndpoints []*endpoint
 
-// find returns the index at which an endpoint is or belongs, and whether it is there.
+// find returns the index at which an endpoint is or would be inserted, and whether it is there.
 func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
 	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
 		return cmp.Compare(x.order, y.order)
 	})
 }
 
-// insert adds an endpoint that is not in the set yet.
+// insert adds an endpoint, unless the set contains it.
 func (o *orderedEndpoints) insert(endpoint *endpoint) {
 	if i, found := o.find(endpoint); !found {
 		*o = slices.Insert(*o, i, endpoint)
 	}
 }
 
-// remove takes out an endpoint that is in the set.
+// remove removes an endpoint, if the set contains it.
 func (o *orderedEndpoints) remove(endpoint *endpoint) {
 	if i, found := o.find(endpoint); found {
 		*o = slices.Delete(*o, i, i+1)
