--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -1,5 +1,5 @@
-// This file holds the way of an endpoint: it is listed, restarts, is checked, answers again after a
-// failure, or falls silent.
+// This file implements the lifecycle of an endpoint: it is listed, restarts, is checked, answers again
+// after a failure, or stops answering.
 
 package policy
 
@@ -40,8 +40,8 @@
 	endpoint.update(entry)
 }
 
-// restartEndpoint takes an endpoint for a new process: nothing known of the old one holds, and it
-// is warming up.
+// restartEndpoint resets the state of an endpoint whose process has restarted: what is known of the
+// old process no longer applies, and the new one is warming up.
 func (b *Balancer) restartEndpoint(endpoint *endpoint, startedAt float64) {
 	b.outliers.restart(endpoint)
 	b.slowStart.restart(endpoint, startedAt)
@@ -49,7 +49,7 @@
 	endpoint.window.restart()
 }
 
-// onHealthCheckEnded takes the result of a health check.
+// onHealthCheckEnded handles the result of a health check.
 func (b *Balancer) onHealthCheckEnded(event *HealthCheckEnded) {
 	endpoint := b.endpoints.byAddr[event.Server]
 	if endpoint != nil && b.outliers.onHealthCheckEnded(endpoint, event.Status) {
@@ -57,9 +57,9 @@
 	}
 }
 
-// endpointAnswered notes that an endpoint lives. One that no connect reached for long may be a new
-// process, warming up and not yet listed: it is taken to have started now. Time-outs alone don't
-// tell: crowded endpoints would be left to idle.
+// endpointAnswered handles a sign that an endpoint is alive. If no connect has reached the endpoint
+// for long, it may be a new process that is warming up and not yet listed, so a restart now is
+// assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be left idle.
 func (b *Balancer) endpointAnswered(endpoint *endpoint) {
 	if b.outliers.onAnswer(endpoint) {
 		b.slowStart.assumeRestart(endpoint)
@@ -68,8 +68,8 @@
 	b.limiter.restoreStalled(endpoint)
 }
 
-// ejectSilent ejects endpoints that took attempts and have answered nothing for several answer
-// times: hung or gone silent, they would stay connected.
+// ejectSilent ejects endpoints that have attempts in flight and have answered nothing for several
+// expected answer times. Otherwise a hung endpoint would stay in StateConnected.
 func (b *Balancer) ejectSilent() {
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
@@ -86,19 +86,20 @@
 	}
 }
 
-// unansweredFor reports whether neither an attempt nor its endpoint has answered for so many times
-// the expected answer time.
+// unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
+// for the given multiple of the expected answer time.
 func (b *Balancer) unansweredFor(attempt *attempt, times float64) bool {
 	quietMs := b.now - max(attempt.endpoint.traffic.heardAt, attempt.sentAt)
 	return quietMs >= b.latency.expectedMs(attempt.request)*times
 }
 
-// releaseStalled lets go of an attempt at an endpoint that fell silent under it. It stands in no
-// queue that the agent's limit is to keep short: held by the limit up to deadlines of a minute and
-// more, such attempts would take all of it, and nothing would be sent to the endpoints that live.
-// Where the request may go elsewhere in time the attempt is cancelled, and else the request ends
-// when it can no longer earn anything, as queued ones do. The limit lets go only when it is sure:
-// crowded endpoints seem silent for a while too, and need the limit most.
+// releaseStalled releases an attempt in flight at an endpoint that stopped answering. The concurrency
+// limit exists to keep queues at endpoints short, and such an attempt is in no queue. With deadlines
+// of a minute and more, stalled attempts would use up the whole limit, and nothing would be sent to
+// the endpoints that are alive. If the request can be sent elsewhere in time, the attempt is
+// cancelled. Otherwise the request ends when its answer is no longer worth anything, as queued
+// requests do. The limit releases the attempt only if sure is set: overloaded endpoints seem silent
+// for a while too, and they need the limit most.
 func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
 	request := attempt.request
 	if sure {
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -1,4 +1,4 @@
-// This file holds when discovery is called for the endpoint list.
+// This file schedules the calls to discovery for the endpoint list.
 
 package policy
 
@@ -30,13 +30,13 @@
 	minFetchIntervalMs = 1000.0
 )
 
-// watchScheduler decides when discovery is called.
+// watchScheduler decides when the agent calls discovery.
 type watchScheduler struct {
 	*environment
-	fetchedAt    float64 // last fetch of the whole list, in ms
-	startedAt    float64 // last call that watches the list, in ms
-	failures     int     // failed calls in a row
-	shortWatches int     // watches in a row that ended as soon as they had notified
+	fetchedAt    float64 // time of the last fetch of the whole list, in ms
+	startedAt    float64 // time at which the last watch was opened, in ms
+	failures     int     // consecutive failed calls
+	shortWatches int     // consecutive watches that ended soon after they had delivered something
 }
 
 // newWatchScheduler returns a scheduler that has never fetched the list.
@@ -44,10 +44,10 @@
 	return watchScheduler{environment: env, fetchedAt: never}
 }
 
-// start sets the time of the first call that watches the list. Where discovery is one service
-// for all, agents that start together have turns by their numbers, so that their calls don't wait
-// for each other. The list that an agent starts with is as old as its restart took, and what it
-// misses may count as notified already: all turns are within the grace of draining.
+// start schedules the first watch. If all agents share one discovery service, agents that start
+// together call it in the order of their indexes, so that their calls don't queue behind each other.
+// The cached list that an agent starts with is as old as its restart took, and the agent may already
+// be held to know the changes since. Therefore all first calls are made within the drain grace.
 func (w *watchScheduler) start() {
 	w.startedAt = w.now
 	switch w.set.Membership {
@@ -60,23 +60,23 @@
 	}
 }
 
-// begin starts the call that was due.
+// begin opens the scheduled watch.
 func (w *watchScheduler) begin() {
 	w.startedAt = w.now
 	w.do(OpenWatch())
 }
 
-// onDelivered notes that discovery has delivered a list.
+// onDelivered resets the failures, because discovery has delivered a list.
 func (w *watchScheduler) onDelivered() { w.failures = 0 }
 
-// onFailed sets the time of the next call after one that failed.
+// onFailed schedules the next call after a failed one.
 func (w *watchScheduler) onFailed() {
 	w.failures++
 	w.retry(w.failures, initialWatchBackoffMs)
 }
 
-// onEnded sets the time of the next call after a watch that had notified has ended. One that
-// ends again and again as soon as it has notified is no better than calls that fail.
+// onEnded schedules the next call after the end of a watch that had delivered something. Repeated
+// watches that end soon after they have delivered are backed off like failed calls.
 func (w *watchScheduler) onEnded() {
 	w.failures = 0
 	if w.now-w.startedAt < notifyDeadlineMs/2 {
@@ -94,9 +94,10 @@
 	}
 }
 
-// retry sets the time of the next call after failures in a row: a backoff with jitter that
-// doubles from spanMs. The last call may have failed at the very moment in which discovery came
-// back, so what it took, the wait and the next call are together less than notifyDeadlineMs.
+// retry schedules the next call after consecutive failures, with an exponential backoff that starts at
+// spanMs, and with jitter. The last call may have failed at the very moment at which discovery
+// recovered. Therefore the duration of that call, the backoff and the next call together stay below
+// notifyDeadlineMs.
 func (w *watchScheduler) retry(failures int, spanMs float64) {
 	if w.set.Membership == MembershipWatched {
 		most := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
@@ -108,18 +109,19 @@
 	w.watchAfter(spanMs * (0.5 + w.rng.Float64()/2))
 }
 
-// spreadMs returns the time over which all agents' calls are spread, at most mostMs.
+// spreadMs returns the time over which the calls of all agents are spread, at most mostMs.
 func (w *watchScheduler) spreadMs(mostMs float64) float64 {
 	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
 }
 
-// watchAfter sets the time of the next call that watches the list.
+// watchAfter schedules the next watch.
 func (w *watchScheduler) watchAfter(delayMs float64) {
 	w.do(SetTimer(delayMs, timerWatch))
 }
 
-// fetch fetches the whole list, seldom: every call loads discovery. An agent that watches the
-// list has it as new as can be, or waits for its turn to call.
+// fetch fetches the whole list, at a limited rate because every call is load for discovery. It does
+// nothing in the modes in which the agent watches the list: the list is then up to date, or the next
+// watch is already scheduled.
 func (w *watchScheduler) fetch() {
 	if w.set.Membership != MembershipPushed {
 		return
