--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -1,4 +1,5 @@
-// This file holds what follows when this machine itself can't open connections.
+// This file limits attempts while this machine itself cannot open connections, and decides whether a
+// failed connect is the fault of the endpoint or of this machine.
 
 package policy
 
@@ -30,37 +31,38 @@
 	minUnreachableEndpoints = 2
 )
 
-// localFailure bounds the attempts while this machine fails them. All requests share one backoff
-// and one window: after a failure one attempt is sent as a trial, and each that does not fail in
-// that way doubles the window, until attempts are not bounded any more. So the attempts in that
-// time are bounded by the backoff, whatever the number of requests that wait.
+// localFailure limits the attempts while this machine fails them. All requests share one backoff and
+// one window. After a failure and its backoff a single attempt is sent as a trial. Each trial that
+// does not fail on this machine doubles the window, until attempts are no longer limited. The backoff
+// thus bounds the number of attempts while the machine fails, however many requests are queued.
 type localFailure struct {
 	*environment
 	endpoints *endpointSet
 	outliers  *outlierDetector
 
-	row      int        // failures one after the other; 0: attempts are not bounded
-	failedAt float64    // the latest, in ms
-	until    float64    // no attempt is sent before, in ms
-	window   int        // trials that may be in flight
-	trials   []*attempt // attempts in flight of which it isn't known whether they got a connection
+	row      int        // consecutive failures; 0: attempts are not limited
+	failedAt float64    // time of the latest failure, in ms
+	until    float64    // end of the backoff: no attempt is sent before, in ms
+	window   int        // maximum number of trials in flight
+	trials   []*attempt // attempts in flight that may not have a connection yet
 	reach    []reachResult
 }
 
-// reachResult is how the latest attempt at an endpoint ended while some endpoint was unreachable.
+// reachResult is the result of the latest attempt at an endpoint. Results are kept while some endpoint
+// is unreachable.
 type reachResult struct {
 	endpoint *endpoint
-	at       float64 // ms
+	at       float64 // time of the result, in ms
 	reached  bool
-	since    float64 // if not reached: time of the first such result in a row, in ms
+	since    float64 // if not reached: time of the first of the consecutive failures, in ms
 }
 
-// newLocalFailure returns a localFailure that bounds nothing yet.
+// newLocalFailure returns a localFailure that limits nothing yet.
 func newLocalFailure(env *environment, endpoints *endpointSet, outliers *outlierDetector) localFailure {
 	return localFailure{environment: env, endpoints: endpoints, outliers: outliers}
 }
 
-// mayTry reports whether this machine's failures let another attempt be sent.
+// mayTry reports whether another attempt may be sent in spite of this machine's failures.
 func (l *localFailure) mayTry() bool {
 	if l.row == 0 {
 		return true
@@ -79,17 +81,18 @@
 	return l.row == 0 || l.now >= l.until && len(l.trials) < l.window
 }
 
-// reset lets attempts be sent without a bound again.
+// reset ends the limit on attempts.
 func (l *localFailure) reset() { l.row, l.trials = 0, nil }
 
-// sent notes an attempt that is sent.
+// sent records an attempt that is sent.
 func (l *localFailure) sent(attempt *attempt) {
 	if l.row > 0 {
 		l.trials = append(l.trials, attempt)
 	}
 }
 
-// succeeded notes that an attempt did not fail on this machine.
+// succeeded records that an attempt did not fail on this machine, and doubles the window if it was a
+// trial.
 func (l *localFailure) succeeded(attempt *attempt) {
 	if !l.removeTrial(attempt) {
 		return
@@ -99,7 +102,7 @@
 	}
 }
 
-// removeTrial takes an attempt from the trials and reports whether it was one.
+// removeTrial removes an attempt from the trials and reports whether it was one.
 func (l *localFailure) removeTrial(attempt *attempt) bool {
 	i := slices.Index(l.trials, attempt)
 	if i >= 0 {
@@ -108,20 +111,21 @@
 	return i >= 0
 }
 
-// failed notes an attempt that this machine could not make.
+// failed records an attempt that this machine could not make, and starts a backoff.
 func (l *localFailure) failed(attempt *attempt) {
 	l.removeTrial(attempt)
-	if l.row == 0 || attempt.sentAt >= l.failedAt { // else it was sent before the failure that is known
+	if l.row == 0 || attempt.sentAt >= l.failedAt { // not sent before a failure that is already counted
 		l.row++
 		backoff := min(initialLocalBackoffMs*float64(l.row), maxLocalBackoffMs)
 		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
 }
 
-// attribute returns the status of an attempt's end by whose failure it was. One endpoint that can't
-// be reached is at fault itself: its machine or its part of the network is gone. When of the
-// endpoints tried recently at least two and more than half can't be reached, it is this machine that
-// has lost its network; the endpoints that were blamed before that was seen are cleared.
+// attribute replaces StatusUnreachable by the status that names the side at fault, and returns other
+// statuses unchanged. If a single endpoint is unreachable, the endpoint is at fault: its machine or
+// its part of the network is gone, and the status is StatusConnectFailed. If at least two, and more
+// than half, of the endpoints tried recently are unreachable, this machine has lost its network, and
+// the status is StatusLocalFailure. The endpoints that were blamed before this was known are cleared.
 func (l *localFailure) attribute(attempt *attempt, status Status) Status {
 	if status != StatusUnreachable && len(l.reach) == 0 {
 		return status
@@ -131,7 +135,7 @@
 	case StatusUnreachable:
 		l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, since: l.now})
 	case StatusOK, StatusServerError, StatusReset:
-		if len(l.reach) > 0 && attempt.sentAt >= l.reach[0].at { // else it tells of the time before
+		if len(l.reach) > 0 && attempt.sentAt >= l.reach[0].at { // not sent before the oldest result
 			l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
 		}
 		return status
@@ -150,7 +154,7 @@
 	return StatusLocalFailure
 }
 
-// expireReach forgets the results that are older than a connect may take.
+// expireReach removes the results that are older than the connect timeout.
 func (l *localFailure) expireReach() {
 	span := l.set.Limits.ConnectTimeoutMs
 	if span <= 0 {
@@ -159,8 +163,8 @@
 	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
 }
 
-// mostUnreachable reports whether at least two and more than half of the endpoints tried recently
-// could not be reached.
+// mostUnreachable reports whether at least minUnreachableEndpoints, and more than half, of the
+// endpoints tried recently could not be reached.
 func (l *localFailure) mostUnreachable() bool {
 	lost := 0
 	for _, result := range l.reach {
@@ -171,7 +175,7 @@
 	return lost >= minUnreachableEndpoints && 2*lost > len(l.reach)
 }
 
-// noteReach keeps the latest result of each endpoint, the oldest first.
+// noteReach records a result. Only the latest of each endpoint is kept, ordered from old to new.
 func (l *localFailure) noteReach(latest reachResult) {
 	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool {
 		if result.endpoint == latest.endpoint && !result.reached && !latest.reached {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -1,4 +1,5 @@
-// This file holds the states of an endpoint: ejection, validation and health checks.
+// This file implements the transitions between the states of an endpoint: ejection, validation and
+// health checks.
 
 package policy
 
@@ -34,13 +35,14 @@
 	rejectedWindowCut = 0.7
 )
 
-// listFetcher fetches the endpoint list, seldom: what seems to be an endpoint's failure may be its end.
+// listFetcher fetches the endpoint list at a limited rate. The detector fetches it after failures,
+// because an endpoint that seems to fail may have been removed.
 type listFetcher interface {
 	fetch()
 }
 
-// outlierDetector moves endpoints between the states, and tells failures of one endpoint from
-// those of all.
+// outlierDetector ejects endpoints that fail and validates them later. It distinguishes failures of a
+// single endpoint from failures that all endpoints have in common.
 type outlierDetector struct {
 	*environment
 	endpoints *endpointSet
@@ -49,18 +51,18 @@
 	list      listFetcher
 
 	failureRates []float64 // scratch space of medianFailureRate
-	unanswered   float64   // recent share of attempts that their endpoints did not answer
-	checking     int       // health checks under way
+	unanswered   float64   // moving average of the share of attempts without an answer
+	checking     int       // health checks in progress
 }
 
-// newOutlierDetector returns a detector without any failure that asks the components given.
+// newOutlierDetector returns a detector that has seen no failures and uses the given components.
 func newOutlierDetector(env *environment, endpoints *endpointSet, subset *endpointSubset,
 	classes *classStats, list listFetcher) outlierDetector {
 	return outlierDetector{environment: env, endpoints: endpoints, subset: subset, classes: classes,
 		list: list}
 }
 
-// restart takes an endpoint for a new process, of which nothing is known.
+// restart resets the state of an endpoint whose process has restarted, to unknown.
 func (d *outlierDetector) restart(endpoint *endpoint) {
 	d.endpoints.setEjected(endpoint, false)
 	health := &endpoint.health
@@ -68,7 +70,7 @@
 	health.consecutiveEjections, health.served, health.failureRate = 0, 0, 0
 }
 
-// onError takes an endpoint's answer of failure, or a connection that it broke.
+// onError handles an answer of failure from an endpoint, or a connection that it broke.
 func (d *outlierDetector) onError(endpoint *endpoint) {
 	endpoint.traffic.heard(d.now)
 	if d.isCommonFailure(endpoint) {
@@ -79,7 +81,7 @@
 	endpoint.health.countFailed()
 }
 
-// onConnectFailed takes a connect that failed.
+// onConnectFailed handles a failed connect.
 func (d *outlierDetector) onConnectFailed(endpoint *endpoint) {
 	d.eject(endpoint, true)
 	if endpoint.health.unreachableAt == 0 {
@@ -87,8 +89,8 @@
 	}
 }
 
-// onAnswer notes that an endpoint lives, and reports whether no connect had reached it for so long
-// that it may be a new process.
+// onAnswer records a sign that an endpoint is alive. It reports whether no connect had reached the
+// endpoint for so long that it may be a new process.
 func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayBeNew bool) {
 	unreachableAt := endpoint.health.unreachableAt
 	endpoint.traffic.heard(d.now)
@@ -96,9 +98,9 @@
 	return unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs
 }
 
-// onServed takes a request that an endpoint has served: it is healthy, and after enough of them
-// an ejection is taken back. It reports false for an attempt that was sent before the endpoint
-// failed: that says nothing about what came after.
+// onServed handles a request that an endpoint has served. The endpoint becomes healthy, and the
+// ejection count is reduced by one after enough served requests. onServed ignores an attempt that was
+// sent before the endpoint failed, because it says nothing about the time since, and reports false.
 func (d *outlierDetector) onServed(attempt *attempt) bool {
 	endpoint, health := attempt.endpoint, &attempt.endpoint.health
 	if health.state == StateUnhealthy && attempt.sentAt < health.since && !health.silent {
@@ -118,16 +120,16 @@
 	return true
 }
 
-// isCommonFailure reports whether the endpoint fails no more than the fleet does, as when a network
-// breaks connections at random: that says nothing of this one endpoint, and an ejection for each
-// such failure would eject all at once.
+// isCommonFailure reports whether the endpoint fails no more often than the fleet does, for example
+// because a network breaks connections at random. Such failures say nothing about the one endpoint,
+// and an ejection for each of them would eject all endpoints at once.
 func (d *outlierDetector) isCommonFailure(endpoint *endpoint) bool {
 	median := d.medianFailureRate()
 	return median >= minCommonFailureRate && endpoint.health.failureRate <= maxCommonFailureFactor*median
 }
 
-// medianFailureRate returns the middle one of the usable endpoints' failure rates; of one or two
-// endpoints it tells nothing.
+// medianFailureRate returns the median of the usable endpoints' failure rates, or 0 if there are fewer
+// than minMedianEndpoints.
 func (d *outlierDetector) medianFailureRate() float64 {
 	rates := d.failureRates[:0]
 	d.countWork(d.endpoints.all)
@@ -144,13 +146,13 @@
 	return rates[len(rates)/2]
 }
 
-// countUnanswered keeps the share of attempts that went unanswered up to their objective, at
-// endpoints that answered no later ones either.
+// countUnanswered updates the share of unanswered attempts. An attempt is unanswered if it got no
+// answer by its latency objective and its endpoint has not responded since the attempt was sent.
 func (d *outlierDetector) countUnanswered(attempt *attempt, status Status) {
 	unanswered := 0.0
 	if status == StatusTimeout || status == StatusCancelled {
 		if d.now < attempt.request.timing.objectiveAt {
-			return // its client disconnected early: that tells nothing
+			return // the client disconnected before the objective, which says nothing
 		}
 		if !attempt.endpoint.traffic.heardSince(attempt) {
 			unanswered = 1
@@ -159,10 +161,10 @@
 	d.unanswered += outcomeSmoothing * (unanswered - d.unanswered)
 }
 
-// mostUnanswered reports whether so many attempts go unanswered that it is not an endpoint's fault.
+// mostUnanswered reports whether so many attempts are unanswered that no single endpoint is the cause.
 func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
 
-// recheck has an endpoint validated at once, without an ejection.
+// recheck makes an endpoint pending validation at once, without an ejection.
 func (d *outlierDetector) recheck(endpoint *endpoint) {
 	if endpoint.health.state != StateUnhealthy {
 		d.enter(endpoint, StateUnhealthy)
@@ -172,8 +174,8 @@
 	d.list.fetch()
 }
 
-// eject takes an endpoint for unhealthy; silent says that it gave no answer, not a bad one.
-// Failures of one moment count as one ejection.
+// eject marks an endpoint as unhealthy. silent means that it gave no answer, as opposed to an answer
+// of failure. Further failures of an endpoint that is already unhealthy don't count as ejections.
 func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
 	health := &endpoint.health
 	if health.state != StateUnhealthy {
@@ -186,8 +188,8 @@
 	d.list.fetch()
 }
 
-// clear takes back what an endpoint was blamed for since then, as this machine had lost its
-// network. The next attempt validates it.
+// clear reverts the failed connects and the ejection of an endpoint since the given time, because this
+// machine had lost its network. The next attempt validates the endpoint.
 func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
 	health := &endpoint.health
 	if health.unreachableAt >= since {
@@ -200,13 +202,18 @@
 	}
 }
 
-// ejectionTime returns how long, in ms, an endpoint stays unhealthy before it is validated again: one
-// latency objective for a stray failure, or the time in which the agent comes by each endpoint if
-// that is longer, doubled with each further ejection up to a minute. A health check is answered
-// beside the requests and clears an endpoint that fails them: ejected for less than an agent takes
-// to come by, failing endpoints would keep an even share for as long as they fail. While the others
-// have no capacity, which scarce says, none is ejected: an endpoint that fails some requests is
-// better than rejecting them all. One that answers nothing is not.
+// ejectionTime returns the time, in ms, for which an endpoint stays unhealthy before it is validated.
+// After a first failure it is the shortest latency objective, or the time in which the agent sends to
+// each endpoint of its subset once, if that is longer. It doubles with each further ejection, up to
+// maxEjectionMs.
+//
+// The second bound is necessary because a health check can succeed at an endpoint that fails requests,
+// and ends its ejection. With a shorter ejection, failing endpoints would keep an even share of the
+// requests for as long as they fail.
+//
+// If scarce is set, the other endpoints have no capacity, and the time is 0: an endpoint that fails
+// some requests is better than a rejection of them all. An endpoint that answers nothing is no better,
+// and stays ejected.
 func (d *outlierDetector) ejectionTime(endpoint *endpoint, scarce bool) float64 {
 	if scarce && !endpoint.health.silent {
 		return 0
@@ -216,9 +223,9 @@
 	return min(once*float64(int(1)<<doublings), maxEjectionMs)
 }
 
-// revalidate, on each request, lets endpoints that were unhealthy long enough be validated, and
-// checks their health in the background where the settings allow it. scarce says that requests that
-// would go to any endpoint find no capacity.
+// revalidate is called on each request. It makes endpoints whose ejection time is over pending
+// validation, and checks their health in the background if the settings allow it. scarce says that
+// requests that may be sent to any endpoint find no capacity.
 func (d *outlierDetector) revalidate(scarce bool) {
 	d.countWork(d.endpoints.ejected)
 	for _, endpoint := range d.endpoints.ejected {
@@ -237,8 +244,8 @@
 	}
 }
 
-// onHealthCheckEnded takes the result of a health check, and reports whether the endpoint has answered
-// it and is healthy by that.
+// onHealthCheckEnded handles the result of a health check. It reports whether the endpoint has passed
+// the check and is healthy now.
 func (d *outlierDetector) onHealthCheckEnded(endpoint *endpoint, status Status) (answered bool) {
 	if !endpoint.health.checking {
 		return false
@@ -256,7 +263,7 @@
 	return false
 }
 
-// enter puts an endpoint in a new state; tiers have changed.
+// enter sets the state of an endpoint, and with it the endpoint's tier.
 func (d *outlierDetector) enter(endpoint *endpoint, state State) {
 	d.endpoints.setEjected(endpoint, state > StateUnknown)
 	endpoint.health.state, endpoint.health.since = state, d.now
