--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -36,17 +36,17 @@
 // add notes an abandoned attempt.
 func (l *abandonedAttempts) add(attempt *attempt) {
 	l.all = append(l.all, attempt)
-	attempt.endpoint.traffic.abandon()
+	attempt.endpoint.traffic.attemptAbandoned()
 }
 
 // settle drops those that are over at the time now.
 func (l *abandonedAttempts) settle(now float64) {
 	l.all = slices.DeleteFunc(l.all, func(attempt *attempt) bool {
 		endpoint := attempt.endpoint
-		passedAt := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
+		passedAt := max(endpoint.slowStart.listedStartAt, endpoint.traffic.answeredSentAt)
 		over := !endpoint.usable || attempt.sentAt < passedAt || now-attempt.sentAt >= l.sojourn
 		if over {
-			endpoint.traffic.settleAbandoned()
+			endpoint.traffic.abandonedEnded()
 		}
 		return over
 	})
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -30,7 +30,7 @@
 	}
 	request.started = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
-		attempt.endpoint.traffic.heard(b.now)
+		attempt.endpoint.traffic.recordResponse(b.now)
 	}
 }
 
@@ -109,7 +109,7 @@
 	case StatusCancelled:
 		b.recordCancelled(attempt, rttMs)
 	case StatusRejected:
-		endpoint.traffic.heard(b.now)
+		endpoint.traffic.recordResponse(b.now)
 		endpoint.window.cut(b.now, rejectedWindowCut, 1)
 	}
 }
@@ -117,11 +117,11 @@
 // recordServed learns from an answer that came after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	endpoint.health.countServed()
+	endpoint.health.recordSuccess()
 	b.latency.hints.learn(request, rttMs)
 	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.answered(rttMs)
-	endpoint.traffic.answered(attempt)
+	endpoint.traffic.attemptAnswered(attempt)
 	endpoint.latency.answered(rttMs)
 	request.class.served(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
@@ -141,7 +141,7 @@
 	if !b.set.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
-	if endpoint.traffic.heardSince(attempt) {
+	if endpoint.traffic.respondedSince(attempt) {
 		b.latency.hints.learn(request, rttMs)
 		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
 	} else {
@@ -154,7 +154,7 @@
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.unanswered(b.now, rttMs)
-	if b.now >= request.timing.objectiveAt && !endpoint.traffic.heardSince(attempt) &&
+	if b.now >= request.timing.objectiveAt && !endpoint.traffic.respondedSince(attempt) &&
 		!b.outliers.mostUnanswered() {
 		b.outliers.eject(endpoint, true)
 	}
@@ -175,7 +175,7 @@
 // requests are taken for this one's times their number: where a thousand agents each meet every
 // endpoint, they would keep hundreds of connections an endpoint open.
 func (b *Balancer) closeIdle(endpoint *endpoint) {
-	prices, gapMs := &b.set.Prices, endpoint.traffic.meanGapMs
+	prices, gapMs := &b.set.Prices, endpoint.traffic.meanIntervalMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -9,7 +9,7 @@
 type endpoint struct {
 	id          Addr
 	hash        uint64 // of the address, for rendezvous hashing
-	order       uint64 // sort key among the endpoints; each agent has an order of its own
+	sortKey     uint64 // of orderedEndpoints; each agent has an order of its own
 	zone        int
 	cell        int
 	machineKind int
@@ -44,15 +44,15 @@
 	if e.load() >= max(int(e.window.size), 1) {
 		return false
 	}
-	return e.window.size >= 1 || now-e.traffic.sentAt >= e.latency.lastMs/e.window.size
+	return e.window.size >= 1 || now-e.traffic.lastSentAt >= e.latency.lastMs/e.window.size
 }
 
 // endpointSlowStart is the slow start state of an endpoint. It belongs to slowStart.
 type endpointSlowStart struct {
-	listedAt  float64 // start of its process according to the endpoint list
-	startedAt float64 // the same, or later if a restart is assumed
-	warming   bool    // the endpoint is in slowStart.warming
-	allowance float64 // work that it may still be sent while it is warming up, in mean requests
+	listedStartAt float64 // start of its process according to the endpoint list
+	startedAt     float64 // the same, or later if a restart is assumed
+	warming       bool    // the endpoint is in slowStart.warming
+	allowance     float64 // work that it may still be sent while it is warming up, in mean requests
 }
 
 // endpointHealth is an endpoint's state and the history behind it. It belongs to outlierDetector.
@@ -60,21 +60,21 @@
 	state                State
 	since                float64 // time at which the state was entered
 	silent               bool    // ejected because it did not answer, not because of an answer
-	unreachableAt        float64 // time of the first failed connect since its last answer; 0: none
+	unreachableSince     float64 // time of the first failed connect since its last answer; 0: none
 	consecutiveEjections int     // number of recent ejections; determines the ejection time
 	failureRate          float64 // moving average of the attempts that failed after they may have run
 	served               int     // requests served since consecutiveEjections last changed
 	checking             bool    // a health check is in progress
 }
 
-// countServed updates the failure rate after an answer.
-func (h *endpointHealth) countServed() { h.failureRate -= outcomeSmoothing * h.failureRate }
+// recordSuccess updates the failure rate after an answer.
+func (h *endpointHealth) recordSuccess() { h.failureRate -= outcomeSmoothing * h.failureRate }
 
-// countFailed updates the failure rate after a failure.
-func (h *endpointHealth) countFailed() { h.failureRate += outcomeSmoothing * (1 - h.failureRate) }
+// recordFailure updates the failure rate after a failure.
+func (h *endpointHealth) recordFailure() { h.failureRate += outcomeSmoothing * (1 - h.failureRate) }
 
-// takeBackEjection reduces the ejection count by one.
-func (h *endpointHealth) takeBackEjection() {
+// decrementEjections reduces the ejection count by one.
+func (h *endpointHealth) decrementEjections() {
 	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
 }
 
@@ -83,44 +83,46 @@
 	inFlight       []*attempt // oldest first
 	abandoned      int        // attempts that it may still work on although nobody waits for them
 	answeredSentAt float64    // send time of the latest-sent attempt that it has answered
-	heardAt        float64    // time of its last response of any kind
-	sentAt         float64    // time at which the last attempt was sent
-	meanGapMs      float64    // moving average of the time between attempts; 0: unknown
+	lastResponseAt float64    // time of its last response of any kind
+	lastSentAt     float64    // time at which the last attempt was sent
+	meanIntervalMs float64    // moving average of the time between attempts; 0: unknown
 }
 
-// send records an attempt that is sent.
-func (t *endpointTraffic) send(sent *attempt) {
+// attemptSent records an attempt that is sent.
+func (t *endpointTraffic) attemptSent(sent *attempt) {
 	t.inFlight = append(t.inFlight, sent)
-	if t.sentAt > 0 {
-		t.meanGapMs = ewma(t.meanGapMs, sent.sentAt-t.sentAt, endpointSmoothing)
+	if t.lastSentAt > 0 {
+		t.meanIntervalMs = ewma(t.meanIntervalMs, sent.sentAt-t.lastSentAt, endpointSmoothing)
 	}
-	t.sentAt = sent.sentAt
+	t.lastSentAt = sent.sentAt
 }
 
-// remove removes an attempt that has ended.
-func (t *endpointTraffic) remove(ended *attempt) {
+// attemptEnded removes an attempt that has ended.
+func (t *endpointTraffic) attemptEnded(ended *attempt) {
 	if i := slices.Index(t.inFlight, ended); i >= 0 {
 		t.inFlight = slices.Delete(t.inFlight, i, i+1)
 	}
 }
 
-// heard records a response of any kind, at the time now.
-func (t *endpointTraffic) heard(now float64) { t.heardAt = now }
+// recordResponse records a response of any kind, at the time now.
+func (t *endpointTraffic) recordResponse(now float64) { t.lastResponseAt = now }
 
-// heardSince reports whether the endpoint has responded after the attempt was sent.
-func (t *endpointTraffic) heardSince(attempt *attempt) bool { return t.heardAt > attempt.sentAt }
+// respondedSince reports whether the endpoint has responded after the attempt was sent.
+func (t *endpointTraffic) respondedSince(attempt *attempt) bool {
+	return t.lastResponseAt > attempt.sentAt
+}
 
-// answered records that the endpoint has answered an attempt. Attempts that were sent before it are
-// then no longer in the endpoint's queue.
-func (t *endpointTraffic) answered(attempt *attempt) {
+// attemptAnswered records that the endpoint has answered an attempt. Attempts that were sent before
+// it are then no longer in the endpoint's queue.
+func (t *endpointTraffic) attemptAnswered(attempt *attempt) {
 	t.answeredSentAt = max(t.answeredSentAt, attempt.sentAt)
 }
 
-// abandon counts an attempt that nobody waits for any more but that may still run.
-func (t *endpointTraffic) abandon() { t.abandoned++ }
+// attemptAbandoned counts an attempt that nobody waits for any more but that may still run.
+func (t *endpointTraffic) attemptAbandoned() { t.abandoned++ }
 
-// settleAbandoned counts an abandoned attempt as finished.
-func (t *endpointTraffic) settleAbandoned() { t.abandoned-- }
+// abandonedEnded counts an abandoned attempt as finished.
+func (t *endpointTraffic) abandonedEnded() { t.abandoned-- }
 
 // endpointLatency holds an endpoint's answer times. mean and recent are fractions of the latency
 // objective. It belongs to latencyTracker.
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -34,7 +34,7 @@
 		endpoint = b.endpoints.add(entry.Server, startedAt)
 		b.slowStart.begin(endpoint)
 	}
-	if startedAt > endpoint.slowStart.listedAt {
+	if startedAt > endpoint.slowStart.listedStartAt {
 		b.restartEndpoint(endpoint, startedAt)
 	}
 	endpoint.update(entry)
@@ -89,7 +89,7 @@
 // unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
 // for the given multiple of the expected answer time.
 func (b *Balancer) unansweredFor(attempt *attempt, times float64) bool {
-	quietMs := b.now - max(attempt.endpoint.traffic.heardAt, attempt.sentAt)
+	quietMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
 	return quietMs >= b.latency.expectedMs(attempt.request)*times
 }
 
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -30,10 +30,11 @@
 // add adds an endpoint to the list. Only the start of its process, in ms, is known.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
 	endpoint := &endpoint{id: addr, hash: mix(hashAddr(addr)),
-		health:    endpointHealth{state: StateUnknown, since: s.now},
-		window:    endpointWindow{size: initialWindow},
-		slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt, allowance: s.rng.Float64()}}
-	endpoint.order = mix(endpoint.hash ^ mix(uint64(s.set.Index)+1))
+		health: endpointHealth{state: StateUnknown, since: s.now},
+		window: endpointWindow{size: initialWindow},
+		slowStart: endpointSlowStart{startedAt: startedAt, listedStartAt: startedAt,
+			allowance: s.rng.Float64()}}
+	endpoint.sortKey = mix(endpoint.hash ^ mix(uint64(s.set.Index)+1))
 	s.byAddr[addr] = endpoint
 	s.all.insert(endpoint)
 	return endpoint
@@ -72,13 +73,13 @@
 
 // attemptSent records an attempt that is sent to its endpoint.
 func (s *endpointSet) attemptSent(sent *attempt) {
-	sent.endpoint.traffic.send(sent)
+	sent.endpoint.traffic.attemptSent(sent)
 	s.busy.insert(sent.endpoint)
 }
 
 // attemptEnded records that an attempt is no longer in flight.
 func (s *endpointSet) attemptEnded(ended *attempt) {
-	ended.endpoint.traffic.remove(ended)
+	ended.endpoint.traffic.attemptEnded(ended)
 	if len(ended.endpoint.traffic.inFlight) == 0 {
 		s.busy.remove(ended.endpoint)
 	}
@@ -99,13 +100,13 @@
 	}
 }
 
-// orderedEndpoints is a set of endpoints, sorted by endpoint.order.
+// orderedEndpoints is a set of endpoints, sorted by endpoint.sortKey.
 type orderedEndpoints []*endpoint
 
 // find returns the index at which an endpoint is or would be inserted, and whether it is there.
 func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
 	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
-		return cmp.Compare(x.order, y.order)
+		return cmp.Compare(x.sortKey, y.sortKey)
 	})
 }
 
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -66,7 +66,7 @@
 // The set stays in the endpoints' order, holds each once, and bears the removal of what it lacks.
 func TestOrderedEndpointsStayInOrder(t *testing.T) {
 	var set orderedEndpoints
-	first, second, third := &endpoint{order: 1}, &endpoint{order: 2}, &endpoint{order: 3}
+	first, second, third := &endpoint{sortKey: 1}, &endpoint{sortKey: 2}, &endpoint{sortKey: 3}
 	for _, endpoint := range []*endpoint{third, first, second, first, third} {
 		set.insert(endpoint)
 	}
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -14,7 +14,7 @@
 	}
 	target.window.size = 0.5
 	hasCapacityAfter := func(ms float64) bool {
-		h.b.now = target.traffic.sentAt + ms
+		h.b.now = target.traffic.lastSentAt + ms
 		return h.b.eligible.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
 	}
 	if hasCapacityAfter(59) {
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -90,7 +90,7 @@
 				}
 				for _, listed := range m.b.endpoints.all {
 					health := &listed.health
-					if health.state > StateUnknown || health.unreachableAt != 0 || health.failureRate != 0 ||
+					if health.state > StateUnknown || health.unreachableSince != 0 || health.failureRate != 0 ||
 						health.consecutiveEjections != 0 || listed.traffic.abandoned != 0 {
 						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
 					}
@@ -199,7 +199,7 @@
 		}
 	}
 	for _, listed := range h.b.endpoints.all {
-		ejected, noted := listed.health.state > StateUnknown, listed.health.unreachableAt != 0
+		ejected, noted := listed.health.state > StateUnknown, listed.health.unreachableSince != 0
 		if want := unreachable[listed.id]; ejected != want || want && !noted {
 			t.Errorf("endpoint %v: got ejected %v and unreachable %v, want %v", listed.id, ejected, noted, want)
 		}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -72,30 +72,30 @@
 
 // onError handles an answer of failure from an endpoint, or a connection that it broke.
 func (d *outlierDetector) onError(endpoint *endpoint) {
-	endpoint.traffic.heard(d.now)
+	endpoint.traffic.recordResponse(d.now)
 	if d.isCommonFailure(endpoint) {
 		d.recheck(endpoint)
 	} else {
 		d.eject(endpoint, false)
 	}
-	endpoint.health.countFailed()
+	endpoint.health.recordFailure()
 }
 
 // onConnectFailed handles a failed connect.
 func (d *outlierDetector) onConnectFailed(endpoint *endpoint) {
 	d.eject(endpoint, true)
-	if endpoint.health.unreachableAt == 0 {
-		endpoint.health.unreachableAt = d.now
+	if endpoint.health.unreachableSince == 0 {
+		endpoint.health.unreachableSince = d.now
 	}
 }
 
 // onAnswer records a sign that an endpoint is alive. It reports whether no connect had reached the
 // endpoint for so long that it may be a new process.
-func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayBeNew bool) {
-	unreachableAt := endpoint.health.unreachableAt
-	endpoint.traffic.heard(d.now)
-	endpoint.health.unreachableAt = 0
-	return unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs
+func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayHaveRestarted bool) {
+	unreachableSince := endpoint.health.unreachableSince
+	endpoint.traffic.recordResponse(d.now)
+	endpoint.health.unreachableSince = 0
+	return unreachableSince > 0 && d.now-unreachableSince > d.set.Contract.OverloadWindowMs
 }
 
 // onServed handles a request that an endpoint has served. The endpoint becomes healthy, and the
@@ -111,11 +111,11 @@
 	}
 	if health.silent {
 		health.silent = false
-		health.takeBackEjection()
+		health.decrementEjections()
 	}
 	if health.served++; health.served >= servedPerEjection*health.consecutiveEjections {
 		health.served = 0
-		health.takeBackEjection()
+		health.decrementEjections()
 	}
 	return true
 }
@@ -154,7 +154,7 @@
 		if d.now < attempt.request.timing.objectiveAt {
 			return // the client disconnected before the objective, which says nothing
 		}
-		if !attempt.endpoint.traffic.heardSince(attempt) {
+		if !attempt.endpoint.traffic.respondedSince(attempt) {
 			unanswered = 1
 		}
 	}
@@ -192,12 +192,12 @@
 // machine had lost its network. The next attempt validates the endpoint.
 func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
 	health := &endpoint.health
-	if health.unreachableAt >= since {
-		health.unreachableAt = 0
+	if health.unreachableSince >= since {
+		health.unreachableSince = 0
 	}
 	if health.state == StateUnhealthy && health.since >= since {
 		health.silent = false
-		health.takeBackEjection()
+		health.decrementEjections()
 		d.enter(endpoint, StateUnhealthyPending)
 	}
 }
--- a/policy/request_lifecycle_test.go
+++ b/policy/request_lifecycle_test.go
@@ -36,7 +36,7 @@
 	h = newTrainedHarness(t, set, 1)
 	inFlight, _ = h.mustSend(class, 5)
 	h.now += 290
-	h.endpoint(0).traffic.heardAt = h.now // else it seems silent
+	h.endpoint(0).traffic.lastResponseAt = h.now // else it seems silent
 	queued, actions := h.arrive(idempotentClass, 6)
 	if findAction(actions, ActionSendAttempt) != nil {
 		t.Fatal("got a second attempt sent, want the agent at its limit")
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -36,7 +36,7 @@
 	contract, start := &env.set.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
-		start.startedAt != start.listedAt && age > contract.PollWithinMs {
+		start.startedAt != start.listedStartAt && age > contract.PollWithinMs {
 		return 1 // long past, or a restart that was assumed and not confirmed by the list in its time
 	}
 	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
@@ -80,7 +80,7 @@
 // starts at random: of many agents that each earn it a part of one request, as many send one as the
 // parts add up to; from 0 none would before it is warm.
 func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
-	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
+	endpoint.slowStart.listedStartAt, endpoint.slowStart.startedAt = startedAt, startedAt
 	w.begin(endpoint)
 	endpoint.slowStart.allowance = w.rng.Float64()
 }
@@ -211,6 +211,6 @@
 // sent before takes.
 func (w *slowStart) pauseOver(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
-	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * share
+	earned := (w.now - endpoint.traffic.lastSentAt) * w.flow * endpoint.weight * share
 	return earned >= cost*w.set.Contract.SlowStartMs
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -126,7 +126,7 @@
 		h.serveAtOnce(idempotentClass, h.randomKey(), 20)
 	}
 	h.updateEndpoints(ListDelta, startedAt(ready(2), h.now))
-	h.endpoint(2).traffic.sentAt = 0
+	h.endpoint(2).traffic.lastSentAt = 0
 	for i := range 2 {
 		h.b.outliers.eject(h.endpoint(i), true)
 	}
@@ -246,7 +246,7 @@
 			b.now = 1e6
 			capacity := func(ageMs float64) float64 {
 				startedAt := b.now - ageMs
-				return b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt}})
+				return b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: startedAt, listedStartAt: startedAt}})
 			}
 			for ageMs := 0.0; ageMs < contract.SlowStartMs; ageMs += contract.SlowStartMs / 100 {
 				if got, most := capacity(ageMs+toleranceMs), ageErrorFactor*capacity(ageMs); got > most+1e-9 {
