--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -110,7 +110,7 @@
 		b.recordCancelled(attempt, rttMs)
 	case StatusRejected:
 		endpoint.traffic.recordResponse(b.now)
-		endpoint.window.cut(b.now, rejectedWindowCut, 1)
+		endpoint.window.decrease(b.now, rejectedWindowFactor, 1)
 	}
 }
 
@@ -122,7 +122,7 @@
 	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.answered(rttMs)
 	endpoint.traffic.attemptAnswered(attempt)
-	endpoint.latency.answered(rttMs)
+	endpoint.latency.recordLast(rttMs)
 	request.class.served(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
 	b.latency.observe(fraction, attempt.alone)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -134,29 +134,29 @@
 	lastMs   float64 // last answer time
 }
 
-// forgetMean resets the mean answer time.
-func (l *endpointLatency) forgetMean() { l.mean, l.samples = 0, 0 }
+// resetMean resets the mean answer time.
+func (l *endpointLatency) resetMean() { l.mean, l.samples = 0, 0 }
 
-// answered records the last answer time.
-func (l *endpointLatency) answered(rttMs float64) { l.lastMs = rttMs }
+// recordLast records the last answer time.
+func (l *endpointLatency) recordLast(rttMs float64) { l.lastMs = rttMs }
 
 // endpointWindow is a congestion window: it bounds this agent's attempts at an endpoint.
 type endpointWindow struct {
-	size  float64
-	cutAt float64 // time of its last decrease
+	size        float64
+	decreasedAt float64 // time of its last decrease
 }
 
-// cut decreases the window: it multiplies it by factor, but not to less than least.
-func (w *endpointWindow) cut(now, factor, least float64) {
-	w.size, w.cutAt = min(w.size, max(w.size*factor, least)), now
+// decrease multiplies the window by factor, but not to less than minSize (multiplicative decrease).
+func (w *endpointWindow) decrease(now, factor, minSize float64) {
+	w.size, w.decreasedAt = min(w.size, max(w.size*factor, minSize)), now
 }
 
-// grow increases the window after an answer in good time, by about one attempt a round trip
+// increase increases the window after an answer in good time, by about one attempt a round trip
 // (additive increase). A window below 1 at most doubles.
-func (w *endpointWindow) grow() { w.size += min(1/w.size, w.size) }
+func (w *endpointWindow) increase() { w.size += min(1/w.size, w.size) }
 
 // halve halves the window of an endpoint that was ejected, but not to less than one attempt.
 func (w *endpointWindow) halve() { w.size = max(w.size/2, 1) }
 
-// restart sets the window for a new process, of which nothing is known.
-func (w *endpointWindow) restart() { w.size = 1 }
+// reset sets the window for a new process, of which nothing is known.
+func (w *endpointWindow) reset() { w.size = 1 }
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -11,17 +11,17 @@
 // onEndpointsUpdated applies a change of the list.
 func (b *Balancer) onEndpointsUpdated(event *EndpointsUpdated) {
 	b.watch.onDelivered()
-	b.endpoints.listChanged()
+	b.endpoints.startEpoch()
 	listed := map[Addr]bool{}
 	for i := range event.Entries {
 		listed[event.Entries[i].Server] = true
 		b.updateEndpoint(&event.Entries[i])
 	}
 	if event.Kind != ListDelta {
-		b.endpoints.keepListed(listed)
+		b.endpoints.markUnlisted(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
-	b.endpoints.removeGone(b.slowStart.forget)
+	b.endpoints.removeUnusable(b.slowStart.forget)
 	b.slowStart.listChanged()
 	b.limiter.rebase(floor, limit)
 }
@@ -46,7 +46,7 @@
 	b.outliers.restart(endpoint)
 	b.slowStart.restart(endpoint, startedAt)
 	b.latency.restart(endpoint)
-	endpoint.window.restart()
+	endpoint.window.reset()
 }
 
 // onHealthCheckEnded handles the result of a health check.
@@ -63,7 +63,7 @@
 func (b *Balancer) endpointAnswered(endpoint *endpoint) {
 	if b.outliers.onAnswer(endpoint) {
 		b.slowStart.assumeRestart(endpoint)
-		endpoint.window.restart()
+		endpoint.window.reset()
 	}
 	b.limiter.restoreStalled(endpoint)
 }
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -40,34 +40,34 @@
 	return endpoint
 }
 
-// listChanged starts a new epoch, because the list is about to change.
-func (s *endpointSet) listChanged() { s.epoch++ }
+// startEpoch starts a new epoch, because the list is about to change.
+func (s *endpointSet) startEpoch() { s.epoch++ }
 
-// keepListed marks all endpoints as unusable that a whole list does not name.
-func (s *endpointSet) keepListed(listed map[Addr]bool) {
+// markUnlisted marks all endpoints as unusable that a whole list does not name.
+func (s *endpointSet) markUnlisted(listed map[Addr]bool) {
 	s.countWork(s.all)
 	for _, endpoint := range s.all {
 		endpoint.usable = endpoint.usable && listed[endpoint.id]
 	}
 }
 
-// removeGone counts the ready endpoints. It removes the endpoints that are not usable, have no
-// attempts in flight and no health check in progress, and calls forgotten for each of them.
-func (s *endpointSet) removeGone(forgotten func(*endpoint)) {
+// removeUnusable counts the ready endpoints. It removes the endpoints that are not usable, have no
+// attempts in flight and no health check in progress, and calls onRemove for each of them.
+func (s *endpointSet) removeUnusable(onRemove func(*endpoint)) {
 	s.ready = 0
 	s.countWork(s.all)
 	s.all = slices.DeleteFunc(s.all, func(endpoint *endpoint) bool {
 		if endpoint.usable {
 			s.ready++
 		}
-		gone := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 && !endpoint.health.checking
-		if gone {
+		removable := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 && !endpoint.health.checking
+		if removable {
 			delete(s.byAddr, endpoint.id)
 			s.ejected.remove(endpoint)
 			s.busy.remove(endpoint)
-			forgotten(endpoint)
+			onRemove(endpoint)
 		}
-		return gone
+		return removable
 	})
 }
 
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -27,20 +27,20 @@
 
 func TestEndpointWindowBounds(t *testing.T) {
 	window := endpointWindow{size: 4}
-	window.cut(100, 0.5, 1)
-	if window.size != 2 || window.cutAt != 100 {
+	window.decrease(100, 0.5, 1)
+	if window.size != 2 || window.decreasedAt != 100 {
 		t.Errorf("cut by half: got %+v, want a size of 2, cut at 100", window)
 	}
-	window.cut(200, 0.1, 1)
+	window.decrease(200, 0.1, 1)
 	if window.size != 1 {
 		t.Errorf("cut to less than its least: got a size of %v, want 1", window.size)
 	}
-	window.grow()
+	window.increase()
 	if window.size != 2 {
 		t.Errorf("grown by one attempt a round trip: got a size of %v, want 2", window.size)
 	}
 	window.size = 0.25
-	if window.grow(); window.size != 0.5 {
+	if window.increase(); window.size != 0.5 {
 		t.Errorf("grown from below one: got a size of %v, want it doubled to 0.5", window.size)
 	}
 	window.size = 1.5
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -104,7 +104,7 @@
 
 // restart forgets the answer times of an endpoint's former process.
 func (l *latencyTracker) restart(endpoint *endpoint) {
-	endpoint.latency.forgetMean()
+	endpoint.latency.resetMean()
 	endpoint.latency.recent, endpoint.latency.recentAt = l.recent, l.now
 }
 
@@ -153,15 +153,15 @@
 func (l *latencyTracker) adjustWindow(endpoint *endpoint, rttMs float64) {
 	threshold, mean, window := l.crowdedThreshold(endpoint), endpoint.latency.mean, &endpoint.window
 	switch {
-	case mean > threshold && l.now-window.cutAt > rttMs:
+	case mean > threshold && l.now-window.decreasedAt > rttMs:
 		least := 1.0
 		if mean > overloadFactor*threshold {
 			least = minWindow
 		}
-		window.cut(l.now, windowCut, least)
+		window.decrease(l.now, windowCut, least)
 	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
 		l.answers > uncontendedSamples:
-		window.grow()
+		window.increase()
 	}
 }
 
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -31,8 +31,8 @@
 	// servedPerEjection times the ejection count is the number of served requests after which the
 	// ejection count is reduced by one.
 	servedPerEjection = 16
-	// rejectedWindowCut multiplies the window of an endpoint that rejected an attempt.
-	rejectedWindowCut = 0.7
+	// rejectedWindowFactor multiplies the window of an endpoint that rejected an attempt.
+	rejectedWindowFactor = 0.7
 )
 
 // listFetcher fetches the endpoint list at a limited rate. The detector fetches it after failures,
@@ -182,7 +182,7 @@
 		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
 		d.enter(endpoint, StateUnhealthy)
 		health.silent, health.served = silent, 0
-		endpoint.latency.forgetMean()
+		endpoint.latency.resetMean()
 		endpoint.window.halve()
 	}
 	d.list.fetch()
