--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -14,7 +14,7 @@
 	request.tries.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
-	b.local.sent(sent)
+	b.local.attemptSent(sent)
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
@@ -50,7 +50,7 @@
 	if status == StatusLocalFailure {
 		b.takeBackAttempt(attempt)
 	} else {
-		b.local.succeeded(attempt)
+		b.local.attemptSucceeded(attempt)
 		b.learn(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
@@ -78,14 +78,14 @@
 // takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
 // anything of it.
 func (b *Balancer) takeBackAttempt(attempt *attempt) {
-	b.local.failed(attempt)
+	b.local.attemptFailed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.tries.uncount(attempt)
 }
 
 // learn takes what an attempt's end after rttMs says into all that learns from attempts.
 func (b *Balancer) learn(attempt *attempt, status Status, rttMs float64) {
-	b.outliers.countUnanswered(attempt, status)
+	b.outliers.recordUnanswered(attempt, status)
 	b.closeIdle(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
 		b.retries.earn()
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -47,7 +47,7 @@
 	quotas    quotaTracker
 	watch     watchScheduler
 	traffic   requestRate
-	local     localFailure
+	local     localFailureLimiter
 	outcomes  OutcomeCounts
 	ticking   bool // the timer of timerTick is set
 }
@@ -80,7 +80,7 @@
 	b.eligible = newEligibility(env, &b.classes, &b.slowStart, &b.limiter, &b.latency, &b.retries)
 	b.selector = newSelector(env, &b.endpoints, &b.subset, &b.eligible, &b.slowStart, &b.latency)
 	b.outliers = newOutlierDetector(env, &b.endpoints, &b.subset, &b.classes, &b.watch)
-	b.local = newLocalFailure(env, &b.endpoints, &b.outliers)
+	b.local = newLocalFailureLimiter(env, &b.endpoints, &b.outliers)
 }
 
 // Start returns the first actions of a new agent at the time nowMs, appended to out.
@@ -137,7 +137,7 @@
 func (b *Balancer) onTimerFired(event *TimerFired) {
 	switch event.Token {
 	case timerWatch:
-		b.watch.begin()
+		b.watch.openWatch()
 	case timerTick:
 		b.ticking = false
 		b.ejectSilent()
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -6,7 +6,7 @@
 func TestEligibilityKeepsNonIdempotentRequestsFromPendingEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	pending := h.endpoint(0)
-	h.b.outliers.enter(pending, StateUnhealthyPending)
+	h.b.outliers.setState(pending, StateUnhealthyPending)
 	validations := map[int]int{} // by class
 	for range 200 {
 		h.now += 10
@@ -14,7 +14,7 @@
 			if server := h.serveAtOnce(class, h.randomKey(), 5); server == pending.id {
 				validations[class]++
 			}
-			h.b.outliers.enter(pending, StateUnhealthyPending)
+			h.b.outliers.setState(pending, StateUnhealthyPending)
 		}
 	}
 	if validations[idempotentClass] == 0 || validations[nonIdempotentClass] > 0 {
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -64,7 +64,7 @@
 	consecutiveEjections int     // number of recent ejections; determines the ejection time
 	failureRate          float64 // moving average of the attempts that failed after they may have run
 	served               int     // requests served since consecutiveEjections last changed
-	checking             bool    // a health check is in progress
+	checkInProgress      bool    // a health check is in progress
 }
 
 // recordSuccess updates the failure rate after an answer.
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -74,12 +74,12 @@
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		inFlight, health := endpoint.traffic.inFlight, &endpoint.health
-		soon := silenceFactor / float64(max(min(len(inFlight), maxSilenceDivisor), 1))
-		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], soon) {
+		factor := silenceFactor / float64(max(min(len(inFlight), maxSilenceDivisor), 1))
+		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], factor) {
 			b.outliers.eject(endpoint, true)
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
-			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, soon) {
+			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, factor) {
 				b.releaseStalled(attempt, b.unansweredFor(attempt, silenceFactor))
 			}
 		}
@@ -87,10 +87,10 @@
 }
 
 // unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
-// for the given multiple of the expected answer time.
-func (b *Balancer) unansweredFor(attempt *attempt, times float64) bool {
+// for factor times the expected answer time.
+func (b *Balancer) unansweredFor(attempt *attempt, factor float64) bool {
 	quietMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
-	return quietMs >= b.latency.expectedMs(attempt.request)*times
+	return quietMs >= b.latency.expectedMs(attempt.request)*factor
 }
 
 // releaseStalled releases an attempt in flight at an endpoint that stopped answering. The concurrency
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -60,7 +60,8 @@
 		if endpoint.usable {
 			s.ready++
 		}
-		removable := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 && !endpoint.health.checking
+		removable := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
+			!endpoint.health.checkInProgress
 		if removable {
 			delete(s.byAddr, endpoint.id)
 			s.ejected.remove(endpoint)
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -52,16 +52,16 @@
 	w.startedAt = w.now
 	switch w.set.Membership {
 	case MembershipWatched:
-		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
+		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
-		turn := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
-		most := min(w.set.Contract.DrainGraceMs, notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
-		w.watchAfter(turn * w.spreadMs(most))
+		position := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
+		maxSpreadMs := min(w.set.Contract.DrainGraceMs, notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
+		w.scheduleWatch(position * w.spreadMs(maxSpreadMs))
 	}
 }
 
-// begin opens the scheduled watch.
-func (w *watchScheduler) begin() {
+// openWatch opens the scheduled watch.
+func (w *watchScheduler) openWatch() {
 	w.startedAt = w.now
 	w.do(OpenWatch())
 }
@@ -72,7 +72,7 @@
 // onFailed schedules the next call after a failed one.
 func (w *watchScheduler) onFailed() {
 	w.failures++
-	w.retry(w.failures, initialWatchBackoffMs)
+	w.scheduleRetry(w.failures, initialWatchBackoffMs)
 }
 
 // onEnded schedules the next call after the end of a watch that had delivered something. Repeated
@@ -86,27 +86,27 @@
 	}
 	switch {
 	case w.shortWatches > 1:
-		w.retry(w.shortWatches-1, watchEndedBackoffMs)
+		w.scheduleRetry(w.shortWatches-1, watchEndedBackoffMs)
 	case w.set.Membership == MembershipWatched:
-		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
+		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	default:
-		w.watchAfter(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
+		w.scheduleWatch(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
 	}
 }
 
-// retry schedules the next call after consecutive failures, with an exponential backoff that starts at
-// spanMs, and with jitter. The last call may have failed at the very moment at which discovery
-// recovered. Therefore the duration of that call, the backoff and the next call together stay below
-// notifyDeadlineMs.
-func (w *watchScheduler) retry(failures int, spanMs float64) {
+// scheduleRetry schedules the next call after consecutive failures, with an exponential backoff that
+// starts at backoffMs, and with jitter. The last call may have failed at the very moment at which
+// discovery recovered. Therefore the duration of that call, the backoff and the next call together
+// stay below notifyDeadlineMs.
+func (w *watchScheduler) scheduleRetry(failures int, backoffMs float64) {
 	if w.set.Membership == MembershipWatched {
-		most := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
-		w.watchAfter(w.rng.Float64() * most)
+		maxBackoffMs := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
+		w.scheduleWatch(w.rng.Float64() * maxBackoffMs)
 		return
 	}
-	most := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.startedAt)
-	spanMs = min(spanMs*math.Pow(2, float64(failures-1)), max(most, initialWatchBackoffMs))
-	w.watchAfter(spanMs * (0.5 + w.rng.Float64()/2))
+	maxBackoffMs := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.startedAt)
+	backoffMs = min(backoffMs*math.Pow(2, float64(failures-1)), max(maxBackoffMs, initialWatchBackoffMs))
+	w.scheduleWatch(backoffMs * (0.5 + w.rng.Float64()/2))
 }
 
 // spreadMs returns the time over which the calls of all agents are spread, at most mostMs.
@@ -114,8 +114,8 @@
 	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
 }
 
-// watchAfter schedules the next watch.
-func (w *watchScheduler) watchAfter(delayMs float64) {
+// scheduleWatch schedules the next watch.
+func (w *watchScheduler) scheduleWatch(delayMs float64) {
 	w.do(SetTimer(delayMs, timerWatch))
 }
 
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -31,40 +31,41 @@
 	minUnreachableEndpoints = 2
 )
 
-// localFailure limits the attempts while this machine fails them. All requests share one backoff and
+// localFailureLimiter limits the attempts while this machine fails them. All requests share one backoff and
 // one window. After a failure and its backoff a single attempt is sent as a trial. Each trial that
 // does not fail on this machine doubles the window, until attempts are no longer limited. The backoff
 // thus bounds the number of attempts while the machine fails, however many requests are queued.
-type localFailure struct {
+type localFailureLimiter struct {
 	*environment
 	endpoints *endpointSet
 	outliers  *outlierDetector
 
-	row      int        // consecutive failures; 0: attempts are not limited
-	failedAt float64    // time of the latest failure, in ms
-	until    float64    // end of the backoff: no attempt is sent before, in ms
-	window   int        // maximum number of trials in flight
-	trials   []*attempt // attempts in flight that may not have a connection yet
-	reach    []reachResult
+	failures     int        // consecutive failures; 0: attempts are not limited
+	failedAt     float64    // time of the latest failure, in ms
+	backoffUntil float64    // end of the backoff: no attempt is sent before, in ms
+	window       int        // maximum number of trials in flight
+	trials       []*attempt // attempts in flight that may not have a connection yet
+	reachResults []reachResult
 }
 
 // reachResult is the result of the latest attempt at an endpoint. Results are kept while some endpoint
 // is unreachable.
 type reachResult struct {
-	endpoint *endpoint
-	at       float64 // time of the result, in ms
-	reached  bool
-	since    float64 // if not reached: time of the first of the consecutive failures, in ms
+	endpoint         *endpoint
+	at               float64 // time of the result, in ms
+	reached          bool
+	unreachableSince float64 // if not reached: time of the first of the consecutive failures, in ms
 }
 
-// newLocalFailure returns a localFailure that limits nothing yet.
-func newLocalFailure(env *environment, endpoints *endpointSet, outliers *outlierDetector) localFailure {
-	return localFailure{environment: env, endpoints: endpoints, outliers: outliers}
+// newLocalFailureLimiter returns a limiter that limits nothing yet.
+func newLocalFailureLimiter(env *environment, endpoints *endpointSet,
+	outliers *outlierDetector) localFailureLimiter {
+	return localFailureLimiter{environment: env, endpoints: endpoints, outliers: outliers}
 }
 
-// mayTry reports whether another attempt may be sent in spite of this machine's failures.
-func (l *localFailure) mayTry() bool {
-	if l.row == 0 {
+// allows reports whether another attempt may be sent in spite of this machine's failures.
+func (l *localFailureLimiter) allows() bool {
+	if l.failures == 0 {
 		return true
 	}
 	if l.now-l.failedAt > localFailureExpiryMs {
@@ -73,27 +74,27 @@
 	}
 	for i := 0; i < len(l.trials); {
 		if trial := l.trials[i]; l.now-trial.sentAt >= connectedAfterMs {
-			l.succeeded(trial)
+			l.attemptSucceeded(trial)
 		} else {
 			i++
 		}
 	}
-	return l.row == 0 || l.now >= l.until && len(l.trials) < l.window
+	return l.failures == 0 || l.now >= l.backoffUntil && len(l.trials) < l.window
 }
 
 // reset ends the limit on attempts.
-func (l *localFailure) reset() { l.row, l.trials = 0, nil }
+func (l *localFailureLimiter) reset() { l.failures, l.trials = 0, nil }
 
-// sent records an attempt that is sent.
-func (l *localFailure) sent(attempt *attempt) {
-	if l.row > 0 {
+// attemptSent records an attempt that is sent.
+func (l *localFailureLimiter) attemptSent(attempt *attempt) {
+	if l.failures > 0 {
 		l.trials = append(l.trials, attempt)
 	}
 }
 
-// succeeded records that an attempt did not fail on this machine, and doubles the window if it was a
-// trial.
-func (l *localFailure) succeeded(attempt *attempt) {
+// attemptSucceeded records that an attempt did not fail on this machine, and doubles the window if
+// the attempt was a trial.
+func (l *localFailureLimiter) attemptSucceeded(attempt *attempt) {
 	if !l.removeTrial(attempt) {
 		return
 	}
@@ -103,7 +104,7 @@
 }
 
 // removeTrial removes an attempt from the trials and reports whether it was one.
-func (l *localFailure) removeTrial(attempt *attempt) bool {
+func (l *localFailureLimiter) removeTrial(attempt *attempt) bool {
 	i := slices.Index(l.trials, attempt)
 	if i >= 0 {
 		l.trials = slices.Delete(l.trials, i, i+1)
@@ -111,32 +112,35 @@
 	return i >= 0
 }
 
-// failed records an attempt that this machine could not make, and starts a backoff.
-func (l *localFailure) failed(attempt *attempt) {
+// attemptFailed records an attempt that this machine could not make, and starts a backoff.
+func (l *localFailureLimiter) attemptFailed(attempt *attempt) {
 	l.removeTrial(attempt)
-	if l.row == 0 || attempt.sentAt >= l.failedAt { // not sent before a failure that is already counted
-		l.row++
-		backoff := min(initialLocalBackoffMs*float64(l.row), maxLocalBackoffMs)
-		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
+	if l.failures == 0 || attempt.sentAt >= l.failedAt { // else it was sent before a counted failure
+		l.failures++
+		backoff := min(initialLocalBackoffMs*float64(l.failures), maxLocalBackoffMs)
+		l.failedAt, l.backoffUntil, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
 }
 
-// attribute replaces StatusUnreachable by the status that names the side at fault, and returns other
-// statuses unchanged. If a single endpoint is unreachable, the endpoint is at fault: its machine or
-// its part of the network is gone, and the status is StatusConnectFailed. If at least two, and more
-// than half, of the endpoints tried recently are unreachable, this machine has lost its network, and
-// the status is StatusLocalFailure. The endpoints that were blamed before this was known are cleared.
-func (l *localFailure) attribute(attempt *attempt, status Status) Status {
-	if status != StatusUnreachable && len(l.reach) == 0 {
+// attribute replaces StatusUnreachable by the status that names the side at fault. It returns other
+// statuses unchanged, and records which endpoints were reached.
+//
+// If a single endpoint is unreachable, the endpoint is at fault: its machine or its part of the
+// network is gone, and the status is StatusConnectFailed. If at least minUnreachableEndpoints, and
+// more than half, of the endpoints tried recently are unreachable, this machine has lost its network,
+// and the status is StatusLocalFailure. Ejections that were made before this was known are reverted.
+func (l *localFailureLimiter) attribute(attempt *attempt, status Status) Status {
+	if status != StatusUnreachable && len(l.reachResults) == 0 {
 		return status
 	}
 	l.expireReach()
 	switch status {
 	case StatusUnreachable:
-		l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, since: l.now})
+		l.recordReach(reachResult{endpoint: attempt.endpoint, at: l.now, unreachableSince: l.now})
 	case StatusOK, StatusServerError, StatusReset:
-		if len(l.reach) > 0 && attempt.sentAt >= l.reach[0].at { // not sent before the oldest result
-			l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
+		// An attempt that was sent before the oldest result says nothing about the time since.
+		if len(l.reachResults) > 0 && attempt.sentAt >= l.reachResults[0].at {
+			l.recordReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
 		}
 		return status
 	default:
@@ -146,45 +150,47 @@
 		attempt.unreachable = true
 		return StatusConnectFailed
 	}
-	for _, result := range l.reach {
+	for _, result := range l.reachResults {
 		if !result.reached && l.endpoints.contains(result.endpoint) {
-			l.outliers.clear(result.endpoint, result.since)
+			l.outliers.revertBlame(result.endpoint, result.unreachableSince)
 		}
 	}
 	return StatusLocalFailure
 }
 
 // expireReach removes the results that are older than the connect timeout.
-func (l *localFailure) expireReach() {
-	span := l.set.Limits.ConnectTimeoutMs
-	if span <= 0 {
-		span = defaultReachExpiryMs
+func (l *localFailureLimiter) expireReach() {
+	expiryMs := l.set.Limits.ConnectTimeoutMs
+	if expiryMs <= 0 {
+		expiryMs = defaultReachExpiryMs
 	}
-	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
+	l.reachResults = slices.DeleteFunc(l.reachResults, func(result reachResult) bool {
+		return l.now-result.at > expiryMs
+	})
 }
 
 // mostUnreachable reports whether at least minUnreachableEndpoints, and more than half, of the
 // endpoints tried recently could not be reached.
-func (l *localFailure) mostUnreachable() bool {
-	lost := 0
-	for _, result := range l.reach {
+func (l *localFailureLimiter) mostUnreachable() bool {
+	unreachable := 0
+	for _, result := range l.reachResults {
 		if !result.reached {
-			lost++
+			unreachable++
 		}
 	}
-	return lost >= minUnreachableEndpoints && 2*lost > len(l.reach)
+	return unreachable >= minUnreachableEndpoints && 2*unreachable > len(l.reachResults)
 }
 
-// noteReach records a result. Only the latest of each endpoint is kept, ordered from old to new.
-func (l *localFailure) noteReach(latest reachResult) {
-	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool {
+// recordReach records a result. Only the latest of each endpoint is kept, ordered from old to new.
+func (l *localFailureLimiter) recordReach(latest reachResult) {
+	l.reachResults = slices.DeleteFunc(l.reachResults, func(result reachResult) bool {
 		if result.endpoint == latest.endpoint && !result.reached && !latest.reached {
-			latest.since = result.since
+			latest.unreachableSince = result.unreachableSince
 		}
 		return result.endpoint == latest.endpoint
 	})
-	if len(l.reach) == maxReachResults {
-		l.reach = slices.Delete(l.reach, 0, 1)
+	if len(l.reachResults) == maxReachResults {
+		l.reachResults = slices.Delete(l.reachResults, 0, 1)
 	}
-	l.reach = append(l.reach, latest)
+	l.reachResults = append(l.reachResults, latest)
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -50,9 +50,9 @@
 	classes   *classStats
 	list      listFetcher
 
-	failureRates []float64 // scratch space of medianFailureRate
-	unanswered   float64   // moving average of the share of attempts without an answer
-	checking     int       // health checks in progress
+	failureRates    []float64 // scratch space of medianFailureRate
+	unansweredShare float64   // moving average of the share of attempts without an answer
+	checks          int       // health checks in progress
 }
 
 // newOutlierDetector returns a detector that has seen no failures and uses the given components.
@@ -74,7 +74,7 @@
 func (d *outlierDetector) onError(endpoint *endpoint) {
 	endpoint.traffic.recordResponse(d.now)
 	if d.isCommonFailure(endpoint) {
-		d.recheck(endpoint)
+		d.markPending(endpoint)
 	} else {
 		d.eject(endpoint, false)
 	}
@@ -107,7 +107,7 @@
 		return false
 	}
 	if health.state != StateConnected {
-		d.enter(endpoint, StateConnected)
+		d.setState(endpoint, StateConnected)
 	}
 	if health.silent {
 		health.silent = false
@@ -146,9 +146,9 @@
 	return rates[len(rates)/2]
 }
 
-// countUnanswered updates the share of unanswered attempts. An attempt is unanswered if it got no
+// recordUnanswered updates the share of unanswered attempts. An attempt is unanswered if it got no
 // answer by its latency objective and its endpoint has not responded since the attempt was sent.
-func (d *outlierDetector) countUnanswered(attempt *attempt, status Status) {
+func (d *outlierDetector) recordUnanswered(attempt *attempt, status Status) {
 	unanswered := 0.0
 	if status == StatusTimeout || status == StatusCancelled {
 		if d.now < attempt.request.timing.objectiveAt {
@@ -158,18 +158,18 @@
 			unanswered = 1
 		}
 	}
-	d.unanswered += outcomeSmoothing * (unanswered - d.unanswered)
+	d.unansweredShare += outcomeSmoothing * (unanswered - d.unansweredShare)
 }
 
 // mostUnanswered reports whether so many attempts are unanswered that no single endpoint is the cause.
-func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
+func (d *outlierDetector) mostUnanswered() bool { return d.unansweredShare >= maxUnansweredShare }
 
-// recheck makes an endpoint pending validation at once, without an ejection.
-func (d *outlierDetector) recheck(endpoint *endpoint) {
+// markPending makes an endpoint pending validation at once, without an ejection.
+func (d *outlierDetector) markPending(endpoint *endpoint) {
 	if endpoint.health.state != StateUnhealthy {
-		d.enter(endpoint, StateUnhealthy)
+		d.setState(endpoint, StateUnhealthy)
 		endpoint.health.silent, endpoint.health.served = false, 0
-		d.enter(endpoint, StateUnhealthyPending)
+		d.setState(endpoint, StateUnhealthyPending)
 	}
 	d.list.fetch()
 }
@@ -180,7 +180,7 @@
 	health := &endpoint.health
 	if health.state != StateUnhealthy {
 		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
-		d.enter(endpoint, StateUnhealthy)
+		d.setState(endpoint, StateUnhealthy)
 		health.silent, health.served = silent, 0
 		endpoint.latency.resetMean()
 		endpoint.window.halve()
@@ -188,9 +188,9 @@
 	d.list.fetch()
 }
 
-// clear reverts the failed connects and the ejection of an endpoint since the given time, because this
-// machine had lost its network. The next attempt validates the endpoint.
-func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
+// revertBlame reverts the failed connects and the ejection of an endpoint since the given time,
+// because this machine had lost its network. The next attempt validates the endpoint.
+func (d *outlierDetector) revertBlame(endpoint *endpoint, since float64) {
 	health := &endpoint.health
 	if health.unreachableSince >= since {
 		health.unreachableSince = 0
@@ -198,7 +198,7 @@
 	if health.state == StateUnhealthy && health.since >= since {
 		health.silent = false
 		health.decrementEjections()
-		d.enter(endpoint, StateUnhealthyPending)
+		d.setState(endpoint, StateUnhealthyPending)
 	}
 }
 
@@ -219,8 +219,8 @@
 		return 0
 	}
 	doublings := max(endpoint.health.consecutiveEjections-1, 0)
-	once := max(d.classes.shortestObjectiveMs, d.subset.meetMs())
-	return min(once*float64(int(1)<<doublings), maxEjectionMs)
+	firstMs := max(d.classes.shortestObjectiveMs, d.subset.meetMs())
+	return min(firstMs*float64(int(1)<<doublings), maxEjectionMs)
 }
 
 // revalidate is called on each request. It makes endpoints whose ejection time is over pending
@@ -232,13 +232,13 @@
 		health := &endpoint.health
 		if health.state == StateUnhealthy && endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
 			d.now-health.since >= d.ejectionTime(endpoint, scarce) {
-			d.enter(endpoint, StateUnhealthyPending)
+			d.setState(endpoint, StateUnhealthyPending)
 			d.list.fetch()
 		}
 		pending := health.state == StateUnhealthyPending && endpoint.usable
-		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
-			health.checking = true
-			d.checking++
+		if pending && d.set.Limits.HealthChecks && !health.checkInProgress && d.checks < maxHealthChecks {
+			health.checkInProgress = true
+			d.checks++
 			d.do(CheckHealth(endpoint.id))
 		}
 	}
@@ -247,15 +247,15 @@
 // onHealthCheckEnded handles the result of a health check. It reports whether the endpoint has passed
 // the check and is healthy now.
 func (d *outlierDetector) onHealthCheckEnded(endpoint *endpoint, status Status) (answered bool) {
-	if !endpoint.health.checking {
+	if !endpoint.health.checkInProgress {
 		return false
 	}
-	endpoint.health.checking = false
-	d.checking--
+	endpoint.health.checkInProgress = false
+	d.checks--
 	switch {
 	case endpoint.health.state != StateUnhealthyPending:
 	case status == StatusOK:
-		d.enter(endpoint, StateConnected)
+		d.setState(endpoint, StateConnected)
 		return true
 	case status != StatusRejected:
 		d.eject(endpoint, true)
@@ -263,8 +263,8 @@
 	return false
 }
 
-// enter sets the state of an endpoint, and with it the endpoint's tier.
-func (d *outlierDetector) enter(endpoint *endpoint, state State) {
+// setState sets the state of an endpoint, and with it the endpoint's tier.
+func (d *outlierDetector) setState(endpoint *endpoint, state State) {
 	d.endpoints.setEjected(endpoint, state > StateUnknown)
 	endpoint.health.state, endpoint.health.since = state, d.now
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -100,7 +100,7 @@
 		h.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
 		bad := h.endpoint(0)
 		for range 3 {
-			h.b.outliers.enter(bad, StateConnected)
+			h.b.outliers.setState(bad, StateConnected)
 			h.b.outliers.eject(bad, false)
 		}
 		if scarce {
@@ -147,7 +147,7 @@
 			target.health.consecutiveEjections, target.window.size, StateUnhealthyPending, ejections, window)
 	}
 	target.health.failureRate = 0.5
-	h.b.outliers.enter(target, StateConnected)
+	h.b.outliers.setState(target, StateConnected)
 	h.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
 	if target.health.state != StateUnhealthy || target.health.consecutiveEjections != ejections+1 {
 		t.Fatalf("failing half of all got state %d and %d ejections, want %d and %d", target.health.state,
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -78,7 +78,7 @@
 func (b *Balancer) sendQueued() {
 	failures := 0
 	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
-		b.limiter.allows() && b.local.mayTry(); {
+		b.limiter.allows() && b.local.allows(); {
 		request, inFlight := b.queue.queued[i], b.limiter.inFlight
 		if b.selector.keyEndpointsFull(request, inFlight) {
 			i++
