--- a/policy/actions_test.go
+++ b/policy/actions_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Each constructor sets the fields that count for its kind, and logs go on printing the same numbers.
-func TestActionConstructorsSetWhatCounts(t *testing.T) {
+// Each constructor sets the fields that its kind uses. The numbers of the kinds don't change, because
+// logs print them.
+func TestActionConstructorsSetFieldsOfTheirKind(t *testing.T) {
 	server := addr(3)
 	for _, test := range []struct {
 		name      string
--- a/policy/endpoint_lifecycle_test.go
+++ b/policy/endpoint_lifecycle_test.go
@@ -19,10 +19,11 @@
 	}
 }
 
-// A hung endpoint gives no outcome that would eject it; its silence does.
+// A hung endpoint returns no failure. It is ejected because it has not answered for several expected
+// answer times.
 func TestBalancerEjectsAHungEndpoint(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	for range 200 { // learn what an answer takes
+	for range 200 { // so that the agent expects answers after 10 ms
 		h.serve(idempotentClass, h.randomKey(), 10)
 	}
 	_, server := h.mustSend(idempotentClass, 9)
@@ -47,8 +48,9 @@
 	return stalled
 }
 
-// Attempts at endpoints that fell silent must not take the agent's whole limit up to their
-// deadlines, where the settings allow no cancellation either: the endpoints that live idle then.
+// Attempts at endpoints that stopped answering must not use up the agent's concurrency limit until
+// their deadlines, even if the settings allow no cancellation. Otherwise the endpoints that are alive
+// get no requests.
 func TestLimiterReleasesStalledAttempts(t *testing.T) {
 	set := testSettings()
 	set.Limits.Cancellation = false
@@ -66,7 +68,7 @@
 		}
 	}
 	if send == nil || send.Request != queued {
-		t.Fatalf("got %+v, want request %d sent to the server that lives", send, queued)
+		t.Fatalf("got %+v, want request %d sent to the server that is alive", send, queued)
 	}
 	if h.b.limiter.stalled != 2 || h.b.limiter.inFlight != 3 {
 		t.Fatalf("got %d stalled of %d in flight, want 2 of 3", h.b.limiter.stalled, h.b.limiter.inFlight)
@@ -85,8 +87,8 @@
 	}
 }
 
-// What may be repeated is cancelled at a silent endpoint and goes elsewhere while there is time.
-func TestBalancerRetriesRepeatableRequestsOfSilentEndpoints(t *testing.T) {
+// An idempotent request is cancelled at a silent endpoint and sent to another one while there is time.
+func TestBalancerRetriesIdempotentRequestsOfSilentEndpoints(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 6)
 	id, server := h.mustSend(idempotentClass, 5)
 	var cancel *Action
@@ -107,9 +109,9 @@
 	}
 }
 
-// What may not be repeated is waited for as long as its answer is worth anything, and then answered at
-// once.
-func TestBalancerWaitsForNonRepeatableRequestsOfSilentEndpoints(t *testing.T) {
+// A non-idempotent request stays at a silent endpoint until its latency objective, after which an
+// answer is worth nothing. Then it is answered with a failure at once.
+func TestBalancerFailsNonIdempotentRequestsOfSilentEndpointsAtTheirObjective(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 6)
 	id, server := h.mustSend(nonIdempotentClass, 5)
 	arrived := h.now
@@ -117,7 +119,7 @@
 	for fail == nil {
 		actions := h.tick(10)
 		if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionRejectRequest) != nil {
-			t.Fatalf("got %+v, want neither an attempt nor a rejection of what may have run", actions)
+			t.Fatalf("got %+v, want neither an attempt nor a rejection, as the request may have run", actions)
 		}
 		fail = findAction(actions, ActionFailRequest)
 		if fail == nil && (findAction(actions, ActionCancelAttempt) != nil || h.now-arrived > 400) {
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// checkSets compares the sets that the decisions walk with the whole list: every endpoint that belongs
-// to one is in it, in the order of the list, and the weight of warm endpoints is that of a new count.
+// checkSets compares the subsets of endpoints with the whole list. Each subset must contain exactly
+// the endpoints that belong to it, in the order of the list, and the cached weight of the warm
+// endpoints must equal a new count.
 func checkSets(t *testing.T, b *Balancer) {
 	t.Helper()
 	checkSet(t, b, "ejected", b.endpoints.ejected, func(listed *endpoint) bool { return listed.health.state > StateUnknown })
@@ -40,7 +41,7 @@
 	}
 }
 
-// Where new settings give endpoints a longer slow start time, those that were warm warm up again.
+// If new settings give a longer slow start time, endpoints that were warm may be warming up again.
 func TestEndpointSetsFollowALongerSlowStart(t *testing.T) {
 	set := testSettings()
 	set.Contract.SlowStartMs = 500
@@ -56,14 +57,15 @@
 		t.Fatal(err)
 	}
 	checkSets(t, h.b)
-	h.now++ // a weight holds for its moment
+	h.now++ // the cached weight is valid only for the time of its event
 	h.arrive(idempotentClass, 0)
 	if got := h.b.slowStart.warmWeight(); got != 2 || warming() != 1 {
 		t.Errorf("got a warm weight of %v and %d warming, want 2 and 1", got, warming())
 	}
 }
 
-// The set stays in the endpoints' order, holds each once, and bears the removal of what it lacks.
+// The set stays sorted and contains each endpoint once. The removal of an endpoint that it does not
+// contain has no effect.
 func TestOrderedEndpointsStayInOrder(t *testing.T) {
 	var set orderedEndpoints
 	first, second, third := &endpoint{sortKey: 1}, &endpoint{sortKey: 2}, &endpoint{sortKey: 3}
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Under a window below one the pause follows the last answer: taken from the mean it would stay long
-// after a crowd has passed, and nothing would tell that the endpoint stands idle.
+// The pause for a window below 1 depends on the last answer time. A pause from the mean would stay
+// long after an overload has ended, and nothing would show that the endpoint is idle.
 func TestEndpointWindowPauseFollowsTheLastAnswer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	target := h.endpoint(0)
@@ -18,10 +18,10 @@
 		return h.b.eligible.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
 	}
 	if hasCapacityAfter(59) {
-		t.Error("before two answer times got capacity, want a pause")
+		t.Error("before twice the last answer time: got capacity, want a pause")
 	}
 	if !hasCapacityAfter(61) {
-		t.Error("after two answer times got no capacity, want the pause over")
+		t.Error("after twice the last answer time: got no capacity, want the pause over")
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestEndpointUpdateTakesOverTheEntry(t *testing.T) {
+func TestEndpointUpdateAppliesTheEntry(t *testing.T) {
 	target := endpoint{weight: 3, usable: true}
 	target.update(&Entry{Zone: 1, Cell: 2, MachineKind: 3, Health: HealthDraining, Weight: -1})
 	if target.zone != 1 || target.cell != 2 || target.machineKind != 3 {
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -9,27 +9,28 @@
 	keyedClass
 )
 
-// harness drives one Balancer by hand: it hands in events at a time of its own.
+// harness drives one Balancer in a test: it passes in events at a simulated time.
 type harness struct {
 	t   *testing.T
 	b   *Balancer
 	now float64   // ms
-	id  RequestID // of the latest request
+	id  RequestID // id of the latest request
 }
 
 // addr returns the address of the server with the number i.
 func addr(i int) Addr { return Addr{10, 0, byte(i >> 8), byte(i), 0x13, 0x8b} }
 
-// ready returns the list's entry of the server with the number i, which takes requests.
+// ready returns the entry in the endpoint list of server i, with the health ready.
 func ready(i int) Entry { return Entry{Server: addr(i), Health: HealthReady, Weight: 1} }
 
-// startedAt returns the entry with the start of its process, in ms.
+// startedAt returns the entry with the given start of its process, in ms.
 func startedAt(entry Entry, startedMs float64) Entry {
 	entry.StartedMs = startedMs
 	return entry
 }
 
-// startedEntries returns the entries of servers whose processes started at startedMs; 0: long past.
+// startedEntries returns the entries of ready servers whose processes started at startedMs; 0: long
+// past.
 func startedEntries(servers int, startedMs float64) []Entry {
 	entries := make([]Entry, servers)
 	for i := range entries {
@@ -38,7 +39,7 @@
 	return entries
 }
 
-// testSettings are those of one of three agents, with a class of each effect.
+// testSettings returns the settings of one of three agents, with a class of each effect.
 func testSettings() Settings {
 	s := Settings{
 		Classes: []Class{
@@ -57,10 +58,10 @@
 	return s
 }
 
-// fleetStart is the clock's time at which an agent of fleetSettings starts, in ms.
+// fleetStart is the clock time, in ms, at which an agent with fleetSettings starts.
 const fleetStart = 1e6
 
-// fleetSettings are those of one of many agents.
+// fleetSettings returns the settings of one agent in a fleet of the given number.
 func fleetSettings(agents int) Settings {
 	s := testSettings()
 	s.Replicas = agents
@@ -75,7 +76,7 @@
 	return s
 }
 
-// newBalancer returns a Balancer of valid settings.
+// newBalancer returns a Balancer with the given settings, which must be valid.
 func newBalancer(t *testing.T, set Settings, seed uint64) *Balancer {
 	t.Helper()
 	b, err := New(set, seed)
@@ -85,8 +86,8 @@
 	return b
 }
 
-// newHarness returns a harness whose Balancer has started with so many ready servers, which are of
-// the zones and cells 0 and 1 in turn.
+// newHarness returns a harness whose Balancer has started with the given number of ready servers. They
+// alternate between zone and cell 0 and zone and cell 1.
 func newHarness(t *testing.T, set Settings, servers int) *harness {
 	t.Helper()
 	h := &harness{t: t, b: newBalancer(t, set, 1), now: 1e6}
@@ -99,8 +100,8 @@
 	return h
 }
 
-// newWarmingHarness returns a harness whose Balancer has started with servers that have all just
-// started.
+// newWarmingHarness returns a harness whose Balancer has started with the given number of servers,
+// whose processes have all just started.
 func newWarmingHarness(t *testing.T, set Settings, servers int) *harness {
 	t.Helper()
 	h := newHarness(t, set, 0)
@@ -108,7 +109,7 @@
 	return h
 }
 
-// newTrainedHarness returns a harness whose agent has learnt that answers take 10 ms.
+// newTrainedHarness returns a harness whose Balancer expects answers after 10 ms.
 func newTrainedHarness(t *testing.T, set Settings, servers int) *harness {
 	t.Helper()
 	h := newHarness(t, set, servers)
@@ -120,39 +121,40 @@
 	return h
 }
 
-// liftLimit takes the bound from the attempts that the agent may have in flight.
+// liftLimit makes the agent's concurrency limit so high that it never applies.
 func (h *harness) liftLimit() { h.b.limiter.scale = 1e6 }
 
 // randomKey returns a key that no other request has.
 func (h *harness) randomKey() uint64 { return h.b.rng.Uint64() }
 
-// endpoint returns what the agent knows of the server with the number i.
+// endpoint returns the agent's state of the server with the number i.
 func (h *harness) endpoint(i int) *endpoint { return h.endpointAt(addr(i)) }
 
-// endpointAt returns what the agent knows of a server.
+// endpointAt returns the agent's state of a server.
 func (h *harness) endpointAt(server Addr) *endpoint { return h.b.endpoints.byAddr[server] }
 
-// handle hands in an event and returns the actions that it leads to.
+// handle passes in an event and returns the resulting actions.
 func (h *harness) handle(event Event) []Action { return h.b.Handle(h.now, event, nil) }
 
-// updateEndpoints hands in an endpoint list.
+// updateEndpoints passes in an endpoint list.
 func (h *harness) updateEndpoints(kind ListKind, entries ...Entry) []Action {
 	return h.handle(&EndpointsUpdated{Kind: kind, Entries: entries})
 }
 
-// arrive hands in a new request, with 600 ms left.
+// arrive passes in a new request whose client waits for 600 ms.
 func (h *harness) arrive(class int, key uint64) (RequestID, []Action) {
 	h.id++
 	return h.id, h.handle(&RequestArrived{Request: h.id, Class: class, Key: key, TimeLeftMs: 600})
 }
 
-// endAttempt hands in the end of an attempt; an OK is final.
+// endAttempt passes in the end of an attempt. With StatusOK the request is finished.
 func (h *harness) endAttempt(id RequestID, attempt int, server Addr, status Status, latencyMs float64) []Action {
 	return h.handle(&AttemptEnded{Request: id, Attempt: attempt, Server: server, Status: status, LatencyMs: latencyMs,
 		Final: status == StatusOK})
 }
 
-// mustSend hands in a new request, which must be sent at once, and returns where it is sent.
+// mustSend passes in a new request and returns the server that it is sent to. It fails the test if the
+// request is not sent at once.
 func (h *harness) mustSend(class int, key uint64) (RequestID, Addr) {
 	h.t.Helper()
 	id, actions := h.arrive(class, key)
@@ -163,7 +165,7 @@
 	return id, send.Server
 }
 
-// serve has a new request sent and answered after latencyMs, and returns by which server.
+// serve passes in a new request and its answer after latencyMs, and returns the server.
 func (h *harness) serve(class int, key uint64, latencyMs float64) Addr {
 	h.t.Helper()
 	id, server := h.mustSend(class, key)
@@ -172,7 +174,7 @@
 	return server
 }
 
-// serveAtOnce is serve without any time that passes on the agent's clock meanwhile.
+// serveAtOnce is like serve, but no time passes on the agent's clock.
 func (h *harness) serveAtOnce(class int, key uint64, latencyMs float64) Addr {
 	h.t.Helper()
 	id, server := h.mustSend(class, key)
@@ -180,13 +182,13 @@
 	return server
 }
 
-// tick fires the running timer after ms.
+// tick advances the clock by ms and fires the timer of timerTick.
 func (h *harness) tick(ms float64) []Action {
 	h.now += ms
 	return h.handle(&TimerFired{Token: timerTick})
 }
 
-// findAction returns the first action of the kind, or nil.
+// findAction returns the first action of the kind, or nil if there is none.
 func findAction(actions []Action, kind ActionKind) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
@@ -196,5 +198,5 @@
 	return nil
 }
 
-// near reports whether two numbers are equal but for rounding.
+// near reports whether two numbers are equal except for rounding errors.
 func near(x, y float64) bool { return x-y < 1e-9 && y-x < 1e-9 }
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -17,14 +17,14 @@
 		"prices.handshake":    func(s *Settings) { s.Prices.Handshake = math.NaN() },
 		"limits.keepaliveMs":  func(s *Settings) { s.Limits.KeepaliveMs = math.Inf(1) },
 		"membershipMode":      func(s *Settings) { s.Membership = "" },
-		// What overflows as a duration would come out negative.
+		// Larger values overflow when they are converted to a duration, which is then negative.
 		"classes[0].giveUpMs":     func(s *Settings) { s.Classes[0].DeadlineMs = 1e300 },
 		"limits.connectTimeoutMs": func(s *Settings) { s.Limits.ConnectTimeoutMs = 1e18 },
 		"classes[0].lateShare":    func(s *Settings) { s.Classes[0].LateWeight = -1 },
 		"classes[1].aimStretch":   func(s *Settings) { s.Classes[1].ObjectiveStretch = math.NaN() },
 		"tenants[0].quotaPerS":    func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} },
 		"tenants[1].portion":      func(s *Settings) { s.Tenants = []Tenant{{}, {QuotaShare: -0.5}} },
-		"limits.maxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 }, // would send nothing, ever
+		"limits.maxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 }, // no request would ever be sent
 	} {
 		t.Run(key, func(t *testing.T) {
 			set := testSettings()
