--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// startWatching starts an agent at the time 0 that calls discovery in the membership mode, and returns
-// the delay of its first call in ms.
+// startWatching starts an agent at the time 0 that has to call discovery, and returns the delay of its
+// first call in ms.
 func startWatching(t *testing.T, set Settings, seed uint64) (b *Balancer, delayMs float64) {
 	t.Helper()
 	b = newBalancer(t, set, seed)
@@ -20,7 +20,7 @@
 	return b, action.DelayMs
 }
 
-// watchSettings are those of one of many agents in the membership mode.
+// watchSettings returns the settings of one of many agents, with the given membership mode.
 func watchSettings(mode string, index, agents int) Settings {
 	set := testSettings()
 	set.Membership, set.Index, set.Replicas = mode, index, agents
@@ -28,7 +28,7 @@
 	return set
 }
 
-// callDelay hands in how the agent's latest call ended, and returns the delay of the next one in ms.
+// callDelay passes in the end of the agent's latest call, and returns the delay of the next one in ms.
 func callDelay(t *testing.T, b *Balancer, now float64, end Event) float64 {
 	t.Helper()
 	actions := b.Handle(now, end, nil)
@@ -39,7 +39,7 @@
 	return action.DelayMs
 }
 
-// call lets the agent make its next call at now.
+// call fires the timer of the agent's next call at the time now.
 func call(t *testing.T, b *Balancer, now float64) {
 	t.Helper()
 	if actions := b.Handle(now, &TimerFired{Token: timerWatch}, nil); findAction(actions, ActionOpenWatch) == nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// However long an outage of discovery lasts, and however quiet it was before, the call that follows
-// its end still comes in time: the delay before it grows no further than the contract allows.
+// However long an outage of discovery lasts, and however quiet it was before, the first call after the
+// outage is made in time: the backoff is bounded by what the contract allows.
 func TestWatchSchedulerBoundsDelaysInALongOutage(t *testing.T) {
 	const hour = 3600e3
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
@@ -61,9 +61,9 @@
 						most = localWatchMaxDelayMs
 					}
 					call(t, b, 0)
-					now := 50 * hour // of quiet; then the watch falls silent
+					now := 50 * hour // the list didn't change before the watch ends
 					delayMs := callDelay(t, b, now, &WatchEnded{})
-					for failure := range 3000 { // hours without discovery
+					for failure := range 3000 { // an outage of several hours
 						if delayMs > most+1e-6 {
 							t.Fatalf("failure %d: got a delay of %v ms, want %v at most", failure, delayMs, most)
 						}
@@ -74,7 +74,7 @@
 					}
 					now += delayMs
 					call(t, b, now)
-					b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // it is back
+					b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // discovery has recovered
 					now += 20 * hour
 					if delayMs := callDelay(t, b, now, &WatchEnded{}); delayMs > watchEndedBackoffMs {
 						t.Fatalf("watch that ended after the outage: got a delay of %v ms, want %v at most", delayMs, watchEndedBackoffMs)
@@ -85,9 +85,9 @@
 	}
 }
 
-// Lists come by the watch alone: no failure at endpoints has an agent fetch the whole list, in the
-// modes that agents on sockets use.
-func TestWatchSchedulerFetchesNothingWhereItWatches(t *testing.T) {
+// In the modes that agents on sockets use, lists come only from the watch: failures at endpoints don't
+// cause an agent to fetch the whole list.
+func TestWatchSchedulerFetchesNothingIfItWatches(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
 		t.Run(mode, func(t *testing.T) {
 			set := fleetSettings(10)
@@ -118,8 +118,8 @@
 	}
 }
 
-// The list that an agent starts with may be old, and what it misses may count as notified before the
-// agent has started: its first call comes within the drains' grace, whatever its number.
+// The list that an agent starts with may be old, and the agent may be held to know changes from before
+// its start. Therefore the first call is made within the drain grace, whatever the agent's index.
 func TestWatchSchedulerCallsFirstWithinTheDrainGrace(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		for _, graceMs := range []float64{250, 1000, 1500, 30000} {
@@ -139,7 +139,7 @@
 	}
 }
 
-// Agents and their restarts don't wait alike after a failed call.
+// The backoff after a failed call has jitter: it differs between agents and between restarts of one.
 func TestWatchSchedulerSpreadsRetries(t *testing.T) {
 	const agents, restarts, failures = 20, 5, 8
 	delays := map[float64]int{}
@@ -163,8 +163,8 @@
 	}
 }
 
-// However many agents there are, each calls within the time after which the contract takes
-// it as notified.
+// However many agents there are, each makes its first call within the time after which a polled list
+// is out of date by the contract.
 func TestWatchSchedulerCallsFirstWithinThePollTime(t *testing.T) {
 	for _, index := range []int{0, 500, 999} {
 		set := fleetSettings(1000)
@@ -177,19 +177,19 @@
 	}
 }
 
-// A watch that has lived and ended is opened anew while what it misses does not yet count
-// as notified: 6 s after it fell silent, of which noticing takes 3 and a call up to 2. So in
-// either mode, however large the fleet and however often it happens.
+// After a working watch has ended, the agent opens a new one before it is held to know the changes it
+// missed. That is 6 s after the watch became silent: the agent needs 3 s to notice and up to 2 s for
+// the call. This holds in both modes, for fleets of any size, and however often it happens.
 func TestWatchSchedulerReopensAnEndedWatchInTime(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
 		for _, agents := range []int{1, 6, 300, 2000} {
 			t.Run(fmt.Sprintf("%s, %d agents", mode, agents), func(t *testing.T) {
 				b, _ := startWatching(t, watchSettings(mode, agents-1, agents), uint64(agents-1))
-				late := 0 // delays in the second half of their span
+				late := 0 // number of delays in the second half of their range
 				for i := range 200 {
 					now := float64(i) * 5000
 					call(t, b, now)
-					delayMs := callDelay(t, b, now+3000, &WatchEnded{}) // no word but the first
+					delayMs := callDelay(t, b, now+3000, &WatchEnded{}) // nothing more was delivered
 					if delayMs > 1000 {
 						t.Fatalf("got a delay of %v ms, want 1000 at most", delayMs)
 					}
@@ -205,14 +205,15 @@
 	}
 }
 
-// A watch that notifies and ends at once is opened anew as soon as any, the first time: what it
-// should have notified counts soon. Each further time waits longer, as long as that still counts
-// by the contract, or discovery would be called for ever.
+// The first time that a watch delivers something and ends soon after, the agent opens a new one as soon
+// as after any other watch, because it will soon be held to know the changes it missed. Each further
+// time the backoff grows, within the bound of the contract. Otherwise the agent would call discovery
+// endlessly.
 func TestWatchSchedulerBacksOffAfterShortWatches(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
 			b, _ := startWatching(t, watchSettings(MembershipOnRequest, agents-1, agents), uint64(agents-1))
-			for range 5 { // discovery is down
+			for range 5 { // an outage of discovery
 				call(t, b, 0)
 				callDelay(t, b, 2000, &DiscoveryFailed{})
 			}
@@ -220,7 +221,7 @@
 			for i := range 6 {
 				now := 10000 * float64(i+1)
 				call(t, b, now)
-				b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // nothing new
+				b.Handle(now+200, &EndpointsUpdated{Kind: ListDelta}, nil) // no changes
 				delayMs := callDelay(t, b, now+1200, &WatchEnded{})
 				most := min(1000*math.Pow(2, max(float64(i-1), 0)), notifyDeadlineMs-maxWatchCallMs-1200)
 				if least := min(last/2, 500); delayMs > most || delayMs < least {
@@ -232,12 +233,12 @@
 	}
 }
 
-// Whatever went wrong before, an agent is notified 6 s after discovery could be reached: what a
-// call still took that failed just as discovery came back, the delay after it and the next call,
-// which may wait for 2 s, are together shorter. So in a fleet of any size, after any number of
-// failures, at a discovery that refuses connections at once or hangs, and for the first call. And
-// the agents don't come back together: of any fifth of the last delay no more than three fifths of
-// them call in it.
+// Whatever failed before, an agent knows the list 6 s after discovery has recovered. The sum of three
+// times is shorter than that: the rest of a call that fails just as discovery recovers, the backoff
+// after it, and the next call, which may wait for 2 s. This holds for fleets of any size, after any
+// number of failures, for a discovery that refuses connections at once or hangs, and for the first
+// call. The agents also don't all call at the same time: no more than three fifths of them call within
+// any period of a fifth of the longest backoff.
 func TestWatchSchedulerNotifiesInTimeInAnyFleet(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		for _, callMs := range []float64{0, 2000, 2500} {
@@ -262,7 +263,8 @@
 }
 
 // lastOfFailedCalls starts an agent and fails its first eight calls after callMs each. It checks that
-// any of them may be the last before discovery is back, and returns the last delay in ms.
+// the next call is made in time if discovery recovers after any of them, and returns the last delay in
+// ms.
 func lastOfFailedCalls(t *testing.T, index, agents int, callMs float64) (delayMs float64) {
 	t.Helper()
 	const most = 6000 - watchCallMarginMs
@@ -286,8 +288,8 @@
 	return delayMs
 }
 
-// What the agent's own discovery has when it is back counts as notified at once: no delay before
-// a call may take the drains' grace, however many calls have failed.
+// An agent is held to know a change as soon as discovery on its own machine has recovered. Therefore
+// no backoff may be as long as the drain grace, however many calls have failed.
 func TestWatchSchedulerCallsLocalDiscoveryOften(t *testing.T) {
 	b, _ := startWatching(t, watchSettings(MembershipWatched, 0, 3), 1)
 	for i := range 50 {
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// failingMachine plays a machine that fails an agent's attempts until a time.
+// failingMachine simulates a machine that fails the attempts of its agent for some time.
 type failingMachine struct {
 	*harness
-	status   Status // of the attempts that it fails
-	until    float64
-	failed   int // attempts that it failed
-	sent     int
-	rejected int
+	status   Status  // status of the failed attempts
+	until    float64 // end of the failures, in ms
+	failed   int     // number of attempts that the machine failed
+	sent     int     // number of attempts
+	rejected int     // number of requests that were rejected or failed
 }
 
-// newFailingMachine returns a machine of an agent with four endpoints, which fails all attempts for so
-// many ms from now on.
+// newFailingMachine returns a machine with an agent and four endpoints. It fails all attempts with the
+// status for the given time in ms.
 func newFailingMachine(t *testing.T, status Status, ms float64) *failingMachine {
 	t.Helper()
 	set := testSettings()
@@ -30,13 +30,14 @@
 	return m
 }
 
-// arriveWithTime hands in a request with much time left.
+// arriveWithTime passes in a request whose client waits for 20 s.
 func (m *failingMachine) arriveWithTime(class int) (RequestID, []Action) {
 	m.id++
 	return m.id, m.handle(&RequestArrived{Request: m.id, Class: class, TimeLeftMs: 20000})
 }
 
-// carryOut ends each attempt at once: as the machine fails it, or OK.
+// carryOut ends each attempt at once: with the machine's status until it has recovered, and then with
+// StatusOK.
 func (m *failingMachine) carryOut(actions []Action) {
 	for len(actions) > 0 {
 		action := actions[0]
@@ -57,7 +58,8 @@
 	}
 }
 
-// play has requests arrive at once, and goes on until a second after the machine has recovered.
+// play passes in the given number of requests at once, and then advances the clock to one second after
+// the machine has recovered.
 func (m *failingMachine) play(requests int) {
 	for range requests {
 		_, actions := m.arriveWithTime(int(m.id) % 3)
@@ -68,8 +70,9 @@
 	}
 }
 
-// Attempts that this machine can't make cost nothing: no request is rejected for them, no endpoint
-// is blamed, nothing is taken from limit and retry budget, and they are few.
+// Attempts that this machine cannot make have no side effects: no request is rejected because of them,
+// no endpoint is ejected, and the concurrency limit and the retry budget don't change. Their number is
+// small.
 func TestLocalFailureCostsNothing(t *testing.T) {
 	for _, status := range []Status{StatusLocalFailure, StatusUnreachable} {
 		for _, ms := range []float64{100, 5000} {
@@ -79,8 +82,8 @@
 				if served := m.sent - m.failed; served != 200 || m.rejected != 0 {
 					t.Errorf("got %d of 200 requests served and %d rejected, want all served", served, m.rejected)
 				}
-				// One backoff is 5 ms at the least and 10 ms after the first; two more went out before
-				// it was known that the machine is at fault.
+				// The first backoff is at least 5 ms and the others at least 10 ms. Two more attempts
+				// are sent before it is known that the machine is at fault.
 				if most := int(ms/maxLocalBackoffMs) + 4; m.failed > most {
 					t.Errorf("got %d failed attempts, want %d at most", m.failed, most)
 				}
@@ -104,8 +107,9 @@
 	}
 }
 
-// A request whose time ends while this machine fails never ran: it is rejected, with when to come
-// back, whatever its class, and after more attempts than the class may have.
+// A request whose deadline passes while this machine fails never ran. It is rejected with a Retry-After,
+// whatever its class, and after more attempts than the settings allow, because failures of this machine
+// don't count as attempts.
 func TestLocalFailureRejectsAtTheDeadline(t *testing.T) {
 	for class, settings := range testSettings().Classes {
 		t.Run(settings.Name, func(t *testing.T) {
@@ -141,8 +145,8 @@
 	}
 }
 
-// The only endpoint is tried again after a failure of this machine, and a warming one gets the work
-// back that its slow start paid for.
+// After a failure of this machine the only endpoint is tried again, and an endpoint that is warming up
+// gets the work of the attempt refunded to its allowance.
 func TestLocalFailureRetriesTheOnlyEndpoint(t *testing.T) {
 	h := newHarness(t, testSettings(), 0)
 	h.updateEndpoints(ListFull, startedAt(ready(0), h.now-100), Entry{Server: addr(1), Health: HealthDraining, Weight: 1})
@@ -167,7 +171,7 @@
 	t.Error("got no further attempt within 50 ms, want one")
 }
 
-// A failure of long ago holds nothing back, though no trial was made since.
+// A failure of this machine of long ago no longer limits attempts, even without a trial since.
 func TestLocalFailureIsForgotten(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	id, server := h.mustSend(idempotentClass, 0)
@@ -178,7 +182,8 @@
 	h.mustSend(idempotentClass, 0)
 }
 
-// One endpoint that can't be reached is at fault itself, as are two of five.
+// If a minority of the endpoints, here two of five, is unreachable, the endpoints are at fault and not
+// this machine.
 func TestLocalFailureBlamesAMinorityOfUnreachableEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
 	h.liftLimit()
@@ -206,8 +211,9 @@
 	}
 }
 
-// Trials that do not fail let attempts go out freely again, step by step: those that are
-// answered, and those that are in flight for so long that they must have a connection.
+// Trials that don't fail increase the window until attempts are no longer limited. A trial counts as
+// successful when it is answered, or when it has been in flight for so long that it must have a
+// connection.
 func TestLocalFailureWindowGrowsWithTrials(t *testing.T) {
 	t.Run("answered", func(t *testing.T) {
 		m, last, actions := newTrialMachine(t)
@@ -224,14 +230,14 @@
 	})
 }
 
-// newTrialMachine returns a machine of which one attempt has failed and 101 requests are queued since,
-// the latest of these, and what is decided on when the backoff is over.
+// newTrialMachine returns a machine that has failed one attempt and has 101 requests queued since. It
+// also returns the request of that attempt, and the actions at the end of the backoff.
 func newTrialMachine(t *testing.T) (m *failingMachine, last RequestID, actions []Action) {
 	t.Helper()
 	m = newFailingMachine(t, StatusLocalFailure, 0)
 	m.play(0)
 	for _, listed := range m.b.endpoints.all {
-		listed.window.size = 1e6 // capacity is not at issue
+		listed.window.size = 1e6 // so that windows don't limit attempts
 	}
 	last, actions = m.arriveWithTime(idempotentClass)
 	m.endAttempt(last, 0, findAction(actions, ActionSendAttempt).Server, StatusLocalFailure, 0.1)
@@ -244,9 +250,9 @@
 	return m, last, m.tick(0)
 }
 
-// playTrials carries out the actions and lets each round's last trial succeed, until all 101 requests
-// are sent. It checks that a round sends no more than is allowed: one at first, and next of that after
-// each success.
+// playTrials carries out the actions and lets the last trial of each round succeed, until all 101
+// requests are sent. It checks that a round sends no more attempts than allowed: one at first, and
+// next(allowed) after each success.
 func playTrials(t *testing.T, m *failingMachine, last RequestID, actions []Action, next func(allowed int) int,
 	succeed func(RequestID) []Action) {
 	t.Helper()
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// ejectionTime returns how long an endpoint stays ejected now, in ms.
+// ejectionTime returns the current ejection time of an endpoint, in ms.
 func (h *harness) ejectionTime(endpoint *endpoint) float64 {
 	return h.b.outliers.ejectionTime(endpoint, h.b.queue.scarce)
 }
 
 func TestOutlierDetectorStateTransitions(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 0 // the key stays whole
+	set.Replicas = 0 // so that the key is not split
 	h := newHarness(t, set, 4)
 	id, server := h.mustSend(idempotentClass, 7)
 	target := h.endpointAt(server)
@@ -38,7 +38,8 @@
 	if send := findAction(actions, ActionSendAttempt); send == nil || send.Server == server {
 		t.Errorf("after a failure got %+v, want the request sent to another server", actions)
 	}
-	// While it is ejected its key goes elsewhere; after that the next request validates it.
+	// While the endpoint is ejected, requests with its key are sent to others. After the ejection time
+	// the next request validates it.
 	if _, other := h.mustSend(idempotentClass, 7); other == server {
 		t.Error("while ejected got a request sent to it, want it sent to the better tier")
 	}
@@ -92,19 +93,19 @@
 	}
 }
 
-// An endpoint that failed often is ejected for long while others have capacity, but is tried again at
-// once while they have none.
+// An endpoint that failed several times stays ejected for long while others have capacity. While they
+// have none, it is validated at once.
 func TestOutlierDetectorShortensEjectionsWhileCapacityIsScarce(t *testing.T) {
 	for _, scarce := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
-		h.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
+		h.b.limiter.scale = 1000 // so that only the endpoints' windows limit attempts
 		bad := h.endpoint(0)
 		for range 3 {
 			h.b.outliers.setState(bad, StateConnected)
 			h.b.outliers.eject(bad, false)
 		}
 		if scarce {
-			for range 40 { // more than the other windows hold
+			for range 40 { // more than the windows of the others allow
 				h.arrive(idempotentClass, 0)
 			}
 		}
@@ -116,8 +117,9 @@
 	}
 }
 
-// Failures that all endpoints share, as of a network that breaks connections, cost none of
-// them an ejection or its window; one that fails more than the others is ejected.
+// Failures that all endpoints have in common, for example because a network breaks connections, neither
+// eject an endpoint nor reduce its window. An endpoint that fails more often than the others is
+// ejected.
 func TestOutlierDetectorIgnoresCommonFailures(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	send := func(status Status) Addr {
@@ -155,8 +157,9 @@
 	}
 }
 
-// A quiet agent would try each slow endpoint again after one latency objective, with a request; and
-// a health check clears an endpoint that fails its requests, so it must not come sooner either.
+// On an agent with few requests an ejection lasts longer than one latency objective. Otherwise it would
+// spend a request on each slow endpoint after that time. The same holds with health checks, because a
+// health check can succeed at an endpoint that fails requests.
 func TestOutlierDetectorEjectsForLongerOnAQuietAgent(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		t.Run(fmt.Sprintf("health checks %v", checks), func(t *testing.T) {
