--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -89,14 +89,14 @@
 // setEjected adds an endpoint to the ejected ones or removes it from them. Either changes the tiers.
 // So does a change from one ejected state to another.
 func (s *endpointSet) setEjected(endpoint *endpoint, ejected bool) {
-	_, was := s.ejected.find(endpoint)
-	if was || ejected {
+	_, wasEjected := s.ejected.find(endpoint)
+	if wasEjected || ejected {
 		s.epoch++
 	}
 	switch {
-	case ejected && !was:
+	case ejected && !wasEjected:
 		s.ejected.insert(endpoint)
-	case was && !ejected:
+	case wasEjected && !ejected:
 		s.ejected.remove(endpoint)
 	}
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// notifyDeadlineMs is the time, in ms, after which an agent is held to know a change of the
-	// list, whatever failed before. maxWatchCallMs bounds how long a call waits, in ms: discovery
-	// serves calls in turn, and a call that has waited this long fails. watchCallMarginMs is the
-	// time reserved for network delay and for processing the list, in ms.
+	// notifyDeadlineMs is the time, in ms, after which the contract treats an agent as notified of
+	// a change of the list, whatever failed before. maxWatchCallMs bounds how long a call waits, in
+	// ms: discovery serves calls in turn, and a call that has waited this long fails.
+	// watchCallMarginMs is the time reserved for network delay and for processing the list, in ms.
 	notifyDeadlineMs, maxWatchCallMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
 	// watchStaggerMs times the number of agents is the time, in ms, over which a small fleet spreads
 	// its calls when its agents start together. Large fleets use all the time that is allowed.
@@ -19,12 +19,13 @@
 	// before a call to discovery on the agent's own machine. Such calls cost nothing; the delays
 	// only prevent a busy loop.
 	localWatchDelayMs, localWatchMaxDelayMs = 100.0, 500.0
-	// initialWatchBackoffMs bounds the backoff after the first failed call, in ms. After a shorter
-	// backoff the call would meet a queue that is still as long as before.
+	// initialWatchBackoffMs bounds the backoff after the first failed call, in ms. The bound on later
+	// backoffs is never lower. After a shorter backoff the call would meet a queue that is still as
+	// long as before.
 	initialWatchBackoffMs = 1000.0
 	// watchEndedBackoffMs bounds the backoff, in ms, after the end of a watch that had delivered
-	// something. The agent is held to know what the watch missed some 2 s later, and the next call
-	// has to end by then.
+	// something. The agent is treated as notified of what the watch missed some 2 s later, and the
+	// next call has to end by then.
 	watchEndedBackoffMs = 1000.0
 	// minFetchIntervalMs is the minimum time between two fetches of the whole list, in ms.
 	minFetchIntervalMs = 1000.0
@@ -47,7 +48,8 @@
 // start schedules the first watch. If all agents share one discovery service, agents that start
 // together call it in the order of their indexes, so that their calls don't queue behind each other.
 // The cached list that an agent starts with is as old as its restart took, and the agent may already
-// be held to know the changes since. Therefore all first calls are made within the drain grace.
+// be treated as notified of the changes since. Therefore all first calls are made within the drain
+// grace.
 func (w *watchScheduler) start() {
 	w.startedAt = w.now
 	switch w.set.Membership {
@@ -109,9 +111,9 @@
 	w.scheduleWatch(backoffMs * (0.5 + w.rng.Float64()/2))
 }
 
-// spreadMs returns the time over which the calls of all agents are spread, at most mostMs.
-func (w *watchScheduler) spreadMs(mostMs float64) float64 {
-	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
+// spreadMs returns the time over which the calls of all agents are spread, at most limitMs.
+func (w *watchScheduler) spreadMs(limitMs float64) float64 {
+	return min(watchStaggerMs*float64(w.set.Replicas), limitMs)
 }
 
 // scheduleWatch schedules the next watch.
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -118,8 +118,9 @@
 	}
 }
 
-// The list that an agent starts with may be old, and the agent may be held to know changes from before
-// its start. Therefore the first call is made within the drain grace, whatever the agent's index.
+// The list that an agent starts with may be old, and the agent may be treated as notified of changes
+// from before its start. Therefore the first call is made within the drain grace, whatever the agent's
+// index.
 func TestWatchSchedulerCallsFirstWithinTheDrainGrace(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		for _, graceMs := range []float64{250, 1000, 1500, 30000} {
@@ -177,9 +178,10 @@
 	}
 }
 
-// After a working watch has ended, the agent opens a new one before it is held to know the changes it
-// missed. That is 6 s after the watch became silent: the agent needs 3 s to notice and up to 2 s for
-// the call. This holds in both modes, for fleets of any size, and however often it happens.
+// After a working watch has ended, the agent opens a new one before it is treated as notified of the
+// changes it missed. That is 6 s after the watch became silent, of which the agent needs 3 s to notice
+// and up to 2 s for the call. This holds in both modes, for fleets of any size, and however often it
+// happens.
 func TestWatchSchedulerReopensAnEndedWatchInTime(t *testing.T) {
 	for _, mode := range []string{MembershipOnRequest, MembershipWatched} {
 		for _, agents := range []int{1, 6, 300, 2000} {
@@ -206,9 +208,9 @@
 }
 
 // The first time that a watch delivers something and ends soon after, the agent opens a new one as soon
-// as after any other watch, because it will soon be held to know the changes it missed. Each further
-// time the backoff grows, within the bound of the contract. Otherwise the agent would call discovery
-// endlessly.
+// as after any other watch, because it will soon be treated as notified of the changes it missed. Each
+// further time the backoff grows, within the bound of the contract. Otherwise the agent would call
+// discovery endlessly.
 func TestWatchSchedulerBacksOffAfterShortWatches(t *testing.T) {
 	for _, agents := range []int{4, 300, 2000} {
 		t.Run(fmt.Sprintf("%d agents", agents), func(t *testing.T) {
@@ -288,8 +290,8 @@
 	return delayMs
 }
 
-// An agent is held to know a change as soon as discovery on its own machine has recovered. Therefore
-// no backoff may be as long as the drain grace, however many calls have failed.
+// An agent is treated as notified of a change as soon as discovery on its own machine has recovered,
+// so no backoff may be as long as the drain grace, however many calls have failed.
 func TestWatchSchedulerCallsLocalDiscoveryOften(t *testing.T) {
 	b, _ := startWatching(t, watchSettings(MembershipWatched, 0, 3), 1)
 	for i := range 50 {
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -31,21 +31,22 @@
 	minUnreachableEndpoints = 2
 )
 
-// localFailureLimiter limits the attempts while this machine fails them. All requests share one backoff and
-// one window. After a failure and its backoff a single attempt is sent as a trial. Each trial that
-// does not fail on this machine doubles the window, until attempts are no longer limited. The backoff
-// thus bounds the number of attempts while the machine fails, however many requests are queued.
+// localFailureLimiter limits the attempts while this machine fails them. All requests share one
+// backoff and one window. After a failure and its backoff a single attempt is sent as a trial. Each
+// trial that does not fail on this machine doubles the window, until attempts are no longer limited.
+// The backoff thus bounds the number of attempts while the machine fails, however many requests are
+// queued.
 type localFailureLimiter struct {
 	*environment
 	endpoints *endpointSet
 	outliers  *outlierDetector
 
-	failures     int        // consecutive failures; 0: attempts are not limited
-	failedAt     float64    // time of the latest failure, in ms
-	backoffUntil float64    // end of the backoff: no attempt is sent before, in ms
-	window       int        // maximum number of trials in flight
-	trials       []*attempt // attempts in flight that may not have a connection yet
-	reachResults []reachResult
+	failures     int           // consecutive failures; 0: attempts are not limited
+	failedAt     float64       // time of the latest failure, in ms
+	backoffUntil float64       // end of the backoff: no attempt is sent before, in ms
+	window       int           // maximum number of trials in flight
+	trials       []*attempt    // attempts in flight that may not have a connection yet
+	reachResults []reachResult // ordered from old to new
 }
 
 // reachResult is the result of the latest attempt at an endpoint. Results are kept while some endpoint
@@ -125,10 +126,10 @@
 // attribute replaces StatusUnreachable by the status that names the side at fault. It returns other
 // statuses unchanged, and records which endpoints were reached.
 //
-// If a single endpoint is unreachable, the endpoint is at fault: its machine or its part of the
-// network is gone, and the status is StatusConnectFailed. If at least minUnreachableEndpoints, and
-// more than half, of the endpoints tried recently are unreachable, this machine has lost its network,
-// and the status is StatusLocalFailure. Ejections that were made before this was known are reverted.
+// If at least minUnreachableEndpoints, and more than half, of the endpoints tried recently are
+// unreachable, this machine has lost its network, and the status is StatusLocalFailure. Ejections that
+// were made before this was known are reverted. Otherwise the unreachable endpoint is at fault: its
+// machine or its part of the network is gone, and the status is StatusConnectFailed.
 func (l *localFailureLimiter) attribute(attempt *attempt, status Status) Status {
 	if status != StatusUnreachable && len(l.reachResults) == 0 {
 		return status
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -188,8 +188,9 @@
 	d.list.fetch()
 }
 
-// revertBlame reverts the failed connects and the ejection of an endpoint since the given time,
-// because this machine had lost its network. The next attempt validates the endpoint.
+// revertBlame reverts the effects, an ejection included, that failed connects have had on an endpoint
+// since the given time, because this machine had lost its network. The next attempt validates the
+// endpoint.
 func (d *outlierDetector) revertBlame(endpoint *endpoint, since float64) {
 	health := &endpoint.health
 	if health.unreachableSince >= since {
@@ -207,9 +208,10 @@
 // each endpoint of its subset once, if that is longer. It doubles with each further ejection, up to
 // maxEjectionMs.
 //
-// The second bound is necessary because a health check can succeed at an endpoint that fails requests,
-// and ends its ejection. With a shorter ejection, failing endpoints would keep an even share of the
-// requests for as long as they fail.
+// The time in which the agent sends to each endpoint is a lower bound because health checks are
+// answered independently of requests: a check can succeed at an endpoint that fails requests, and ends
+// the ejection. With a shorter ejection, failing endpoints would keep an even share of the requests
+// for as long as they fail.
 //
 // If scarce is set, the other endpoints have no capacity, and the time is 0: an endpoint that fails
 // some requests is better than a rejection of them all. An endpoint that answers nothing is no better,
