--- a/policy/endpoint_lifecycle_test.go
+++ b/policy/endpoint_lifecycle_test.go
@@ -32,7 +32,7 @@
 			return
 		}
 	}
-	t.Errorf("after 300 ms of silence got state %d, want it ejected", h.endpointAt(server).health.state)
+	t.Errorf("after 300 ms without an answer got state %d, want it ejected", h.endpointAt(server).health.state)
 }
 
 // stalledAttempts counts the stalled attempts in flight at each server.
@@ -59,12 +59,12 @@
 	stalled, server := h.mustSend(nonIdempotentClass, 6)
 	queued, actions := h.arrive(idempotentClass, 7)
 	if action := findAction(actions, ActionSendAttempt); action != nil {
-		t.Fatalf("got %+v, want the agent at its limit", action)
+		t.Fatalf("got %+v, want nothing sent, as the agent is at its limit", action)
 	}
 	var send *Action
 	for waited := 0; send == nil && waited < 200; waited += 10 {
 		if send = findAction(h.tick(10), ActionSendAttempt); send != nil && waited < 50 {
-			t.Fatalf("got an attempt sent after %d ms, want it only when the servers are late", waited)
+			t.Fatalf("got an attempt sent after %d ms, want it only after several expected answer times", waited)
 		}
 	}
 	if send == nil || send.Request != queued {
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -29,19 +29,19 @@
 	window := endpointWindow{size: 4}
 	window.decrease(100, 0.5, 1)
 	if window.size != 2 || window.decreasedAt != 100 {
-		t.Errorf("cut by half: got %+v, want a size of 2, cut at 100", window)
+		t.Errorf("decreased by half: got %+v, want a size of 2, decreased at 100", window)
 	}
 	window.decrease(200, 0.1, 1)
 	if window.size != 1 {
-		t.Errorf("cut to less than its least: got a size of %v, want 1", window.size)
+		t.Errorf("decreased to less than minSize: got a size of %v, want 1", window.size)
 	}
 	window.increase()
 	if window.size != 2 {
-		t.Errorf("grown by one attempt a round trip: got a size of %v, want 2", window.size)
+		t.Errorf("increased by one attempt a round trip: got a size of %v, want 2", window.size)
 	}
 	window.size = 0.25
 	if window.increase(); window.size != 0.5 {
-		t.Errorf("grown from below one: got a size of %v, want it doubled to 0.5", window.size)
+		t.Errorf("increased from below one: got a size of %v, want it doubled to 0.5", window.size)
 	}
 	window.size = 1.5
 	if window.halve(); window.size != 1 {
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -133,7 +133,7 @@
 					last = max(last, delayMs)
 				}
 				if last > graceMs || last > 6000-maxWatchCallMs {
-					t.Errorf("got the last call after %v ms, want it within the grace and %v ms", last, 6000-maxWatchCallMs)
+					t.Errorf("got the last call after %v ms, want it within the drain grace and %v ms", last, 6000-maxWatchCallMs)
 				}
 			})
 		}
@@ -200,7 +200,7 @@
 					}
 				}
 				if mode == MembershipOnRequest && (late < 60 || 200-late < 60) {
-					t.Fatalf("got %d of 200 delays in the second half of their span, want 60 to 140", late)
+					t.Fatalf("got %d of 200 delays in the second half of their range, want 60 to 140", late)
 				}
 			})
 		}
@@ -247,7 +247,7 @@
 			t.Run(fmt.Sprintf("%d agents, calls take %v ms", agents, callMs), func(t *testing.T) {
 				var delays []float64
 				for index := range agents {
-					delays = append(delays, lastOfFailedCalls(t, index, agents, callMs))
+					delays = append(delays, lastRetryDelay(t, index, agents, callMs))
 				}
 				if agents < 300 {
 					return
@@ -264,10 +264,10 @@
 	}
 }
 
-// lastOfFailedCalls starts an agent and fails its first eight calls after callMs each. It checks that
+// lastRetryDelay starts an agent and fails its first eight calls after callMs each. It checks that
 // the next call is made in time if discovery recovers after any of them, and returns the last delay in
 // ms.
-func lastOfFailedCalls(t *testing.T, index, agents int, callMs float64) (delayMs float64) {
+func lastRetryDelay(t *testing.T, index, agents int, callMs float64) (delayMs float64) {
 	t.Helper()
 	const most = 6000 - watchCallMarginMs
 	b, delayMs := startWatching(t, watchSettings(MembershipOnRequest, index, agents), uint64(index))
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -73,7 +73,7 @@
 // Attempts that this machine cannot make have no side effects: no request is rejected because of them,
 // no endpoint is ejected, and the concurrency limit and the retry budget don't change. Their number is
 // small.
-func TestLocalFailureCostsNothing(t *testing.T) {
+func TestLocalFailureHasNoSideEffects(t *testing.T) {
 	for _, status := range []Status{StatusLocalFailure, StatusUnreachable} {
 		for _, ms := range []float64{100, 5000} {
 			t.Run(fmt.Sprintf("status %d for %v ms", status, ms), func(t *testing.T) {
@@ -88,7 +88,7 @@
 					t.Errorf("got %d failed attempts, want %d at most", m.failed, most)
 				}
 				if m.b.retries.tokens != retryBurst || m.b.limiter.scale < 1e6 {
-					t.Errorf("got a retry budget of %v and a limit of %v times its floor, want both untouched",
+					t.Errorf("got a retry budget of %v and a limit of %v times its floor, want both unchanged",
 						m.b.retries.tokens, m.b.limiter.scale)
 				}
 				for _, listed := range m.b.endpoints.all {
@@ -99,7 +99,7 @@
 					}
 				}
 				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.failures != 0 || len(m.b.local.trials) != 0 {
-					t.Errorf("got %d open requests, %d in flight and %+v, want nothing left", len(m.b.queue.open),
+					t.Errorf("got %d open requests, %d in flight and %+v, want none and no limit", len(m.b.queue.open),
 						m.b.limiter.inFlight, m.b.local)
 				}
 			})
@@ -126,7 +126,7 @@
 						t.Error("got a failure, want a rejection")
 					case ActionRejectRequest:
 						if action.RetryAfterMs <= 0 || attempts <= h.b.set.Limits.MaxAttempts {
-							t.Errorf("got a rejection for %v ms after %d attempts, want a time and more than %d attempts",
+							t.Errorf("got a rejection with a Retry-After of %v ms after %d attempts, want a positive Retry-After and more than %d attempts",
 								action.RetryAfterMs, attempts, h.b.set.Limits.MaxAttempts)
 						}
 						rejected = true
@@ -172,7 +172,7 @@
 }
 
 // A failure of this machine of long ago no longer limits attempts, even without a trial since.
-func TestLocalFailureIsForgotten(t *testing.T) {
+func TestLocalFailureExpires(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	id, server := h.mustSend(idempotentClass, 0)
 	h.endAttempt(id, 0, server, StatusLocalFailure, 0.1)
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -99,10 +99,10 @@
 	for _, scarce := range []bool{false, true} {
 		h := newHarness(t, testSettings(), 4)
 		h.b.limiter.scale = 1000 // so that only the endpoints' windows limit attempts
-		bad := h.endpoint(0)
+		failing := h.endpoint(0)
 		for range 3 {
-			h.b.outliers.setState(bad, StateConnected)
-			h.b.outliers.eject(bad, false)
+			h.b.outliers.setState(failing, StateConnected)
+			h.b.outliers.eject(failing, false)
 		}
 		if scarce {
 			for range 40 { // more than the windows of the others allow
@@ -111,7 +111,7 @@
 		}
 		h.now += h.b.classes.shortestObjectiveMs + 1
 		h.arrive(idempotentClass, 0)
-		if validated := bad.health.state == StateUnhealthyPending; validated != scarce {
+		if validated := failing.health.state == StateUnhealthyPending; validated != scarce {
 			t.Errorf("capacity scarce %v: after one objective got validated %v, want %v", scarce, validated, scarce)
 		}
 	}
@@ -152,7 +152,7 @@
 	h.b.outliers.setState(target, StateConnected)
 	h.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
 	if target.health.state != StateUnhealthy || target.health.consecutiveEjections != ejections+1 {
-		t.Fatalf("failing half of all got state %d and %d ejections, want %d and %d", target.health.state,
+		t.Fatalf("with a failure rate of one half got state %d and %d ejections, want %d and %d", target.health.state,
 			target.health.consecutiveEjections, StateUnhealthy, ejections+1)
 	}
 }
@@ -174,12 +174,12 @@
 			target := h.endpointAt(server)
 			h.b.outliers.eject(target, true)
 			if got := h.ejectionTime(target); got < 1000 {
-				t.Errorf("two requests a second over 20 endpoints: got %.0f ms, want 1000 at least", got)
+				t.Errorf("two requests a second over 20 endpoints: got an ejection time of %.0f ms, want 1000 at least", got)
 			}
 			target.health.consecutiveEjections = maxConsecutiveEjections
 			h.b.traffic.recent = 0.1
 			if got := h.ejectionTime(target); got > maxEjectionMs {
-				t.Errorf("after many ejections: got %.0f ms, want %.0f at most", got, maxEjectionMs)
+				t.Errorf("after many ejections: got an ejection time of %.0f ms, want %.0f at most", got, maxEjectionMs)
 			}
 		})
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -77,7 +77,7 @@
 	InitialCapacity  float64 `json:"coldFrom"`      // share of its capacity that a new server has
 	SlowStartMs      float64 `json:"coldMs"`        // age at which a new server has its full capacity
 	DrainGraceMs     float64 `json:"drainGraceMs"`  // time within which sends to a draining server must end
-	OverloadMultiple float64 `json:"fallMultiple"`  // load that overloads a new server, by its capacity
+	OverloadMultiple float64 `json:"fallMultiple"`  // multiple of its capacity that overloads a new server
 	OverloadWindowMs float64 `json:"tipAfterMs"`    // time under that load after which it is overloaded
 }
 
@@ -87,7 +87,7 @@
 	CrossZone   float64 `json:"crossZone"`      // attempts at servers of other zones, per first attempt
 	Handshake   float64 `json:"handshake"`      // new connections, per first attempt
 	Connection  float64 `json:"connection"`     // mean open connections, per 100 times the servers
-	LateFailure float64 `json:"lateFail"`       // weight left unserved after its objective had passed
+	LateFailure float64 `json:"lateFail"`       // weight of requests left unserved after their objective
 	HealthCheck float64 `json:"probe"`          // health checks, per first attempt
 	Waste       float64 `json:"waste"`          // work of servers that served no answer, per work offered
 	Membership  float64 `json:"membershipMode"` // lines of lists sent, per 100 times the first attempts
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestNewNamesInvalidSettings(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].DeadlineMs = -1 },
@@ -28,7 +28,7 @@
 	} {
 		t.Run(key, func(t *testing.T) {
 			set := testSettings()
-			spoil(&set)
+			invalidate(&set)
 			if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("got error %v, want one that names %s", err, key)
 			}
--- a/policy/types.go
+++ b/policy/types.go
@@ -23,7 +23,7 @@
 const (
 	StateConnected        State = iota // the endpoint has answered
 	StateUnknown                       // the endpoint is listed, and nothing else is known of it
-	StateUnhealthyPending              // the ejection time is over, the endpoint is to be validated
+	StateUnhealthyPending              // the next attempt or health check validates the endpoint
 	StateUnhealthy                     // the endpoint is ejected
 )
 
