--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -12,11 +12,11 @@
 	attemptsPerEndpoint = 2.0
 	// minAttemptsPerEndpoint is the same while answers are late.
 	minAttemptsPerEndpoint = 1.0
-	// A good answer adds limitGrowth to an agent's part, over those of a round trip; a late one
-	// takes up to limitCut off.
-	limitGrowth, limitCut = 0.2, 0.4
-	// uncontendedWorkFactor is how many times its work an uncontended answer may take.
-	uncontendedWorkFactor = 4.0
+	// A good answer adds limitIncrease to an agent's part, over those of a round trip; a late one
+	// takes up to limitDecrease off.
+	limitIncrease, limitDecrease = 0.2, 0.4
+	// uncontendedServiceTimeFactor is how many times its work an uncontended answer may take.
+	uncontendedServiceTimeFactor = 4.0
 )
 
 // concurrencyLimiter bounds the attempts in flight of this agent. What it bounds is the queue in
@@ -60,16 +60,16 @@
 	}
 }
 
-// releaseStalled lets go of an attempt at an endpoint that fell silent under it.
-func (l *concurrencyLimiter) releaseStalled(attempt *attempt) {
+// markStalled lets go of an attempt at an endpoint that fell silent under it.
+func (l *concurrencyLimiter) markStalled(attempt *attempt) {
 	if !attempt.stalled {
 		attempt.stalled = true
 		l.stalled++
 	}
 }
 
-// restoreStalled bounds the stalled attempts again of an endpoint that has answered.
-func (l *concurrencyLimiter) restoreStalled(endpoint *endpoint) {
+// clearStalled bounds the stalled attempts again of an endpoint that has answered.
+func (l *concurrencyLimiter) clearStalled(endpoint *endpoint) {
 	for _, attempt := range endpoint.traffic.inFlight {
 		if attempt.stalled {
 			attempt.stalled = false
@@ -95,21 +95,21 @@
 func (l *concurrencyLimiter) floor() float64 {
 	all := attemptsPerEndpoint * l.slowStart.fleetCapacity()
 	even := all / float64(max(l.set.Replicas, 1))
-	foreseen := foreseenPerMs(l.set.Tenants)
+	foreseen := totalQuotaPerMs(l.set.Tenants)
 	if foreseen == 0 {
-		return max(even, all*l.traffic.perMs()/l.feasiblePerMs(math.Inf(1)))
+		return max(even, all*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
 	}
-	return max(all*l.traffic.perMs()/l.feasiblePerMs(foreseen), min(even, 1))
+	return max(all*l.traffic.perMs()/l.capAtCapacity(foreseen), min(even, 1))
 }
 
-// feasiblePerMs bounds what the settings foresee of all agents, in requests a ms, by what the
+// capAtCapacity bounds what the settings foresee of all agents, in requests a ms, by what the
 // listed endpoints could possibly answer: in a fleet of many services the settings tell of all
 // of them, the list names one service's endpoints. An uncontended answer may still have waited
-// for others: it takes uncontendedWorkFactor times its work at three quarters of what an endpoint
+// for others: it takes uncontendedServiceTimeFactor times its work at three quarters of what an endpoint
 // can do. So settings that tell of the listed endpoints are left alone, and what an agent may
 // always have in flight is under what its own calls take while nothing is crowded (Little's law).
-func (l *concurrencyLimiter) feasiblePerMs(foreseen float64) float64 {
-	workMs := l.latency.uncontended * l.classes.meanObjectiveMs / uncontendedWorkFactor
+func (l *concurrencyLimiter) capAtCapacity(foreseen float64) float64 {
+	workMs := l.latency.uncontended * l.classes.meanObjectiveMs / uncontendedServiceTimeFactor
 	if workMs <= 0 || l.endpoints.ready == 0 {
 		return foreseen // nothing was measured yet, or nobody can answer
 	}
@@ -129,7 +129,7 @@
 		l.scale = min(2*limit, 1) / floor
 	default:
 		one := max(floor, 1)
-		l.scale += limitGrowth * one * one / (limit * limit * floor)
+		l.scale += limitIncrease * one * one / (limit * limit * floor)
 	}
 }
 
@@ -146,8 +146,8 @@
 		l.meanRTTMs = ewma(l.meanRTTMs, rttMs, endpointSmoothing)
 	}
 	switch {
-	case lateness > 0 && tellsOfQueues(attempt, status):
-		l.scale = max(l.scale*(1-limitCut*lateness), minAttemptsPerEndpoint/attemptsPerEndpoint)
+	case lateness > 0 && indicatesQueueing(attempt, status):
+		l.scale = max(l.scale*(1-limitDecrease*lateness), minAttemptsPerEndpoint/attemptsPerEndpoint)
 	case status == StatusOK:
 		if float64(2*(l.inFlight+1)) >= limit {
 			l.grow(limit)
@@ -157,8 +157,8 @@
 	return false
 }
 
-// tellsOfQueues reports whether a late end of an attempt is a sign of queues at its endpoint.
-func tellsOfQueues(attempt *attempt, status Status) bool {
+// indicatesQueueing reports whether a late end of an attempt is a sign of queues at its endpoint.
+func indicatesQueueing(attempt *attempt, status Status) bool {
 	switch status {
 	case StatusOK, StatusRejected:
 		return true
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -64,7 +64,7 @@
 		b.slowStart.assumeRestart(endpoint)
 		endpoint.window.restart()
 	}
-	b.limiter.restoreStalled(endpoint)
+	b.limiter.clearStalled(endpoint)
 }
 
 // ejectSilent ejects endpoints that took attempts and have answered nothing for several answer
@@ -101,7 +101,7 @@
 func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
 	request := attempt.request
 	if sure {
-		b.limiter.releaseStalled(attempt)
+		b.limiter.markStalled(attempt)
 	}
 	objectiveAt := request.timing.objectiveAt
 	switch {
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -36,9 +36,9 @@
 	q.usage[tenant] += 1 - shareDecay
 }
 
-// foreseenPerMs returns the rate that the settings foresee for all tenants, in requests a ms; 0 if they
+// totalQuotaPerMs returns the rate that the settings foresee for all tenants, in requests a ms; 0 if they
 // foresee none.
-func foreseenPerMs(tenants []Tenant) float64 {
+func totalQuotaPerMs(tenants []Tenant) float64 {
 	rate := 0.0
 	for _, tenant := range tenants {
 		rate += tenant.QuotaPerS / 1000
