--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -98,7 +98,7 @@
 	endpoint := attempt.endpoint
 	switch status {
 	case StatusOK:
-		b.slowStart.earn(endpoint, attempt.cost, b.subset.size())
+		b.slowStart.refillAllowances(endpoint, attempt.cost, b.subset.size())
 		b.recordServed(attempt, rttMs)
 	case StatusServerError, StatusReset:
 		b.outliers.onError(endpoint)
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -64,8 +64,8 @@
 	if e.slowStart.warmWeight() > 0 {
 		return false
 	}
-	if e.slowStart.flow > 0 {
-		return e.slowStart.pauseOver(endpoint, cost)
+	if e.slowStart.workPerWeight > 0 {
+		return e.slowStart.pauseElapsed(endpoint, cost)
 	}
 	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
 	// more than it answers, as one attempt of this agent at a time waits there and the limit
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -31,7 +31,7 @@
 	endpoint, startedAt := b.endpoints.byAddr[entry.Server], finite(entry.StartedMs)
 	if endpoint == nil {
 		endpoint = b.endpoints.add(entry.Server, startedAt)
-		b.slowStart.begin(endpoint)
+		b.slowStart.markWarming(endpoint)
 	}
 	if startedAt > endpoint.slowStart.listedAt {
 		b.restartEndpoint(endpoint, startedAt)
--- a/policy/endpoint_set_test.go
+++ b/policy/endpoint_set_test.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	checkSet(t, b, "ejected", b.endpoints.ejected, func(listed *endpoint) bool { return listed.health.state > StateUnknown })
 	checkSet(t, b, "busy", b.endpoints.busy, func(listed *endpoint) bool { return len(listed.traffic.inFlight) > 0 })
-	warm, known := 0.0, b.slowStart.warmEpoch == b.endpoints.epoch && !b.slowStart.stale
+	warm, known := 0.0, b.slowStart.warmWeightEpoch == b.endpoints.epoch && !b.slowStart.stale
 	for _, listed := range b.endpoints.all {
 		if b.capacityFraction(listed) < 1 && !slices.Contains(b.slowStart.warming, listed) {
 			t.Fatalf("warming: got no endpoint %v, want it among them", listed.id)
@@ -26,8 +26,8 @@
 		}
 		known = known && b.capacityFraction(warming) != 1
 	}
-	if known && b.slowStart.warm != warm {
-		t.Fatalf("got a warm weight of %v, want %v", b.slowStart.warm, warm)
+	if known && b.slowStart.cachedWarmWeight != warm {
+		t.Fatalf("got a warm weight of %v, want %v", b.slowStart.cachedWarmWeight, warm)
 	}
 }
 
--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -62,7 +62,7 @@
 		h.updateEndpoints(ListDelta, startedAt(ready(99), h.now))
 		warming := h.endpoint(99)
 		warming.slowStart.allowance = 0
-		h.b.slowStart.earn(h.endpoint(0), 1, h.b.subset.size())
+		h.b.slowStart.refillAllowances(h.endpoint(0), 1, h.b.subset.size())
 		return warming.slowStart.allowance
 	}
 	if whole, subset := earned(0), earned(10000); subset < 3.5*whole || whole <= 0 {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -33,7 +33,7 @@
 	b.set = set
 	b.queue.keepUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
-		b.slowStart.begin(endpoint)
+		b.slowStart.markWarming(endpoint)
 	}
 	// Counts that fade over a time stand for as much as before.
 	b.traffic.rescale(oldSpanMs)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxAllowance bounds what an endpoint's allowance saves up, in mean requests: all agents may
+	// allowanceBurst bounds what an endpoint's allowance saves up, in mean requests: all agents may
 	// spend it at once.
-	maxAllowance = 1.0
+	allowanceBurst = 1.0
 	// slowStartMargin is what an even share may cost an endpoint that is warming up, in its present
 	// capacity: warm ones may be crowded by half and save two thirds by their warm keys.
 	slowStartMargin = 5.0
-	// ageErrorFactor is how many times its capacity an endpoint that is warming up may be taken to
+	// maxCapacityOverestimate is how many times its capacity an endpoint that is warming up may be taken to
 	// have, for an error in its age: warm ones may be crowded by half, which slowStartMargin
 	// allows for.
-	ageErrorFactor = 1.5
+	maxCapacityOverestimate = 1.5
 )
 
 // StartToleranceMs returns how much older than it is an endpoint that is warming up may be taken for,
-// in ms: at its start, where that means most, it then counts as ageErrorFactor times what it can
+// in ms: at its start, where that means most, it then counts as maxCapacityOverestimate times what it can
 // do.
 func (c *Contract) StartToleranceMs() float64 {
 	if c.SlowStartFrom >= 1 {
 		return c.SlowStartMs
 	}
-	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
+	return min((maxCapacityOverestimate-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
 }
 
 // capacityFraction returns the part of its capacity that an endpoint has by the contract: it grows
@@ -45,16 +45,16 @@
 // slowStart holds which endpoints are warming up and what they may be sent.
 type slowStart struct {
 	*environment
-	endpoints  *endpointSet
-	warming    []*endpoint // that may not have their whole capacity yet
-	warm       float64     // weight of the warm endpoints, as of warmAt and warmEpoch
-	warmAt     float64     // ms
-	warmEpoch  uint64
-	stale      bool    // an endpoint began or ended its slow start since
-	flow       float64 // work sent to a warm endpoint of weight 1, fading over the slow start time
-	flowAt     float64 // ms
-	capacity   float64 // of all usable endpoints, as of capacityAt
-	capacityAt float64 // ms
+	endpoints        *endpointSet
+	warming          []*endpoint // that may not have their whole capacity yet
+	cachedWarmWeight float64     // weight of the warm endpoints, as of warmWeightAt and warmWeightEpoch
+	warmWeightAt     float64     // ms
+	warmWeightEpoch  uint64
+	stale            bool    // an endpoint began or ended its slow start since
+	workPerWeight    float64 // work sent to a warm endpoint of weight 1, fading over the slow start time
+	workAt           float64 // ms
+	cachedCapacity   float64 // of all usable endpoints, as of capacityAt
+	capacityAt       float64 // ms
 }
 
 // newSlowStart returns a slowStart of the endpoints, of which none is warming up yet.
@@ -63,7 +63,7 @@
 }
 
 // start begins to measure the work that warm endpoints are sent.
-func (w *slowStart) start() { w.flowAt = w.now }
+func (w *slowStart) start() { w.workAt = w.now }
 
 // listChanged notes that the list has changed, and with it the fleet's capacity.
 func (w *slowStart) listChanged() { w.capacityAt = never }
@@ -72,7 +72,7 @@
 // from oldSlowStartMs: it stands for as much as before.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
-		w.flow *= w.set.Contract.SlowStartMs / oldSlowStartMs
+		w.workPerWeight *= w.set.Contract.SlowStartMs / oldSlowStartMs
 	}
 }
 
@@ -81,14 +81,14 @@
 // parts add up to; from 0 none would before it is warm.
 func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
 	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
-	w.begin(endpoint)
+	w.markWarming(endpoint)
 	endpoint.slowStart.allowance = w.rng.Float64()
 }
 
 // assumeRestart takes an endpoint for a process that started now, until the list says otherwise.
 func (w *slowStart) assumeRestart(endpoint *endpoint) {
 	endpoint.slowStart.startedAt, endpoint.slowStart.allowance = w.now, w.rng.Float64()
-	w.begin(endpoint)
+	w.markWarming(endpoint)
 }
 
 // charge takes an attempt that is sent from its endpoint's allowance, if that is warming up.
@@ -107,7 +107,7 @@
 }
 
 // begin notes that an endpoint's start has changed: it may be warming up.
-func (w *slowStart) begin(endpoint *endpoint) {
+func (w *slowStart) markWarming(endpoint *endpoint) {
 	w.stale = true
 	if !endpoint.slowStart.warming && endpoint.slowStart.startedAt > 0 {
 		endpoint.slowStart.warming = true
@@ -122,8 +122,8 @@
 	}
 }
 
-// finishWarm takes those that are warm by now from the ones that are warming up.
-func (w *slowStart) finishWarm() {
+// removeWarm takes those that are warm by now from the ones that are warming up.
+func (w *slowStart) removeWarm() {
 	w.countWork(w.warming)
 	w.warming = slices.DeleteFunc(w.warming, func(endpoint *endpoint) bool {
 		endpoint.slowStart.warming = w.capacityFraction(endpoint) != 1
@@ -135,22 +135,22 @@
 // warmWeight returns the weight of the endpoints of the top tier that are not warming up, counted
 // anew only where a tier, the list or who is warming up has changed.
 func (w *slowStart) warmWeight() float64 {
-	if w.warmAt == w.now && w.warmEpoch == w.endpoints.epoch {
-		return w.warm
+	if w.warmWeightAt == w.now && w.warmWeightEpoch == w.endpoints.epoch {
+		return w.cachedWarmWeight
 	}
-	w.finishWarm()
-	if w.warmEpoch == w.endpoints.epoch && !w.stale {
-		w.warmAt = w.now
-		return w.warm
+	w.removeWarm()
+	if w.warmWeightEpoch == w.endpoints.epoch && !w.stale {
+		w.warmWeightAt = w.now
+		return w.cachedWarmWeight
 	}
-	w.warm, w.warmAt, w.warmEpoch, w.stale = 0, w.now, w.endpoints.epoch, false
+	w.cachedWarmWeight, w.warmWeightAt, w.warmWeightEpoch, w.stale = 0, w.now, w.endpoints.epoch, false
 	w.countWork(w.endpoints.all)
 	for _, endpoint := range w.endpoints.all {
 		if endpoint.usable && endpoint.health.state <= StateUnknown && w.capacityFraction(endpoint) == 1 {
-			w.warm += endpoint.weight
+			w.cachedWarmWeight += endpoint.weight
 		}
 	}
-	return w.warm
+	return w.cachedWarmWeight
 }
 
 // fleetCapacity returns what the usable endpoints can do, in warm ones. Those that are warming up
@@ -158,19 +158,19 @@
 // of an even share would be sent to the warm ones. Alone they count as whole.
 func (w *slowStart) fleetCapacity() float64 {
 	if w.capacityAt == w.now {
-		return w.capacity
+		return w.cachedCapacity
 	}
-	w.capacity, w.capacityAt = float64(w.endpoints.ready), w.now
+	w.cachedCapacity, w.capacityAt = float64(w.endpoints.ready), w.now
 	if w.warmWeight() == 0 {
-		return w.capacity
+		return w.cachedCapacity
 	}
 	w.countWork(w.warming)
 	for _, endpoint := range w.warming {
 		if endpoint.usable {
-			w.capacity -= 1 - w.capacityFraction(endpoint)
+			w.cachedCapacity -= 1 - w.capacityFraction(endpoint)
 		}
 	}
-	return w.capacity
+	return w.cachedCapacity
 }
 
 // share returns the part of an even share that an endpoint may be sent of which only the fraction given
@@ -188,29 +188,29 @@
 // shares of all agents together stay in proportion to what the endpoints can do, without any
 // agreement. What was rejected earns nothing: rejections come fast, and under overload they would
 // multiply the allowances. subset is how many endpoints the agent sends to.
-func (w *slowStart) earn(server *endpoint, cost float64, subset int) {
+func (w *slowStart) refillAllowances(server *endpoint, cost float64, subset int) {
 	if w.capacityFraction(server) < 1 {
 		return
 	}
 	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // of its subset
 	if warm > 0 {
-		w.flow = w.flow*math.Exp((w.flowAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
-		w.flowAt = w.now
+		w.workPerWeight = w.workPerWeight*math.Exp((w.workAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
+		w.workAt = w.now
 	}
 	w.countWork(w.warming)
 	for _, endpoint := range w.warming {
 		if fraction := w.capacityFraction(endpoint); fraction < 1 && warm > 0 {
 			start := &endpoint.slowStart
-			start.allowance = min(start.allowance+cost*w.share(fraction)*endpoint.weight/warm, maxAllowance)
+			start.allowance = min(start.allowance+cost*w.share(fraction)*endpoint.weight/warm, allowanceBurst)
 		}
 	}
 }
 
-// pauseOver reports whether an endpoint has been sent nothing for long enough that it may take another
+// pauseElapsed reports whether an endpoint has been sent nothing for long enough that it may take another
 // request of the cost given, where no endpoint is warm: for as long as its share of what a warm one was
 // sent before takes.
-func (w *slowStart) pauseOver(endpoint *endpoint, cost float64) bool {
+func (w *slowStart) pauseElapsed(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
-	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * share
+	earned := (w.now - endpoint.traffic.sentAt) * w.workPerWeight * endpoint.weight * share
 	return earned >= cost*w.set.Contract.SlowStartMs
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// An error in an endpoint's age within the tolerance makes it count as ageErrorFactor times what it
+// An error in an endpoint's age within the tolerance makes it count as maxCapacityOverestimate times what it
 // can do at most, at any age, and never as warm before its time by more than the tolerance.
 func TestContractStartToleranceBoundsTheCapacity(t *testing.T) {
 	for _, contract := range []Contract{
@@ -249,7 +249,7 @@
 				return b.capacityFraction(&endpoint{slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt}})
 			}
 			for ageMs := 0.0; ageMs < contract.SlowStartMs; ageMs += contract.SlowStartMs / 100 {
-				if got, most := capacity(ageMs+toleranceMs), ageErrorFactor*capacity(ageMs); got > most+1e-9 {
+				if got, most := capacity(ageMs+toleranceMs), maxCapacityOverestimate*capacity(ageMs); got > most+1e-9 {
 					t.Fatalf("%v ms old: got a capacity of %v when taken for older, want %v at most", ageMs, got, most)
 				}
 			}
