--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -118,7 +118,7 @@
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	endpoint.health.countServed()
-	b.latency.hints.learn(request, rttMs)
+	b.latency.hints.observeAnswer(request, rttMs)
 	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.answered(rttMs)
 	endpoint.traffic.answered(attempt)
@@ -142,7 +142,7 @@
 		b.limiter.abandoned.add(attempt)
 	}
 	if endpoint.traffic.heardSince(attempt) {
-		b.latency.hints.learn(request, rttMs)
+		b.latency.hints.observeAnswer(request, rttMs)
 		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
 	} else {
 		b.outliers.eject(endpoint, true)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	latency := &p.b.latency
-	if sum := latency.fleet + latency.hints.mean + latency.hints.answeredMean + latency.uncontended +
+	if sum := latency.fleetMean + latency.hints.meanHint + latency.hints.meanAnsweredHint + latency.uncontended +
 		p.b.classes.all[idempotentClass].meanMs; math.IsNaN(sum) || math.IsInf(sum, 0) {
 		t.Errorf("got means that add up to %v, want a number", sum)
 	}
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -138,7 +138,7 @@
 // connections tell nothing of queues. It reports whether the answer came in good time.
 func (l *concurrencyLimiter) adapt(attempt *attempt, status Status, rttMs float64) (inTime bool) {
 	limit := l.limit()
-	lateness := min(max(rttMs/attempt.request.class.LatencyObjectiveMs-crowdedFraction, 0), 1)
+	lateness := min(max(rttMs/attempt.request.class.LatencyObjectiveMs-congestedFraction, 0), 1)
 	if status == StatusRejected {
 		lateness = 1
 	}
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -70,7 +70,7 @@
 	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
 	// more than it answers, as one attempt of this agent at a time waits there and the limit
 	// bounds them all.
-	return len(endpoint.traffic.inFlight) == 0 && (e.latency.answers > 0 || e.hasFirstTurn(endpoint))
+	return len(endpoint.traffic.inFlight) == 0 && (e.latency.samples > 0 || e.hasFirstTurn(endpoint))
 }
 
 // hasFirstTurn paces an agent that no endpoint has answered yet: agents take turns by the latency
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// crowdedFraction is the part of the latency objective that an endpoint's mean answer time may
+	// congestedFraction is the part of the latency objective that an endpoint's mean answer time may
 	// take.
-	crowdedFraction = 0.5
-	// crowdedFactor is how many times the fleet's uncontended answer time an uncrowded endpoint's
+	congestedFraction = 0.5
+	// congestedFactor is how many times the fleet's uncontended answer time an uncrowded endpoint's
 	// may be.
-	crowdedFactor = 1.5
+	congestedFactor = 1.5
 	// initialWindow is how many attempts an unmeasured endpoint may hold.
 	initialWindow = 2.0
-	// uncontendedSamples is the number of answers that make the first measure of the uncontended
+	// minUncontendedSamples is the number of answers that make the first measure of the uncontended
 	// answer time; until then no window grows, so that a start does not crowd what it measures.
-	uncontendedSamples = 50
+	minUncontendedSamples = 50
 	// minWindow is what the most crowded endpoint keeps: enough to see when it is not. An endpoint
 	// counts as overloaded, and may get less than one attempt, from overloadFactor times the
 	// answer time of a crowded one.
 	minWindow, overloadFactor = 0.1, 2.5
-	// windowCut is what a crowded endpoint keeps of its window.
-	windowCut = 0.85
+	// windowDecreaseFactor is what a crowded endpoint keeps of its window.
+	windowDecreaseFactor = 0.85
 	// endpointSmoothing is the weight of an answer in an endpoint's mean, fleetSmoothing in one
 	// over all endpoints.
 	endpointSmoothing, fleetSmoothing = 0.2, 0.005
 	// shareDecay lets requests count less for shares with age, over about 500.
 	shareDecay = 0.998
-	// recentStep and recentFleetStep are the weights of an answer in the recent latency of its
+	// recentSmoothing and recentFleetSmoothing are the weights of an answer in the recent latency of its
 	// endpoint and of the fleet.
-	recentStep, recentFleetStep = 0.5, 0.02
-	// recentMemoryMs is how fast an agent forgets an endpoint's recent latency: an overloaded one
+	recentSmoothing, recentFleetSmoothing = 0.5, 0.02
+	// recentDecayMs is how fast an agent forgets an endpoint's recent latency: an overloaded one
 	// recovers within seconds of idle time.
-	recentMemoryMs = 10000.0
+	recentDecayMs = 10000.0
 	// maxObjectiveFraction bounds an answer time as a part of the objective.
 	maxObjectiveFraction = 2.0
-	// uncontendedInertia is how much slower the uncontended answer time rises than the fleet's.
-	uncontendedInertia = 250
-	// minHintAnswers is from how many hinted answers on hints tell the time of an answer.
-	minHintAnswers = 1 / (4 * fleetSmoothing)
+	// uncontendedRiseDivisor is how much slower the uncontended answer time rises than the fleet's.
+	uncontendedRiseDivisor = 250
+	// minHintSamples is from how many hinted answers on hints tell the time of an answer.
+	minHintSamples = 1 / (4 * fleetSmoothing)
 )
 
 // latencyTracker holds the answer times over all endpoints, as parts of the latency objective.
 type latencyTracker struct {
 	*environment
-	answers     float64 // served so far
-	fleet       float64 // mean
+	samples     float64 // served so far
+	fleetMean   float64 // mean
 	uncontended float64 // the same while no endpoint is crowded
-	recent      float64 // mean of the last answers
+	fleetRecent float64 // mean of the last answers
 	hints       hintRegression
 }
 
@@ -61,7 +61,7 @@
 func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
 	fraction := rttMs / request.class.LatencyObjectiveMs
 	if request.hint > 0 {
-		fraction *= min(l.hints.mean/request.hint, 1)
+		fraction *= min(l.hints.meanHint/request.hint, 1)
 	}
 	return min(fraction, maxObjectiveFraction)
 }
@@ -78,41 +78,41 @@
 // observe takes an answer into the fleet's mean and into the uncontended one. alone says that no
 // other attempt of this agent was in flight at its endpoint.
 func (l *latencyTracker) observe(fraction float64, alone bool) {
-	l.answers++
-	l.fleet = ewma(l.fleet, fraction, max(fleetSmoothing, 1/l.answers))
+	l.samples++
+	l.fleetMean = ewma(l.fleetMean, fraction, max(fleetSmoothing, 1/l.samples))
 	switch {
-	case l.answers <= uncontendedSamples:
+	case l.samples <= minUncontendedSamples:
 		// One quick answer must not set the measure, nor a crowd at the start.
-		l.uncontended = min(l.fleet, crowdedFraction/2)
-	case l.fleet < l.uncontended:
-		l.uncontended = ewma(l.uncontended, l.fleet, fleetSmoothing)
+		l.uncontended = min(l.fleetMean, congestedFraction/2)
+	case l.fleetMean < l.uncontended:
+		l.uncontended = ewma(l.uncontended, l.fleetMean, fleetSmoothing)
 	default:
-		l.uncontended = ewma(l.uncontended, l.fleet, l.uncontendedRise(alone))
+		l.uncontended = ewma(l.uncontended, l.fleetMean, l.uncontendedSmoothing(alone))
 	}
 }
 
-// uncontendedRise returns how fast the uncontended answer time follows longer ones: hardly, or a crowd
+// uncontendedSmoothing returns how fast the uncontended answer time follows longer ones: hardly, or a crowd
 // would become the measure. An attempt that was alone of its agent tells more the fewer agents
 // there are: a lone agent that took quick first answers for uncontended would have its endpoints
 // idle.
-func (l *latencyTracker) uncontendedRise(alone bool) float64 {
+func (l *latencyTracker) uncontendedSmoothing(alone bool) float64 {
 	if alone {
-		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedInertia)
+		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedRiseDivisor)
 	}
-	return fleetSmoothing / uncontendedInertia
+	return fleetSmoothing / uncontendedRiseDivisor
 }
 
 // restart forgets the answer times of an endpoint's former process.
 func (l *latencyTracker) restart(endpoint *endpoint) {
 	endpoint.latency.forgetMean()
-	endpoint.latency.recent, endpoint.latency.recentAt = l.recent, l.now
+	endpoint.latency.recent, endpoint.latency.recentAt = l.fleetRecent, l.now
 }
 
 // observeEndpoint takes an answer time, as a part of the objective, into its endpoint's means.
 func (l *latencyTracker) observeEndpoint(endpoint *endpoint, fraction float64) {
 	latency := &endpoint.latency
 	latency.samples++
-	forgotten := 1 - math.Exp((latency.recentAt-l.now)/recentMemoryMs)
+	forgotten := 1 - math.Exp((latency.recentAt-l.now)/recentDecayMs)
 	latency.mean = ewma(latency.mean, fraction, max(endpointSmoothing, 1/float64(latency.samples), forgotten))
 	l.observeRecent(endpoint, fraction)
 }
@@ -120,20 +120,20 @@
 // observeRecent takes an answer time, as a part of the objective, into the recent latencies.
 func (l *latencyTracker) observeRecent(endpoint *endpoint, fraction float64) {
 	latency := &endpoint.latency
-	if l.recent == 0 {
+	if l.fleetRecent == 0 {
 		latency.recent = fraction
 	}
 	recent := l.recentOf(endpoint)
-	latency.recent, latency.recentAt = recent+recentStep*(fraction-recent), l.now
-	l.recent = ewma(l.recent, fraction, recentFleetStep)
+	latency.recent, latency.recentAt = recent+recentSmoothing*(fraction-recent), l.now
+	l.fleetRecent = ewma(l.fleetRecent, fraction, recentFleetSmoothing)
 }
 
 // recentOf returns an endpoint's recent answer time as a part of the objective, as far as this agent
-// can tell: what it saw, forgotten in favour of the fleet's over recentMemoryMs, and what it is
+// can tell: what it saw, forgotten in favour of the fleet's over recentDecayMs, and what it is
 // waiting for.
 func (l *latencyTracker) recentOf(endpoint *endpoint) float64 {
 	latency := &endpoint.latency
-	recent := l.recent + (latency.recent-l.recent)*math.Exp((latency.recentAt-l.now)/recentMemoryMs)
+	recent := l.fleetRecent + (latency.recent-l.fleetRecent)*math.Exp((latency.recentAt-l.now)/recentDecayMs)
 	if len(endpoint.traffic.inFlight) > 0 {
 		oldest := endpoint.traffic.inFlight[0]
 		recent = max(recent, l.objectiveFraction(oldest.request, l.now-oldest.sentAt))
@@ -141,26 +141,26 @@
 	return recent
 }
 
-// crowdedThreshold returns the mean answer time, as a part of the objective, from which an endpoint
+// congestionThreshold returns the mean answer time, as a part of the objective, from which an endpoint
 // counts as crowded. A few agents see most of the load and need not fear to crowd an endpoint that
 // answers well within the objective. One that is warming up is slow before it is crowded.
-func (l *latencyTracker) crowdedThreshold(endpoint *endpoint) float64 {
-	least := 2 * crowdedFraction / (2 + float64(l.set.Replicas))
-	return min(crowdedFraction, max(crowdedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
+func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
+	least := 2 * congestedFraction / (2 + float64(l.set.Replicas))
+	return min(congestedFraction, max(congestedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
 // adjustWindow lets an endpoint's window follow its mean answer time after an answer.
 func (l *latencyTracker) adjustWindow(endpoint *endpoint, rttMs float64) {
-	threshold, mean, window := l.crowdedThreshold(endpoint), endpoint.latency.mean, &endpoint.window
+	threshold, mean, window := l.congestionThreshold(endpoint), endpoint.latency.mean, &endpoint.window
 	switch {
 	case mean > threshold && l.now-window.cutAt > rttMs:
 		least := 1.0
 		if mean > overloadFactor*threshold {
 			least = minWindow
 		}
-		window.cut(l.now, windowCut, least)
+		window.cut(l.now, windowDecreaseFactor, least)
 	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
-		l.answers > uncontendedSamples:
+		l.samples > minUncontendedSamples:
 		window.grow()
 	}
 }
@@ -168,44 +168,46 @@
 // hintRegression is the straight line of answer time over hinted work: the network's share does
 // not grow with the work.
 type hintRegression struct {
-	mean         float64 // hint of all hinted requests
-	answers      float64 // answers to hinted requests, and their means and spread:
-	answeredMean float64
-	meanTimeMs   float64
-	variance     float64
-	covariance   float64
+	meanHint         float64 // hint of all hinted requests
+	samples          float64 // answers to hinted requests, and their means and spread:
+	meanAnsweredHint float64
+	meanAnswerMs     float64
+	hintVariance     float64
+	covariance       float64
 }
 
 // note takes the hint of a request that came.
-func (h *hintRegression) note(hint float64) { h.mean = ewma(h.mean, hint, fleetSmoothing) }
+func (h *hintRegression) observeHint(hint float64) {
+	h.meanHint = ewma(h.meanHint, hint, fleetSmoothing)
+}
 
 // learn takes the answer time of a request.
-func (h *hintRegression) learn(request *request, rttMs float64) {
+func (h *hintRegression) observeAnswer(request *request, rttMs float64) {
 	if request.hint <= 0 {
 		return
 	}
-	h.answers++
-	weight := max(fleetSmoothing, 1/h.answers)
-	hintDelta, timeDelta := request.hint-h.answeredMean, rttMs-h.meanTimeMs
-	h.answeredMean += weight * hintDelta
-	h.meanTimeMs += weight * timeDelta
-	h.variance += weight * (hintDelta*hintDelta*(1-weight) - h.variance)
+	h.samples++
+	weight := max(fleetSmoothing, 1/h.samples)
+	hintDelta, timeDelta := request.hint-h.meanAnsweredHint, rttMs-h.meanAnswerMs
+	h.meanAnsweredHint += weight * hintDelta
+	h.meanAnswerMs += weight * timeDelta
+	h.hintVariance += weight * (hintDelta*hintDelta*(1-weight) - h.hintVariance)
 	h.covariance += weight * (hintDelta*timeDelta*(1-weight) - h.covariance)
 }
 
 // expectedMs returns the answer time of the request by the line; 0 while little is known.
 func (h *hintRegression) expectedMs(request *request) float64 {
-	if request.hint <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
+	if request.hint <= 0 || h.samples < minHintSamples || h.hintVariance <= 0 {
 		return 0
 	}
-	return max(h.meanTimeMs+h.covariance/h.variance*(request.hint-h.answeredMean), 0)
+	return max(h.meanAnswerMs+h.covariance/h.hintVariance*(request.hint-h.meanAnsweredHint), 0)
 }
 
 // cost returns the work of a request in units of the mean one, and never less: hints are rough, and
 // an endpoint that is warming up would be sent the small ones that are not.
 func (h *hintRegression) cost(request *request) float64 {
-	if request.hint > h.mean {
-		return request.hint / h.mean
+	if request.hint > h.meanHint {
+		return request.hint / h.meanHint
 	}
 	return 1
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -34,18 +34,18 @@
 		set.Replicas = agents
 		h := newHarness(t, set, 1)
 		h.b.latency.uncontended = uncontended
-		return h.b.latency.crowdedThreshold(h.endpoint(0))
+		return h.b.latency.congestionThreshold(h.endpoint(0))
 	}
 	if one, many := threshold(1, 0.01), threshold(20, 0.01); one < 0.3 || many > 0.1 {
 		t.Errorf("got %.2f for one agent and %.2f for twenty, want 0.3 at least and 0.1 at most", one, many)
 	}
-	if got := threshold(1, 0.9); got != crowdedFraction {
-		t.Errorf("got %.2f with a high uncontended latency, want %.2f", got, crowdedFraction)
+	if got := threshold(1, 0.9); got != congestedFraction {
+		t.Errorf("got %.2f with a high uncontended latency, want %.2f", got, congestedFraction)
 	}
 	h := newHarness(t, testSettings(), 1)
 	h.updateEndpoints(ListDelta, startedAt(ready(1), h.now))
 	h.b.latency.uncontended = 0.2
-	warm, warming := h.b.latency.crowdedThreshold(h.endpoint(0)), h.b.latency.crowdedThreshold(h.endpoint(1))
+	warm, warming := h.b.latency.congestionThreshold(h.endpoint(0)), h.b.latency.congestionThreshold(h.endpoint(1))
 	if warming < 2*warm {
 		t.Errorf("got %.2f for a warming endpoint, want twice the %.2f of a warm one", warming, warm)
 	}
@@ -54,11 +54,11 @@
 // Agents that restart one by one may find the fleet crowded.
 func TestLatencyTrackerTakesNoCrowdedStartForUncontended(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	for range uncontendedSamples {
+	for range minUncontendedSamples {
 		h.serve(idempotentClass, h.randomKey(), 270)
 	}
-	if got := h.b.latency.uncontended; got > crowdedFraction/2 {
-		t.Errorf("after answers in 0.9 of the objective got %.2f as uncontended, want %.2f at most", got, crowdedFraction/2)
+	if got := h.b.latency.uncontended; got > congestedFraction/2 {
+		t.Errorf("after answers in 0.9 of the objective got %.2f as uncontended, want %.2f at most", got, congestedFraction/2)
 	}
 }
 
@@ -92,10 +92,10 @@
 // become the measure.
 func TestLatencyTrackerGrowsNoWindowBeforeUncontendedLatencyIsKnown(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
-	for range uncontendedSamples - 1 {
+	for range minUncontendedSamples - 1 {
 		server := h.serve(idempotentClass, h.randomKey(), 20)
 		if size := h.endpointAt(server).window.size; size > initialWindow {
-			t.Fatalf("after %.0f answers got a window of %.2f, want %.2f", h.b.latency.answers, size, initialWindow)
+			t.Fatalf("after %.0f answers got a window of %.2f, want %.2f", h.b.latency.samples, size, initialWindow)
 		}
 	}
 	for range 40 {
@@ -122,12 +122,12 @@
 	hints := hintRegression{}
 	for i := range 400 {
 		hint := float64(10 + i%7*10)
-		if i == minHintAnswers-1 {
+		if i == minHintSamples-1 {
 			if got := hints.expectedMs(&request{hint: hint}); got != 0 {
 				t.Errorf("after %d answers got %v ms, want 0", i, got)
 			}
 		}
-		hints.learn(&request{hint: hint}, 5+2*hint)
+		hints.observeAnswer(&request{hint: hint}, 5+2*hint)
 	}
 	for _, hint := range []float64{10, 40, 100} {
 		if got := hints.expectedMs(&request{hint: hint}); math.Abs(got-5-2*hint) > 0.5 {
@@ -142,7 +142,7 @@
 // A request hinted as many mean ones costs as much of an allowance: a burst of such requests would
 // overload an endpoint that is warming up.
 func TestHintRegressionCostFollowsTheHint(t *testing.T) {
-	hints := hintRegression{mean: 50}
+	hints := hintRegression{meanHint: 50}
 	for _, test := range []struct{ hint, want float64 }{{1, 1}, {200, 4}} {
 		if got := hints.cost(&request{hint: test.hint}); got != test.want {
 			t.Errorf("hint %v with a mean of 50: got a cost of %.2f, want %v", test.hint, got, test.want)
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -43,7 +43,7 @@
 		created.hint = finite(event.WorkHintMs)
 	}
 	if created.hint > 0 {
-		b.latency.hints.note(created.hint)
+		b.latency.hints.observeHint(created.hint)
 	}
 	leftMs := finite(event.TimeLeftMs)
 	timing := &created.timing
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -154,10 +154,10 @@
 // where agents are many and each meets an endpoint every few seconds, these alone would not
 // take an overloaded endpoint's even share from it.
 func (s *selector) recentWeight(endpoint *endpoint) float64 {
-	if s.latency.recent == 0 {
+	if s.latency.fleetRecent == 0 {
 		return 1
 	}
-	slower := s.latency.recentOf(endpoint) / (recentSlack * s.latency.recent)
+	slower := s.latency.recentOf(endpoint) / (recentSlack * s.latency.fleetRecent)
 	if slower <= 1 {
 		return 1
 	}
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -21,7 +21,7 @@
 }
 
 // uncontendedMs returns the answer time that a class of which nothing is known is taken to have.
-func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * crowdedFraction / 2 }
+func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * congestedFraction / 2 }
 
 // learn takes an answer time into the class's mean, which follows the answers of the time
 // after which its clients give up.
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -51,7 +51,7 @@
 		RetryBudget:        b.retries.tokens,
 		Outcomes:           b.outcomes,
 		UncontendedLatency: b.latency.uncontended,
-		Latency:            b.latency.recent,
+		Latency:            b.latency.fleetRecent,
 		Classes:            b.classSnapshots(),
 	}
 	probe := &request{class: b.classes.all[0], timing: requestTiming{arrived: now, objectiveAt: now}}
