--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -13,10 +13,10 @@
 		return h.b.queue.priorityOf(&request{class: starved, timing: timing}) /
 			h.b.queue.priorityOf(&request{class: served, timing: timing})
 	}
-	for range 2 * classMemory {
-		h.b.classes.count(starved)
-		h.b.classes.count(served)
-		served.servedInTime += 1.0 / classMemory
+	for range 2 * classHistory {
+		h.b.classes.countRequest(starved)
+		h.b.classes.countRequest(served)
+		served.servedInTime += 1.0 / classHistory
 	}
 	worst := ratio()
 	h.b.classes.worst = served
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -123,7 +123,7 @@
 	b.limiter.abandoned.answered(rttMs)
 	endpoint.traffic.answered(attempt)
 	endpoint.latency.answered(rttMs)
-	request.class.served(b.now, rttMs, request.timing.objectiveAt)
+	request.class.observeServed(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
 	b.latency.observe(fraction, attempt.alone)
 	b.observeEndpoint(endpoint, fraction)
@@ -137,7 +137,7 @@
 func (b *Balancer) recordTimeout(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	b.limiter.abandoned.unanswered(rttMs, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
-	request.class.unanswered(b.now, rttMs)
+	request.class.observeUnanswered(b.now, rttMs)
 	if !b.set.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
@@ -153,7 +153,7 @@
 // or it was late: so long at least it would have taken.
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	request.class.unanswered(b.now, rttMs)
+	request.class.observeUnanswered(b.now, rttMs)
 	if b.now >= request.timing.objectiveAt && !endpoint.traffic.heardSince(attempt) &&
 		!b.outliers.mostUnanswered() {
 		b.outliers.eject(endpoint, true)
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -25,7 +25,7 @@
 	b.queue.add(request)
 	b.traffic.count(retry)
 	b.quotas.count(request.tenant)
-	b.classes.count(request.class)
+	b.classes.countRequest(request.class)
 	b.outliers.revalidate(b.queue.scarce)
 	b.queue.push(request)
 	if b.isInfeasible(request) {
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -6,17 +6,17 @@
 	"math"
 )
 
-// classMemory is over how many of its requests the share of a class served in time counts.
-const classMemory = 32
+// classHistory is over how many of its requests the share of a class served in time counts.
+const classHistory = 32
 
 // class is a class of requests and what was learnt of it.
 type class struct {
 	Class
 	meanMs       float64 // mean answer time, as of meanAt
 	meanAt       float64 // ms
-	answers      float64 // that it was learnt from
+	samples      float64 // that it was learnt from
 	requestShare float64 // recent share of all requests
-	servedInTime float64 // share of its last classMemory requests served within the objective
+	servedInTime float64 // share of its last classHistory requests served within the objective
 	counts       ClassCounts
 }
 
@@ -25,13 +25,13 @@
 
 // learn takes an answer time into the class's mean, which follows the answers of the time
 // after which its clients give up.
-func (c *class) learn(now, rttMs float64) {
-	weight := max(4*fleetSmoothing, 1/(c.answers+2))
-	if c.answers > 0 {
+func (c *class) observeLatency(now, rttMs float64) {
+	weight := max(4*fleetSmoothing, 1/(c.samples+2))
+	if c.samples > 0 {
 		weight = max(weight, 1-math.Exp((c.meanAt-now)/c.DeadlineMs))
 	}
 	c.meanMs = ewma(c.meanMs, min(rttMs, 2*c.LatencyObjectiveMs), weight)
-	c.answers++
+	c.samples++
 	c.meanAt = now
 }
 
@@ -49,21 +49,21 @@
 
 // served counts a request that was answered, after rttMs, and had its objective's end at
 // objectiveAt.
-func (c *class) served(now, rttMs, objectiveAt float64) {
-	c.learn(now, rttMs)
+func (c *class) observeServed(now, rttMs, objectiveAt float64) {
+	c.observeLatency(now, rttMs)
 	c.counts.Served++
 	if now <= objectiveAt {
 		c.counts.WithinObjective++
-		c.servedInTime += 1.0 / classMemory
+		c.servedInTime += 1.0 / classHistory
 	}
 }
 
 // unanswered takes an attempt into the mean that was given up on after its age. What it would
 // have taken is not known, nor whether its endpoint lives: it counts as twice the mean at most,
 // so that the mean runs away only where most go unanswered.
-func (c *class) unanswered(now, ageMs float64) {
+func (c *class) observeUnanswered(now, ageMs float64) {
 	if expected := c.expectedMs(now); ageMs > expected {
-		c.learn(now, min(ageMs, 2*expected))
+		c.observeLatency(now, min(ageMs, 2*expected))
 	}
 }
 
@@ -126,7 +126,7 @@
 		if old == nil {
 			continue
 		}
-		class.meanMs, class.meanAt, class.answers = old.meanMs, old.meanAt, old.answers
+		class.meanMs, class.meanAt, class.samples = old.meanMs, old.meanAt, old.samples
 		class.requestShare, class.servedInTime, class.counts = old.requestShare, old.servedInTime, old.counts
 		successor[old] = class
 		if old == worst {
@@ -137,7 +137,7 @@
 }
 
 // count notes a request of a class, and that it was not served in time so far.
-func (c *classStats) count(counted *class) {
+func (c *classStats) countRequest(counted *class) {
 	counted.counts.Requests++
 	c.meanPriority = 0
 	objectives, shares := 0.0, 0.0
@@ -145,7 +145,7 @@
 		class.requestShare *= shareDecay
 		if class == counted {
 			class.requestShare += 1 - shareDecay
-			class.servedInTime -= class.servedInTime / classMemory
+			class.servedInTime -= class.servedInTime / classHistory
 		}
 		c.meanPriority += class.requestShare * class.PriorityWeight
 		objectives += class.requestShare * class.LatencyObjectiveMs
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -132,9 +132,9 @@
 func TestClassStatsFindTheWorstClassSoon(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	serve := func(c *class, inTime bool) {
-		h.b.classes.count(c)
+		h.b.classes.countRequest(c)
 		if inTime {
-			c.servedInTime += 1.0 / classMemory
+			c.servedInTime += 1.0 / classHistory
 		}
 	}
 	well, badly := h.b.classes.all[0], h.b.classes.all[1]
@@ -160,7 +160,7 @@
 	c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
 	uncontendedMs := c.uncontendedMs()
 	for i := range 20 {
-		c.learn(float64(i), 2*c.LatencyObjectiveMs)
+		c.observeLatency(float64(i), 2*c.LatencyObjectiveMs)
 	}
 	late := c.expectedMs(20)
 	if late < c.LatencyObjectiveMs {
@@ -183,9 +183,9 @@
 		for i := range 300 {
 			now := float64(i) * 20
 			if i%3 < unanswered {
-				c.unanswered(now, 600)
+				c.observeUnanswered(now, 600)
 			} else {
-				c.learn(now, 30)
+				c.observeLatency(now, 30)
 			}
 		}
 		return c.expectedMs(6000)
