--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -24,7 +24,7 @@
 // request and can't learn which are slow or hung. Orders differ, so each endpoint keeps its share;
 // keys find theirs within. Where connections have no price, more endpoints keep more keys warm.
 func (s *endpointSubset) size() int {
-	size := s.traffic.recent
+	size := s.traffic.recentCount
 	if s.set.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
 	} else if s.set.Prices.Handshake > 0 {
@@ -33,7 +33,7 @@
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
 }
 
-// meetMs returns the time in which the agent comes by each endpoint of the subset, in ms.
-func (s *endpointSubset) meetMs() float64 {
-	return s.set.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recent, 1)
+// revisitIntervalMs returns the time in which the agent comes by each endpoint of the subset, in ms.
+func (s *endpointSubset) revisitIntervalMs() float64 {
+	return s.set.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recentCount, 1)
 }
--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -88,11 +88,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			env := &environment{set: Settings{Limits: Limits{KeepaliveMs: test.keepaliveMs},
 				Prices: Prices{Handshake: test.handshake}}}
-			subset := newEndpointSubset(env, &endpointSet{all: make(orderedEndpoints, 100)}, &requestRate{recent: test.requests})
+			subset := newEndpointSubset(env, &endpointSet{all: make(orderedEndpoints, 100)}, &requestRate{recentCount: test.requests})
 			if got := subset.size(); got != test.wantSize {
 				t.Errorf("got a size of %d, want %d", got, test.wantSize)
 			}
-			if got := subset.meetMs(); got != test.wantMeetMs {
+			if got := subset.revisitIntervalMs(); got != test.wantMeetMs {
 				t.Errorf("got %v ms to come by each, want %v", got, test.wantMeetMs)
 			}
 		})
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -4,8 +4,8 @@
 
 const (
 	// minLocalZoneWeight is how much more an endpoint of the agent's own zone weighs in a key's
-	// order at the least; zonePriceFactor times the price of crossing is the most.
-	minLocalZoneWeight, zonePriceFactor = 1.5, 100.0
+	// order at the least; maxZoneWeightPerPrice times the price of crossing is the most.
+	minLocalZoneWeight, maxZoneWeightPerPrice = 1.5, 100.0
 	// minMachineKindWeight is what a slow kind of machine keeps.
 	minMachineKindWeight = 0.25
 	// weightStep is how fast weights follow answer times.
@@ -32,7 +32,7 @@
 		latency = &z.localLatency
 	}
 	*latency = ewma(*latency, fraction, weightStep)
-	most := max(zonePriceFactor*crossZonePrice, minLocalZoneWeight)
+	most := max(maxZoneWeightPerPrice*crossZonePrice, minLocalZoneWeight)
 	slower := z.localLatency > z.remoteLatency*(1+crossZonePrice)
 	z.weight = stepWeight(z.weight, slower, minLocalZoneWeight, most)
 }
@@ -42,27 +42,27 @@
 // overload the small ones.
 type machineKindWeights struct {
 	meanLatency float64 // of all kinds
-	kind        [256]struct{ latency, weight float64 }
+	kinds       [256]struct{ latency, weight float64 }
 }
 
 // newMachineKindWeights returns weights of 1 for all kinds.
 func newMachineKindWeights() machineKindWeights {
 	weights := machineKindWeights{}
-	for i := range weights.kind {
-		weights.kind[i].weight = 1
+	for i := range weights.kinds {
+		weights.kinds[i].weight = 1
 	}
 	return weights
 }
 
 // of returns the weight of the endpoint's machine kind.
-func (m *machineKindWeights) of(endpoint *endpoint) float64 {
-	return m.kind[endpoint.machineKind&255].weight
+func (m *machineKindWeights) weightOf(endpoint *endpoint) float64 {
+	return m.kinds[endpoint.machineKind&255].weight
 }
 
 // observe takes an answer time, as a part of the objective.
 func (m *machineKindWeights) observe(endpoint *endpoint, fraction float64) {
 	m.meanLatency = ewma(m.meanLatency, fraction, weightStep)
-	kind := &m.kind[endpoint.machineKind&255]
+	kind := &m.kinds[endpoint.machineKind&255]
 	kind.latency = ewma(kind.latency, fraction, weightStep)
 	kind.weight = stepWeight(kind.weight, kind.latency > m.meanLatency, minMachineKindWeight, 1)
 }
--- a/policy/endpoint_weights_test.go
+++ b/policy/endpoint_weights_test.go
@@ -62,7 +62,7 @@
 				t.Errorf("got %d of 600 requests at the slow half, want 250 at most", slow)
 			}
 			// Where the list tells weights, only an endpoint's own answers count against it.
-			if weight := h.b.selector.kinds.kind[1].weight; (weight == 1) != (weights == "nominal") {
+			if weight := h.b.selector.kinds.kinds[1].weight; (weight == 1) != (weights == "nominal") {
 				t.Errorf("got a weight of %.2f for the slow kind, want 1: %v", weight, weights == "nominal")
 			}
 		})
@@ -79,11 +79,11 @@
 		kinds.observe(slow, 0.4)
 		kinds.observe(fast, 0.1)
 	}
-	if want := zonePriceFactor * 0.05; zones.weight != want {
+	if want := maxZoneWeightPerPrice * 0.05; zones.weight != want {
 		t.Errorf("quick local zone: got a weight of %v, want %v", zones.weight, want)
 	}
-	if kinds.of(slow) != minMachineKindWeight || kinds.of(fast) != 1 {
-		t.Errorf("got weights of %v for the slow kind and %v for the fast one, want %v and 1", kinds.of(slow), kinds.of(fast),
+	if kinds.weightOf(slow) != minMachineKindWeight || kinds.weightOf(fast) != 1 {
+		t.Errorf("got weights of %v for the slow kind and %v for the fast one, want %v and 1", kinds.weightOf(slow), kinds.weightOf(fast),
 			minMachineKindWeight)
 	}
 	for range 1000 {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -206,7 +206,7 @@
 		return 0
 	}
 	doublings := max(endpoint.health.consecutiveEjections-1, 0)
-	once := max(d.classes.shortestObjectiveMs, d.subset.meetMs())
+	once := max(d.classes.shortestObjectiveMs, d.subset.revisitIntervalMs())
 	return min(once*float64(int(1)<<doublings), maxEjectionMs)
 }
 
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -8,32 +8,32 @@
 // quotaTracker holds the tenants' shares of this agent's requests.
 type quotaTracker struct {
 	*environment
-	usage []float64 // by tenant, over about the last 500 requests
+	shares []float64 // by tenant, over about the last 500 requests
 }
 
 // newQuotaTracker returns a tracker of the tenants that the settings name, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
-	return quotaTracker{environment: env, usage: make([]float64, len(env.set.Tenants))}
+	return quotaTracker{environment: env, shares: make([]float64, len(env.set.Tenants))}
 }
 
 // over reports whether a tenant sends more than its quota of what comes. A tenant that the settings
 // don't name has no quota.
 func (q *quotaTracker) over(tenant int) bool {
-	if tenant < 0 || tenant >= len(q.usage) {
+	if tenant < 0 || tenant >= len(q.shares) {
 		return false
 	}
-	return q.usage[tenant] > quotaTolerance*q.set.Tenants[tenant].QuotaShare
+	return q.shares[tenant] > quotaTolerance*q.set.Tenants[tenant].QuotaShare
 }
 
 // count notes a request of a tenant.
 func (q *quotaTracker) count(tenant int) {
-	if tenant < 0 || tenant >= len(q.usage) {
+	if tenant < 0 || tenant >= len(q.shares) {
 		return
 	}
-	for i := range q.usage {
-		q.usage[i] *= shareDecay
+	for i := range q.shares {
+		q.shares[i] *= shareDecay
 	}
-	q.usage[tenant] += 1 - shareDecay
+	q.shares[tenant] += 1 - shareDecay
 }
 
 // totalQuotaPerMs returns the rate that the settings foresee for all tenants, in requests a ms; 0 if they
@@ -48,12 +48,12 @@
 
 // move rearranges the shares for new tenants; index returns the new index of an old one, -1 for
 // one that is named no more.
-func (q *quotaTracker) move(tenants []Tenant, index func(old int) int) {
+func (q *quotaTracker) remap(tenants []Tenant, index func(old int) int) {
 	usage := make([]float64, len(tenants))
-	for old, share := range q.usage {
+	for old, share := range q.shares {
 		if i := index(old); i >= 0 {
 			usage[i] = share
 		}
 	}
-	q.usage = usage
+	q.shares = usage
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -29,7 +29,7 @@
 				quotas.count(tenant)
 			}
 			if got := quotas.over(0); got != test.over {
-				t.Errorf("share of %.3f: got over its quota %v, want %v", quotas.usage[0], got, test.over)
+				t.Errorf("share of %.3f: got over its quota %v, want %v", quotas.shares[0], got, test.over)
 			}
 		})
 	}
@@ -39,23 +39,23 @@
 func TestQuotaTrackerLeavesOutUnknownTenants(t *testing.T) {
 	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
-	before := quotas.usage[0]
+	before := quotas.shares[0]
 	for _, tenant := range []int{-1, 1, 1 << 30} {
 		quotas.count(tenant)
 		if quotas.over(tenant) {
 			t.Errorf("tenant %d: got it over a quota, want it never over", tenant)
 		}
 	}
-	if quotas.usage[0] != before {
-		t.Errorf("got a share of %v, want %v as before", quotas.usage[0], before)
+	if quotas.shares[0] != before {
+		t.Errorf("got a share of %v, want %v as before", quotas.shares[0], before)
 	}
 }
 
 // Shares go with the tenants' names to their new indexes.
 func TestQuotaTrackerMovesShares(t *testing.T) {
-	quotas := quotaTracker{environment: &environment{}, usage: []float64{0.1, 0.2, 0.7}}
-	quotas.move(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
-	if len(quotas.usage) != 2 || quotas.usage[0] != 0.7 || quotas.usage[1] != 0.1 {
-		t.Errorf("got shares %v, want 0.7 and 0.1", quotas.usage)
+	quotas := quotaTracker{environment: &environment{}, shares: []float64{0.1, 0.2, 0.7}}
+	quotas.remap(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
+	if len(quotas.shares) != 2 || quotas.shares[0] != 0.7 || quotas.shares[1] != 0.1 {
+		t.Errorf("got shares %v, want 0.7 and 0.1", quotas.shares)
 	}
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -28,7 +28,7 @@
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.set.Contract.SlowStartMs
+	oldSpanMs, oldSlowStartMs := b.traffic.decayMs(), b.set.Contract.SlowStartMs
 	b.moveTenants(set.Tenants)
 	b.set = set
 	b.queue.keepUnserved(b.classes.reload())
@@ -56,7 +56,7 @@
 		}
 		return -1
 	}
-	b.quotas.move(tenants, index)
+	b.quotas.remap(tenants, index)
 	for _, request := range b.queue.open {
 		request.tenant = index(request.tenant)
 	}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -77,7 +77,7 @@
 	}
 	id, server := h.mustSend(keyedClass, 7)
 	h.endAttempt(id, 0, server, StatusServerError, 10)
-	h.b.quotas.usage[0], h.b.quotas.usage[1] = 0.9, 0.1
+	h.b.quotas.shares[0], h.b.quotas.shares[1] = 0.9, 0.1
 	return h
 }
 
@@ -120,7 +120,7 @@
 	if got := h.b.classes.all[1].meanMs; got != meanMs {
 		t.Errorf("got a mean answer time of %v ms for the class, want %v as before", got, meanMs)
 	}
-	if usage := h.b.quotas.usage; usage[2] != 0.9 || usage[1] != 0.1 || usage[0] != 0 {
+	if usage := h.b.quotas.shares; usage[2] != 0.9 || usage[1] != 0.1 || usage[0] != 0 {
 		t.Errorf("got the tenants' shares %v, want 0, 0.1 and 0.9", usage)
 	}
 	if !h.b.quotas.over(2) || h.b.quotas.over(1) {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -10,16 +10,16 @@
 	// boundedLoadFactor is how far above its even share of the agent's attempts an endpoint may go
 	// before a key's request moves on to the next in hash order.
 	boundedLoadFactor = 3.0
-	// keyAffinityWait is the part of its objective that a request may wait for one of the
+	// keyAffinityWaitFraction is the part of its objective that a request may wait for one of the
 	// keyEndpoints nearest its key: going on at once would lose the warm key just when time is
 	// short.
-	keyAffinityWait, keyEndpoints = 0.25, 2
-	// popularKeyParts is into how many parts a key is split that alone would be an endpoint's even
+	keyAffinityWaitFraction, keyEndpoints = 0.25, 2
+	// keySplitFactor is into how many parts a key is split that alone would be an endpoint's even
 	// share: it is not alone there.
-	popularKeyParts = 4.0
-	// recentSlack is how much slower than the fleet an endpoint may seem by chance,
+	keySplitFactor = 4.0
+	// recentLatencyTolerance is how much slower than the fleet an endpoint may seem by chance,
 	// minRecentWeight what the slowest keeps of its weight.
-	recentSlack, minRecentWeight = 1.1, 0.02
+	recentLatencyTolerance, minRecentWeight = 1.1, 0.02
 	// slowStartWeightFactor is how many times its share one that is warming up weighs in a key's
 	// order, up to 1: its allowance limits it.
 	slowStartWeightFactor = 4
@@ -123,7 +123,7 @@
 func (s *selector) waitsForKey(request *request) bool {
 	timing := &request.timing
 	return request.key != 0 && len(request.tries.counted) == 0 &&
-		s.now-timing.arrived < keyAffinityWait*(timing.objectiveAt-timing.arrived)
+		s.now-timing.arrived < keyAffinityWaitFraction*(timing.objectiveAt-timing.arrived)
 }
 
 // keyEndpointsFull reports whether the request waits for the endpoints nearest its key and none of
@@ -141,7 +141,7 @@
 	hash := mix(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
 	warmth := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
-	weight := endpoint.weight * s.kinds.of(endpoint) * warmth
+	weight := endpoint.weight * s.kinds.weightOf(endpoint) * warmth
 	weight *= s.recentWeight(endpoint)
 	if endpoint.zone == s.set.Zone {
 		weight *= s.zones.weight
@@ -157,7 +157,7 @@
 	if s.latency.fleetRecent == 0 {
 		return 1
 	}
-	slower := s.latency.recentOf(endpoint) / (recentSlack * s.latency.fleetRecent)
+	slower := s.latency.recentOf(endpoint) / (recentLatencyTolerance * s.latency.fleetRecent)
 	if slower <= 1 {
 		return 1
 	}
@@ -175,7 +175,7 @@
 	share := s.recentKeys.add(key) - 1.0/keyHistory
 	endpoints := float64(s.subset.size())
 	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
-	parts := max(share*popularKeyParts*endpoints*unseen, 1)
+	parts := max(share*keySplitFactor*endpoints*unseen, 1)
 	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
 }
 
