--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -4,9 +4,9 @@
 
 import "math"
 
-// minSpanFraction is the least part of the span that counts as measured: the rate of the first
-// moments is not taken to be higher than 1/minSpanFraction times what was seen.
-const minSpanFraction = 0.01
+// minMeasuredFraction is the least part of the span that counts as measured: the rate of the first
+// moments is not taken to be higher than 1/minMeasuredFraction times what was seen.
+const minMeasuredFraction = 0.01
 
 // requestRate measures the requests of this agent's clients.
 type requestRate struct {
@@ -47,7 +47,7 @@
 func (r *requestRate) perMs() float64 {
 	span := r.decayMs()
 	decay := math.Exp((r.recentAt - r.now) / span)
-	return r.recentCount * decay / span / max(1-math.Exp((r.startedAt-r.now)/span), minSpanFraction)
+	return r.recentCount * decay / span / max(1-math.Exp((r.startedAt-r.now)/span), minMeasuredFraction)
 }
 
 // lifetimePerMs returns the rate since the start, in requests a ms.
