--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -7,22 +7,27 @@
 )
 
 const (
-	// attemptsPerEndpoint is how many attempts for each endpoint all agents together may always
-	// have in flight: it keeps an endpoint busy and is well under what makes one slower.
+	// attemptsPerEndpoint is the number of attempts per endpoint that all agents together may
+	// always have in flight. It keeps an endpoint busy and is well below the number that slows
+	// one down.
 	attemptsPerEndpoint = 2.0
-	// minAttemptsPerEndpoint is the same while answers are late.
+	// minAttemptsPerEndpoint is the number of attempts per endpoint that all agents together may
+	// have in flight at the least, while answers are late.
 	minAttemptsPerEndpoint = 1.0
-	// A good answer adds limitIncrease to an agent's part, over those of a round trip; a late one
-	// takes up to limitDecrease off.
+	// limitIncrease is the additive increase of the limit: while the limit is at its floor, the
+	// good answers of one round trip raise it by this fraction of the floor. limitDecrease is the
+	// multiplicative decrease: one late answer lowers the limit by up to this fraction.
 	limitIncrease, limitDecrease = 0.2, 0.4
-	// uncontendedServiceTimeFactor is how many times its work an uncontended answer may take.
+	// uncontendedServiceTimeFactor is the highest ratio of an uncontended answer time to the
+	// service time: that of an endpoint at three quarters of its capacity.
 	uncontendedServiceTimeFactor = 4.0
 )
 
-// concurrencyLimiter bounds the attempts in flight of this agent. What it bounds is the queue in
-// front of the endpoints, whatever the number of agents and however late they learn. It follows
-// answer times, not failures: a limit that closes on failures and opens when they are forgotten
-// does so at all agents at once, and the fleet swings between idle and overload.
+// concurrencyLimiter limits the attempts that this agent has in flight. This bounds the queues in
+// front of the endpoints, however many agents there are and however late they notice a change.
+// The limit follows answer times, not failures. A limit that closed on failures and opened again
+// when they were forgotten would do so at all agents at once, and the fleet would oscillate between
+// idle and overload.
 type concurrencyLimiter struct {
 	*environment
 	endpoints *endpointSet
@@ -31,28 +36,28 @@
 	latency   *latencyTracker
 	classes   *classStats
 
-	scale         float64 // the limit in multiples of floor
-	inFlight      int
-	stalled       int // of these, at endpoints that fell silent
+	scale         float64 // limit as a multiple of floor
+	inFlight      int     // attempts in flight, stalled ones included
+	stalled       int     // attempts in flight at endpoints that stopped answering
 	abandoned     abandonedAttempts
-	meanRTTMs     float64 // mean answer time
-	lastAttemptAt float64 // ms
+	meanRTTMs     float64 // moving average of the answer times
+	lastAttemptAt float64 // when the latest attempt was sent, in ms
 }
 
-// newConcurrencyLimiter returns a limiter at its floor that asks the components given.
+// newConcurrencyLimiter returns a limiter whose limit is at its floor.
 func newConcurrencyLimiter(env *environment, endpoints *endpointSet, slowStart *slowStart,
 	traffic *requestRate, latency *latencyTracker, classes *classStats) concurrencyLimiter {
 	return concurrencyLimiter{environment: env, endpoints: endpoints, slowStart: slowStart,
 		traffic: traffic, latency: latency, classes: classes, scale: 1}
 }
 
-// attemptSent notes an attempt that is sent now.
+// attemptSent records an attempt that is sent now.
 func (l *concurrencyLimiter) attemptSent() {
 	l.lastAttemptAt = l.now
 	l.inFlight++
 }
 
-// attemptEnded notes that an attempt is no longer in flight.
+// attemptEnded records that an attempt is no longer in flight.
 func (l *concurrencyLimiter) attemptEnded(attempt *attempt) {
 	l.inFlight--
 	if attempt.stalled {
@@ -60,7 +65,7 @@
 	}
 }
 
-// markStalled lets go of an attempt at an endpoint that fell silent under it.
+// markStalled stops counting an attempt against the limit because its endpoint stopped answering.
 func (l *concurrencyLimiter) markStalled(attempt *attempt) {
 	if !attempt.stalled {
 		attempt.stalled = true
@@ -68,7 +73,8 @@
 	}
 }
 
-// clearStalled bounds the stalled attempts again of an endpoint that has answered.
+// clearStalled counts the stalled attempts of an endpoint against the limit again, after the
+// endpoint has answered.
 func (l *concurrencyLimiter) clearStalled(endpoint *endpoint) {
 	for _, attempt := range endpoint.traffic.inFlight {
 		if attempt.stalled {
@@ -78,49 +84,57 @@
 	}
 }
 
-// limit returns how many attempts may be in flight. A limit under 1 is kept by pausing.
+// limit returns the number of attempts that may be in flight. A limit below 1 is enforced by a
+// pause between attempts, see allows.
 func (l *concurrencyLimiter) limit() float64 { return l.floor() * l.scale }
 
-// allows reports whether another attempt may be sent now.
+// allows reports whether another attempt may be sent now. Abandoned attempts count as in flight,
+// stalled ones don't. With a limit below 1 the attempts are at least meanRTTMs/limit apart.
 func (l *concurrencyLimiter) allows() bool {
 	inFlight := float64(l.inFlight - l.stalled + len(l.abandoned.all))
 	limit := l.limit()
 	return inFlight < max(limit, 1) && (limit >= 1 || l.now-l.lastAttemptAt >= l.meanRTTMs/limit)
 }
 
-// floor returns the agent's part of attemptsPerEndpoint attempts an endpoint; the limit is scale times
-// that, and less only while answers are late. Its part is that of the traffic that the settings
-// foresee for all agents, an even one where they foresee none. One in flight at a time does no
-// harm as long as all agents may have one.
+// floor returns this agent's part of attemptsPerEndpoint attempts per endpoint. The limit is below
+// it only while answers are late. The agent's part is its part of the traffic that the settings
+// announce for all agents, by the tenants' quotas. Without quotas all agents have the same part, or
+// more if their traffic needs it. With quotas the floor is at least one attempt, or the even part if
+// that is less: one attempt in flight does no harm as long as every agent may have one.
 func (l *concurrencyLimiter) floor() float64 {
 	all := attemptsPerEndpoint * l.slowStart.fleetCapacity()
 	even := all / float64(max(l.set.Replicas, 1))
-	foreseen := totalQuotaPerMs(l.set.Tenants)
-	if foreseen == 0 {
+	quota := totalQuotaPerMs(l.set.Tenants)
+	if quota == 0 {
 		return max(even, all*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
 	}
-	return max(all*l.traffic.perMs()/l.capAtCapacity(foreseen), min(even, 1))
+	return max(all*l.traffic.perMs()/l.capAtCapacity(quota), min(even, 1))
 }
 
-// capAtCapacity bounds what the settings foresee of all agents, in requests a ms, by what the
-// listed endpoints could possibly answer: in a fleet of many services the settings tell of all
-// of them, the list names one service's endpoints. An uncontended answer may still have waited
-// for others: it takes uncontendedServiceTimeFactor times its work at three quarters of what an endpoint
-// can do. So settings that tell of the listed endpoints are left alone, and what an agent may
-// always have in flight is under what its own calls take while nothing is crowded (Little's law).
-func (l *concurrencyLimiter) capAtCapacity(foreseen float64) float64 {
-	workMs := l.latency.uncontended * l.classes.meanObjectiveMs / uncontendedServiceTimeFactor
-	if workMs <= 0 || l.endpoints.ready == 0 {
-		return foreseen // nothing was measured yet, or nobody can answer
+// capAtCapacity caps the rate that the settings announce for all agents, in requests per ms, at the
+// highest rate that the listed endpoints can serve. In a fleet of many services the settings cover
+// all services, but the list names the endpoints of one.
+//
+// The service time is estimated from the uncontended answer time. Even an uncontended request may
+// have been queued: at three quarters of an endpoint's capacity its answer takes
+// uncontendedServiceTimeFactor times the service time. The estimate is therefore too low rather than
+// too high. Settings that cover only the listed endpoints are not capped, and by Little's law an
+// agent's floor stays below the concurrency that its own requests need while no endpoint is
+// congested.
+func (l *concurrencyLimiter) capAtCapacity(ratePerMs float64) float64 {
+	serviceMs := l.latency.uncontended * l.classes.meanObjectiveMs / uncontendedServiceTimeFactor
+	if serviceMs <= 0 || l.endpoints.ready == 0 {
+		return ratePerMs // no answer was measured yet, or no endpoint is ready
 	}
-	return min(foreseen, attemptsPerEndpoint*l.slowStart.fleetCapacity()/workMs)
+	return min(ratePerMs, attemptsPerEndpoint*l.slowStart.fleetCapacity()/serviceMs)
 }
 
-// grow raises the limit after a good answer. Below one attempt it doubles (slow start), above it
-// grows by a part of one attempt at least. In a fleet of many services the settings tell of all of
-// them and the list names one service's endpoints: an agent's part is then a hundredth of an
-// attempt, and a limit that grew by parts of that would reject most calls of a healthy service.
-// Answers that are late take it back to its floor.
+// grow raises the limit after a good answer. A limit below one attempt doubles, up to one, like the
+// slow start of a congestion window. Above that it grows additively, by a fraction of the floor or
+// of one attempt, whichever is larger. In a fleet of many services the settings cover all services,
+// but the list names the endpoints of one. The floor of an agent is then a hundredth of an attempt,
+// and a limit that grew by fractions of that would reject most requests of a healthy service. Late
+// answers lower the limit to its floor again.
 func (l *concurrencyLimiter) grow(limit float64) {
 	floor := l.floor()
 	switch {
@@ -133,9 +147,11 @@
 	}
 }
 
-// adapt lets the limit follow how attempts end: up while answers take little of their objective,
-// down the more the later one is, or if it is rejected or its client disconnects. Errors and broken
-// connections tell nothing of queues. It reports whether the answer came in good time.
+// adapt adjusts the limit after the end of an attempt. An answer within congestedFraction of its
+// latency objective raises the limit, if at least half of it is in use. A later answer lowers it in
+// proportion to how late it is. So do a rejection, which counts as fully late, a client that
+// disconnects late, and a timeout at an endpoint that still answers. Errors and broken connections
+// say nothing about queues and change nothing. adapt reports whether the answer came in time.
 func (l *concurrencyLimiter) adapt(attempt *attempt, status Status, rttMs float64) (inTime bool) {
 	limit := l.limit()
 	lateness := min(max(rttMs/attempt.request.class.LatencyObjectiveMs-congestedFraction, 0), 1)
@@ -157,7 +173,7 @@
 	return false
 }
 
-// indicatesQueueing reports whether a late end of an attempt is a sign of queues at its endpoint.
+// indicatesQueueing reports whether the late end of an attempt indicates a queue at its endpoint.
 func indicatesQueueing(attempt *attempt, status Status) bool {
 	switch status {
 	case StatusOK, StatusRejected:
@@ -170,8 +186,8 @@
 	return false
 }
 
-// rebase keeps the limit where the list has changed the floor from what it was: a limit that has
-// grown far above a part of one attempt does not grow with that part.
+// rebase keeps the limit, not the scale, after a new list has raised the floor: a limit that has
+// grown far above a floor below one attempt must not grow in proportion to that floor.
 func (l *concurrencyLimiter) rebase(oldFloor, oldLimit float64) {
 	if floor := l.floor(); oldFloor < 1 && floor > oldFloor {
 		l.scale = max(oldLimit/floor, min(l.scale, 1))
