--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,4 +1,5 @@
-// This file holds which endpoints are warming up, and how much they may be sent.
+// This file holds the slow start of endpoints whose process has just started: which endpoints are
+// warming up, and how much work they may be sent.
 
 package policy
 
@@ -8,21 +9,22 @@
 )
 
 const (
-	// allowanceBurst bounds what an endpoint's allowance saves up, in mean requests: all agents may
-	// spend it at once.
+	// allowanceBurst is the burst of an endpoint's allowance, which is a token bucket, in mean
+	// requests. It is small because all agents may spend theirs at once.
 	allowanceBurst = 1.0
-	// slowStartMargin is what an even share may cost an endpoint that is warming up, in its present
-	// capacity: warm ones may be crowded by half and save two thirds by their warm keys.
+	// slowStartMargin divides the share of an endpoint that is warming up, see share. Without it,
+	// a share in proportion to the present capacity could need up to this multiple of it: the warm
+	// endpoints may be overloaded by half, and their warm keys save them two thirds of the work.
 	slowStartMargin = 5.0
-	// maxCapacityOverestimate is how many times its capacity an endpoint that is warming up may be taken to
-	// have, for an error in its age: warm ones may be crowded by half, which slowStartMargin
-	// allows for.
+	// maxCapacityOverestimate bounds the ratio of an endpoint's estimated capacity to the actual
+	// one, where the age of its process is wrong while it is warming up. It is the overload by half
+	// that slowStartMargin allows for.
 	maxCapacityOverestimate = 1.5
 )
 
-// StartToleranceMs returns how much older than it is an endpoint that is warming up may be taken for,
-// in ms: at its start, where that means most, it then counts as maxCapacityOverestimate times what it can
-// do.
+// StartToleranceMs returns by how much the age of an endpoint that is warming up may be
+// overestimated, in ms. Such an error weighs most at the start of the process, where it makes the
+// endpoint's capacity seem maxCapacityOverestimate times what it is.
 func (c *Contract) StartToleranceMs() float64 {
 	if c.SlowStartFrom >= 1 {
 		return c.SlowStartMs
@@ -30,68 +32,81 @@
 	return min((maxCapacityOverestimate-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
 }
 
-// capacityFraction returns the part of its capacity that an endpoint has by the contract: it grows
-// evenly with the age of its process, from SlowStartFrom to 1.
+// capacityFraction returns the fraction of its full capacity that an endpoint has by the contract.
+// It grows linearly with the age of its process, from SlowStartFrom to 1 at SlowStartMs.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
 	contract, start := &env.set.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
 		start.startedAt != start.listedAt && age > contract.PollWithinMs {
-		return 1 // long past, or a restart that was assumed and not confirmed by the list in its time
+		// It started long ago, or its restart was assumed and a list that is recent enough to show
+		// it has not confirmed it.
+		return 1
 	}
 	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
 }
 
-// slowStart holds which endpoints are warming up and what they may be sent.
+// slowStart limits the work that is sent to endpoints that are warming up. Each has an allowance, a
+// token bucket in units of the work of a mean request. Work that warm endpoints serve refills it,
+// and each attempt at the endpoint takes its cost from it.
 type slowStart struct {
 	*environment
-	endpoints        *endpointSet
-	warming          []*endpoint // that may not have their whole capacity yet
-	cachedWarmWeight float64     // weight of the warm endpoints, as of warmWeightAt and warmWeightEpoch
-	warmWeightAt     float64     // ms
+	endpoints *endpointSet
+	warming   []*endpoint // endpoints that may not have their full capacity yet
+
+	// Total weight of the warm endpoints of the best tier, computed at warmWeightAt (ms) for the
+	// epoch warmWeightEpoch of the endpoint set.
+	cachedWarmWeight float64
+	warmWeightAt     float64
 	warmWeightEpoch  uint64
-	stale            bool    // an endpoint began or ended its slow start since
-	workPerWeight    float64 // work sent to a warm endpoint of weight 1, fading over the slow start time
-	workAt           float64 // ms
-	cachedCapacity   float64 // of all usable endpoints, as of capacityAt
-	capacityAt       float64 // ms
+	stale            bool // an endpoint has begun or ended its slow start since
+
+	// Work that warm endpoints have served, per unit of their weight. It decays exponentially, with
+	// the slow start time as time constant, and is as of workAt (ms).
+	workPerWeight float64
+	workAt        float64
+
+	cachedCapacity float64 // result of fleetCapacity at capacityAt
+	capacityAt     float64 // ms
 }
 
-// newSlowStart returns a slowStart of the endpoints, of which none is warming up yet.
+// newSlowStart returns a slowStart without any endpoint that is warming up.
 func newSlowStart(env *environment, endpoints *endpointSet) slowStart {
 	return slowStart{environment: env, endpoints: endpoints}
 }
 
-// start begins to measure the work that warm endpoints are sent.
+// start begins to measure the work that warm endpoints serve.
 func (w *slowStart) start() { w.workAt = w.now }
 
-// listChanged notes that the list has changed, and with it the fleet's capacity.
+// listChanged invalidates the cached capacity of the fleet after a change of the endpoint list.
 func (w *slowStart) listChanged() { w.capacityAt = never }
 
-// rescale adapts the flow, which fades over the slow start time, to settings that changed that time
-// from oldSlowStartMs: it stands for as much as before.
+// rescale adapts workPerWeight to a reload of the settings that changed its time constant, the slow
+// start time, from oldSlowStartMs. The rate that it stands for remains the same.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
 		w.workPerWeight *= w.set.Contract.SlowStartMs / oldSlowStartMs
 	}
 }
 
-// restart notes that an endpoint is a new process that started at startedAt by the list. Its allowance
-// starts at random: of many agents that each earn it a part of one request, as many send one as the
-// parts add up to; from 0 none would before it is warm.
+// restart records that an endpoint is a new process that started at startedAt by the endpoint list.
+// Its allowance starts at a random fraction of a request. Many agents may each earn the endpoint
+// only a part of one request. With random starts, as many of them send a request as these parts add
+// up to; if all started at 0, none would send one before the endpoint is warm.
 func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
 	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
 	w.markWarming(endpoint)
 	endpoint.slowStart.allowance = w.rng.Float64()
 }
 
-// assumeRestart takes an endpoint for a process that started now, until the list says otherwise.
+// assumeRestart treats an endpoint as a process that started now, until the list says otherwise.
 func (w *slowStart) assumeRestart(endpoint *endpoint) {
 	endpoint.slowStart.startedAt, endpoint.slowStart.allowance = w.now, w.rng.Float64()
 	w.markWarming(endpoint)
 }
 
-// charge takes an attempt that is sent from its endpoint's allowance, if that is warming up.
+// charge takes the cost of an attempt that is sent from its endpoint's allowance, if the endpoint is
+// warming up.
 func (w *slowStart) charge(sent *attempt) {
 	if w.capacityFraction(sent.endpoint) < 1 {
 		sent.endpoint.slowStart.allowance -= sent.cost
@@ -99,14 +114,15 @@
 	}
 }
 
-// refund gives back what an attempt was charged that never went out.
+// refund returns the charged cost of an attempt that was never sent.
 func (w *slowStart) refund(attempt *attempt) {
 	if attempt.charged {
 		attempt.endpoint.slowStart.allowance += attempt.cost
 	}
 }
 
-// begin notes that an endpoint's start has changed: it may be warming up.
+// markWarming records that the start time of an endpoint's process has changed, so that it may be
+// warming up.
 func (w *slowStart) markWarming(endpoint *endpoint) {
 	w.stale = true
 	if !endpoint.slowStart.warming && endpoint.slowStart.startedAt > 0 {
@@ -115,14 +131,14 @@
 	}
 }
 
-// forget drops an endpoint that is no longer listed.
+// forget removes an endpoint that is no longer listed.
 func (w *slowStart) forget(forgotten *endpoint) {
 	if forgotten.slowStart.warming {
 		w.warming = slices.DeleteFunc(w.warming, func(other *endpoint) bool { return other == forgotten })
 	}
 }
 
-// removeWarm takes those that are warm by now from the ones that are warming up.
+// removeWarm removes the endpoints that have become warm from those that are warming up.
 func (w *slowStart) removeWarm() {
 	w.countWork(w.warming)
 	w.warming = slices.DeleteFunc(w.warming, func(endpoint *endpoint) bool {
@@ -132,8 +148,8 @@
 	})
 }
 
-// warmWeight returns the weight of the endpoints of the top tier that are not warming up, counted
-// anew only where a tier, the list or who is warming up has changed.
+// warmWeight returns the total weight of the endpoints of the best tier that are not warming up. It
+// is recomputed only after a change of a tier, of the list or of the endpoints that are warming up.
 func (w *slowStart) warmWeight() float64 {
 	if w.warmWeightAt == w.now && w.warmWeightEpoch == w.endpoints.epoch {
 		return w.cachedWarmWeight
@@ -153,9 +169,10 @@
 	return w.cachedWarmWeight
 }
 
-// fleetCapacity returns what the usable endpoints can do, in warm ones. Those that are warming up
-// count in part beside warm ones: their allowance bounds what they are sent, and what is missing
-// of an even share would be sent to the warm ones. Alone they count as whole.
+// fleetCapacity returns the capacity of the usable endpoints, in units of one warm endpoint. An
+// endpoint that is warming up counts in proportion to its capacity while there are warm ones: its
+// allowance limits what it is sent, and the rest of an even share would go to the warm ones. If no
+// endpoint is warm, each counts in full.
 func (w *slowStart) fleetCapacity() float64 {
 	if w.capacityAt == w.now {
 		return w.cachedCapacity
@@ -173,9 +190,9 @@
 	return w.cachedCapacity
 }
 
-// share returns the part of an even share that an endpoint may be sent of which only the fraction given
-// of the capacity is there: of one that is warming up what keeps the contract, so that its keys
-// move to it as it warms up.
+// share returns the fraction of an even share of the load that an endpoint with the given fraction
+// of its capacity may be sent. While it is warming up this stays below the overload that the
+// contract defines, and rises with its capacity, so that its keys move to it as it warms up.
 func (w *slowStart) share(fraction float64) float64 {
 	if fraction < 1 {
 		return fraction * w.set.Contract.OverloadMultiple / slowStartMargin
@@ -183,16 +200,17 @@
 	return 1
 }
 
-// earn raises the allowances after a warm endpoint has served work of the cost given, in mean
-// requests: each endpoint that is warming up may get its share by weight and capacity. Then the
-// shares of all agents together stay in proportion to what the endpoints can do, without any
-// agreement. What was rejected earns nothing: rejections come fast, and under overload they would
-// multiply the allowances. subset is how many endpoints the agent sends to.
+// refillAllowances raises the allowances after an endpoint has served a request of the given cost,
+// in mean requests. If the endpoint is warm, each endpoint that is warming up earns its share of
+// that cost by weight and capacity. This keeps the shares of all agents together in proportion to
+// the capacities, without any coordination. Rejected requests earn nothing: rejections come fast,
+// and under overload they would multiply the allowances. subset is the number of endpoints that the
+// agent sends to.
 func (w *slowStart) refillAllowances(server *endpoint, cost float64, subset int) {
 	if w.capacityFraction(server) < 1 {
 		return
 	}
-	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // of its subset
+	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // in the agent's subset
 	if warm > 0 {
 		w.workPerWeight = w.workPerWeight*math.Exp((w.workAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
 		w.workAt = w.now
@@ -206,9 +224,9 @@
 	}
 }
 
-// pauseElapsed reports whether an endpoint has been sent nothing for long enough that it may take another
-// request of the cost given, where no endpoint is warm: for as long as its share of what a warm one was
-// sent before takes.
+// pauseElapsed reports whether an endpoint may be sent another request of the given cost while no
+// endpoint is warm. It may once it has been idle for as long as its share takes to add up to that
+// cost, at the rate at which a warm endpoint was sent work before.
 func (w *slowStart) pauseElapsed(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
 	earned := (w.now - endpoint.traffic.sentAt) * w.workPerWeight * endpoint.weight * share
