--- a/policy/latency.go
+++ b/policy/latency.go
@@ -1,4 +1,4 @@
-// This file holds what is learnt from answer times, and how it is forgotten.
+// This file holds the estimates from answer times, how they decay, and the endpoints' windows.
 
 package policy
 
@@ -7,57 +7,64 @@
 )
 
 const (
-	// congestedFraction is the part of the latency objective that an endpoint's mean answer time may
-	// take.
+	// congestedFraction is the fraction of the latency objective above which an answer time always
+	// indicates congestion.
 	congestedFraction = 0.5
-	// congestedFactor is how many times the fleet's uncontended answer time an uncrowded endpoint's
-	// may be.
+	// congestedFactor multiplies the fleet's uncontended answer time: an endpoint is congested when
+	// its mean answer time is above the product, see congestionThreshold.
 	congestedFactor = 1.5
-	// initialWindow is how many attempts an unmeasured endpoint may hold.
+	// initialWindow is the number of attempts that an endpoint without any answer may have in
+	// flight.
 	initialWindow = 2.0
-	// minUncontendedSamples is the number of answers that make the first measure of the uncontended
-	// answer time; until then no window grows, so that a start does not crowd what it measures.
+	// minUncontendedSamples is the number of answers that make the first estimate of the uncontended
+	// answer time. Until then no window grows, so that a starting agent does not congest the
+	// endpoints that it measures.
 	minUncontendedSamples = 50
-	// minWindow is what the most crowded endpoint keeps: enough to see when it is not. An endpoint
-	// counts as overloaded, and may get less than one attempt, from overloadFactor times the
-	// answer time of a crowded one.
+	// minWindow is the smallest window, in attempts. It is above 0 so that answers still come and
+	// show when the congestion ends. A window falls below one attempt only at an overloaded
+	// endpoint: one whose mean answer time is above overloadFactor times the congestion threshold.
 	minWindow, overloadFactor = 0.1, 2.5
-	// windowDecreaseFactor is what a crowded endpoint keeps of its window.
+	// windowDecreaseFactor multiplies the window of a congested endpoint at each decrease.
 	windowDecreaseFactor = 0.85
-	// endpointSmoothing is the weight of an answer in an endpoint's mean, fleetSmoothing in one
-	// over all endpoints.
+	// endpointSmoothing is the smoothing factor of an endpoint's moving averages, fleetSmoothing
+	// that of averages over all endpoints.
 	endpointSmoothing, fleetSmoothing = 0.2, 0.005
-	// shareDecay lets requests count less for shares with age, over about 500.
+	// shareDecay is the factor by which a request's weight in a share of the requests decays with
+	// each later request. Shares thus cover about the last 500 requests.
 	shareDecay = 0.998
-	// recentSmoothing and recentFleetSmoothing are the weights of an answer in the recent latency of its
-	// endpoint and of the fleet.
+	// recentSmoothing and recentFleetSmoothing are the smoothing factors of the recent answer time
+	// of an endpoint and of the fleet.
 	recentSmoothing, recentFleetSmoothing = 0.5, 0.02
-	// recentDecayMs is how fast an agent forgets an endpoint's recent latency: an overloaded one
-	// recovers within seconds of idle time.
+	// recentDecayMs is the time constant with which an endpoint's recent answer time decays towards
+	// the fleet's, in ms. An overloaded endpoint recovers within seconds of idle time.
 	recentDecayMs = 10000.0
-	// maxObjectiveFraction bounds an answer time as a part of the objective.
+	// maxObjectiveFraction caps an answer time, as a fraction of the latency objective.
 	maxObjectiveFraction = 2.0
-	// uncontendedRiseDivisor is how much slower the uncontended answer time rises than the fleet's.
+	// uncontendedRiseDivisor divides fleetSmoothing where the uncontended answer time rises: it
+	// rises so many times slower than the fleet's mean.
 	uncontendedRiseDivisor = 250
-	// minHintSamples is from how many hinted answers on hints tell the time of an answer.
+	// minHintSamples is the number of answers to hinted requests from which on the hint of a request
+	// predicts its answer time.
 	minHintSamples = 1 / (4 * fleetSmoothing)
 )
 
-// latencyTracker holds the answer times over all endpoints, as parts of the latency objective.
+// latencyTracker holds moving averages of the answer times over all endpoints. All are fractions of
+// the latency objective of the request's class.
 type latencyTracker struct {
 	*environment
-	samples     float64 // served so far
-	fleetMean   float64 // mean
-	uncontended float64 // the same while no endpoint is crowded
-	fleetRecent float64 // mean of the last answers
+	samples     float64 // number of answers so far
+	fleetMean   float64 // average over all endpoints
+	uncontended float64 // estimate of fleetMean while no endpoint is congested
+	fleetRecent float64 // average of the latest answers
 	hints       hintRegression
 }
 
-// newLatencyTracker returns a tracker that has seen no answer.
+// newLatencyTracker returns a tracker without any answer.
 func newLatencyTracker(env *environment) latencyTracker { return latencyTracker{environment: env} }
 
-// objectiveFraction returns an answer time as a part of the latency objective. Where hints tell the
-// work a costly request counts as one of mean work; a small one's time is mostly the network's.
+// objectiveFraction returns an answer time as a fraction of the latency objective. The time of a
+// request whose hint is above the mean is scaled down to that of a mean request. The time of a
+// smaller request is not scaled up, because most of it is spent on the network.
 func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
 	fraction := rttMs / request.class.LatencyObjectiveMs
 	if request.hint > 0 {
@@ -66,7 +73,8 @@
 	return min(fraction, maxObjectiveFraction)
 }
 
-// expectedMs returns how long an answer to the request takes, on the mean.
+// expectedMs returns the expected answer time of the request: the estimate from its hint, but at
+// least a quarter of its class's mean, or that mean if there is no such estimate.
 func (l *latencyTracker) expectedMs(request *request) float64 {
 	expected := request.class.expectedMs(l.now)
 	if hinted := l.hints.expectedMs(request); hinted > 0 {
@@ -75,14 +83,15 @@
 	return expected
 }
 
-// observe takes an answer into the fleet's mean and into the uncontended one. alone says that no
-// other attempt of this agent was in flight at its endpoint.
+// observe updates the fleet's mean and the uncontended answer time with an answer time, as a
+// fraction of the latency objective. alone says that no other attempt of this agent was in flight
+// at the endpoint.
 func (l *latencyTracker) observe(fraction float64, alone bool) {
 	l.samples++
 	l.fleetMean = ewma(l.fleetMean, fraction, max(fleetSmoothing, 1/l.samples))
 	switch {
 	case l.samples <= minUncontendedSamples:
-		// One quick answer must not set the measure, nor a crowd at the start.
+		// Neither a single quick answer nor congestion at the start may set the estimate.
 		l.uncontended = min(l.fleetMean, congestedFraction/2)
 	case l.fleetMean < l.uncontended:
 		l.uncontended = ewma(l.uncontended, l.fleetMean, fleetSmoothing)
@@ -91,10 +100,11 @@
 	}
 }
 
-// uncontendedSmoothing returns how fast the uncontended answer time follows longer ones: hardly, or a crowd
-// would become the measure. An attempt that was alone of its agent tells more the fewer agents
-// there are: a lone agent that took quick first answers for uncontended would have its endpoints
-// idle.
+// uncontendedSmoothing returns the smoothing factor with which the uncontended answer time rises. It
+// is tiny, or the answer times of a congested fleet would become the estimate. It is larger for an
+// attempt that was the only one of this agent at its endpoint, the more so the fewer agents there
+// are, because fewer attempts of other agents can have been there. Without this a single agent whose
+// first answers happened to be quick would leave its endpoints idle.
 func (l *latencyTracker) uncontendedSmoothing(alone bool) float64 {
 	if alone {
 		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedRiseDivisor)
@@ -102,22 +112,24 @@
 	return fleetSmoothing / uncontendedRiseDivisor
 }
 
-// restart forgets the answer times of an endpoint's former process.
+// restart discards the answer times of an endpoint's former process.
 func (l *latencyTracker) restart(endpoint *endpoint) {
 	endpoint.latency.forgetMean()
 	endpoint.latency.recent, endpoint.latency.recentAt = l.fleetRecent, l.now
 }
 
-// observeEndpoint takes an answer time, as a part of the objective, into its endpoint's means.
+// observeEndpoint updates an endpoint's mean and recent answer times with an answer time, as a
+// fraction of the latency objective. The longer ago the last answer, the more the new one weighs.
 func (l *latencyTracker) observeEndpoint(endpoint *endpoint, fraction float64) {
 	latency := &endpoint.latency
 	latency.samples++
-	forgotten := 1 - math.Exp((latency.recentAt-l.now)/recentDecayMs)
-	latency.mean = ewma(latency.mean, fraction, max(endpointSmoothing, 1/float64(latency.samples), forgotten))
+	decayed := 1 - math.Exp((latency.recentAt-l.now)/recentDecayMs)
+	latency.mean = ewma(latency.mean, fraction, max(endpointSmoothing, 1/float64(latency.samples), decayed))
 	l.observeRecent(endpoint, fraction)
 }
 
-// observeRecent takes an answer time, as a part of the objective, into the recent latencies.
+// observeRecent updates the recent answer times of the endpoint and of the fleet with an answer
+// time, as a fraction of the latency objective.
 func (l *latencyTracker) observeRecent(endpoint *endpoint, fraction float64) {
 	latency := &endpoint.latency
 	if l.fleetRecent == 0 {
@@ -128,9 +140,9 @@
 	l.fleetRecent = ewma(l.fleetRecent, fraction, recentFleetSmoothing)
 }
 
-// recentOf returns an endpoint's recent answer time as a part of the objective, as far as this agent
-// can tell: what it saw, forgotten in favour of the fleet's over recentDecayMs, and what it is
-// waiting for.
+// recentOf returns an endpoint's recent answer time as a fraction of the latency objective. It
+// decays towards the fleet's with the time constant recentDecayMs, and is at least the time that the
+// oldest attempt in flight has waited so far.
 func (l *latencyTracker) recentOf(endpoint *endpoint) float64 {
 	latency := &endpoint.latency
 	recent := l.fleetRecent + (latency.recent-l.fleetRecent)*math.Exp((latency.recentAt-l.now)/recentDecayMs)
@@ -141,15 +153,19 @@
 	return recent
 }
 
-// congestionThreshold returns the mean answer time, as a part of the objective, from which an endpoint
-// counts as crowded. A few agents see most of the load and need not fear to crowd an endpoint that
-// answers well within the objective. One that is warming up is slow before it is crowded.
+// congestionThreshold returns the mean answer time, as a fraction of the latency objective, above
+// which an endpoint is congested. The threshold has a lower bound, which is higher if there are few
+// agents: each of them sees most of the load, and need not fear to congest an endpoint that answers
+// well within the objective. An endpoint that is warming up has a higher threshold, because it is
+// slow before it is congested.
 func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
 	least := 2 * congestedFraction / (2 + float64(l.set.Replicas))
 	return min(congestedFraction, max(congestedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
-// adjustWindow lets an endpoint's window follow its mean answer time after an answer.
+// adjustWindow adjusts an endpoint's window to its mean answer time after an answer that took
+// rttMs. A congested endpoint's window is reduced at most once in that time. Otherwise the window
+// grows, if it is almost fully used.
 func (l *latencyTracker) adjustWindow(endpoint *endpoint, rttMs float64) {
 	threshold, mean, window := l.congestionThreshold(endpoint), endpoint.latency.mean, &endpoint.window
 	switch {
@@ -165,23 +181,23 @@
 	}
 }
 
-// hintRegression is the straight line of answer time over hinted work: the network's share does
-// not grow with the work.
+// hintRegression is a linear regression of the answer time on the hinted work. The line has an
+// intercept, because the time spent on the network does not grow with the work.
 type hintRegression struct {
-	meanHint         float64 // hint of all hinted requests
-	samples          float64 // answers to hinted requests, and their means and spread:
-	meanAnsweredHint float64
-	meanAnswerMs     float64
-	hintVariance     float64
-	covariance       float64
+	meanHint         float64 // moving average of the hints of requests that arrive
+	samples          float64 // number of answers to hinted requests; the fields below cover these
+	meanAnsweredHint float64 // moving average of their hints
+	meanAnswerMs     float64 // moving average of their answer times
+	hintVariance     float64 // moving variance of their hints
+	covariance       float64 // moving covariance of hint and answer time
 }
 
-// note takes the hint of a request that came.
+// observeHint updates the mean hint with that of a request that has arrived.
 func (h *hintRegression) observeHint(hint float64) {
 	h.meanHint = ewma(h.meanHint, hint, fleetSmoothing)
 }
 
-// learn takes the answer time of a request.
+// observeAnswer updates the regression with the answer time of a request, if that has a hint.
 func (h *hintRegression) observeAnswer(request *request, rttMs float64) {
 	if request.hint <= 0 {
 		return
@@ -195,7 +211,8 @@
 	h.covariance += weight * (hintDelta*timeDelta*(1-weight) - h.covariance)
 }
 
-// expectedMs returns the answer time of the request by the line; 0 while little is known.
+// expectedMs returns the answer time that the regression predicts for the request; 0 if the request
+// has no hint or there are too few samples.
 func (h *hintRegression) expectedMs(request *request) float64 {
 	if request.hint <= 0 || h.samples < minHintSamples || h.hintVariance <= 0 {
 		return 0
@@ -203,8 +220,9 @@
 	return max(h.meanAnswerMs+h.covariance/h.hintVariance*(request.hint-h.meanAnsweredHint), 0)
 }
 
-// cost returns the work of a request in units of the mean one, and never less: hints are rough, and
-// an endpoint that is warming up would be sent the small ones that are not.
+// cost returns the work of a request as a multiple of the mean, at least 1. Hints are inaccurate,
+// and with costs below 1 an endpoint that is warming up would be sent the requests whose hints are
+// too small.
 func (h *hintRegression) cost(request *request) float64 {
 	if request.hint > h.meanHint {
 		return request.hint / h.meanHint
