--- a/policy/selection.go
+++ b/policy/selection.go
@@ -1,4 +1,5 @@
-// This file holds the choice among eligible endpoints: rendezvous hashing with bounded load.
+// This file holds the selection of an endpoint among the eligible ones: weighted rendezvous hashing
+// with bounded loads.
 
 package policy
 
@@ -7,25 +8,28 @@
 )
 
 const (
-	// boundedLoadFactor is how far above its even share of the agent's attempts an endpoint may go
-	// before a key's request moves on to the next in hash order.
+	// boundedLoadFactor bounds the attempts of this agent at an endpoint, as a multiple of an even
+	// share. A request goes to the next endpoint in its hash order when this bound is reached.
 	boundedLoadFactor = 3.0
-	// keyAffinityWaitFraction is the part of its objective that a request may wait for one of the
-	// keyEndpoints nearest its key: going on at once would lose the warm key just when time is
-	// short.
+	// keyAffinityWaitFraction is the fraction of its latency objective for which a request waits for
+	// one of the keyEndpoints first endpoints in the hash order of its key. A request that went to
+	// another endpoint at once would lose the warm key just when time is short.
 	keyAffinityWaitFraction, keyEndpoints = 0.25, 2
-	// keySplitFactor is into how many parts a key is split that alone would be an endpoint's even
-	// share: it is not alone there.
+	// keySplitFactor multiplies the number of parts into which a popular key is split. A key that
+	// makes up an endpoint's even share by itself gets this many parts, because the endpoint serves
+	// other keys too.
 	keySplitFactor = 4.0
-	// recentLatencyTolerance is how much slower than the fleet an endpoint may seem by chance,
-	// minRecentWeight what the slowest keeps of its weight.
+	// recentLatencyTolerance is the ratio of an endpoint's recent answer time to the fleet's that
+	// may be due to chance. minRecentWeight is the smallest factor by which a slow endpoint's weight
+	// is multiplied.
 	recentLatencyTolerance, minRecentWeight = 1.1, 0.02
-	// slowStartWeightFactor is how many times its share one that is warming up weighs in a key's
-	// order, up to 1: its allowance limits it.
+	// slowStartWeightFactor multiplies the share of an endpoint that is warming up, for its weight
+	// in the hash order of a key. The weight is at most that of a warm endpoint, and may be above
+	// the share because the endpoint's allowance limits what it is sent.
 	slowStartWeightFactor = 4
 )
 
-// selector chooses the endpoint of a request.
+// selector selects the endpoint of a request.
 type selector struct {
 	*environment
 	endpoints *endpointSet
@@ -34,13 +38,13 @@
 	slowStart *slowStart
 	latency   *latencyTracker
 
-	scratch    []*endpoint // of candidates
+	scratch    []*endpoint // buffer that candidates reuses
 	recentKeys keyCounter
 	zones      zoneWeights
 	kinds      machineKindWeights
 }
 
-// newSelector returns a selector that has learnt nothing and asks the components given.
+// newSelector returns a selector with initial weights, which has counted no key yet.
 func newSelector(env *environment, endpoints *endpointSet, subset *endpointSubset,
 	eligible *eligibility, slowStart *slowStart, latency *latencyTracker) selector {
 	return selector{environment: env, endpoints: endpoints, subset: subset, eligible: eligible,
@@ -48,15 +52,15 @@
 		zones: newZoneWeights(), kinds: newMachineKindWeights()}
 }
 
-// selectEndpoint returns the first endpoint of the best tier that has any, in the order of the
-// request's hash, that is under its load bound and has capacity; nil if there is none. inFlight is how
-// many attempts the agent has in flight.
+// selectEndpoint returns an endpoint of the best tier that has any for the request: the first in the
+// request's hash order that is below its load bound and has capacity. It returns nil if there is
+// none. inFlight is the number of attempts that the agent has in flight.
 func (s *selector) selectEndpoint(request *request, inFlight int) *endpoint {
 	waits, subset := s.waitsForKey(request), s.subset.size()
 	for tier := range tiers {
 		candidates, nearest := s.candidates(request, tier, subset, waits)
 		if request.placement.tierWeight == 0 {
-			continue // an empty tier passes down
+			continue // no endpoint in this tier
 		}
 		if waits && len(candidates) > keyEndpoints {
 			request.placement.nearest, request.placement.epoch = nearest, s.endpoints.epoch
@@ -67,9 +71,11 @@
 	return nil
 }
 
-// candidates scores the endpoints of a tier that the request may be sent to, up to subset of them,
-// and returns them and those nearest its key. Where the request doesn't wait only those that have
-// capacity are scored. It sets the request's tierWeight.
+// candidates scores the endpoints of a tier that the request may be sent to. It considers the first
+// subset of them in the agent's own order, and further ones until one is scored. If the request does
+// not wait for its key's endpoints, only those that have capacity are scored. candidates returns the
+// scored endpoints, and the keyEndpoints first of these in the request's hash order. It sets the
+// request's tierWeight.
 func (s *selector) candidates(request *request, tier, subset int, waits bool) ([]*endpoint,
 	[keyEndpoints]*endpoint) {
 	scored, inTier, seen := s.scratch[:0], 0, 0
@@ -111,23 +117,23 @@
 	return best
 }
 
-// accepts reports whether the endpoint is under its load bound in the tier of the request's last
-// selection and has capacity.
+// accepts reports whether the endpoint is below its load bound and has capacity. The bound is that
+// of the tier of the request's last selection.
 func (s *selector) accepts(endpoint *endpoint, request *request, inFlight int) bool {
 	share := endpoint.weight * s.capacityFraction(endpoint) / request.placement.tierWeight
 	most := math.Ceil(boundedLoadFactor * float64(inFlight+1) * share)
 	return float64(endpoint.load()) < most && s.eligible.hasCapacity(endpoint, request)
 }
 
-// waitsForKey reports whether the request still waits for the endpoints nearest its key.
+// waitsForKey reports whether the request still waits for the first endpoints in its key's order.
 func (s *selector) waitsForKey(request *request) bool {
 	timing := &request.timing
 	return request.key != 0 && len(request.tries.counted) == 0 &&
 		s.now-timing.arrived < keyAffinityWaitFraction*(timing.objectiveAt-timing.arrived)
 }
 
-// keyEndpointsFull reports whether the request waits for the endpoints nearest its key and none of
-// them accepts it yet.
+// keyEndpointsFull reports whether the request waits for the first endpoints in its key's order and
+// none of them accepts it yet.
 func (s *selector) keyEndpointsFull(request *request, inFlight int) bool {
 	placement := &request.placement
 	nearest := placement.nearest
@@ -135,8 +141,9 @@
 		!s.accepts(nearest[0], request, inFlight) && !s.accepts(nearest[1], request, inFlight)
 }
 
-// score returns what orders endpoints by weighted rendezvous hashing: every agent of a zone finds
-// the same order for a key, and an endpoint's share of keys is that of its weight.
+// score returns the endpoint's score for the request by weighted rendezvous hashing; the lowest
+// score is the first in the hash order. All agents of a zone find the same order for a key, and an
+// endpoint's share of the keys is in proportion to its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := mix(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
@@ -146,13 +153,14 @@
 	if endpoint.zone == s.set.Zone {
 		weight *= s.zones.weight
 	}
-	return -math.Log(uniform+1e-18) / weight
+	return -math.Log(uniform+1e-18) / weight // 1e-18 avoids the logarithm of 0
 }
 
-// recentWeight returns what an endpoint keeps of its weight: one that answers later than the fleet
-// gets less, so that its queue can drain. Tiers ignore latency, and windows need many answers:
-// where agents are many and each meets an endpoint every few seconds, these alone would not
-// take an overloaded endpoint's even share from it.
+// recentWeight returns the factor by which an endpoint's weight is multiplied. It is below 1 for an
+// endpoint that recently answered more slowly than the fleet, so that its queue can drain. Tiers
+// ignore latency, and windows need many answers. With many agents, each of which sends to an
+// endpoint only every few seconds, tiers and windows alone would leave an overloaded endpoint its
+// even share.
 func (s *selector) recentWeight(endpoint *endpoint) float64 {
 	if s.latency.fleetRecent == 0 {
 		return 1
@@ -164,10 +172,11 @@
 	return max(1/(slower*slower), minRecentWeight)
 }
 
-// hashOf returns the hash of a key that orders the endpoints for it. A popular key is split into parts,
-// each with its own order: it may be many times what its endpoint can do, and with one request in
-// flight the load bound sees nothing of that. The fewer agents share an endpoint, the more each
-// sees, and the load bound holds it.
+// hashOf returns the hash that orders the endpoints for a key, a random one without a key. A popular
+// key is split into parts, each with its own order, and each request goes to a random part. Such a
+// key may be a multiple of what its first endpoint can serve, and the load bound does not show this
+// to an agent with one request in flight. With fewer agents per endpoint each agent sees more of
+// the load, so that the load bound suffices and the key gets fewer parts.
 func (s *selector) hashOf(key uint64) uint64 {
 	if key == 0 {
 		return s.rng.Uint64()
@@ -176,11 +185,12 @@
 	endpoints := float64(s.subset.size())
 	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
 	parts := max(share*keySplitFactor*endpoints*unseen, 1)
-	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
+	// Part 0 keeps the key's own order. The factor, 2^64 over the golden ratio, spreads the others.
+	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15
 }
 
-// observe takes an answer time, as a part of the objective, into the weights of zones and machine
-// kinds.
+// observe updates the weights of zones and machine kinds with an answer time, as a fraction of the
+// latency objective.
 func (s *selector) observe(endpoint *endpoint, fraction float64) {
 	s.zones.observe(endpoint.zone == s.set.Zone, fraction, s.set.Prices.CrossZone)
 	if s.set.Weights == "off" {
