--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -1,28 +1,30 @@
-// This file holds which part of the endpoints an agent sends to.
+// This file holds the subset of the endpoints that an agent sends to.
 
 package policy
 
 import "math"
 
-// minSubset is the least number of endpoints an agent sends to, where so many are listed.
+// minSubset is the smallest number of endpoints that an agent sends to, unless fewer are listed.
 const minSubset = 16
 
-// endpointSubset is the part of the endpoints that the agent sends to.
+// endpointSubset determines the size of the subset of endpoints that the agent sends to.
 type endpointSubset struct {
 	*environment
 	endpoints *endpointSet
 	traffic   *requestRate
 }
 
-// newEndpointSubset returns the subset of the endpoints for the traffic.
+// newEndpointSubset returns a subset of the endpoints whose size follows the traffic.
 func newEndpointSubset(env *environment, endpoints *endpointSet, traffic *requestRate) endpointSubset {
 	return endpointSubset{environment: env, endpoints: endpoints, traffic: traffic}
 }
 
-// size returns how many endpoints of a tier, in an order of its own, an agent sends to: those it can
-// meet every few seconds. An agent that meets an endpoint more seldom opens a connection for each
-// request and can't learn which are slow or hung. Orders differ, so each endpoint keeps its share;
-// keys find theirs within. Where connections have no price, more endpoints keep more keys warm.
+// size returns the number of endpoints of a tier that an agent sends to. They are the first ones in
+// an order of its own, as many as it can send to every few seconds. An agent that sends to an
+// endpoint less often opens a connection for each request and can't detect which endpoints are slow
+// or hung. The agents' orders differ, so that each endpoint still gets its share. The hash order of
+// a key applies within the subset. If connections have no price, the subset is larger, so that more
+// keys stay warm.
 func (s *endpointSubset) size() int {
 	size := s.traffic.recentCount
 	if s.set.Limits.KeepaliveMs <= 0 {
@@ -33,7 +35,8 @@
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
 }
 
-// revisitIntervalMs returns the time in which the agent comes by each endpoint of the subset, in ms.
+// revisitIntervalMs returns the mean time between two requests of this agent at the same endpoint of
+// the subset, in ms.
 func (s *endpointSubset) revisitIntervalMs() float64 {
 	return s.set.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recentCount, 1)
 }
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -1,31 +1,34 @@
-// This file holds the weights that the endpoint list does not tell: by zone and machine kind.
+// This file holds the weights that are not in the endpoint list: by zone and by kind of machine.
 
 package policy
 
 const (
-	// minLocalZoneWeight is how much more an endpoint of the agent's own zone weighs in a key's
-	// order at the least; maxZoneWeightPerPrice times the price of crossing is the most.
+	// minLocalZoneWeight is the smallest weight of the agent's own zone, by which the weights of its
+	// endpoints are multiplied. maxZoneWeightPerPrice times the price of an attempt that crosses
+	// zones is the largest.
 	minLocalZoneWeight, maxZoneWeightPerPrice = 1.5, 100.0
-	// minMachineKindWeight is what a slow kind of machine keeps.
+	// minMachineKindWeight is the smallest weight of a slow kind of machine; 1 is the largest.
 	minMachineKindWeight = 0.25
-	// weightStep is how fast weights follow answer times.
+	// weightStep is the relative change of a weight with each answer, and the smoothing factor of
+	// the answer times that weights are based on.
 	weightStep = 0.05
 )
 
-// zoneWeights is how much more an endpoint of the local zone weighs than one of another zone.
-// Latencies are means, as parts of the latency objective.
+// zoneWeights holds the weight of an endpoint of the local zone, relative to one of another zone.
+// Latencies are moving averages, as fractions of the latency objective.
 type zoneWeights struct {
 	weight        float64
 	localLatency  float64
 	remoteLatency float64
 }
 
-// newZoneWeights returns weights with the least one for the local zone.
+// newZoneWeights returns the smallest weight for the local zone.
 func newZoneWeights() zoneWeights { return zoneWeights{weight: minLocalZoneWeight} }
 
-// observe takes an answer time, as a part of the objective. Where crossing has a price the local
-// zone gets more in proportion, as long as it answers no slower than the others: what has more
-// traffic than it can carry gets slower.
+// observe updates the weight with an answer time, as a fraction of the latency objective. Up to a
+// limit in proportion to the price of crossing zones, the weight of the local zone rises while it
+// answers no slower than the others, with a tolerance of that price. It falls when the local zone
+// is slower, because then it has more traffic than it can serve.
 func (z *zoneWeights) observe(local bool, fraction, crossZonePrice float64) {
 	latency := &z.remoteLatency
 	if local {
@@ -37,9 +40,9 @@
 	z.weight = stepWeight(z.weight, slower, minLocalZoneWeight, most)
 }
 
-// machineKindWeights holds a weight for each kind of machine. Latencies are means, as parts of
-// the latency objective. A kind that answers later than all gets less: equal shares would
-// overload the small ones.
+// machineKindWeights holds a weight for each kind of machine. Latencies are moving averages, as
+// fractions of the latency objective. A kind that answers more slowly than the mean of all kinds
+// gets a lower weight: equal shares would overload the small machines.
 type machineKindWeights struct {
 	meanLatency float64 // of all kinds
 	kinds       [256]struct{ latency, weight float64 }
@@ -59,7 +62,8 @@
 	return m.kinds[endpoint.machineKind&255].weight
 }
 
-// observe takes an answer time, as a part of the objective.
+// observe updates the weight of the endpoint's machine kind with an answer time, as a fraction of
+// the latency objective.
 func (m *machineKindWeights) observe(endpoint *endpoint, fraction float64) {
 	m.meanLatency = ewma(m.meanLatency, fraction, weightStep)
 	kind := &m.kinds[endpoint.machineKind&255]
@@ -67,7 +71,7 @@
 	kind.weight = stepWeight(kind.weight, kind.latency > m.meanLatency, minMachineKindWeight, 1)
 }
 
-// stepWeight moves a weight a step down or up within its bounds.
+// stepWeight returns the weight after a decrease or an increase by weightStep within its bounds.
 func stepWeight(weight float64, down bool, least, most float64) float64 {
 	if down {
 		return max(weight/(1+weightStep), least)
