--- a/policy/quota.go
+++ b/policy/quota.go
@@ -1,23 +1,23 @@
-// This file holds the tenants' quotas.
+// This file holds the comparison of the tenants' shares of the requests with their quotas.
 
 package policy
 
-// quotaTolerance is how far above its quota a tenant's share may be.
+// quotaTolerance multiplies a tenant's quota: above the product the tenant is over its quota.
 const quotaTolerance = 1.1
 
-// quotaTracker holds the tenants' shares of this agent's requests.
+// quotaTracker tracks the tenants' shares of this agent's requests.
 type quotaTracker struct {
 	*environment
-	shares []float64 // by tenant, over about the last 500 requests
+	shares []float64 // moving averages by tenant, over about the last 500 requests, see shareDecay
 }
 
-// newQuotaTracker returns a tracker of the tenants that the settings name, without any request.
+// newQuotaTracker returns a tracker of the tenants in the settings, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
 	return quotaTracker{environment: env, shares: make([]float64, len(env.set.Tenants))}
 }
 
-// over reports whether a tenant sends more than its quota of what comes. A tenant that the settings
-// don't name has no quota.
+// over reports whether a tenant's share of the requests is above its quota by more than the
+// tolerance. A tenant that is not in the settings has no quota and is never over.
 func (q *quotaTracker) over(tenant int) bool {
 	if tenant < 0 || tenant >= len(q.shares) {
 		return false
@@ -25,7 +25,7 @@
 	return q.shares[tenant] > quotaTolerance*q.set.Tenants[tenant].QuotaShare
 }
 
-// count notes a request of a tenant.
+// count counts a request of a tenant. Requests of tenants that are not in the settings are ignored.
 func (q *quotaTracker) count(tenant int) {
 	if tenant < 0 || tenant >= len(q.shares) {
 		return
@@ -36,8 +36,7 @@
 	q.shares[tenant] += 1 - shareDecay
 }
 
-// totalQuotaPerMs returns the rate that the settings foresee for all tenants, in requests a ms; 0 if they
-// foresee none.
+// totalQuotaPerMs returns the sum of the tenants' quotas, in requests per ms; 0 if none has one.
 func totalQuotaPerMs(tenants []Tenant) float64 {
 	rate := 0.0
 	for _, tenant := range tenants {
@@ -46,14 +45,14 @@
 	return rate
 }
 
-// move rearranges the shares for new tenants; index returns the new index of an old one, -1 for
-// one that is named no more.
+// remap reorders the shares for a new list of tenants. index returns the new index of an old tenant,
+// or -1 for one that is no longer in the settings.
 func (q *quotaTracker) remap(tenants []Tenant, index func(old int) int) {
-	usage := make([]float64, len(tenants))
+	shares := make([]float64, len(tenants))
 	for old, share := range q.shares {
 		if i := index(old); i >= 0 {
-			usage[i] = share
+			shares[i] = share
 		}
 	}
-	q.shares = usage
+	q.shares = shares
 }
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -1,36 +1,37 @@
-// This file holds how many requests come.
+// This file holds the rate at which requests arrive.
 
 package policy
 
 import "math"
 
-// minMeasuredFraction is the least part of the span that counts as measured: the rate of the first
-// moments is not taken to be higher than 1/minMeasuredFraction times what was seen.
+// minMeasuredFraction bounds the correction of the rate soon after the start, when the decaying
+// count covers only a part of its time constant. That part is assumed to be at least this fraction,
+// so the correction is at most 1/minMeasuredFraction.
 const minMeasuredFraction = 0.01
 
-// requestRate measures the requests of this agent's clients.
+// requestRate measures the rate of the requests of this agent's clients.
 type requestRate struct {
 	*environment
-	recentCount float64 // requests, fading over decayMs, as of recentAt
+	recentCount float64 // requests; decays exponentially with decayMs, as of recentAt
 	recentAt    float64 // ms
 	startedAt   float64 // ms
 	totalCount  float64 // requests since the start, retries included
 }
 
-// newRequestRate returns a measure that has not been started.
+// newRequestRate returns a requestRate that has not been started.
 func newRequestRate(env *environment) requestRate { return requestRate{environment: env} }
 
 // start begins to measure.
 func (r *requestRate) start() { r.startedAt, r.recentAt = r.now, r.now }
 
-// decayMs returns the time over which requests are counted: that for which a connection is kept, and
-// where none is, that in which an endpoint may be overloaded.
+// decayMs returns the time constant of recentCount, in ms: the time for which idle connections are
+// kept or, if none are, the time in which an endpoint may become overloaded.
 func (r *requestRate) decayMs() float64 {
 	return max(r.set.Limits.KeepaliveMs, r.set.Contract.OverloadWindowMs, 1)
 }
 
-// count notes a request. Retries don't count towards the recent rate: they swell with failures,
-// and the settings don't foresee them.
+// count counts a request. Retries are left out of the recent rate: their number rises with failures,
+// and the quotas in the settings don't include them.
 func (r *requestRate) count(retry bool) {
 	r.totalCount++
 	if !retry {
@@ -39,16 +40,16 @@
 	}
 }
 
-// rescale adapts the recent count, which fades over a time, to settings that changed that time from
-// oldSpanMs: it stands for as much as before.
-func (r *requestRate) rescale(oldSpanMs float64) { r.recentCount *= r.decayMs() / oldSpanMs }
+// rescale adapts the recent count to a reload of the settings that changed its time constant from
+// oldDecayMs. The rate that it stands for remains the same.
+func (r *requestRate) rescale(oldDecayMs float64) { r.recentCount *= r.decayMs() / oldDecayMs }
 
-// perMs returns the recent rate, in requests a ms.
+// perMs returns the recent rate, in requests per ms.
 func (r *requestRate) perMs() float64 {
-	span := r.decayMs()
-	decay := math.Exp((r.recentAt - r.now) / span)
-	return r.recentCount * decay / span / max(1-math.Exp((r.startedAt-r.now)/span), minMeasuredFraction)
+	decayMs := r.decayMs()
+	decay := math.Exp((r.recentAt - r.now) / decayMs)
+	return r.recentCount * decay / decayMs / max(1-math.Exp((r.startedAt-r.now)/decayMs), minMeasuredFraction)
 }
 
-// lifetimePerMs returns the rate since the start, in requests a ms.
+// lifetimePerMs returns the rate since the start, in requests per ms, retries included.
 func (r *requestRate) lifetimePerMs() float64 { return r.totalCount / max(r.now-r.startedAt, 1) }
