--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -1,4 +1,4 @@
-// This file holds what is learnt of each class of requests.
+// This file holds the statistics of each class of requests: answer times, shares and counts.
 
 package policy
 
@@ -6,25 +6,26 @@
 	"math"
 )
 
-// classHistory is over how many of its requests the share of a class served in time counts.
+// classHistory is the number of a class's latest requests that servedInTime covers.
 const classHistory = 32
 
-// class is a class of requests and what was learnt of it.
+// class is a class of requests with its statistics.
 type class struct {
 	Class
-	meanMs       float64 // mean answer time, as of meanAt
+	meanMs       float64 // moving average of the answer times, as of meanAt
 	meanAt       float64 // ms
-	samples      float64 // that it was learnt from
-	requestShare float64 // recent share of all requests
+	samples      float64 // number of answer times in meanMs
+	requestShare float64 // recent share of all requests, see shareDecay
 	servedInTime float64 // share of its last classHistory requests served within the objective
 	counts       ClassCounts
 }
 
-// uncontendedMs returns the answer time that a class of which nothing is known is taken to have.
+// uncontendedMs returns the answer time that is assumed for a class before the first answer, and
+// towards which longer ones decay.
 func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * congestedFraction / 2 }
 
-// learn takes an answer time into the class's mean, which follows the answers of the time
-// after which its clients give up.
+// observeLatency updates the class's mean with an answer time. The longer ago the last one, the more
+// the new one weighs; the time constant is the class's deadline, after which its clients give up.
 func (c *class) observeLatency(now, rttMs float64) {
 	weight := max(4*fleetSmoothing, 1/(c.samples+2))
 	if c.samples > 0 {
@@ -35,7 +36,7 @@
 	c.meanAt = now
 }
 
-// countAttempt counts an attempt that is sent.
+// countAttempt counts an attempt that is sent for a request of the class.
 func (c *class) countAttempt() { c.counts.Attempts++ }
 
 // countUnserved counts a request that was rejected or failed.
@@ -47,8 +48,8 @@
 	}
 }
 
-// served counts a request that was answered, after rttMs, and had its objective's end at
-// objectiveAt.
+// observeServed records that a request of the class was answered after rttMs. Its latency objective
+// ended at objectiveAt.
 func (c *class) observeServed(now, rttMs, objectiveAt float64) {
 	c.observeLatency(now, rttMs)
 	c.counts.Served++
@@ -58,19 +59,21 @@
 	}
 }
 
-// unanswered takes an attempt into the mean that was given up on after its age. What it would
-// have taken is not known, nor whether its endpoint lives: it counts as twice the mean at most,
-// so that the mean runs away only where most go unanswered.
+// observeUnanswered updates the mean with an attempt that ended without an answer ageMs after it was
+// sent, if that is longer than expected. It is not known how long the answer would have taken, nor
+// whether the endpoint is alive. The attempt therefore counts as at most twice the mean, so that the
+// mean keeps rising only if most attempts go unanswered.
 func (c *class) observeUnanswered(now, ageMs float64) {
 	if expected := c.expectedMs(now); ageMs > expected {
 		c.observeLatency(now, min(ageMs, 2*expected))
 	}
 }
 
-// expectedMs returns the class's mean answer time. Late answers are forgotten over the time after
-// which clients give up: nobody waits any more for what was in the queues then. A class taken
-// to be late for good would be sent only when no other is queued, and then no answer of it
-// would show that the endpoints have become quick.
+// expectedMs returns the expected answer time of the class: the mean, which decays towards the
+// uncontended time. The time constant is the deadline after which clients give up, because by then
+// no client waits for the requests that were queued before. Without the decay a class that was late
+// once would be considered late for good. Its requests would be sent only while no other class is
+// queued, so that no answer would show that the endpoints have become fast again.
 func (c *class) expectedMs(now float64) float64 {
 	uncontended := c.uncontendedMs()
 	if c.meanMs <= uncontended {
@@ -79,12 +82,12 @@
 	return uncontended + (c.meanMs-uncontended)*math.Exp((c.meanAt-now)/c.DeadlineMs)
 }
 
-// classStats holds the classes of requests and what compares them.
+// classStats holds the classes of requests and the figures across them.
 type classStats struct {
 	*environment
 	all                 []*class
-	worst               *class  // the class with the least share served in time
-	meanPriority        float64 // mean priority weight of a request
+	worst               *class  // the class with the lowest share served in time
+	meanPriority        float64 // mean priority weight of recent requests
 	meanObjectiveMs     float64 // mean latency objective of recent requests
 	shortestObjectiveMs float64
 	longestDeadlineMs   float64
@@ -97,7 +100,7 @@
 	return c
 }
 
-// reset takes the classes from the settings; nothing is known of them yet.
+// reset sets the classes to those of the settings, with initial statistics.
 func (c *classStats) reset() {
 	c.all, c.shortestObjectiveMs, c.longestDeadlineMs = nil, math.Inf(1), 0
 	for _, settings := range c.set.Classes {
@@ -110,9 +113,9 @@
 	c.worst = c.all[0]
 }
 
-// reload takes the classes from new settings. Of a class by the same name all stays known; open
-// requests keep the class that they hold. It returns the new class of each old one that is still
-// named.
+// reload sets the classes to those of new settings. A class keeps its statistics if one of the same
+// name existed before. Open requests keep the class that they point to. reload returns the new class
+// of each old class whose name is still in the settings.
 func (c *classStats) reload() map[*class]*class {
 	byName := map[string]*class{}
 	for _, old := range c.all {
@@ -136,7 +139,7 @@
 	return successor
 }
 
-// count notes a request of a class, and that it was not served in time so far.
+// countRequest counts a new request of a class, and counts it as not served in time so far.
 func (c *classStats) countRequest(counted *class) {
 	counted.counts.Requests++
 	c.meanPriority = 0
