--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -93,8 +93,8 @@
 					if quota > 0 {
 						set.Tenants = []Tenant{{Name: "a", QuotaShare: 1, QuotaPerS: quota}}
 					}
-					p := newServicePlay(t, set, servers, seed)
-					p.play()
+					p := newServiceSimulation(t, set, servers, seed)
+					p.run()
 					if p.rejected > 0 {
 						t.Errorf("got %d of %d requests rejected, want none", p.rejected, p.requests)
 					}
@@ -108,9 +108,9 @@
 	}
 }
 
-// servicePlay plays one agent whose client sends 110 requests a second for 40 s, each of which is
+// serviceSimulation plays one agent whose client sends 110 requests a second for 40 s, each of which is
 // answered 5 ms after it is sent. It counts after 10 s of warming up.
-type servicePlay struct {
+type serviceSimulation struct {
 	b        *Balancer
 	rng      *rand.Rand
 	due      dueEvents
@@ -121,10 +121,10 @@
 	queuedMs           []float64 // until the first attempt
 }
 
-// newServicePlay starts an agent with so many servers.
-func newServicePlay(t *testing.T, set Settings, servers int, seed uint64) *servicePlay {
+// newServiceSimulation starts an agent with so many servers.
+func newServiceSimulation(t *testing.T, set Settings, servers int, seed uint64) *serviceSimulation {
 	t.Helper()
-	p := &servicePlay{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 3)),
+	p := &serviceSimulation{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 3)),
 		arrived: map[RequestID]float64{}, attempts: map[RequestID]int{}}
 	entries := startedEntries(servers, 0)
 	for i := range entries {
@@ -136,10 +136,10 @@
 }
 
 // counts reports whether what happens now is counted.
-func (p *servicePlay) counts(now float64) bool { return now-fleetStart >= 10000 }
+func (p *serviceSimulation) counts(now float64) bool { return now-fleetStart >= 10000 }
 
 // play sends the requests.
-func (p *servicePlay) play() {
+func (p *serviceSimulation) run() {
 	const perMs, lengthMs = 0.110, 40000.0
 	id := RequestID(0)
 	for next := fleetStart; next < fleetStart+lengthMs; {
@@ -157,7 +157,7 @@
 	}
 }
 
-func (p *servicePlay) carryOut(now float64, actions []Action) {
+func (p *serviceSimulation) carryOut(now float64, actions []Action) {
 	const answerMs = 5.0
 	for _, action := range actions {
 		switch action.Kind {
@@ -181,7 +181,7 @@
 // Settings that tell of the listed endpoints alone are left alone: uncontended answers of a loaded
 // deployment take a multiple of their work, and a limit that took them for the work itself let
 // in flight too much when more was offered than the endpoints could do.
-func TestLimiterFloorFollowsTheSettingsOfAPlainDeployment(t *testing.T) {
+func TestLimiterFloorFollowsTheQuotasOfASingleService(t *testing.T) {
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
 	const servers, workMs = 16, 30.0
--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -54,7 +54,7 @@
 
 // The fleet doubled, and quiet agents, each sending to a subset, earned the new
 // endpoints the allowance of a whole fleet's share: they idled while the old ones were crowded.
-func TestEndpointSubsetRaisesWhatAllowancesEarn(t *testing.T) {
+func TestEndpointSubsetScalesTheRefillOfAllowances(t *testing.T) {
 	earned := func(keepaliveMs float64) float64 {
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepaliveMs, 0.1
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -7,7 +7,7 @@
 
 // A lone agent learns from its own attempts how long uncontended answers take: where the first ones
 // were quick, as of a few hot keys, what comes after must not count as crowded for good.
-func TestLatencyTrackerLearnsUncontendedLatencyOfALoneAgent(t *testing.T) {
+func TestLatencyTrackerRaisesUncontendedLatencyOfASingleAgent(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
 		set.Replicas = agents
@@ -28,7 +28,7 @@
 
 // Few agents see most of the load: what answers well within the latency objective is not crowded,
 // however low the uncontended time was taken. Warming endpoints are slower before they are.
-func TestLatencyTrackerCrowdedThresholdFallsWithReplicas(t *testing.T) {
+func TestLatencyTrackerCongestionThresholdFallsWithReplicas(t *testing.T) {
 	threshold := func(agents int, uncontended float64) float64 {
 		set := testSettings()
 		set.Replicas = agents
@@ -52,7 +52,7 @@
 }
 
 // Agents that restart one by one may find the fleet crowded.
-func TestLatencyTrackerTakesNoCrowdedStartForUncontended(t *testing.T) {
+func TestLatencyTrackerCapsTheFirstUncontendedEstimate(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for range minUncontendedSamples {
 		h.serve(idempotentClass, h.randomKey(), 270)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestLatencyTrackerShrinksTheWindowOfACrowdedEndpoint(t *testing.T) {
+func TestLatencyTrackerShrinksTheWindowOfACongestedEndpoint(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 20 // many: each sees little of the load
 	h := newHarness(t, set, 1)
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -36,7 +36,7 @@
 }
 
 // A tenant that the settings don't name changes nothing and is never over its quota.
-func TestQuotaTrackerLeavesOutUnknownTenants(t *testing.T) {
+func TestQuotaTrackerIgnoresUnknownTenants(t *testing.T) {
 	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
 	before := quotas.shares[0]
@@ -52,7 +52,7 @@
 }
 
 // Shares go with the tenants' names to their new indexes.
-func TestQuotaTrackerMovesShares(t *testing.T) {
+func TestQuotaTrackerRemapsShares(t *testing.T) {
 	quotas := quotaTracker{environment: &environment{}, shares: []float64{0.1, 0.2, 0.7}}
 	quotas.remap(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
 	if len(quotas.shares) != 2 || quotas.shares[0] != 0.7 || quotas.shares[1] != 0.1 {
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -9,7 +9,7 @@
 // Where clients don't mark their retries, a request like an unserved one is not counted as
 // one more that the fleet has to bear: in a burst of retries every agent's part of what may be
 // in flight grew with them.
-func TestRequestRateLeavesOutUnmarkedRetries(t *testing.T) {
+func TestRequestRateIgnoresUnmarkedRetries(t *testing.T) {
 	for _, marks := range []bool{false, true} {
 		t.Run(fmt.Sprintf("clients mark retries %v", marks), func(t *testing.T) {
 			set := testSettings()
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -15,7 +15,7 @@
 
 // Queued requests that wait for their key's endpoints must not
 // keep others from endpoints that have capacity.
-func TestSelectorPassesOverRequestsThatWaitForTheirKey(t *testing.T) {
+func TestSelectorSkipsQueuedRequestsThatWaitForTheirKey(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	h.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
 	for range 30 {
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// overloadPlay is one agent whose requests arrive faster than its endpoints answer them: each endpoint
+// overloadSimulation is one agent whose requests arrive faster than its endpoints answer them: each endpoint
 // answers one at a time, after answerMs.
-type overloadPlay struct {
+type overloadSimulation struct {
 	b        *Balancer
 	rng      *rand.Rand
 	now      float64
@@ -23,18 +23,18 @@
 	inTime   []int // of these, served within the latency objective
 }
 
-func newOverloadPlay(t *testing.T, set Settings, servers int, seed uint64) *overloadPlay {
+func newOverloadSimulation(t *testing.T, set Settings, servers int, seed uint64) *overloadSimulation {
 	t.Helper()
-	p := &overloadPlay{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 5)), now: fleetStart,
+	p := &overloadSimulation{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 5)), now: fleetStart,
 		class: map[RequestID]int{}, attempts: map[RequestID]int{}, idleAt: map[Addr]float64{}, answerMs: 60}
 	p.carryOut(p.b.Start(p.now, nil))
 	p.handle(&EndpointsUpdated{Kind: ListCached, Entries: startedEntries(servers, 0)})
 	return p
 }
 
-func (p *overloadPlay) handle(event Event) { p.carryOut(p.b.Handle(p.now, event, nil)) }
+func (p *overloadSimulation) handle(event Event) { p.carryOut(p.b.Handle(p.now, event, nil)) }
 
-func (p *overloadPlay) carryOut(actions []Action) {
+func (p *overloadSimulation) carryOut(actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case ActionSendAttempt:
@@ -56,7 +56,7 @@
 
 // play sends perMs requests a ms for so long, of classes drawn alike, and counts the requests and
 // those served within the latency objective.
-func (p *overloadPlay) play(perMs, ms float64) {
+func (p *overloadSimulation) run(perMs, ms float64) {
 	classes := p.b.classes.all
 	p.requests, p.inTime = make([]int, len(classes)), make([]int, len(classes))
 	end := p.now + ms
@@ -85,13 +85,13 @@
 }
 
 // share returns the part of a class's requests that was served within its latency objective.
-func (p *overloadPlay) share(class int) float64 {
+func (p *overloadSimulation) share(class int) float64 {
 	return float64(p.inTime[class]) / float64(p.requests[class])
 }
 
-// twoClasses are settings of two classes, the first with the shorter latency objective, the second with
+// twoClassSettings are settings of two classes, the first with the shorter latency objective, the second with
 // the priority weight given.
-func twoClasses(priorityWeight float64) Settings {
+func twoClassSettings(priorityWeight float64) Settings {
 	set := testSettings()
 	set.Classes = []Class{
 		{Name: "quick", LatencyObjectiveMs: 600, DeadlineMs: 2500, Effect: EffectIdempotent, PriorityWeight: 1},
@@ -108,15 +108,15 @@
 	for _, weight := range []float64{1, 5} {
 		for _, seed := range []uint64{1, 2, 3} {
 			t.Run(fmt.Sprintf("priority weight %v, seed %d", weight, seed), func(t *testing.T) {
-				p := newOverloadPlay(t, twoClasses(weight), 4, seed)
+				p := newOverloadSimulation(t, twoClassSettings(weight), 4, seed)
 				perMs := 1.5 * 4 / p.answerMs
-				p.play(perMs, 20000)
+				p.run(perMs, 20000)
 				before := [2]float64{p.share(0), p.share(1)}
 				p.answerMs = 1200
-				p.play(perMs, 10000)
+				p.run(perMs, 10000)
 				p.answerMs = 60
-				p.play(perMs, 5000)
-				p.play(perMs, 20000)
+				p.run(perMs, 5000)
+				p.run(perMs, 20000)
 				for class, share := range before {
 					if got := p.share(class); got < 0.75*share {
 						t.Errorf("class %d: got a share of %.2f served in time, want 0.75 of the %.2f before", class, got, share)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -137,7 +137,7 @@
 
 // An endpoint that comes back after no connect reached it for long may be a new process that the list
 // does not name yet: it gets slow start.
-func TestSlowStartBeginsWhenAnEndpointComesBack(t *testing.T) {
+func TestSlowStartBeginsWhenAnUnreachableEndpointAnswers(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	id, server := h.mustSend(idempotentClass, 9)
 	h.endAttempt(id, 0, server, StatusConnectFailed, 100)
