--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Warming endpoints count in the agent's part of the limit by what they can do: what they may not
-// be sent yet the warm ones would be.
+// An endpoint that is warming up must raise the floor only by its capacity fraction. If it counted
+// in full, the attempts that it may not be sent yet would go to the warm endpoints.
 func TestLimiterCountsWarmingEndpointsInPart(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	whole := h.b.limiter.floor()
@@ -28,8 +28,8 @@
 	}
 }
 
-// While answers are late an agent's part goes down to minAttemptsPerEndpoint an endpoint, and no
-// further.
+// While answers are late the limit falls to the agent's part of minAttemptsPerEndpoint attempts per
+// endpoint, and no further.
 func TestLimiterFallsToItsMinimum(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 30)
 	for range 100 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// A longer list does not take back what late answers took of the limit.
+// A longer endpoint list must not undo the decrease of the limit after late answers.
 func TestLimiterKeepsALoweredLimitOnALongerList(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 3)
 	h.b.set.Replicas = 100
@@ -56,13 +56,13 @@
 	}
 }
 
-// dueEvent is an event that is to be handed in at a time.
+// dueEvent is an event with the time at which the Balancer is to handle it.
 type dueEvent struct {
 	at    float64 // ms
 	event Event
 }
 
-// dueEvents is a heap of events, the first to be handed in on top.
+// dueEvents is a heap of events, the earliest on top.
 type dueEvents []dueEvent
 
 func (d dueEvents) Len() int { return len(d) }
@@ -80,10 +80,10 @@
 	return x
 }
 
-// One agent of a healthy service in a fleet of 2,000: its settings tell the replicas and the quota of
-// the whole fleet, its list names the endpoints of the service. Each call is answered after 5 ms, so it
-// must be sent, and hardly ever shed: two attempts an endpoint must not be divided among all the
-// fleet's agents.
+// Guards against load shedding by an agent of a healthy service in a fleet of 2,000 agents. The
+// settings contain the replicas and the quota of the whole fleet, but the list names only the
+// service's endpoints. Dividing two attempts per endpoint among all agents of the fleet made the
+// limit too low, although each request is answered after 5 ms.
 func TestLimiterAllowsAServiceOfALargeFleet(t *testing.T) {
 	for _, quota := range []float64{220000, 0} {
 		for _, servers := range []int{12, 60, 200} {
@@ -108,8 +108,8 @@
 	}
 }
 
-// serviceSimulation plays one agent whose client sends 110 requests a second for 40 s, each of which is
-// answered 5 ms after it is sent. It counts after 10 s of warming up.
+// serviceSimulation simulates one agent whose client sends 110 requests per second for 40 s. Each
+// request is answered 5 ms after it is sent. The first 10 s are not counted.
 type serviceSimulation struct {
 	b        *Balancer
 	rng      *rand.Rand
@@ -118,10 +118,10 @@
 	attempts map[RequestID]int
 
 	requests, rejected int
-	queuedMs           []float64 // until the first attempt
+	queuedMs           []float64 // time from each request's arrival to its first attempt
 }
 
-// newServiceSimulation starts an agent with so many servers.
+// newServiceSimulation starts an agent with the given number of servers.
 func newServiceSimulation(t *testing.T, set Settings, servers int, seed uint64) *serviceSimulation {
 	t.Helper()
 	p := &serviceSimulation{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 3)),
@@ -135,10 +135,10 @@
 	return p
 }
 
-// counts reports whether what happens now is counted.
+// counts reports whether events at the time now are counted.
 func (p *serviceSimulation) counts(now float64) bool { return now-fleetStart >= 10000 }
 
-// play sends the requests.
+// run sends the requests.
 func (p *serviceSimulation) run() {
 	const perMs, lengthMs = 0.110, 40000.0
 	id := RequestID(0)
@@ -178,9 +178,9 @@
 	}
 }
 
-// Settings that tell of the listed endpoints alone are left alone: uncontended answers of a loaded
-// deployment take a multiple of their work, and a limit that took them for the work itself let
-// in flight too much when more was offered than the endpoints could do.
+// The quota of settings that cover only the listed endpoints must not be capped. Uncontended answers
+// of a loaded deployment take a multiple of the service time. A limiter that took them for the
+// service time itself allowed too many attempts in flight under overload.
 func TestLimiterFloorFollowsTheQuotasOfASingleService(t *testing.T) {
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
@@ -198,12 +198,12 @@
 	}
 }
 
-// Below one attempt the limit doubles with each good answer, and late ones take it back to the
-// floor. A list that grows does not multiply what it has grown to.
+// A limit below one attempt doubles with each good answer, and late answers lower it to the floor. A
+// longer list must not multiply a limit that has grown.
 func TestLimiterDoublesFromBelowOneAttempt(t *testing.T) {
 	set := fleetSettings(2000)
 	h := newHarness(t, set, 12)
-	h.now += 60000 // alone for long: the floor is the settings'
+	h.now += 60000 // a long time without requests: the settings determine the floor
 	answer := func(latencyMs float64) {
 		id, server := h.mustSend(idempotentClass, h.randomKey())
 		h.now += 60000
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// warmingSettings are those of one of so many agents.
+// warmingSettings returns the test settings with the given number of agents.
 func warmingSettings(replicas int) Settings {
 	set := testSettings()
 	set.Replicas = replicas
 	return set
 }
 
-// An agent that has met no warm endpoint sends a warming one an attempt at a time, not none.
+// An agent that has never had a warm endpoint must send one attempt at a time to each endpoint that
+// is warming up, rather than none.
 func TestSlowStartSendsOneAttemptAtATimeWithoutWarmEndpoints(t *testing.T) {
 	h := newWarmingHarness(t, warmingSettings(1), 3)
 	h.serve(idempotentClass, 0, 20)
@@ -31,9 +32,9 @@
 	}
 }
 
-// Until the first answer such agents take turns by the latency objective, so that all together have
-// no more in flight than their limit, two an endpoint, though nothing tells yet how long an attempt
-// takes.
+// Before the first answer agents without warm endpoints take turns within the latency objective. All
+// together then have at most their limit of two attempts per endpoint in flight, although the answer
+// time is not known yet.
 func TestSlowStartPacesAttemptsUntilTheFirstAnswer(t *testing.T) {
 	h := newWarmingHarness(t, warmingSettings(40), 10) // half an attempt for each agent
 	id, server := h.mustSend(idempotentClass, 0)
@@ -61,7 +62,7 @@
 	t.Error("got no attempt within 1200 ms, want one in its turn")
 }
 
-// A warming endpoint gets no more than its share by capacity, even after a quiet time.
+// A warming endpoint gets no more than its share by capacity, even after a time without requests.
 func TestSlowStartBoundsTheShareOfAWarmingEndpoint(t *testing.T) {
 	const requests = 2000
 	h := newHarness(t, testSettings(), 5)
@@ -79,8 +80,8 @@
 	}
 }
 
-// Attempts that warm endpoints rejected earn no allowance: a burst of them would let the agents
-// overload those that are warming up.
+// Attempts that warm endpoints reject must not refill allowances: a burst of rejections would let
+// the agents overload the endpoints that are warming up.
 func TestSlowStartEarnsNoAllowanceFromRejections(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.updateEndpoints(ListDelta, startedAt(ready(4), h.now))
@@ -95,8 +96,8 @@
 	}
 }
 
-// Many quiet agents: each earns a warming endpoint a small part of one request. Together
-// they are to send it what the parts add up to: neither nothing nor one each.
+// Each of many agents with little traffic earns a warming endpoint only a small part of a request.
+// Together they must send it about the sum of these parts: neither nothing, nor one request each.
 func TestSlowStartAddsUpTheAllowancesOfQuietAgents(t *testing.T) {
 	const agents, requests = 400, 20
 	got := 0
@@ -118,7 +119,7 @@
 	}
 }
 
-// Where a zone is lost and only endpoints that are warming up are left, these serve.
+// When the warm endpoints have failed, as in the loss of a zone, the warming ones must serve.
 func TestSlowStartServesWhenTheWarmEndpointsFailed(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range 200 {
@@ -135,8 +136,8 @@
 	}
 }
 
-// An endpoint that comes back after no connect reached it for long may be a new process that the list
-// does not name yet: it gets slow start.
+// An endpoint that answers again after connects failed for a long time may be a new process that is
+// not in the list yet. It must get a slow start.
 func TestSlowStartBeginsWhenAnUnreachableEndpointAnswers(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	id, server := h.mustSend(idempotentClass, 9)
@@ -153,13 +154,13 @@
 	}
 }
 
-// Of many agents that are notified of endpoints that are all warming up, each makes its first
-// attempt in its own turn: together they send no more than two attempts an endpoint in the latency
-// objective, and of a warming endpoint what the contract allows it of that, however many of them
-// have requests at once.
+// Guards against a burst of first attempts by many agents that learn of the same warming endpoints
+// at once. Each agent makes its first attempt in its own turn. Together they send at most two
+// attempts per endpoint within the latency objective, reduced to what the contract allows a warming
+// endpoint, however many agents have requests at the same time.
 func TestSlowStartSpreadsTheFirstAttemptsOfManyAgents(t *testing.T) {
 	const agents, servers = 900, 20
-	first := map[int]int{} // agents by the second of their first attempt
+	first := map[int]int{} // number of agents by the second of their first attempt
 	waited := 0
 	for i := range agents {
 		set := warmingSettings(agents)
@@ -174,9 +175,9 @@
 			waited++
 		}
 	}
-	// Two an endpoint in the latency objective of 300 ms are 133 a second, of which the contract
-	// allows so many of endpoints that began at 0.1 of their capacity: in all 0.57, 0.84 and 1 of
-	// it after each second.
+	// Two attempts per endpoint within the latency objective of 300 ms are 133 per second. The
+	// endpoints start at 0.1 of their capacity. By the end of the first, second and third second the
+	// contract allows them 0.57, 0.84 and 1 of the sum of these attempts since the start.
 	for second, most := range []int{80, 155, 200} {
 		if n := first[second]; n > most || n == 0 {
 			t.Errorf("second %d: got the first attempts of %d agents, want some, and %d at most", second, n, most)
@@ -187,8 +188,8 @@
 	}
 }
 
-// firstAttemptDelay hands in a request each 100 ms and returns how long it takes until one is sent, in
-// ms, and whether that was in less than mostMs.
+// firstAttemptDelay hands in a request every 100 ms until one is sent. It returns the time until
+// then, in ms, and whether it was less than mostMs.
 func firstAttemptDelay(h *harness, mostMs float64) (delayMs float64, sent bool) {
 	began := h.now
 	for h.now < began+mostMs {
@@ -200,7 +201,7 @@
 	return h.now - began, false
 }
 
-// An agent that is alone, or one of so few that each may have an attempt in flight, sends at once.
+// A single agent, or one of so few that each may have an attempt in flight, sends at once.
 func TestSlowStartSendsTheFirstAttemptOfFewAgentsAtOnce(t *testing.T) {
 	for _, replicas := range []int{1, 10} {
 		t.Run(fmt.Sprintf("%d agents", replicas), func(t *testing.T) {
@@ -215,21 +216,23 @@
 	}
 }
 
-// Where the settings tell no overload multiple, nothing is overloaded by it: turns go by the latency
-// objective alone, and an agent is not kept from warming endpoints for their whole slow start time.
+// Without an overload multiple in the settings the turns depend on the latency objective alone. An
+// agent must not be kept from warming endpoints for their whole slow start time.
 func TestSlowStartTakesTurnsWithoutAnOverloadMultiple(t *testing.T) {
 	set := warmingSettings(10)
 	set.Index, set.Contract.OverloadMultiple = 9, 0
 	h := newWarmingHarness(t, set, 2)
 	h.now += 100
-	// Two of ten may have one in flight in the latency objective of 300 ms.
+	// With two endpoints four of ten agents may have an attempt in flight within the latency
+	// objective of 300 ms.
 	if delayMs, sent := firstAttemptDelay(h, 1500); !sent {
 		t.Errorf("got no attempt within %v ms, want one", delayMs)
 	}
 }
 
-// An error in an endpoint's age within the tolerance makes it count as maxCapacityOverestimate times what it
-// can do at most, at any age, and never as warm before its time by more than the tolerance.
+// An error in an endpoint's age within the tolerance makes its capacity seem at most
+// maxCapacityOverestimate times the actual one, at any age. The endpoint never counts as warm too
+// early by more than the tolerance.
 func TestContractStartToleranceBoundsTheCapacity(t *testing.T) {
 	for _, contract := range []Contract{
 		{SlowStartFrom: 0.05, SlowStartMs: 3000}, {SlowStartFrom: 0.2, SlowStartMs: 8000}, {SlowStartFrom: 0.53, SlowStartMs: 7000},
@@ -250,7 +253,7 @@
 			}
 			for ageMs := 0.0; ageMs < contract.SlowStartMs; ageMs += contract.SlowStartMs / 100 {
 				if got, most := capacity(ageMs+toleranceMs), maxCapacityOverestimate*capacity(ageMs); got > most+1e-9 {
-					t.Fatalf("%v ms old: got a capacity of %v when taken for older, want %v at most", ageMs, got, most)
+					t.Fatalf("%v ms old: got a capacity of %v with the age overestimated, want %v at most", ageMs, got, most)
 				}
 			}
 		})
