--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A quiet agent of many would meet each of hundreds of endpoints once a minute. It keeps
-// to a subset it meets often; agents' subsets differ, so that each endpoint has its share;
-// a busy agent uses the whole fleet, and what is down in the subset is replaced.
+// One of many agents with little traffic would send to each of hundreds of endpoints once a minute.
+// It must use a subset to which it sends often. The agents' subsets differ, so that each endpoint
+// gets its share. An agent with much traffic uses the whole fleet. An ejected endpoint of the subset
+// is replaced.
 func TestEndpointSubsetGrowsWithTraffic(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -29,8 +30,8 @@
 	}
 }
 
-// usedEndpoints returns which of 60 servers an agent of a thousand uses for 300 requests. One of them is
-// ejected, and must not be used.
+// usedEndpoints returns which of 60 servers one of a thousand agents uses for 300 requests. One
+// server is ejected and must not be used.
 func usedEndpoints(t *testing.T, index int, gapMs float64) map[Addr]bool {
 	t.Helper()
 	set := testSettings()
@@ -52,8 +53,9 @@
 	return used
 }
 
-// The fleet doubled, and quiet agents, each sending to a subset, earned the new
-// endpoints the allowance of a whole fleet's share: they idled while the old ones were crowded.
+// Guards against idle new endpoints while the old ones are congested, after the fleet has doubled.
+// Agents with little traffic, each of which sends to a subset, refilled the allowances of the new
+// endpoints as if they sent to the whole fleet.
 func TestEndpointSubsetScalesTheRefillOfAllowances(t *testing.T) {
 	earned := func(keepaliveMs float64) float64 {
 		set := testSettings()
@@ -76,7 +78,7 @@
 		keepaliveMs, handshake float64
 		requests               float64 // recently
 		wantSize               int
-		wantMeetMs             float64
+		wantRevisitMs          float64
 	}{
 		{"no connection is kept", 0, 0.1, 40, 100, 0},
 		{"connections have a price", 10000, 0.1, 200, 50, 2500},
@@ -92,8 +94,8 @@
 			if got := subset.size(); got != test.wantSize {
 				t.Errorf("got a size of %d, want %d", got, test.wantSize)
 			}
-			if got := subset.revisitIntervalMs(); got != test.wantMeetMs {
-				t.Errorf("got %v ms to come by each, want %v", got, test.wantMeetMs)
+			if got := subset.revisitIntervalMs(); got != test.wantRevisitMs {
+				t.Errorf("got %v ms between requests at the same endpoint, want %v", got, test.wantRevisitMs)
 			}
 		})
 	}
--- a/policy/endpoint_weights_test.go
+++ b/policy/endpoint_weights_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Where crossing has a price, the local zone gets more than its part while it answers as fast as the
-// rest, and gives it back when it doesn't.
+// When crossing zones has a price, the local zone gets more than its part of the requests while it
+// answers as fast as the other zone, and loses this when it answers more slowly.
 func TestZoneWeightsFavourAQuickLocalZone(t *testing.T) {
 	set := testSettings()
 	set.Prices.CrossZone = 0.08
@@ -32,8 +32,8 @@
 	}
 }
 
-// Where the list tells no weights, the answer times of a kind of machine do: equal shares would overload
-// the small ones.
+// When the list contains no weights, they follow the answer times of each kind of machine. Equal
+// shares would overload the small machines.
 func TestMachineKindWeightsReduceASlowKind(t *testing.T) {
 	for _, weights := range []string{"off", "nominal"} {
 		t.Run(weights, func(t *testing.T) {
@@ -61,7 +61,7 @@
 			if slow > 250 {
 				t.Errorf("got %d of 600 requests at the slow half, want 250 at most", slow)
 			}
-			// Where the list tells weights, only an endpoint's own answers count against it.
+			// When the list contains weights, only an endpoint's own answers reduce its share.
 			if weight := h.b.selector.kinds.kinds[1].weight; (weight == 1) != (weights == "nominal") {
 				t.Errorf("got a weight of %.2f for the slow kind, want 1: %v", weight, weights == "nominal")
 			}
@@ -69,7 +69,7 @@
 	}
 }
 
-// Weights stay within their bounds however long one side is slower.
+// Weights stay within their bounds, however long one zone or kind of machine is slower.
 func TestEndpointWeightsStayWithinBounds(t *testing.T) {
 	zones, kinds := newZoneWeights(), newMachineKindWeights()
 	slow, fast := &endpoint{machineKind: 1}, &endpoint{machineKind: 2}
--- a/policy/key_counter_test.go
+++ b/policy/key_counter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A key's share is that of the last keyHistory requests; what came before is forgotten.
+// A key's share is its share of the last keyHistory requests; earlier requests don't count.
 func TestKeyCounterCountsTheLastRequests(t *testing.T) {
 	counter := newKeyCounter()
 	if got := counter.add(7); got != 1 {
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// A lone agent learns from its own attempts how long uncontended answers take: where the first ones
-// were quick, as of a few hot keys, what comes after must not count as crowded for good.
+// A single agent must raise its estimate of the uncontended answer time from its own attempts. When
+// the first answers were quick, as those for a few hot keys, slower ones must not indicate
+// congestion for good.
 func TestLatencyTrackerRaisesUncontendedLatencyOfASingleAgent(t *testing.T) {
 	for _, agents := range []int{1, 5} {
 		set := testSettings()
@@ -26,8 +27,9 @@
 	}
 }
 
-// Few agents see most of the load: what answers well within the latency objective is not crowded,
-// however low the uncontended time was taken. Warming endpoints are slower before they are.
+// With few agents, each of which sees most of the load, an endpoint that answers well within the
+// latency objective is not congested, however low the uncontended estimate is. Warming endpoints
+// have a higher threshold because they are slow before they are congested.
 func TestLatencyTrackerCongestionThresholdFallsWithReplicas(t *testing.T) {
 	threshold := func(agents int, uncontended float64) float64 {
 		set := testSettings()
@@ -51,7 +53,8 @@
 	}
 }
 
-// Agents that restart one by one may find the fleet crowded.
+// Agents that restart one by one may start while the fleet is congested. The answer times at the
+// start must not become the uncontended estimate.
 func TestLatencyTrackerCapsTheFirstUncontendedEstimate(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	for range minUncontendedSamples {
@@ -64,11 +67,11 @@
 
 func TestLatencyTrackerShrinksTheWindowOfACongestedEndpoint(t *testing.T) {
 	set := testSettings()
-	set.Replicas = 20 // many: each sees little of the load
+	set.Replicas = 20 // many agents: each sees little of the load
 	h := newHarness(t, set, 1)
 	h.liftLimit()
 	target := h.endpoint(0)
-	for range 300 { // long enough to know the uncontended answer time
+	for range 300 { // enough answers for the uncontended estimate
 		h.serve(idempotentClass, 1, 20)
 	}
 	grown := target.window.size
@@ -82,14 +85,14 @@
 	if target.window.size >= grown {
 		t.Errorf("after answers that took seven times as long got a window of %.2f, want less than %.2f", target.window.size, grown)
 	}
-	// With many agents one attempt of each keeps an overloaded endpoint busy.
+	// With many agents, one attempt of each would still keep an overloaded endpoint busy.
 	if target.window.size >= 1 {
 		t.Errorf("at an overloaded endpoint got a window of %.2f, want less than 1", target.window.size)
 	}
 }
 
-// No window grows before the uncontended answer time is known: what crowded the endpoints would
-// become the measure.
+// No window may grow before the uncontended answer time is known. Otherwise the agent would congest
+// the endpoints, and the answer times of congested endpoints would become the estimate.
 func TestLatencyTrackerGrowsNoWindowBeforeUncontendedLatencyIsKnown(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	for range minUncontendedSamples - 1 {
@@ -117,7 +120,8 @@
 	}
 }
 
-// The regression finds a line from its points, and says nothing before it has seen enough.
+// The regression finds the line through exact samples. It predicts nothing before it has
+// minHintSamples of them.
 func TestHintRegressionFindsTheLine(t *testing.T) {
 	hints := hintRegression{}
 	for i := range 400 {
@@ -139,8 +143,8 @@
 	}
 }
 
-// A request hinted as many mean ones costs as much of an allowance: a burst of such requests would
-// overload an endpoint that is warming up.
+// A request whose hint is a multiple of the mean must cost the same multiple of an allowance.
+// Otherwise a burst of such requests would overload an endpoint that is warming up.
 func TestHintRegressionCostFollowsTheHint(t *testing.T) {
 	hints := hintRegression{meanHint: 50}
 	for _, test := range []struct{ hint, want float64 }{{1, 1}, {200, 4}} {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A tenant is over its quota when its share of the requests is more than quotaTolerance times it.
+// A tenant is over its quota when its share of the requests is above quotaTolerance times the quota.
 func TestQuotaTrackerComparesSharesWithQuotas(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -35,7 +35,7 @@
 	}
 }
 
-// A tenant that the settings don't name changes nothing and is never over its quota.
+// Requests of a tenant that is not in the settings change nothing, and it is never over a quota.
 func TestQuotaTrackerIgnoresUnknownTenants(t *testing.T) {
 	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Shares go with the tenants' names to their new indexes.
+// A reload moves each tenant's share to the tenant's new index.
 func TestQuotaTrackerRemapsShares(t *testing.T) {
 	quotas := quotaTracker{environment: &environment{}, shares: []float64{0.1, 0.2, 0.7}}
 	quotas.remap(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -6,15 +6,14 @@
 	"testing"
 )
 
-// Where clients don't mark their retries, a request like an unserved one is not counted as
-// one more that the fleet has to bear: in a burst of retries every agent's part of what may be
-// in flight grew with them.
+// When clients don't mark their retries, a request like an unserved one must not count towards the
+// rate. Otherwise a burst of retries would raise every agent's floor of the concurrency limit.
 func TestRequestRateIgnoresUnmarkedRetries(t *testing.T) {
 	for _, marks := range []bool{false, true} {
 		t.Run(fmt.Sprintf("clients mark retries %v", marks), func(t *testing.T) {
 			set := testSettings()
 			set.Clients.MarksRetry = marks
-			h := newHarness(t, set, 0) // nothing to send to: each goes unserved
+			h := newHarness(t, set, 0) // no endpoint: all requests go unserved
 			again := 0.0
 			if marks {
 				again = 1
@@ -35,8 +34,8 @@
 	}
 }
 
-// Requests that come evenly are measured at their rate, from soon after the start on; retries
-// count for the lifetime alone.
+// The rate of evenly spaced requests is measured correctly from soon after the start. Retries count
+// only towards the rate over the lifetime.
 func TestRequestRateMeasuresAnEvenRate(t *testing.T) {
 	env := &environment{now: 1000, set: Settings{Limits: Limits{KeepaliveMs: 10000}}}
 	rate := newRequestRate(env)
@@ -53,6 +52,6 @@
 	}
 	env.now += 100000
 	if got := rate.perMs(); got > 0.001 {
-		t.Errorf("after ten spans without requests got %.3f requests a ms, want 0", got)
+		t.Errorf("after ten times the time constant without requests got %.3f requests a ms, want 0", got)
 	}
 }
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -13,13 +13,13 @@
 	}
 }
 
-// Queued requests that wait for their key's endpoints must not
-// keep others from endpoints that have capacity.
+// Queued requests that wait for their key's endpoints must not keep other requests from endpoints
+// that have capacity.
 func TestSelectorSkipsQueuedRequestsThatWaitForTheirKey(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
-	h.b.limiter.scale = 1000 // the endpoints' windows are at issue, not the agent's limit
+	h.b.limiter.scale = 1000 // the endpoints' windows must bound the attempts, not this limit
 	for range 30 {
-		h.arrive(idempotentClass, 42) // one key: fills its two endpoints, the others are queued
+		h.arrive(idempotentClass, 42) // one key: its two endpoints fill up, other requests are queued
 	}
 	if len(h.b.queue.queued) == 0 {
 		t.Fatal("got no request queued behind the key, want some")
@@ -35,8 +35,8 @@
 	}
 }
 
-// Crossing zones costs time and a price: of many keys more stay in the local zone
-// than its endpoints' part, and still most other endpoints are used.
+// Crossing zones costs time and has a price. Of many keys more must stay in the local zone than its
+// part of the endpoints, while the endpoints of the other zone are used too.
 func TestSelectorPrefersTheLocalZone(t *testing.T) {
 	const keys = 600
 	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
@@ -53,17 +53,18 @@
 	}
 }
 
-// With many agents, each with one request in flight, a popular key would put many times the mean on
-// one endpoint, and is split. Few agents leave it to the load bound; a rare key stays whole.
+// With many agents, each with one request in flight, a popular key would give one endpoint many
+// times the mean load, so it is split among several. With few agents the load bound suffices. A rare
+// key is never split.
 func TestSelectorSplitsAPopularKeyAmongManyAgents(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		agents, every int // one request in every has the key
+		agents, every int // one of so many requests has the key
 		least, most   int
 	}{
 		{"popular, many agents", 1000, 4, 5, 40},
 		{"popular, two agents", 2, 4, 1, 1}, // the load bound sees enough
-		{"rare", 1000, 150, 1, 1},           // its endpoint keeps it warm
+		{"rare", 1000, 150, 1, 1},           // stays warm at one endpoint
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := testSettings()
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// overloadSimulation is one agent whose requests arrive faster than its endpoints answer them: each endpoint
-// answers one at a time, after answerMs.
+// overloadSimulation simulates one agent whose requests arrive faster than its endpoints answer
+// them. Each endpoint serves one request at a time, for answerMs.
 type overloadSimulation struct {
 	b        *Balancer
 	rng      *rand.Rand
@@ -17,10 +17,10 @@
 	latest   RequestID
 	class    map[RequestID]int
 	attempts map[RequestID]int
-	idleAt   map[Addr]float64 // when each endpoint has answered all that it was sent
+	idleAt   map[Addr]float64 // when each endpoint will have served all its requests, in ms
 	answerMs float64
 	requests []int // by class
-	inTime   []int // of these, served within the latency objective
+	inTime   []int // served within the latency objective, by class
 }
 
 func newOverloadSimulation(t *testing.T, set Settings, servers int, seed uint64) *overloadSimulation {
@@ -54,8 +54,8 @@
 	}
 }
 
-// play sends perMs requests a ms for so long, of classes drawn alike, and counts the requests and
-// those served within the latency objective.
+// run sends perMs requests per ms for ms milliseconds, with classes drawn uniformly at random. It
+// counts the requests, and those served within the latency objective.
 func (p *overloadSimulation) run(perMs, ms float64) {
 	classes := p.b.classes.all
 	p.requests, p.inTime = make([]int, len(classes)), make([]int, len(classes))
@@ -84,13 +84,13 @@
 	}
 }
 
-// share returns the part of a class's requests that was served within its latency objective.
+// share returns the fraction of a class's requests that was served within its latency objective.
 func (p *overloadSimulation) share(class int) float64 {
 	return float64(p.inTime[class]) / float64(p.requests[class])
 }
 
-// twoClassSettings are settings of two classes, the first with the shorter latency objective, the second with
-// the priority weight given.
+// twoClassSettings returns settings with two classes. The first has the shorter latency objective,
+// the second the given priority weight.
 func twoClassSettings(priorityWeight float64) Settings {
 	set := testSettings()
 	set.Classes = []Class{
@@ -102,8 +102,8 @@
 	return set
 }
 
-// A class whose answers were late while the endpoints were slow is served again as soon as they
-// are quick. Half as much again is offered as the endpoints can answer, so something is always queued.
+// A class whose answers were late while the endpoints were slow must be served again once they are
+// fast. The offered load is 1.5 times what the endpoints can serve, so requests are always queued.
 func TestClassIsServedAgainAfterLateAnswers(t *testing.T) {
 	for _, weight := range []float64{1, 5} {
 		for _, seed := range []uint64{1, 2, 3} {
@@ -127,8 +127,8 @@
 	}
 }
 
-// The share of a class served in time follows its last requests: of a class that did well for
-// long and is served no more an agent with few requests has to know before long.
+// The share of a class served in time covers its latest requests. When a class that was served well
+// for a long time is no longer served, an agent with few requests must detect it soon.
 func TestClassStatsFindTheWorstClassSoon(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	serve := func(c *class, inTime bool) {
@@ -155,7 +155,8 @@
 	}
 }
 
-// How long answers took is forgotten over the time after which clients give up.
+// The expected answer time decays after late answers, with the time after which clients give up as
+// the time constant.
 func TestClassForgetsLateAnswers(t *testing.T) {
 	c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
 	uncontendedMs := c.uncontendedMs()
@@ -175,8 +176,8 @@
 	}
 }
 
-// Unanswered attempts are taken into what is expected, and yet a third of the endpoints that
-// answer nothing does not make a class seem late that the others answer at once.
+// Unanswered attempts raise the expected answer time. A third of the endpoints without any answer
+// must still not make a class seem late whose requests the others answer at once.
 func TestClassCountsUnansweredAttemptsInItsExpectedTime(t *testing.T) {
 	expectedMs := func(unanswered int) float64 {
 		c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
