--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -20,7 +20,7 @@
 		b.endpoints.keepListed(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
-	b.endpoints.removeGone(b.slowStart.forget)
+	b.endpoints.removeGone(b.slowStart.remove)
 	b.slowStart.listChanged()
 	b.limiter.rebase(floor, limit)
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -131,10 +131,10 @@
 	}
 }
 
-// forget removes an endpoint that is no longer listed.
-func (w *slowStart) forget(forgotten *endpoint) {
-	if forgotten.slowStart.warming {
-		w.warming = slices.DeleteFunc(w.warming, func(other *endpoint) bool { return other == forgotten })
+// remove removes an endpoint that is no longer listed.
+func (w *slowStart) remove(removed *endpoint) {
+	if removed.slowStart.warming {
+		w.warming = slices.DeleteFunc(w.warming, func(other *endpoint) bool { return other == removed })
 	}
 }
 
