--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -102,18 +102,19 @@
 // more if their traffic needs it. With quotas the floor is at least one attempt, or the even part if
 // that is less: one attempt in flight does no harm as long as every agent may have one.
 func (l *concurrencyLimiter) floor() float64 {
-	all := attemptsPerEndpoint * l.slowStart.fleetCapacity()
-	even := all / float64(max(l.set.Replicas, 1))
+	fleetFloor := attemptsPerEndpoint * l.slowStart.fleetCapacity()
+	evenPart := fleetFloor / float64(max(l.set.Replicas, 1))
 	quota := totalQuotaPerMs(l.set.Tenants)
 	if quota == 0 {
-		return max(even, all*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
+		return max(evenPart, fleetFloor*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
 	}
-	return max(all*l.traffic.perMs()/l.capAtCapacity(quota), min(even, 1))
+	return max(fleetFloor*l.traffic.perMs()/l.capAtCapacity(quota), min(evenPart, 1))
 }
 
 // capAtCapacity caps the rate that the settings announce for all agents, in requests per ms, at the
-// highest rate that the listed endpoints can serve. In a fleet of many services the settings cover
-// all services, but the list names the endpoints of one.
+// highest rate that the listed endpoints can serve. An infinite rate stands for settings without
+// quotas. In a fleet of many services the settings cover all services, but the list names the
+// endpoints of one.
 //
 // The service time is estimated from the uncontended answer time. Even an uncontended request may
 // have been queued: at three quarters of an endpoint's capacity its answer takes
@@ -142,8 +143,8 @@
 	case limit < 1:
 		l.scale = min(2*limit, 1) / floor
 	default:
-		one := max(floor, 1)
-		l.scale += limitIncrease * one * one / (limit * limit * floor)
+		base := max(floor, 1)
+		l.scale += limitIncrease * base * base / (limit * limit * floor)
 	}
 }
 
@@ -186,8 +187,9 @@
 	return false
 }
 
-// rebase keeps the limit, not the scale, after a new list has raised the floor: a limit that has
-// grown far above a floor below one attempt must not grow in proportion to that floor.
+// rebase adapts the scale after a new list has raised the floor from below one attempt. It keeps the
+// limit: one that has grown far above the old floor must not grow in proportion to the floor. A
+// limit below the new floor rises to it, less the fraction that late answers have taken off.
 func (l *concurrencyLimiter) rebase(oldFloor, oldLimit float64) {
 	if floor := l.floor(); oldFloor < 1 && floor > oldFloor {
 		l.scale = max(oldLimit/floor, min(l.scale, 1))
--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -30,7 +30,7 @@
 	if s.set.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
 	} else if s.set.Prices.Handshake > 0 {
-		size /= 4
+		size /= 4 // each endpoint is sent several requests in the time for which it is kept connected
 	}
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
 }
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -57,7 +57,7 @@
 	return weights
 }
 
-// of returns the weight of the endpoint's machine kind.
+// weightOf returns the weight of the endpoint's machine kind.
 func (m *machineKindWeights) weightOf(endpoint *endpoint) float64 {
 	return m.kinds[endpoint.machineKind&255].weight
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -40,11 +40,11 @@
 	recentDecayMs = 10000.0
 	// maxObjectiveFraction caps an answer time, as a fraction of the latency objective.
 	maxObjectiveFraction = 2.0
-	// uncontendedRiseDivisor divides fleetSmoothing where the uncontended answer time rises: it
-	// rises so many times slower than the fleet's mean.
+	// uncontendedRiseDivisor divides fleetSmoothing while the uncontended answer time rises, so that
+	// it rises this much more slowly than the fleet's mean.
 	uncontendedRiseDivisor = 250
-	// minHintSamples is the number of answers to hinted requests from which on the hint of a request
-	// predicts its answer time.
+	// minHintSamples is the number of answers to hinted requests that are needed before hints are
+	// used to predict answer times.
 	minHintSamples = 1 / (4 * fleetSmoothing)
 )
 
@@ -112,7 +112,8 @@
 	return fleetSmoothing / uncontendedRiseDivisor
 }
 
-// restart discards the answer times of an endpoint's former process.
+// restart discards the answer times of an endpoint's former process. Its recent one becomes that of
+// the fleet.
 func (l *latencyTracker) restart(endpoint *endpoint) {
 	endpoint.latency.forgetMean()
 	endpoint.latency.recent, endpoint.latency.recentAt = l.fleetRecent, l.now
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -12,7 +12,7 @@
 	// share. A request goes to the next endpoint in its hash order when this bound is reached.
 	boundedLoadFactor = 3.0
 	// keyAffinityWaitFraction is the fraction of its latency objective for which a request waits for
-	// one of the keyEndpoints first endpoints in the hash order of its key. A request that went to
+	// one of the first keyEndpoints endpoints in the hash order of its key. A request that went to
 	// another endpoint at once would lose the warm key just when time is short.
 	keyAffinityWaitFraction, keyEndpoints = 0.25, 2
 	// keySplitFactor multiplies the number of parts into which a popular key is split. A key that
@@ -74,8 +74,8 @@
 // candidates scores the endpoints of a tier that the request may be sent to. It considers the first
 // subset of them in the agent's own order, and further ones until one is scored. If the request does
 // not wait for its key's endpoints, only those that have capacity are scored. candidates returns the
-// scored endpoints, and the keyEndpoints first of these in the request's hash order. It sets the
-// request's tierWeight.
+// scored endpoints, and the first keyEndpoints of these in the request's hash order (nearest). It
+// sets the request's tierWeight.
 func (s *selector) candidates(request *request, tier, subset int, waits bool) ([]*endpoint,
 	[keyEndpoints]*endpoint) {
 	scored, inTier, seen := s.scratch[:0], 0, 0
@@ -147,8 +147,8 @@
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := mix(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
-	warmth := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
-	weight := endpoint.weight * s.kinds.weightOf(endpoint) * warmth
+	slowStartWeight := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
+	weight := endpoint.weight * s.kinds.weightOf(endpoint) * slowStartWeight
 	weight *= s.recentWeight(endpoint)
 	if endpoint.zone == s.set.Zone {
 		weight *= s.zones.weight
@@ -165,11 +165,11 @@
 	if s.latency.fleetRecent == 0 {
 		return 1
 	}
-	slower := s.latency.recentOf(endpoint) / (recentLatencyTolerance * s.latency.fleetRecent)
-	if slower <= 1 {
+	slowness := s.latency.recentOf(endpoint) / (recentLatencyTolerance * s.latency.fleetRecent)
+	if slowness <= 1 {
 		return 1
 	}
-	return max(1/(slower*slower), minRecentWeight)
+	return max(1/(slowness*slowness), minRecentWeight)
 }
 
 // hashOf returns the hash that orders the endpoints for a key, a random one without a key. A popular
@@ -181,8 +181,9 @@
 	if key == 0 {
 		return s.rng.Uint64()
 	}
-	share := s.recentKeys.add(key) - 1.0/keyHistory
+	share := s.recentKeys.add(key) - 1.0/keyHistory // without the present request
 	endpoints := float64(s.subset.size())
+	// unseen is the fraction of the key's load for which the load bound does not suffice.
 	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
 	parts := max(share*keySplitFactor*endpoints*unseen, 1)
 	// Part 0 keeps the key's own order. The factor, 2^64 over the golden ratio, spreads the others.
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -82,7 +82,7 @@
 	return uncontended + (c.meanMs-uncontended)*math.Exp((c.meanAt-now)/c.DeadlineMs)
 }
 
-// classStats holds the classes of requests and the figures across them.
+// classStats holds the classes of requests and values computed over all of them.
 type classStats struct {
 	*environment
 	all                 []*class
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// remove removes an endpoint that is no longer listed.
+// remove drops an endpoint that is no longer listed.
 func (w *slowStart) remove(removed *endpoint) {
 	if removed.slowStart.warming {
 		w.warming = slices.DeleteFunc(w.warming, func(other *endpoint) bool { return other == removed })
