--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// A quiet agent of many would meet each of hundreds of endpoints once a minute. It keeps
-// to a subset it meets often; agents' subsets differ, so that each endpoint has its share;
-// a busy agent uses the whole fleet, and what is down in the subset is replaced.
+// One of many agents with little traffic would send to each of hundreds of endpoints once a minute.
+// It must use a subset to which it sends often. The agents' subsets differ, so that each endpoint
+// gets its share. An agent with much traffic uses the whole fleet. An ejected endpoint of the subset
+// is replaced.
 func TestEndpointSubsetGrowsWithTraffic(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -29,8 +30,8 @@
 	}
 }
 
-// usedEndpoints returns which of 60 servers an agent of a thousand uses for 300 requests. One of them is
-// ejected, and must not be used.
+// usedEndpoints returns which of 60 servers one of a thousand agents uses for 300 requests. One
+// server is ejected and must not be used.
 func usedEndpoints(t *testing.T, index int, gapMs float64) map[Addr]bool {
 	t.Helper()
 	set := testSettings()
@@ -52,9 +53,10 @@
 	return used
 }
 
-// The fleet doubled, and quiet agents, each sending to a subset, earned the new
-// endpoints the allowance of a whole fleet's share: they idled while the old ones were crowded.
-func TestEndpointSubsetRaisesWhatAllowancesEarn(t *testing.T) {
+// Guards against idle new endpoints while the old ones are congested, after the fleet has doubled.
+// Agents with little traffic, each of which sends to a subset, refilled the allowances of the new
+// endpoints as if they sent to the whole fleet.
+func TestEndpointSubsetScalesTheRefillOfAllowances(t *testing.T) {
 	earned := func(keepaliveMs float64) float64 {
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepaliveMs, 0.1
@@ -62,7 +64,7 @@
 		h.updateEndpoints(ListDelta, startedAt(ready(99), h.now))
 		warming := h.endpoint(99)
 		warming.slowStart.allowance = 0
-		h.b.slowStart.earn(h.endpoint(0), 1, h.b.subset.size())
+		h.b.slowStart.refillAllowances(h.endpoint(0), 1, h.b.subset.size())
 		return warming.slowStart.allowance
 	}
 	if whole, subset := earned(0), earned(10000); subset < 3.5*whole || whole <= 0 {
@@ -76,7 +78,7 @@
 		keepaliveMs, handshake float64
 		requests               float64 // recently
 		wantSize               int
-		wantMeetMs             float64
+		wantRevisitMs          float64
 	}{
 		{"no connection is kept", 0, 0.1, 40, 100, 0},
 		{"connections have a price", 10000, 0.1, 200, 50, 2500},
@@ -88,12 +90,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			env := &environment{set: Settings{Limits: Limits{KeepaliveMs: test.keepaliveMs},
 				Prices: Prices{Handshake: test.handshake}}}
-			subset := newEndpointSubset(env, &endpointSet{all: make(orderedEndpoints, 100)}, &requestRate{recent: test.requests})
+			subset := newEndpointSubset(env, &endpointSet{all: make(orderedEndpoints, 100)}, &requestRate{recentCount: test.requests})
 			if got := subset.size(); got != test.wantSize {
 				t.Errorf("got a size of %d, want %d", got, test.wantSize)
 			}
-			if got := subset.meetMs(); got != test.wantMeetMs {
-				t.Errorf("got %v ms to come by each, want %v", got, test.wantMeetMs)
+			if got := subset.revisitIntervalMs(); got != test.wantRevisitMs {
+				t.Errorf("got %v ms between requests at the same endpoint, want %v", got, test.wantRevisitMs)
 			}
 		})
 	}
--- a/policy/service_level_test.go
+++ b/policy/service_level_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// overloadPlay is one agent whose requests arrive faster than its endpoints answer them: each endpoint
-// answers one at a time, after answerMs.
-type overloadPlay struct {
+// overloadSimulation simulates one agent whose requests arrive faster than its endpoints answer
+// them. Each endpoint serves one request at a time, for answerMs.
+type overloadSimulation struct {
 	b        *Balancer
 	rng      *rand.Rand
 	now      float64
@@ -17,24 +17,24 @@
 	latest   RequestID
 	class    map[RequestID]int
 	attempts map[RequestID]int
-	idleAt   map[Addr]float64 // when each endpoint has answered all that it was sent
+	idleAt   map[Addr]float64 // when each endpoint will have served all its requests, in ms
 	answerMs float64
 	requests []int // by class
-	inTime   []int // of these, served within the latency objective
+	inTime   []int // served within the latency objective, by class
 }
 
-func newOverloadPlay(t *testing.T, set Settings, servers int, seed uint64) *overloadPlay {
+func newOverloadSimulation(t *testing.T, set Settings, servers int, seed uint64) *overloadSimulation {
 	t.Helper()
-	p := &overloadPlay{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 5)), now: fleetStart,
+	p := &overloadSimulation{b: newBalancer(t, set, seed), rng: rand.New(rand.NewPCG(seed, 5)), now: fleetStart,
 		class: map[RequestID]int{}, attempts: map[RequestID]int{}, idleAt: map[Addr]float64{}, answerMs: 60}
 	p.carryOut(p.b.Start(p.now, nil))
 	p.handle(&EndpointsUpdated{Kind: ListCached, Entries: startedEntries(servers, 0)})
 	return p
 }
 
-func (p *overloadPlay) handle(event Event) { p.carryOut(p.b.Handle(p.now, event, nil)) }
+func (p *overloadSimulation) handle(event Event) { p.carryOut(p.b.Handle(p.now, event, nil)) }
 
-func (p *overloadPlay) carryOut(actions []Action) {
+func (p *overloadSimulation) carryOut(actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
 		case ActionSendAttempt:
@@ -54,9 +54,9 @@
 	}
 }
 
-// play sends perMs requests a ms for so long, of classes drawn alike, and counts the requests and
-// those served within the latency objective.
-func (p *overloadPlay) play(perMs, ms float64) {
+// run sends perMs requests per ms for ms milliseconds, with classes drawn uniformly at random. It
+// counts the requests, and those served within the latency objective.
+func (p *overloadSimulation) run(perMs, ms float64) {
 	classes := p.b.classes.all
 	p.requests, p.inTime = make([]int, len(classes)), make([]int, len(classes))
 	end := p.now + ms
@@ -84,14 +84,14 @@
 	}
 }
 
-// share returns the part of a class's requests that was served within its latency objective.
-func (p *overloadPlay) share(class int) float64 {
+// share returns the fraction of a class's requests that was served within its latency objective.
+func (p *overloadSimulation) share(class int) float64 {
 	return float64(p.inTime[class]) / float64(p.requests[class])
 }
 
-// twoClasses are settings of two classes, the first with the shorter latency objective, the second with
-// the priority weight given.
-func twoClasses(priorityWeight float64) Settings {
+// twoClassSettings returns settings with two classes. The first has the shorter latency objective,
+// the second the given priority weight.
+func twoClassSettings(priorityWeight float64) Settings {
 	set := testSettings()
 	set.Classes = []Class{
 		{Name: "quick", LatencyObjectiveMs: 600, DeadlineMs: 2500, Effect: EffectIdempotent, PriorityWeight: 1},
@@ -102,21 +102,21 @@
 	return set
 }
 
-// A class whose answers were late while the endpoints were slow is served again as soon as they
-// are quick. Half as much again is offered as the endpoints can answer, so something is always queued.
+// A class whose answers were late while the endpoints were slow must be served again once they are
+// fast. The offered load is 1.5 times what the endpoints can serve, so requests are always queued.
 func TestClassIsServedAgainAfterLateAnswers(t *testing.T) {
 	for _, weight := range []float64{1, 5} {
 		for _, seed := range []uint64{1, 2, 3} {
 			t.Run(fmt.Sprintf("priority weight %v, seed %d", weight, seed), func(t *testing.T) {
-				p := newOverloadPlay(t, twoClasses(weight), 4, seed)
+				p := newOverloadSimulation(t, twoClassSettings(weight), 4, seed)
 				perMs := 1.5 * 4 / p.answerMs
-				p.play(perMs, 20000)
+				p.run(perMs, 20000)
 				before := [2]float64{p.share(0), p.share(1)}
 				p.answerMs = 1200
-				p.play(perMs, 10000)
+				p.run(perMs, 10000)
 				p.answerMs = 60
-				p.play(perMs, 5000)
-				p.play(perMs, 20000)
+				p.run(perMs, 5000)
+				p.run(perMs, 20000)
 				for class, share := range before {
 					if got := p.share(class); got < 0.75*share {
 						t.Errorf("class %d: got a share of %.2f served in time, want 0.75 of the %.2f before", class, got, share)
@@ -127,14 +127,14 @@
 	}
 }
 
-// The share of a class served in time follows its last requests: of a class that did well for
-// long and is served no more an agent with few requests has to know before long.
+// The share of a class served in time covers its latest requests. When a class that was served well
+// for a long time is no longer served, an agent with few requests must detect it soon.
 func TestClassStatsFindTheWorstClassSoon(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	serve := func(c *class, inTime bool) {
-		h.b.classes.count(c)
+		h.b.classes.countRequest(c)
 		if inTime {
-			c.servedInTime += 1.0 / classMemory
+			c.servedInTime += 1.0 / classHistory
 		}
 	}
 	well, badly := h.b.classes.all[0], h.b.classes.all[1]
@@ -155,12 +155,13 @@
 	}
 }
 
-// How long answers took is forgotten over the time after which clients give up.
+// The expected answer time decays after late answers, with the time after which clients give up as
+// the time constant.
 func TestClassForgetsLateAnswers(t *testing.T) {
 	c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
 	uncontendedMs := c.uncontendedMs()
 	for i := range 20 {
-		c.learn(float64(i), 2*c.LatencyObjectiveMs)
+		c.observeLatency(float64(i), 2*c.LatencyObjectiveMs)
 	}
 	late := c.expectedMs(20)
 	if late < c.LatencyObjectiveMs {
@@ -175,17 +176,17 @@
 	}
 }
 
-// Unanswered attempts are taken into what is expected, and yet a third of the endpoints that
-// answer nothing does not make a class seem late that the others answer at once.
+// Unanswered attempts raise the expected answer time. A third of the endpoints without any answer
+// must still not make a class seem late whose requests the others answer at once.
 func TestClassCountsUnansweredAttemptsInItsExpectedTime(t *testing.T) {
 	expectedMs := func(unanswered int) float64 {
 		c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
 		for i := range 300 {
 			now := float64(i) * 20
 			if i%3 < unanswered {
-				c.unanswered(now, 600)
+				c.observeUnanswered(now, 600)
 			} else {
-				c.learn(now, 30)
+				c.observeLatency(now, 30)
 			}
 		}
 		return c.expectedMs(6000)
