--- a/internal/backend/idle_lifetime.go
+++ b/internal/backend/idle_lifetime.go
@@ -6,49 +6,52 @@
 )
 
 const (
-	// youngAge is the age up to which a connection that breaks says nothing of its age. ageSteps is
-	// the number of steps above it, each longer by a factor of √2: up to 262 s.
-	youngAge, ageSteps = 64 * time.Millisecond, 24
-	// ageHalfLife is the time in which a count decays to half: ages that were given up are tried
-	// again in time.
-	ageHalfLife = 10 * time.Second
-	// A step is too old if its connections broke at least minBreaks times and in more than
-	// breakFactor times the share of the young ones, plus breakShare.
-	minBreaks, breakFactor, breakShare = 3, 3, 0.1
+	// baselineIdleTime bounds the idle times that form the baseline: a connection that breaks after
+	// a shorter idle time did not break because it was idle. idleTimeBuckets is the number of
+	// histogram buckets above it. Each bucket is longer than the one before by a factor of √2, so
+	// they reach 262 s; the last one also takes all longer idle times.
+	baselineIdleTime, idleTimeBuckets = 64 * time.Millisecond, 24
+	// countHalfLife is the time in which a count decays to half. The decay lets the pool try idle
+	// times again that it had excluded.
+	countHalfLife = 10 * time.Second
+	// A bucket is excluded if at least minBrokenReuses of its reused connections broke, and their
+	// share is above brokenShareFactor times the baseline's share plus brokenShareMargin.
+	minBrokenReuses, brokenShareFactor, brokenShareMargin = 3, 3, 0.1
 )
 
-// idleLifetimeEstimator learns how long connections may be idle. A backend, or a middlebox in
-// front of it, may drop them silently long before the idle timeout of the settings. The next request
-// then ends as a reset, and may have run.
+// idleLifetimeEstimator estimates how long a connection may be idle and still be reused. A backend,
+// or a middlebox in front of it, may drop idle connections silently long before the configured idle
+// timeout. The next request on such a connection ends as a reset, and it may have run.
 //
-// It is a histogram of reuses over the idle time, in geometric steps, whose counts decay by half in
-// each ageHalfLife (exponential forgetting). The limit is the lower bound of the first step whose
-// share of broken connections stands out against that of young ones, which break for other reasons.
-// Its constants are this project's, not from a publication: a few resets must be enough to act on,
-// and a single one must not be.
+// The estimator is a histogram of reuses by idle time, with geometric buckets and exponentially
+// decaying counts (exponential forgetting). The limit is the lower bound of the first bucket whose
+// share of broken connections is clearly above the baseline, which is the share among connections
+// that were idle for less than baselineIdleTime and broke for other reasons. The constants are this
+// project's, not from a publication. They are chosen such that a few resets lower the limit and a
+// single one does not.
 //
 // The pool's mutex guards it. Its zero value is ready for use.
 type idleLifetimeEstimator struct {
-	young   reuseCount
-	steps   [ageSteps]reuseCount
-	decayed time.Time // when the counts were last decayed
+	baseline  reuseCount
+	buckets   [idleTimeBuckets]reuseCount
+	decayedAt time.Time // when the counts were last decayed
 }
 
-// reuseCount counts the reuses of connections of about one age, and those of them that broke
-// before the first byte of an answer. The counts decay, and so are no whole numbers.
+// reuseCount counts the reuses of connections within one range of idle times, and those of them
+// that broke before the first byte of a response. The counts decay, so they are not whole numbers.
 type reuseCount struct{ reuses, broken float64 }
 
-// stepOf returns the index of the step of an age, which must be at least youngAge.
-func stepOf(age time.Duration) int {
-	return min(int(2*math.Log2(float64(age)/float64(youngAge))), ageSteps-1)
+// bucketOf returns the index of the bucket of an idle time, which must be at least baselineIdleTime.
+func bucketOf(idleFor time.Duration) int {
+	return min(int(2*math.Log2(float64(idleFor)/float64(baselineIdleTime))), idleTimeBuckets-1)
 }
 
-// observe records how the reuse of a connection went that had been idle for age.
-func (e *idleLifetimeEstimator) observe(age time.Duration, broke bool, now time.Time) {
+// observe records whether a connection broke that was reused after an idle time.
+func (e *idleLifetimeEstimator) observe(idleFor time.Duration, broke bool, now time.Time) {
 	e.decay(now)
-	count := &e.young
-	if age >= youngAge {
-		count = &e.steps[stepOf(age)]
+	count := &e.baseline
+	if idleFor >= baselineIdleTime {
+		count = &e.buckets[bucketOf(idleFor)]
 	}
 	count.reuses++
 	if broke {
@@ -56,38 +59,40 @@
 	}
 }
 
-// decay ages the counts to the present, at most ten times in a half-life.
+// decay applies the decay up to now to all counts, at most ten times in each countHalfLife.
 func (e *idleLifetimeEstimator) decay(now time.Time) {
-	if e.decayed.IsZero() {
-		e.decayed = now
+	if e.decayedAt.IsZero() {
+		e.decayedAt = now
 	}
-	passed := now.Sub(e.decayed)
-	if passed <= ageHalfLife/10 {
+	passed := now.Sub(e.decayedAt)
+	if passed <= countHalfLife/10 {
 		return
 	}
-	keep := math.Exp2(-float64(passed) / float64(ageHalfLife))
-	e.young.scale(keep)
-	for i := range e.steps {
-		e.steps[i].scale(keep)
+	keep := math.Exp2(-float64(passed) / float64(countHalfLife))
+	e.baseline.scale(keep)
+	for i := range e.buckets {
+		e.buckets[i].scale(keep)
 	}
-	e.decayed = now
+	e.decayedAt = now
 }
 
-// scale multiplies the counts.
+// scale multiplies both counts by a factor.
 func (c *reuseCount) scale(factor float64) {
 	c.reuses *= factor
 	c.broken *= factor
 }
 
-// limit returns how long a connection may have been idle to be used again: at most the idle timeout.
+// limit returns the longest idle time after which a connection may be reused. It is at most
+// idleTimeout.
 func (e *idleLifetimeEstimator) limit(idleTimeout time.Duration) time.Duration {
-	youngShare := 0.0 // of the young connections that broke
-	if e.young.reuses > 0 {
-		youngShare = e.young.broken / e.young.reuses
+	baselineShare := 0.0 // share of the baseline's reused connections that broke
+	if e.baseline.reuses > 0 {
+		baselineShare = e.baseline.broken / e.baseline.reuses
 	}
-	for i, step := range e.steps {
-		if step.broken >= minBreaks && step.broken > step.reuses*(breakFactor*youngShare+breakShare) {
-			return min(idleTimeout, time.Duration(float64(youngAge)*math.Exp2(float64(i)/2)))
+	for i, bucket := range e.buckets {
+		if bucket.broken >= minBrokenReuses &&
+			bucket.broken > bucket.reuses*(brokenShareFactor*baselineShare+brokenShareMargin) {
+			return min(idleTimeout, time.Duration(float64(baselineIdleTime)*math.Exp2(float64(i)/2)))
 		}
 	}
 	return idleTimeout
--- a/internal/backend/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -10,9 +10,9 @@
 	"ploverreel/policy"
 )
 
-// Connections of an age at which they tend to break are not used again. Breaks that are as frequent
-// at any age say nothing, and in time all ages are tried again.
-func TestIdleLifetimeExcludesAgesThatBreak(t *testing.T) {
+// Connections are not reused after an idle time at which they tend to break. Breaks that are equally
+// frequent at all idle times do not lower the limit, and the decay makes all idle times usable again.
+func TestIdleLifetimeExcludesIdleTimesThatBreak(t *testing.T) {
 	now, idleTimeout := time.Now(), time.Minute
 	var estimator idleLifetimeEstimator
 	for i := range 100 {
@@ -21,25 +21,26 @@
 		estimator.observe(300*time.Millisecond, broke, now)
 	}
 	if got := estimator.limit(idleTimeout); got != idleTimeout {
-		t.Fatalf("breaks at any age: got limit %v, want %v", got, idleTimeout)
+		t.Fatalf("breaks at any idle time: got limit %v, want %v", got, idleTimeout)
 	}
 	for i := range 10 {
 		estimator.observe(110*time.Millisecond, i%3 == 0, now)
 	}
 	if got := estimator.limit(idleTimeout); got < 64*time.Millisecond || got > 110*time.Millisecond {
-		t.Fatalf("a third breaks at 110 ms: got limit %v, want 64 to 110 ms", got)
+		t.Fatalf("a third of the connections breaks at 110 ms: got limit %v, want 64 to 110 ms", got)
 	}
-	estimator.observe(time.Millisecond, false, now.Add(10*ageHalfLife))
+	estimator.observe(time.Millisecond, false, now.Add(10*countHalfLife))
 	if got := estimator.limit(idleTimeout); got != idleTimeout {
 		t.Fatalf("after ten half-lives: got limit %v, want %v", got, idleTimeout)
 	}
 }
 
-// A backend that drops idle connections silently gets new ones after a few requests that were reset.
+// If a backend drops idle connections silently, the pool opens new ones for it after a few requests
+// were reset.
 func TestPoolStopsReusingSilentlyDroppedConnections(t *testing.T) {
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		answerOne(agenttest.OKAnswer)(conn, reader)
-		agenttest.ReadRequest(reader) // and closes the connection when the next request arrives
+		agenttest.ReadRequest(reader) // closes the connection when the next request arrives
 	})
 	pool := newTestPool()
 	conns := pool.NewConns(addr)
@@ -53,11 +54,11 @@
 		}
 		pool.mu.Lock()
 		for _, conn := range conns.idle {
-			conn.idleSince = conn.idleSince.Add(-time.Second) // as if it had been idle
+			conn.idleSince = conn.idleSince.Add(-time.Second) // simulates an idle time of 1 s
 		}
 		pool.mu.Unlock()
 	}
-	if broken != minBreaks {
-		t.Fatalf("got %d requests reset, want %d", broken, minBreaks)
+	if broken != minBrokenReuses {
+		t.Fatalf("got %d requests reset, want %d", broken, minBrokenReuses)
 	}
 }
