--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -45,10 +45,10 @@
 	abandoned atomic.Bool // it has disconnected, or was answered without the loop; any goroutine may set it
 }
 
-// HasLeft reports whether nobody waits for the response any more. It looks at the client's connection
+// Disconnected reports whether nobody waits for the response any more. It looks at the client's connection
 // itself, whose end may have arrived without having been read: on a busy machine the goroutine that
 // reads it, or the loop, may be far behind.
-func (c *client) HasLeft() bool {
+func (c *client) Disconnected() bool {
 	if !c.abandoned.Load() && c.conn != nil && socket.PeerClosed(c.conn) {
 		c.abandoned.Store(true)
 	}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -93,7 +93,7 @@
 	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
 	agent, base, _, _ := start(t, conf)
 	// On a slow machine clients may write late, and handlers answer late.
-	agent.clients.SetPatience(agenttest.Never, agenttest.Never)
+	agent.clients.SetTimeouts(agenttest.Never, agenttest.Never)
 	const excess = 20
 	requests := minLimits.OpenRequests() + excess
 	if requests <= minLimits.ClientSockets() {
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -158,13 +158,13 @@
 }
 
 // checkAndBegin makes the last checks before the first byte and begins the attempt. Its error is
-// ErrLate, ErrClientGone or ErrWithdrawn.
+// ErrTooLate, ErrClientDisconnected or ErrWithdrawn.
 func (a *Attempt) checkAndBegin() error {
 	if a.isLate() {
-		return ErrLate
+		return ErrTooLate
 	}
-	if a.request.Client != nil && a.request.Client.HasLeft() {
-		return ErrClientGone
+	if a.request.Client != nil && a.request.Client.Disconnected() {
+		return ErrClientDisconnected
 	}
 	if !a.begin() {
 		return ErrWithdrawn
@@ -197,7 +197,7 @@
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
 // read reads the answer to the request and reports whether the connection can be used again. Its
-// error is an *AnswerError.
+// error is a *ResponseError.
 func (a *Attempt) read(conn *pooledConn, outgoing *http.Request) (result Result, reusable bool, err error) {
 	reader := readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -159,8 +159,8 @@
 		late.BeginBy = time.Now().Add(-time.Nanosecond) // the dial took that long
 		return conn, err
 	}
-	if got := late.Run(); got.Status != policy.StatusNotSent || !errors.Is(got.Err, ErrLate) {
-		t.Fatalf("got status %d (%v), want %d (%v)", got.Status, got.Err, policy.StatusNotSent, ErrLate)
+	if got := late.Run(); got.Status != policy.StatusNotSent || !errors.Is(got.Err, ErrTooLate) {
+		t.Fatalf("got status %d (%v), want %d (%v)", got.Status, got.Err, policy.StatusNotSent, ErrTooLate)
 	}
 	if n := <-read; n != 0 {
 		t.Fatalf("got %d bytes at the backend, want 0", n)
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -28,7 +28,7 @@
 func (c *Conns) Addr() string { return c.addr }
 
 // get returns a connection on which no bytes wait: an idle one that has settled or, within the
-// context and the connect timeout, a new one. Its error is ErrNoSocket, the context's error or the
+// context and the connect timeout, a new one. Its error is ErrConnLimit, the context's error or the
 // error of the connect.
 func (c *Conns) get(ctx context.Context) (*pooledConn, error) {
 	p := c.pool
--- a/internal/backend/doc.go
+++ b/internal/backend/doc.go
@@ -9,8 +9,8 @@
 // goroutine, and none of them blocks for longer than the close of a socket. Attempt.Run is called
 // once, in a goroutine of the attempt's own; it ends with the attempt's context.
 //
-// Where no whole answer came, Result.Err is an *Error. It wraps one of ErrNoSocket, ErrLate,
-// ErrClientGone, ErrWithdrawn, *WriteError, *AnswerError and *PanicError, or the error of the connect
+// Where no whole answer came, Result.Err is an *Error. It wraps one of ErrConnLimit, ErrTooLate,
+// ErrClientDisconnected, ErrWithdrawn, *WriteError, *ResponseError and *PanicError, or the error of the connect
 // or of the context. If any part of an answer is wrong, none of it is used. In doubt a request counts
 // as one that may have run.
 package backend
--- a/internal/backend/errors.go
+++ b/internal/backend/errors.go
@@ -8,10 +8,10 @@
 
 // The errors of attempts that didn't begin, besides those of a connect.
 var (
-	ErrWithdrawn  = errors.New("attempt withdrawn before its first byte")
-	ErrClientGone = errors.New("the client has left before the first byte")
-	ErrLate       = errors.New("too late for the attempt to begin")
-	ErrNoSocket   = errors.New("no socket left for a new connection")
+	ErrWithdrawn          = errors.New("attempt withdrawn before its first byte")
+	ErrClientDisconnected = errors.New("the client has left before the first byte")
+	ErrTooLate            = errors.New("too late for the attempt to begin")
+	ErrConnLimit          = errors.New("no socket left for a new connection")
 )
 
 // The causes with which attempts are withdrawn and cancelled.
@@ -20,10 +20,10 @@
 	ErrEndpointDraining = errors.New("backend drains or is gone")
 )
 
-// What an AnswerError wraps, besides the errors of package http and of the network.
+// What a ResponseError wraps, besides the errors of package http and of the network.
 var (
-	errTooLong     = errors.New("longer than the limit")
-	errNotAnAnswer = errors.New("not one to this request")
+	errTooLong      = errors.New("longer than the limit")
+	errNotAResponse = errors.New("not one to this request")
 )
 
 // Error is why an attempt got no whole answer, and how far it came. It wraps the error at fault.
@@ -62,14 +62,14 @@
 // Unwrap returns the error of the connection, or io.ErrShortWrite.
 func (e *WriteError) Unwrap() error { return e.err }
 
-// AnswerError is why an answer is not used: it didn't come whole, is too long, or is not one to the
+// ResponseError is why an answer is not used: it didn't come whole, is too long, or is not one to the
 // request.
-type AnswerError struct{ err error }
+type ResponseError struct{ err error }
 
-func (e *AnswerError) Error() string { return "answer: " + e.err.Error() }
+func (e *ResponseError) Error() string { return "answer: " + e.err.Error() }
 
 // Unwrap returns the error at fault.
-func (e *AnswerError) Unwrap() error { return e.err }
+func (e *ResponseError) Unwrap() error { return e.err }
 
 // PanicError is a panic of an attempt, or of the opening of an extra connection.
 type PanicError struct {
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -13,10 +13,10 @@
 	applies func(e *Error) bool
 }{
 	// The agent itself did not begin the attempt: the backend is not to blame.
-	{policy.StatusNotSent, func(e *Error) bool { return e.neverBegan && e.isOneOf(ErrLate, ErrClientGone) }},
+	{policy.StatusNotSent, func(e *Error) bool { return e.neverBegan && e.isOneOf(ErrTooLate, ErrClientDisconnected) }},
 	// The request may be sent to another backend at once, and this one is no outlier for it.
 	{policy.StatusRejected, func(e *Error) bool {
-		return e.neverBegan && (e.isOneOf(ErrNoSocket) || errors.Is(e.cause, ErrEndpointDraining))
+		return e.neverBegan && (e.isOneOf(ErrConnLimit) || errors.Is(e.cause, ErrEndpointDraining))
 	}},
 	// The decision module asked for it, whether or not the attempt has begun.
 	{policy.StatusCancelled, func(e *Error) bool { return errors.Is(e.cause, ErrCancelled) }},
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -57,8 +57,8 @@
 func TestAttemptWithoutSocketIsRejected(t *testing.T) {
 	pool := newTestPool()
 	pool.settings.MaxConns = 0
-	if got := runAttempt(pool.NewConns(unusedAddr)); got.Status != policy.StatusRejected || !errors.Is(got.Err, ErrNoSocket) {
-		t.Fatalf("got status %d (%v), want %d (%v)", got.Status, got.Err, policy.StatusRejected, ErrNoSocket)
+	if got := runAttempt(pool.NewConns(unusedAddr)); got.Status != policy.StatusRejected || !errors.Is(got.Err, ErrConnLimit) {
+		t.Fatalf("got status %d (%v), want %d (%v)", got.Status, got.Err, policy.StatusRejected, ErrConnLimit)
 	}
 }
 
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -80,13 +80,13 @@
 func (p *Pool) NewConns(addr string) *Conns { return &Conns{pool: p, addr: addr} }
 
 // reserve counts a connection that is about to be opened. At the limit it closes the one that has
-// been idle longest; if none is idle, it returns ErrNoSocket. The caller holds p.mu, which is
+// been idle longest; if none is idle, it returns ErrConnLimit. The caller holds p.mu, which is
 // released while a connection closes.
 func (p *Pool) reserve() error {
 	for p.open >= p.settings.MaxConns {
 		longest := p.idle.Front()
 		if longest == nil {
-			return ErrNoSocket
+			return ErrConnLimit
 		}
 		conn := longest.Value.(*pooledConn)
 		conn.unlist()
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -22,9 +22,9 @@
 
 // Client waits for the answer to a request.
 type Client interface {
-	// HasLeft reports whether the client waits no longer. An attempt calls it in its own goroutine,
+	// Disconnected reports whether the client waits no longer. An attempt calls it in its own goroutine,
 	// just before the first byte.
-	HasLeft() bool
+	Disconnected() bool
 }
 
 // Request is a request as it is forwarded to a backend. It must not be changed while an attempt of it
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -17,11 +17,11 @@
 
 // readAnswer reads the answer to a request and reports whether the connection can be used again.
 // Nothing of an answer is used if any part of it is wrong: the request may have run. Its error is an
-// *AnswerError.
+// *ResponseError.
 func readAnswer(conn *pooledConn, reader *bufio.Reader, request *http.Request) (result Result, reusable bool, err error) {
 	response, err := readFinalHead(reader, request)
 	if err != nil {
-		return Result{}, false, &AnswerError{err}
+		return Result{}, false, &ResponseError{err}
 	}
 	// Without a length the answer lasts to the end of the connection. One that ends in order makes
 	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
@@ -29,7 +29,7 @@
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
 	case response.ContentLength > maxAnswerBody:
-		return Result{}, false, &AnswerError{errTooLong}
+		return Result{}, false, &ResponseError{errTooLong}
 	case untilEnd:
 		conn.readBudget += maxAnswerBody + 1 // the read behind the last byte finds the end
 	case chunked:
@@ -39,7 +39,7 @@
 	}
 	body, err := readBody(response.Body, response.ContentLength)
 	if err != nil {
-		return Result{}, false, &AnswerError{err}
+		return Result{}, false, &ResponseError{err}
 	}
 	return resultOf(response, body), !response.Close && !untilEnd, nil
 }
@@ -52,7 +52,7 @@
 			return nil, err
 		}
 		if response.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || response.ProtoMajor != 1 {
-			return nil, errNotAnAnswer
+			return nil, errNotAResponse
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
--- a/internal/backend/settle_test.go
+++ b/internal/backend/settle_test.go
@@ -102,7 +102,7 @@
 // socketClient is a Client that has left when its connection says so.
 type socketClient struct{ conn net.Conn }
 
-func (c socketClient) HasLeft() bool { return socket.PeerClosed(c.conn) }
+func (c socketClient) Disconnected() bool { return socket.PeerClosed(c.conn) }
 
 // newSocketClient returns both ends of a client's connection.
 func newSocketClient(t *testing.T) (remote net.Conn, client socketClient) {
@@ -134,7 +134,7 @@
 				remote, client := newSocketClient(t)
 				conns, read := prepare(t, func() {
 					disconnect(remote)
-					agenttest.Eventually(t, "the client's end arrived", client.HasLeft)
+					agenttest.Eventually(t, "the client's end arrived", client.Disconnected)
 				})
 				attempt := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout)
 				attempt.request.Client = client
--- a/internal/clientconn/eviction_test.go
+++ b/internal/clientconn/eviction_test.go
@@ -17,8 +17,8 @@
 		received bool
 		want     evictionClass
 	}{
-		{"new and silent for long", &Conn{stage: stageNew}, silentConnGrace, false, evictSilent},
-		{"new and silent", &Conn{stage: stageNew}, silentConnGrace - 1, false, notEvictable},
+		{"new and silent for long", &Conn{stage: stageNew}, defaultSilentGrace, false, evictSilent},
+		{"new and silent", &Conn{stage: stageNew}, defaultSilentGrace - 1, false, notEvictable},
 		{"new with a head in progress", &Conn{stage: stageNew}, unfinishedHeadGrace - 1, true, notEvictable},
 		{"new with an unfinished head", &Conn{stage: stageNew}, unfinishedHeadGrace, true, evictUnfinishedHead},
 		{"idle", &Conn{stage: stageIdle}, idleGrace - 1, true, evictIdle},
--- a/internal/clientconn/head_test.go
+++ b/internal/clientconn/head_test.go
@@ -51,7 +51,7 @@
 // For a connection that waits for a slot a request counts as received when its bytes were seen.
 func TestConnReceivedAtIsWhenBytesWereSeenBeforeSlot(t *testing.T) {
 	table, ln := NewTable(1, 1), listen(t)
-	table.SetPatience(silentConnGrace, agenttest.NoAnswerTimeout)
+	table.SetTimeouts(defaultSilentGrace, agenttest.NoAnswerTimeout)
 	server, _ := net.Pipe()
 	var kept *Conn
 	// Closed a moment after it was evicted, so that the first acquire fails.
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -70,7 +70,7 @@
 
 // Accept returns the next connection that has a slot in the table. It accepts also while the table
 // is full: a connection left in the kernel's queue would have its request count as received with
-// nobody to answer it. One that gets no slot in acquireWait is closed. Only the listener's close
+// nobody to answer it. One that gets no slot in defaultAcquireTimeout is closed. Only the listener's close
 // ends Accept with an error.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
@@ -122,7 +122,7 @@
 		if client.firstSeenAt.IsZero() && socket.Peek(conn) == socket.PeekUnread {
 			client.firstSeenAt = time.Now()
 		}
-		if time.Since(client.stageSince) > l.table.acquirePatience() {
+		if time.Since(client.stageSince) > l.table.currentAcquireTimeout() {
 			conn.Close()
 			return nil
 		}
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -152,7 +152,7 @@
 // A connection that gets no slot in time is closed, and the next one is accepted all the same.
 func TestListenerClosesConnectionWithoutSlot(t *testing.T) {
 	table, ln, now := NewTable(1, 1), listen(t), time.Now()
-	table.SetPatience(silentConnGrace, 0)
+	table.SetTimeouts(defaultSilentGrace, 0)
 	active := &Conn{stage: stageActive, stageSince: now}
 	add(t, table, active, now)
 	listener := NewListener(ln, table, slog.New(slog.DiscardHandler))
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -19,7 +19,7 @@
 	// through the table again, however many became free.
 	freed chan struct{}
 
-	// silentConnGrace and acquireWait, unless SetPatience has replaced them.
+	// defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has replaced them.
 	silentGrace, acquireTimeout time.Duration
 }
 
@@ -27,7 +27,7 @@
 // a request, none is kept alive any more.
 func NewTable(maxConns, maxKeptIdle int) *Table {
 	return &Table{maxConns: maxConns, maxKeptIdle: maxKeptIdle, conns: map[*Conn]struct{}{},
-		freed: make(chan struct{}, 1), silentGrace: silentConnGrace, acquireTimeout: acquireWait}
+		freed: make(chan struct{}, 1), silentGrace: defaultSilentGrace, acquireTimeout: defaultAcquireTimeout}
 }
 
 // Resize changes the limits. Connections above a lowered limit are ended as new ones arrive.
@@ -45,16 +45,16 @@
 	return t.maxConns, t.maxKeptIdle
 }
 
-// SetPatience changes how long a new connection may send nothing while others need its slot, and
+// SetTimeouts changes how long a new connection may send nothing while others need its slot, and
 // how long a connection waits for a slot. It is for tests, whose clients may be slow to write.
-func (t *Table) SetPatience(silentGrace, acquireTimeout time.Duration) {
+func (t *Table) SetTimeouts(silentGrace, acquireTimeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silentGrace, t.acquireTimeout = silentGrace, acquireTimeout
 }
 
-// acquirePatience is how long a new connection waits for a slot.
-func (t *Table) acquirePatience() time.Duration {
+// currentAcquireTimeout is how long a new connection waits for a slot.
+func (t *Table) currentAcquireTimeout() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.acquireTimeout
--- a/internal/clientconn/timeouts.go
+++ b/internal/clientconn/timeouts.go
@@ -21,10 +21,10 @@
 	idleGrace = 2 * time.Second
 	// unfinishedHeadGrace is how long a head may be incomplete while others need the slot.
 	unfinishedHeadGrace = 500 * time.Millisecond
-	// silentConnGrace is how long a new connection may send nothing while others need the slot.
-	silentConnGrace = 30 * time.Millisecond
-	// acquireWait is how long a new connection waits for a slot before it is closed.
-	acquireWait = 150 * time.Millisecond
+	// defaultSilentGrace is how long a new connection may send nothing while others need the slot.
+	defaultSilentGrace = 30 * time.Millisecond
+	// defaultAcquireTimeout is how long a new connection waits for a slot before it is closed.
+	defaultAcquireTimeout = 150 * time.Millisecond
 	// acquirePollInterval is how often a waiting connection looks for a slot at least.
 	acquirePollInterval = 2 * time.Millisecond
 	// reapInterval is how often the table is searched for idle connections.
