--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -108,14 +108,14 @@
 			result = Result{Status: policy.StatusReset, Err: &Error{err: err}, Panic: err}
 		}
 		if result.Panic == nil {
-			result.Panic = a.conns.takePanic()
+			result.Panic = a.conns.takeExtraPanic()
 		}
 		a.end(nil)
 		result.Elapsed = time.Since(a.started)
 	}()
 	result, err := a.roundTrip()
 	if err != nil {
-		failure := a.failure(err)
+		failure := a.newError(err)
 		return Result{Status: failure.status(), Err: failure}
 	}
 	return result
@@ -181,7 +181,7 @@
 
 // write writes the request. Its error is a *WriteError.
 func (a *Attempt) write(conn *pooledConn, message []byte) error {
-	conn.readBudget = maxAnswerHead
+	conn.readBudget = maxResponseHead
 	n, err := conn.Write(message)
 	if err == nil && n < len(message) {
 		err = io.ErrShortWrite
@@ -205,9 +205,9 @@
 		reader.Reset(nil)
 		readers.Put(reader)
 	}()
-	result, reusable, err = readAnswer(conn, reader, outgoing)
+	result, reusable, err = readResponse(conn, reader, outgoing)
 	if a.ctx.Err() == nil { // a cancelled attempt says nothing about the connection's age
-		a.conns.pool.observeReuse(conn, err != nil && conn.readBudget == maxAnswerHead)
+		a.conns.pool.observeReuse(conn, err != nil && conn.readBudget == maxResponseHead)
 	}
 	// Bytes behind the answer belong to no request that was made.
 	return result, reusable && err == nil && reader.Buffered() == 0, err
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -22,10 +22,10 @@
 	idleSince time.Time
 }
 
-// Read bounds what one answer may bring. It returns errTooLong once readBudget is used up.
+// Read bounds what one answer may bring. It returns errResponseTooLong once readBudget is used up.
 func (c *pooledConn) Read(buf []byte) (int, error) {
 	if c.readBudget <= 0 {
-		return 0, errTooLong
+		return 0, errResponseTooLong
 	}
 	n, err := c.Conn.Read(buf[:min(len(buf), c.readBudget)])
 	c.readBudget -= n
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -34,14 +34,14 @@
 	p := c.pool
 	p.mu.Lock()
 	limit := p.idleLifetime.limit(p.settings.IdleTimeout)
-	for conn := c.takeBest(time.Now()); conn != nil; conn = c.takeBest(time.Now()) {
+	for conn := c.popIdle(time.Now()); conn != nil; conn = c.popIdle(time.Now()) {
 		wait := p.settings.SettleDelay - time.Since(conn.idleSince)
 		openExtra := wait > 0 && c.reserveExtra()
 		p.mu.Unlock()
 		if wait > 0 {
 			extra, err := c.awaitSettled(ctx, wait, openExtra)
 			if extra != nil || err != nil {
-				c.putBack(conn, conn.idleSince)
+				c.putIdleSince(conn, conn.idleSince)
 				return extra, err
 			}
 		}
@@ -78,9 +78,9 @@
 	return &pooledConn{Conn: conn, conns: c}, nil
 }
 
-// takeBest removes and returns the idle connection that was used last among those that have settled,
+// popIdle removes and returns the idle connection that was used last among those that have settled,
 // else the one idle longest, else nil. The caller holds the pool's mutex.
-func (c *Conns) takeBest(now time.Time) *pooledConn {
+func (c *Conns) popIdle(now time.Time) *pooledConn {
 	for i := len(c.idle) - 1; i >= 0; i-- {
 		if conn := c.idle[i]; i == 0 || now.Sub(conn.idleSince) >= c.pool.settings.SettleDelay {
 			conn.unlist()
@@ -91,10 +91,10 @@
 }
 
 // put makes a connection available to the next attempt.
-func (c *Conns) put(conn *pooledConn) { c.putBack(conn, time.Now()) }
+func (c *Conns) put(conn *pooledConn) { c.putIdleSince(conn, time.Now()) }
 
-// putBack makes a connection available that has been idle since a time.
-func (c *Conns) putBack(conn *pooledConn, since time.Time) {
+// putIdleSince makes a connection available that has been idle since a time.
+func (c *Conns) putIdleSince(conn *pooledConn, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
 	if c.closed {
@@ -112,13 +112,13 @@
 }
 
 // CloseIdle closes the connections that are idle. Others may be opened after it.
-func (c *Conns) CloseIdle() { closeAll(c.takeAllIdle(false)) }
+func (c *Conns) CloseIdle() { closeAll(c.removeAllIdle(false)) }
 
 // Close closes the idle connections, and from now on each connection that is put back.
-func (c *Conns) Close() { closeAll(c.takeAllIdle(true)) }
+func (c *Conns) Close() { closeAll(c.removeAllIdle(true)) }
 
-// takeAllIdle removes and returns all idle connections, and closes the Conns if that is asked for.
-func (c *Conns) takeAllIdle(closes bool) []*pooledConn {
+// removeAllIdle removes and returns all idle connections, and closes the Conns if that is asked for.
+func (c *Conns) removeAllIdle(closes bool) []*pooledConn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.closed = c.closed || closes
--- a/internal/backend/errors.go
+++ b/internal/backend/errors.go
@@ -6,43 +6,46 @@
 	"fmt"
 )
 
-// The errors of attempts that didn't begin, besides those of a connect.
+// Errors of attempts that did not begin, besides those of a connect.
 var (
-	ErrWithdrawn          = errors.New("attempt withdrawn before its first byte")
-	ErrClientDisconnected = errors.New("the client has left before the first byte")
+	ErrWithdrawn          = errors.New("attempt withdrawn before its first byte was written")
+	ErrClientDisconnected = errors.New("client disconnected before the first byte was written")
 	ErrTooLate            = errors.New("too late for the attempt to begin")
-	ErrConnLimit          = errors.New("no socket left for a new connection")
+	ErrConnLimit          = errors.New("connection limit reached and no connection is idle")
 )
 
-// The causes with which attempts are withdrawn and cancelled.
+// Causes with which attempts are withdrawn or cancelled.
 var (
 	ErrCancelled        = errors.New("attempt cancelled")
-	ErrEndpointDraining = errors.New("backend drains or is gone")
+	ErrEndpointDraining = errors.New("backend is draining or was removed")
 )
 
-// What a ResponseError wraps, besides the errors of package http and of the network.
+// Errors that a ResponseError wraps, besides those of net/http and of the network.
 var (
-	errTooLong      = errors.New("longer than the limit")
-	errNotAResponse = errors.New("not one to this request")
+	errResponseTooLong = errors.New("longer than the limit")
+	errNotAResponse    = errors.New("not a response to this request")
 )
 
-// Error is why an attempt got no whole answer, and how far it came. It wraps the error at fault.
+// Error says why an attempt got no complete response and how much of the request was written. It
+// wraps the underlying error.
 type Error struct {
 	err        error
-	cause      error // of the end of the attempt's context; nil: the context did not end
+	cause      error // why the attempt's context ended; nil: it did not end
 	neverBegan bool  // no byte of the request was written
 	incomplete bool  // the last byte of the request was not written
 }
 
 func (e *Error) Error() string { return e.err.Error() }
 
-// Unwrap returns the error at fault.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.err }
 
-// failure returns the Error of an attempt, which can't begin any more.
-func (a *Attempt) failure(err error) *Error {
+// newError returns the Error of an attempt that failed with err. It also keeps the attempt from
+// beginning later.
+func (a *Attempt) newError(err error) *Error {
 	var write *WriteError
-	neverBegan := a.withdraw() // before the cause is read: who withdraws an attempt cancels it next
+	// Withdraw before reading the cause: whoever else withdraws the attempt cancels it right after.
+	neverBegan := a.withdraw()
 	return &Error{
 		err:        err,
 		cause:      context.Cause(a.ctx),
@@ -51,9 +54,9 @@
 	}
 }
 
-// WriteError is why a request could not be written.
+// WriteError says why a request could not be written.
 type WriteError struct {
-	incomplete bool // the last byte was not written, and can't be any more
+	incomplete bool // the last byte was not written and never will be
 	err        error
 }
 
@@ -62,23 +65,23 @@
 // Unwrap returns the error of the connection, or io.ErrShortWrite.
 func (e *WriteError) Unwrap() error { return e.err }
 
-// ResponseError is why an answer is not used: it didn't come whole, is too long, or is not one to the
-// request.
+// ResponseError says why a response is discarded: it is incomplete, too long, or not a response to
+// the request.
 type ResponseError struct{ err error }
 
-func (e *ResponseError) Error() string { return "answer: " + e.err.Error() }
+func (e *ResponseError) Error() string { return "response: " + e.err.Error() }
 
-// Unwrap returns the error at fault.
+// Unwrap returns the underlying error.
 func (e *ResponseError) Unwrap() error { return e.err }
 
-// PanicError is a panic of an attempt, or of the opening of an extra connection.
+// PanicError is a panic in an attempt or while an extra connection was opened.
 type PanicError struct {
 	where  string
 	reason any
 	stack  []byte
 }
 
-// Error returns the panic with its stack.
+// Error returns the panic's value and stack.
 func (e *PanicError) Error() string {
 	return fmt.Sprintf("panic in %s: %v\n%s", e.where, e.reason, e.stack)
 }
--- a/internal/backend/extra_conn.go
+++ b/internal/backend/extra_conn.go
@@ -64,11 +64,11 @@
 func (c *Conns) openExtra(ctx context.Context, opened chan<- *pooledConn, abandoned <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			c.noteExtraPanic(&PanicError{where: "an extra connection", reason: reason, stack: debug.Stack()})
+			c.recordExtraPanic(&PanicError{where: "an extra connection", reason: reason, stack: debug.Stack()})
 		}
 	}()
 	conn, err := c.connect(ctx)
-	c.noteExtraDialled(err, ctx.Err() != nil)
+	c.recordExtraDial(err, ctx.Err() != nil)
 	if err != nil {
 		return
 	}
@@ -79,9 +79,9 @@
 	}
 }
 
-// noteExtraDialled records the end of the connect of an extra connection. If that failed without
+// recordExtraDial records the end of the connect of an extra connection. If that failed without
 // being cancelled, no other is opened for a while.
-func (c *Conns) noteExtraDialled(err error, cancelled bool) {
+func (c *Conns) recordExtraDial(err error, cancelled bool) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,16 +95,16 @@
 	}
 }
 
-// noteExtraPanic records a panic as a failed connect, and keeps it for takePanic.
-func (c *Conns) noteExtraPanic(err *PanicError) {
-	c.noteExtraDialled(err, false)
+// recordExtraPanic records a panic as a failed connect, and keeps it for takeExtraPanic.
+func (c *Conns) recordExtraPanic(err *PanicError) {
+	c.recordExtraDial(err, false)
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.extra.panicked = err
 }
 
-// takePanic returns the panic that was kept, once; nil if there is none.
-func (c *Conns) takePanic() *PanicError {
+// takeExtraPanic returns the panic that was kept, once; nil if there is none.
+func (c *Conns) takeExtraPanic() *PanicError {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	err := c.extra.panicked
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -114,7 +114,7 @@
 			checkBrokenWrites(t, method, errno, whole.Written.Len())
 			// The last byte of an answer without a length is the end of the connection.
 			checkBrokenReads(t, method, errno, agenttest.OKAnswer, len(agenttest.OKAnswer))
-			checkBrokenReads(t, method, errno, answerWithoutLength, len(answerWithoutLength)+1)
+			checkBrokenReads(t, method, errno, responseWithoutLength, len(responseWithoutLength)+1)
 		}
 	}
 }
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -10,15 +10,15 @@
 
 // Limits of what is read from a backend.
 const (
-	maxAnswerBody = 64 << 10 // bytes of an answer's body
-	maxAnswerHead = 16 << 10 // bytes of an answer's head, with the 1xx answers ahead of it
-	maxInterim    = 8        // 1xx answers ahead of an answer
+	maxResponseBody     = 64 << 10 // bytes of an answer's body
+	maxResponseHead     = 16 << 10 // bytes of an answer's head, with the 1xx answers ahead of it
+	maxInterimResponses = 8        // 1xx answers ahead of an answer
 )
 
-// readAnswer reads the answer to a request and reports whether the connection can be used again.
+// readResponse reads the answer to a request and reports whether the connection can be used again.
 // Nothing of an answer is used if any part of it is wrong: the request may have run. Its error is an
 // *ResponseError.
-func readAnswer(conn *pooledConn, reader *bufio.Reader, request *http.Request) (result Result, reusable bool, err error) {
+func readResponse(conn *pooledConn, reader *bufio.Reader, request *http.Request) (result Result, reusable bool, err error) {
 	response, err := readFinalHead(reader, request)
 	if err != nil {
 		return Result{}, false, &ResponseError{err}
@@ -28,12 +28,12 @@
 	chunked := len(response.TransferEncoding) > 0
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
-	case response.ContentLength > maxAnswerBody:
-		return Result{}, false, &ResponseError{errTooLong}
+	case response.ContentLength > maxResponseBody:
+		return Result{}, false, &ResponseError{errResponseTooLong}
 	case untilEnd:
-		conn.readBudget += maxAnswerBody + 1 // the read behind the last byte finds the end
+		conn.readBudget += maxResponseBody + 1 // the read behind the last byte finds the end
 	case chunked:
-		conn.readBudget += maxAnswerBody + maxAnswerHead // the frames of the chunks
+		conn.readBudget += maxResponseBody + maxResponseHead // the frames of the chunks
 	default:
 		conn.readBudget += int(response.ContentLength)
 	}
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if response.StatusCode == http.StatusSwitchingProtocols || i > maxInterim || response.ProtoMajor != 1 {
+		if response.StatusCode == http.StatusSwitchingProtocols || i > maxInterimResponses || response.ProtoMajor != 1 {
 			return nil, errNotAResponse
 		}
 		if response.StatusCode >= http.StatusOK {
@@ -75,17 +75,17 @@
 	return result
 }
 
-// readBody reads a whole body. A length below 0 is unknown. It returns errTooLong if there are more
-// than maxAnswerBody bytes.
+// readBody reads a whole body. A length below 0 is unknown. It returns errResponseTooLong if there are more
+// than maxResponseBody bytes.
 func readBody(reader io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
 		_, err := io.ReadFull(reader, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(reader, maxAnswerBody+1))
-	if err == nil && len(body) > maxAnswerBody {
-		err = errTooLong
+	body, err := io.ReadAll(io.LimitReader(reader, maxResponseBody+1))
+	if err == nil && len(body) > maxResponseBody {
+		err = errResponseTooLong
 	}
 	return body, err
 }
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -15,8 +15,8 @@
 	"ploverreel/policy"
 )
 
-// answerWithoutLength is an answer that lasts to the end of its connection.
-const answerWithoutLength = "HTTP/1.1 200 OK\r\n\r\ndone"
+// responseWithoutLength is an answer that lasts to the end of its connection.
+const responseWithoutLength = "HTTP/1.1 200 OK\r\n\r\ndone"
 
 // The status of an answer tells whether the request has run; in doubt it may have.
 func TestAttemptStatusFollowsAnswer(t *testing.T) {
@@ -28,7 +28,7 @@
 		{"missing", "", policy.StatusReset},
 		{"half the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone", policy.StatusReset},
 		{"half the chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", policy.StatusReset},
-		{"unknown length", answerWithoutLength, policy.StatusOK},
+		{"unknown length", responseWithoutLength, policy.StatusOK},
 		{"too long", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537), policy.StatusReset},
 		{"length of gigabytes", "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\ndone", policy.StatusReset},
 		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\ndone", policy.StatusReset},
@@ -88,8 +88,8 @@
 		{name: "whole", answer: head + "done", want: policy.StatusOK, body: "done"},
 		{name: "empty", answer: head, want: policy.StatusOK},
 		{name: "HTTP/1.0", answer: "HTTP/1.0 200 OK\r\n\r\ndone", want: policy.StatusOK, body: "done"},
-		{name: "longest", answer: head + strings.Repeat("x", maxAnswerBody), want: policy.StatusOK, body: strings.Repeat("x", maxAnswerBody)},
-		{name: "too long", answer: head + strings.Repeat("x", maxAnswerBody+1), want: policy.StatusReset},
+		{name: "longest", answer: head + strings.Repeat("x", maxResponseBody), want: policy.StatusOK, body: strings.Repeat("x", maxResponseBody)},
+		{name: "too long", answer: head + strings.Repeat("x", maxResponseBody+1), want: policy.StatusReset},
 		{name: "reset", answer: head + "done", reset: true, want: policy.StatusReset},
 		{name: "reset before the body", answer: head, reset: true, want: policy.StatusReset},
 		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
