--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -13,16 +13,16 @@
 	conns     *Conns
 	closeOnce sync.Once
 
-	// These belong to the attempt that uses the connection.
-	readBudget int           // bytes that may still be read
-	idleFor    time.Duration // how long the connection had been idle; 0: it is new
+	// Owned by the attempt that uses the connection.
+	readBudget int           // how many more bytes may be read
+	idleFor    time.Duration // how long the connection was idle before this use; 0: it is new
 
-	// These belong to an idle connection, and are guarded by the pool's mutex.
+	// Used while the connection is idle. Guarded by the pool's mutex.
 	element   *list.Element // its element in pool.idle
 	idleSince time.Time
 }
 
-// Read bounds what one answer may bring. It returns errResponseTooLong once readBudget is used up.
+// Read limits the size of a response. It returns errResponseTooLong once readBudget is used up.
 func (c *pooledConn) Read(buf []byte) (int, error) {
 	if c.readBudget <= 0 {
 		return 0, errResponseTooLong
@@ -32,11 +32,11 @@
 	return n, err
 }
 
-// interrupt ends reads and writes, those that are blocked as well. Its deadline is past by the
-// monotonic clock too: a wall time would depend on what the machine's clock was set to.
+// interrupt makes reads and writes time out, also those that are blocked. Its deadline is in the past
+// and has a monotonic clock reading, so that it does not depend on changes of the wall clock.
 func (c *pooledConn) interrupt() { _ = c.SetDeadline(time.Now().Add(-time.Second)) }
 
-// unlist removes a connection from the idle ones. The caller holds the pool's mutex.
+// unlist removes a connection from the lists of idle connections. The caller holds the pool's mutex.
 func (c *pooledConn) unlist() {
 	c.conns.pool.idle.Remove(c.element)
 	c.element = nil
@@ -48,7 +48,8 @@
 	}
 }
 
-// Close closes the connection and then frees its descriptor in the pool. It may be called again.
+// Close closes the connection and then frees its descriptor in the pool's count. It may be called more
+// than once.
 func (c *pooledConn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(c.conns.pool.release)
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -7,29 +7,30 @@
 	"ploverreel/internal/socket"
 )
 
-// defaultSettleDelay is how long a connection settles after an answer before it is used again. What
-// a backend sends beyond its answer comes some milliseconds behind it, and is seen by then. A second
-// answer that met the next request there would be taken for the answer to that.
+// defaultSettleDelay is how long a connection is not reused after a response. A backend that sends
+// more than its response sends the surplus some milliseconds later, and the delay is long enough to
+// detect it. Without the delay, a surplus second response could be taken for the response to the
+// next request.
 const defaultSettleDelay = 10 * time.Millisecond
 
-// Conns is the connections to one process of a backend at one address. Attempts get connections from
-// it and put them back. It is closed when its process or address is no longer in use.
+// Conns holds the connections to one process of a backend at one address. Attempts get connections
+// from it and return them. It is closed when its process or address is no longer in use.
 type Conns struct {
 	pool *Pool  // never changes
 	addr string // never changes
 
-	// The pool's mutex guards these.
-	idle   []*pooledConn // settling or idle, the longest idle first
-	closed bool          // connections that are put back are closed
+	// Guarded by the pool's mutex.
+	idle   []*pooledConn // settling or idle; the longest idle is first
+	closed bool          // connections that attempts return are closed
 	extra  extraState
 }
 
-// Addr returns the address that the connections are to.
+// Addr returns the address of the backend process.
 func (c *Conns) Addr() string { return c.addr }
 
-// get returns a connection on which no bytes wait: an idle one that has settled or, within the
-// context and the connect timeout, a new one. Its error is ErrConnLimit, the context's error or the
-// error of the connect.
+// get returns a connection without unread bytes. It is an idle one that has settled or a new one
+// that is opened within the context and the connect timeout. The error is ErrConnLimit, the
+// context's error or the error of the connect.
 func (c *Conns) get(ctx context.Context) (*pooledConn, error) {
 	p := c.pool
 	p.mu.Lock()
@@ -48,7 +49,7 @@
 		if conn.idleFor = time.Since(conn.idleSince); conn.idleFor <= limit && socket.Peek(conn.Conn) == socket.PeekNothing {
 			return conn, nil
 		}
-		conn.Close() // it has ended or may have, or unrequested bytes arrived on it
+		conn.Close() // it is closed by the peer, may have been dropped, or has received surplus bytes
 		p.mu.Lock()
 	}
 	err := p.reserve()
@@ -59,13 +60,13 @@
 	return c.connect(ctx)
 }
 
-// connect opens a connection that the pool has counted already, within the context and the connect
-// timeout.
+// connect opens a connection within the context and the connect timeout. The pool has already
+// counted the connection as open.
 func (c *Conns) connect(ctx context.Context) (*pooledConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.pool.Settings().ConnectTimeout)
 	defer cancel()
 	connected := false
-	defer func() { // after a panic too: the pool has no other way to learn of it
+	defer func() { // also after a panic, as nothing else would release the connection
 		if !connected {
 			c.pool.release()
 		}
@@ -78,8 +79,9 @@
 	return &pooledConn{Conn: conn, conns: c}, nil
 }
 
-// popIdle removes and returns the idle connection that was used last among those that have settled,
-// else the one idle longest, else nil. The caller holds the pool's mutex.
+// popIdle removes and returns the most recently used of the idle connections that have settled. If
+// none has settled, it removes and returns the one that has been idle longest; without any idle
+// connection it returns nil. The caller holds the pool's mutex.
 func (c *Conns) popIdle(now time.Time) *pooledConn {
 	for i := len(c.idle) - 1; i >= 0; i-- {
 		if conn := c.idle[i]; i == 0 || now.Sub(conn.idleSince) >= c.pool.settings.SettleDelay {
@@ -90,10 +92,11 @@
 	return nil
 }
 
-// put makes a connection available to the next attempt.
+// put returns a connection after use. It is available to other attempts once it has settled.
 func (c *Conns) put(conn *pooledConn) { c.putIdleSince(conn, time.Now()) }
 
-// putIdleSince makes a connection available that has been idle since a time.
+// putIdleSince returns a connection that has been idle since the given time, and schedules a sweep if
+// there is none.
 func (c *Conns) putIdleSince(conn *pooledConn, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
@@ -111,13 +114,13 @@
 	p.mu.Unlock()
 }
 
-// CloseIdle closes the connections that are idle. Others may be opened after it.
+// CloseIdle closes the idle connections. New ones may be opened afterwards.
 func (c *Conns) CloseIdle() { closeAll(c.removeAllIdle(false)) }
 
-// Close closes the idle connections, and from now on each connection that is put back.
+// Close closes the idle connections, and from then on each connection that an attempt returns.
 func (c *Conns) Close() { closeAll(c.removeAllIdle(true)) }
 
-// removeAllIdle removes and returns all idle connections, and closes the Conns if that is asked for.
+// removeAllIdle removes and returns all idle connections. If closes is set, it also closes the Conns.
 func (c *Conns) removeAllIdle(closes bool) []*pooledConn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,16 +11,16 @@
 // Settings are the limits of a Pool.
 type Settings struct {
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration // how long a connection is kept without use, at most
-	MaxConns       int           // connections that are open or dialling at once
-	// ExtraConns lets a connection be opened while the only one of a backend settles, so that an
-	// attempt needn't wait for that.
+	IdleTimeout    time.Duration // the longest time that an unused connection is kept
+	MaxConns       int           // the most connections that are open or dialling at once
+	// ExtraConns allows another connection to a backend to be opened while the only one that is not
+	// in use settles. An attempt then need not wait for the settle delay.
 	ExtraConns bool
-	// SettleDelay is how long a connection stays unused after an answer; zero: 10 ms.
+	// SettleDelay is how long a connection is not reused after a response; zero: 10 ms.
 	SettleDelay time.Duration
 }
 
-// withDefaults returns the settings with the defaults in place of zeros.
+// withDefaults returns the settings with zero values replaced by defaults.
 func (s Settings) withDefaults() Settings {
 	if s.SettleDelay == 0 {
 		s.SettleDelay = defaultSettleDelay
@@ -31,27 +31,27 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Pool opens connections to backends within the process's share of descriptors and keeps those
-// that are idle. It replaces http.Transport's pool, which may hand a connection to the next request
-// before it sees that bytes of the last answer are left over.
+// Pool opens connections to backends within the process's limit of descriptors and keeps idle ones
+// for reuse. It replaces the pool of http.Transport, which may reuse a connection before it detects
+// surplus bytes behind the last response.
 //
 // A connection is in one of these states:
-//   - dialling: it is counted in open, and there is no pooledConn yet;
-//   - in use: by one attempt, which alone may close it or put it back;
-//   - settling: idle for less than the settle delay, and not used yet;
+//   - dialling: it is counted in open, but has no pooledConn yet;
+//   - in use: one attempt uses it, and only that attempt may close it or return it;
+//   - settling: it has been idle for less than the settle delay and must not be used yet;
 //   - idle: it may be used;
-//   - closed: by the attempt that used it, by the sweep after its idle lifetime, for a new connection
-//     at the limit, or with the Conns that it belongs to.
+//   - closed: by the attempt that used it, by the sweep after its idle lifetime, to make room for a
+//     new connection at the limit, or with the Conns that it belongs to.
 type Pool struct {
-	// DialContext opens the connections. It must not be changed while attempts run.
+	// DialContext opens connections. It must not be changed while attempts run.
 	DialContext DialFunc
 
 	after func(time.Duration) <-chan time.Time // time.After; replaced by tests
 
-	mu           sync.Mutex // guards what follows, the fields of Conns and those of idle connections
+	mu           sync.Mutex // guards the fields below and those of each Conns and idle connection
 	settings     Settings
-	open         int        // connections that are up or dialling
-	idle         *list.List // of *pooledConn: all that settle or are idle, the longest idle first
+	open         int        // number of connections that are open or dialling
+	idle         *list.List // of *pooledConn, settling or idle; the longest idle is first
 	sweeping     bool       // a sweep is scheduled
 	idleLifetime idleLifetimeEstimator
 }
@@ -61,7 +61,8 @@
 	return &Pool{DialContext: dial, after: time.After, settings: settings.withDefaults(), idle: list.New()}
 }
 
-// Configure changes the settings. Connections over a lower limit are closed when others are needed.
+// Configure changes the settings. If the new connection limit is lower, connections above it are
+// closed only when new ones are needed.
 func (p *Pool) Configure(settings Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,13 +76,12 @@
 	return p.settings
 }
 
-// NewConns returns the connections to one process of a backend, which is at addr. There are none at
-// first.
+// NewConns returns a Conns, without any connections yet, for the backend process at addr.
 func (p *Pool) NewConns(addr string) *Conns { return &Conns{pool: p, addr: addr} }
 
-// reserve counts a connection that is about to be opened. At the limit it closes the one that has
-// been idle longest; if none is idle, it returns ErrConnLimit. The caller holds p.mu, which is
-// released while a connection closes.
+// reserve counts a connection that is about to be opened. At the connection limit it closes the
+// connection that has been idle longest; if none is idle, it returns ErrConnLimit. The caller holds
+// p.mu, which is released while a connection is closed.
 func (p *Pool) reserve() error {
 	for p.open >= p.settings.MaxConns {
 		longest := p.idle.Front()
@@ -98,15 +98,15 @@
 	return nil
 }
 
-// release counts a connection as closed, or as one that could not be opened.
+// release lowers the count of open connections by one that was closed or could not be opened.
 func (p *Pool) release() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
 }
 
-// observeReuse records how the reuse of a connection went. The connection broke if it ended before
-// a byte of the answer was read.
+// observeReuse records whether a reused connection broke, that is, ended before a byte of the
+// response was read. It ignores new connections.
 func (p *Pool) observeReuse(conn *pooledConn, broke bool) {
 	if conn.idleFor > 0 {
 		p.mu.Lock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// sweep closes what has been idle for longer than the idle lifetime, and schedules itself while any
-// connection is left.
+// sweep closes the connections that have been idle for longer than the idle lifetime. It schedules
+// the next sweep if any idle connection is left.
 func (p *Pool) sweep() {
 	var expired []*pooledConn
 	p.mu.Lock()
@@ -135,7 +135,7 @@
 	closeAll(expired)
 }
 
-// closeAll closes connections. The caller doesn't hold the pool's mutex.
+// closeAll closes connections. The caller must not hold the pool's mutex.
 func closeAll(conns []*pooledConn) {
 	for _, conn := range conns {
 		conn.Close()
