--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -14,18 +14,17 @@
 	"ploverreel/policy"
 )
 
-// The stages of an attempt, by whether a byte of it may have been written. It leaves attemptWaiting
-// once, for one of the two others.
+// The stages of an attempt. An attempt starts in attemptWaiting and changes its stage at most once.
 const (
 	attemptWaiting   int32 = iota // no byte was written
 	attemptSending                // a byte may have been written
-	attemptWithdrawn              // withdrawn before a byte was written: none will be
+	attemptWithdrawn              // withdrawn before a byte was written; no byte will be written
 )
 
 // Attempt is one attempt to send a request to a backend. It is run once, in a goroutine of its own.
 type Attempt struct {
-	// BeginBy is when the attempt must have begun; zero: at any time. It must not be changed while
-	// the attempt runs.
+	// BeginBy is the latest time at which the attempt may begin; zero: no limit. It must not be
+	// changed while the attempt runs.
 	BeginBy time.Time
 
 	request     *Request
@@ -35,23 +34,23 @@
 	cancelCause context.CancelCauseFunc
 	stopTimer   context.CancelFunc
 
-	// stage is set by Run, which begins the attempt, and by those who withdraw it.
+	// stage is changed by Run, which begins the attempt, and by the methods that withdraw it.
 	stage atomic.Int32
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Status      policy.Status // for the decision module
-	Err         *Error        // why there is no whole answer; nil: there is one
+	Err         *Error        // why there is no complete response; nil: there is one
 	Panic       *PanicError   // in the attempt or while an extra connection was opened; nil: none
-	Elapsed     time.Duration // since NewAttempt
-	Body        []byte        // of an answer with status 200
-	ContentType string        // the Content-Type of an answer with status 200
-	LoadReport  string        // the answer's Server-Load, for ParseLoadReport
+	Elapsed     time.Duration // time since NewAttempt
+	Body        []byte        // the body of a response with status 200
+	ContentType string        // the Content-Type of a response with status 200
+	LoadReport  string        // the response's Server-Load, for ParseLoadReport
 }
 
-// NewAttempt returns an attempt of a request on one of the connections. It ends with the context, and
-// at the deadline at the latest. An attempt that is not run must be cancelled.
+// NewAttempt returns an attempt to send the request on one of the connections. The attempt ends when
+// the context ends, and at the deadline at the latest. An attempt that is not run must be cancelled.
 func NewAttempt(ctx context.Context, conns *Conns, request *Request, deadline time.Time) *Attempt {
 	a := &Attempt{request: request, conns: conns, started: time.Now()}
 	ctx, a.cancelCause = context.WithCancelCause(ctx)
@@ -59,14 +58,14 @@
 	return a
 }
 
-// Deadline returns when the attempt ends at the latest.
+// Deadline returns the latest time at which the attempt ends.
 func (a *Attempt) Deadline() time.Time {
 	deadline, _ := a.ctx.Deadline()
 	return deadline
 }
 
-// Withdraw cancels the attempt unless a byte of it may have been written, and reports whether no
-// byte was, or will be.
+// Withdraw cancels the attempt unless a byte of the request may have been written. It reports whether
+// no byte was written and none will be.
 func (a *Attempt) Withdraw(cause error) bool {
 	withdrawn := a.withdraw()
 	if withdrawn {
@@ -75,32 +74,33 @@
 	return withdrawn
 }
 
-// Cancel ends the attempt. If no byte of it was written, none will be.
+// Cancel ends the attempt. If no byte of the request was written yet, none will be.
 func (a *Attempt) Cancel(cause error) {
-	a.withdraw() // the attempt could still begin until it notices the end of its context
+	a.withdraw() // without this the attempt could begin before it notices that its context ended
 	a.end(cause)
 }
 
-// withdraw keeps the attempt from beginning, and reports whether it has not begun.
+// withdraw prevents the attempt from beginning. It reports whether the attempt had not begun.
 func (a *Attempt) withdraw() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
-// begin reports whether the first byte may be written: the attempt was not withdrawn, and can't be
-// any more.
+// begin reports whether the first byte may be written, which is so unless the attempt was withdrawn.
+// After begin the attempt can't be withdrawn any more.
 func (a *Attempt) begin() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptSending)
 }
 
-// end ends the attempt's context.
+// end cancels the attempt's context with a cause.
 func (a *Attempt) end(cause error) {
 	a.cancelCause(cause)
 	a.stopTimer()
 }
 
-// Run sends the request and waits for the answer. When it returns, the connection is closed or
-// available to the next attempt, and no further byte of this one is written. A panic must not end the
-// process with all the requests that it serves: it counts as a reset, since the attempt may have run.
+// Run sends the request and waits for the response. When it returns, the connection is closed or
+// available to other attempts, and no further byte of the request is written. Run recovers a panic,
+// which would end the process with all the requests that it serves. The status is then a reset, as
+// the request may have run.
 func (a *Attempt) Run() (result Result) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -122,7 +122,7 @@
 }
 
 // roundTrip gets a connection, checks that the attempt may still begin, writes the request and reads
-// the answer. It returns an error if no whole answer came; the connection is closed then.
+// the response. If no complete response is received, it closes the connection and returns an error.
 func (a *Attempt) roundTrip() (result Result, err error) {
 	conn, err := a.conns.get(a.ctx)
 	if err != nil {
@@ -139,7 +139,7 @@
 	stop := context.AfterFunc(a.ctx, conn.interrupt)
 	defer func() {
 		if !stop() {
-			reusable = false // its deadline is set, or is about to be
+			reusable = false // interrupt has set the connection's deadline or is about to
 		}
 	}()
 	var message bytes.Buffer
@@ -157,8 +157,8 @@
 	return result, err
 }
 
-// checkAndBegin makes the last checks before the first byte and begins the attempt. Its error is
-// ErrTooLate, ErrClientDisconnected or ErrWithdrawn.
+// checkAndBegin makes the last checks before the first byte is written and begins the attempt. The
+// error is ErrTooLate, ErrClientDisconnected or ErrWithdrawn.
 func (a *Attempt) checkAndBegin() error {
 	if a.isLate() {
 		return ErrTooLate
@@ -172,14 +172,15 @@
 	return nil
 }
 
-// isLate reports whether the time in which the attempt may begin is over. The context doesn't tell
-// that in time: another goroutine acts on its end, perhaps after the first byte.
+// isLate reports whether it is too late for the attempt to begin. It compares clock times because the
+// end of the context may be noticed too late: another goroutine acts on it, perhaps after the first
+// byte was written.
 func (a *Attempt) isLate() bool {
 	now := time.Now()
 	return !now.Before(a.Deadline()) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
 }
 
-// write writes the request. Its error is a *WriteError.
+// write writes the request. The error is a *WriteError.
 func (a *Attempt) write(conn *pooledConn, message []byte) error {
 	conn.readBudget = maxResponseHead
 	n, err := conn.Write(message)
@@ -193,11 +194,12 @@
 	return &WriteError{incomplete: n < len(message), err: err}
 }
 
-// readers are not part of the connections: only attempts that read an answer need one.
+// readers holds read buffers. They are not part of the connections because only an attempt that reads
+// a response needs one.
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// read reads the answer to the request and reports whether the connection can be used again. Its
-// error is a *ResponseError.
+// read reads the response to the request and reports whether the connection can be reused. The error
+// is a *ResponseError.
 func (a *Attempt) read(conn *pooledConn, outgoing *http.Request) (result Result, reusable bool, err error) {
 	reader := readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
@@ -206,9 +208,9 @@
 		readers.Put(reader)
 	}()
 	result, reusable, err = readResponse(conn, reader, outgoing)
-	if a.ctx.Err() == nil { // a cancelled attempt says nothing about the connection's age
+	if a.ctx.Err() == nil { // how a cancelled attempt ends doesn't depend on the connection's idle time
 		a.conns.pool.observeReuse(conn, err != nil && conn.readBudget == maxResponseHead)
 	}
-	// Bytes behind the answer belong to no request that was made.
+	// Surplus bytes behind the response belong to no request, so the connection is not reused.
 	return result, reusable && err == nil && reader.Buffered() == 0, err
 }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Close closes the connection and then frees its descriptor in the pool's count. It may be called more
-// than once.
+// Close closes the connection and then frees its descriptor in the pool's count. It may be called
+// more than once.
 func (c *pooledConn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(c.conns.pool.release)
--- a/internal/backend/extra_conn.go
+++ b/internal/backend/extra_conn.go
@@ -8,25 +8,26 @@
 	"ploverreel/internal/socket"
 )
 
-// extraRetryDelay is the time without another extra connection after this machine could not open
-// one. It is short, as the errors of this machine last for a moment.
+// extraRetryDelay is how long no extra connection is opened after one failed because of an error of
+// this machine. It is short because such errors are temporary.
 const extraRetryDelay = 20 * time.Millisecond
 
-// extraState is the state of the extra connections of a Conns: those that are opened so that an
-// attempt needn't wait until the only connection that isn't in use has settled. The pool's mutex
-// guards it.
+// extraState is the state of the extra connections of a Conns. An extra connection is opened when the
+// only connection that is not in use is settling, so that an attempt need not wait for it. The pool's
+// mutex guards the state.
 type extraState struct {
 	dialling bool // an extra connection is being opened
-	// notBefore is when the next one may be opened, as the last could not be: the backend may have
-	// no capacity for it.
+	// notBefore is the earliest time at which the next extra connection may be opened. It is set when
+	// one could not be opened, as the backend may have no capacity for it.
 	notBefore time.Time
-	// panicked is a panic while one was opened, which the next result of an attempt reports.
+	// panicked is a panic while an extra connection was opened. The next Result reports it.
 	panicked *PanicError
 }
 
-// reserveExtra reports whether an extra connection may be opened, and if so counts it as open. All
-// other connections have an attempt, so a backend has at most one connection more than the most
-// attempts it had at one time. None is closed for an extra one. The caller holds the pool's mutex.
+// reserveExtra reports whether an extra connection may be opened, and if so counts it as open. One may
+// be opened only while an attempt uses each of the other connections. A backend therefore has at most
+// one connection more than its highest number of concurrent attempts. No connection is closed to make
+// room for an extra one. The caller holds the pool's mutex.
 func (c *Conns) reserveExtra() bool {
 	p := c.pool
 	if !p.settings.ExtraConns || c.extra.dialling || len(c.idle) > 0 || p.open >= p.settings.MaxConns ||
@@ -38,10 +39,11 @@
 	return true
 }
 
-// awaitSettled waits until a connection has settled, and returns nil and nil then. If an extra
-// connection is opened and is up first, it returns that. One that is up later joins the idle ones.
+// awaitSettled waits until a connection has settled and then returns nil and nil. If openExtra is
+// set, it also opens an extra connection, and returns that if it is open before then. An extra
+// connection that is open later becomes idle.
 func (c *Conns) awaitSettled(ctx context.Context, wait time.Duration, openExtra bool) (*pooledConn, error) {
-	var opened chan *pooledConn // nil, which blocks forever, without an extra connection
+	var opened chan *pooledConn // without an extra connection nil, from which a receive blocks forever
 	if openExtra {
 		opened = make(chan *pooledConn)
 		abandoned := make(chan struct{})
@@ -58,9 +60,10 @@
 	}
 }
 
-// openExtra opens an extra connection for the attempt that receives from opened or, once that has
-// abandoned it, for the next. If it fails, no attempt does, as none depends on it. A panic doesn't
-// end the process with all the requests that it serves.
+// openExtra opens an extra connection for the attempt that receives from opened. If that attempt has
+// closed abandoned, the connection becomes idle instead. A failure fails no attempt, as none depends
+// on the extra connection. A panic is recovered, as it would end the process with all the requests
+// that it serves.
 func (c *Conns) openExtra(ctx context.Context, opened chan<- *pooledConn, abandoned <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -79,8 +82,9 @@
 	}
 }
 
-// recordExtraDial records the end of the connect of an extra connection. If that failed without
-// being cancelled, no other is opened for a while.
+// recordExtraDial records that the connect of an extra connection has ended. If it failed and was not
+// cancelled, no other is opened for extraRetryDelay after an error of this machine, and for the idle
+// timeout after any other error.
 func (c *Conns) recordExtraDial(err error, cancelled bool) {
 	p := c.pool
 	p.mu.Lock()
@@ -95,7 +99,7 @@
 	}
 }
 
-// recordExtraPanic records a panic as a failed connect, and keeps it for takeExtraPanic.
+// recordExtraPanic records a panic as a failed connect and keeps it for takeExtraPanic.
 func (c *Conns) recordExtraPanic(err *PanicError) {
 	c.recordExtraDial(err, false)
 	c.pool.mu.Lock()
@@ -103,7 +107,7 @@
 	c.extra.panicked = err
 }
 
-// takeExtraPanic returns the panic that was kept, once; nil if there is none.
+// takeExtraPanic returns the recorded panic and clears it. It returns nil if there is none.
 func (c *Conns) takeExtraPanic() *PanicError {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/backend/load_report.go
+++ b/internal/backend/load_report.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// ParseLoadReport returns the values with these names in a load report of the form
-// 'TEXT name=value, name=value'. It returns nil unless all of them are present and make sense: a
-// missing value would look like an idle backend.
+// ParseLoadReport returns the values of the given names in a load report of the form
+// 'TEXT name=value, name=value'. It returns nil unless each name is present exactly once with a
+// finite value of 0 or more. A value that defaulted to 0 would make the backend look idle.
 func ParseLoadReport(text string, names []string) []float32 {
 	text, found := strings.CutPrefix(text, "TEXT ")
 	if !found || len(names) == 0 {
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// maxSchedulingDelay is how long the agent may be suspended between reading its clock and
-	// writing. The slack of the deadline in Request-Timeout covers one such delay, and another may
-	// have passed between the arrival of the request and the reading of the clock.
+	// maxSchedulingDelay is the longest time that the agent may be suspended between reading its
+	// clock and writing the request. The tolerance that the deadline in Request-Timeout has covers
+	// only one such delay, and another one may already have passed between the arrival of the request
+	// and the reading of the clock. The timeout is therefore reduced by this delay.
 	maxSchedulingDelay = 150 * time.Millisecond
-	// schedulingDelayDivisor limits what is subtracted for it to a fraction of the time that is
-	// left. A backend drops what has no time left, so a request with little keeps nearly all of it;
-	// one that would be answered in the last eighth of its time is rare.
+	// schedulingDelayDivisor limits that reduction to one eighth of the time left. A backend drops
+	// requests that have no time left, so a request with little time must keep most of it. Requests
+	// that would be answered only in the last eighth of their time are rare.
 	schedulingDelayDivisor = 8
 )
 
-// Client waits for the answer to a request.
+// Client is the client that waits for the response to a request.
 type Client interface {
-	// Disconnected reports whether the client waits no longer. An attempt calls it in its own goroutine,
-	// just before the first byte.
+	// Disconnected reports whether the client no longer waits for the response. An attempt calls it
+	// in its own goroutine just before it writes the first byte.
 	Disconnected() bool
 }
 
-// Request is a request as it is forwarded to a backend. It must not be changed while an attempt of it
-// runs.
+// Request is a request that is forwarded to a backend. It must not be changed while one of its
+// attempts runs.
 type Request struct {
 	Method         string
 	Target         string // path and query, unchanged
@@ -38,10 +39,10 @@
 	ContentType    string // the Content-Type; "": none
 	Body           []byte
 	Deadline       time.Time // the client's; zero: none
-	Client         Client    // nil: attempts don't check whether the client has left
+	Client         Client    // nil: attempts don't check whether the client has disconnected
 }
 
-// outgoing returns the request as the backend gets it, with this Request-Timeout.
+// outgoing returns the HTTP request to the backend, with the timeout in its Request-Timeout header.
 func (r *Request) outgoing(timeout time.Duration) *http.Request {
 	header := http.Header{
 		"Request-Id":      {r.RequestID},
@@ -62,9 +63,10 @@
 	return out
 }
 
-// timeout returns the time in the Request-Timeout header of an attempt with a deadline: at most what
-// the client has left, however late the attempt is, less a scheduling delay before the write. It is
-// never below a millisecond.
+// timeout returns the Request-Timeout of an attempt that has a deadline. It is the time until that
+// deadline or the client's, whichever is earlier, less an allowance for a scheduling delay before the
+// write. However late the attempt is, it is at most what the client has left, but at least one
+// millisecond.
 func (r *Request) timeout(deadline time.Time) time.Duration {
 	if !r.Deadline.IsZero() && r.Deadline.Before(deadline) {
 		deadline = r.Deadline
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -8,32 +8,33 @@
 	"ploverreel/policy"
 )
 
-// Limits of what is read from a backend.
+// Limits of the responses that are read from backends.
 const (
-	maxResponseBody     = 64 << 10 // bytes of an answer's body
-	maxResponseHead     = 16 << 10 // bytes of an answer's head, with the 1xx answers ahead of it
-	maxInterimResponses = 8        // 1xx answers ahead of an answer
+	maxResponseBody     = 64 << 10 // bytes of a response's body
+	maxResponseHead     = 16 << 10 // bytes of a response's head, including the interim (1xx) responses before it
+	maxInterimResponses = 8        // number of interim (1xx) responses before a response
 )
 
-// readResponse reads the answer to a request and reports whether the connection can be used again.
-// Nothing of an answer is used if any part of it is wrong: the request may have run. Its error is an
-// *ResponseError.
+// readResponse reads the response to a request and reports whether the connection can be reused. If
+// any part of the response is wrong, all of it is discarded, and the request may have run. The error
+// is a *ResponseError.
 func readResponse(conn *pooledConn, reader *bufio.Reader, request *http.Request) (result Result, reusable bool, err error) {
 	response, err := readFinalHead(reader, request)
 	if err != nil {
 		return Result{}, false, &ResponseError{err}
 	}
-	// Without a length the answer lasts to the end of the connection. One that ends in order makes
-	// it whole: a backend that fails or dies resets its connections, and a reset is an error here.
+	// A response without a length lasts until the connection ends. It is complete if the connection
+	// ends with an orderly close. A backend that fails or dies resets its connections instead, and a
+	// reset is returned as a read error.
 	chunked := len(response.TransferEncoding) > 0
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
 	case response.ContentLength > maxResponseBody:
 		return Result{}, false, &ResponseError{errResponseTooLong}
 	case untilEnd:
-		conn.readBudget += maxResponseBody + 1 // the read behind the last byte finds the end
+		conn.readBudget += maxResponseBody + 1 // the extra byte lets the read after the last byte find the end
 	case chunked:
-		conn.readBudget += maxResponseBody + maxResponseHead // the frames of the chunks
+		conn.readBudget += maxResponseBody + maxResponseHead // maxResponseHead allows for the framing of the chunks
 	default:
 		conn.readBudget += int(response.ContentLength)
 	}
@@ -44,7 +45,8 @@
 	return resultOf(response, body), !response.Close && !untilEnd, nil
 }
 
-// readFinalHead reads the head of the answer to a request and skips the 1xx answers ahead of it.
+// readFinalHead reads the head of the response to a request and skips the interim (1xx) responses
+// before it.
 func readFinalHead(reader *bufio.Reader, request *http.Request) (*http.Response, error) {
 	for i := 0; ; i++ {
 		response, err := http.ReadResponse(reader, request)
@@ -60,8 +62,8 @@
 	}
 }
 
-// resultOf returns the result of a whole answer. With any status but 200 the request may have run,
-// unless the backend says that it did not start it.
+// resultOf returns the Result of a complete response. With any status other than 200 the request may
+// have run, unless the backend says that it did not start the request.
 func resultOf(response *http.Response, body []byte) Result {
 	result := Result{Status: policy.StatusServerError, LoadReport: response.Header.Get("Server-Load")}
 	switch response.StatusCode {
@@ -75,8 +77,8 @@
 	return result
 }
 
-// readBody reads a whole body. A length below 0 is unknown. It returns errResponseTooLong if there are more
-// than maxResponseBody bytes.
+// readBody reads the whole body. A negative length means that the length is unknown. readBody returns
+// errResponseTooLong if a body of unknown length has more than maxResponseBody bytes.
 func readBody(reader io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
