--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// An idle connection that breaks under a request must not make it go out again: that would be a
-// second attempt without a decision.
+// A request must not be resent when a reused idle connection breaks. A resend would be a second
+// attempt that the decision module did not ask for.
 func TestAttemptIsNotResentOnBrokenConnection(t *testing.T) {
 	for _, c := range []struct{ name, method, key string }{
 		{"idempotent", http.MethodGet, ""},
@@ -45,7 +45,7 @@
 						return
 					}
 					if requests.Add(1) > 1 {
-						return // breaks the connection under the second request
+						return // breaks the connection during the second request
 					}
 					io.WriteString(conn, agenttest.OKAnswer)
 				}
@@ -66,8 +66,8 @@
 	}
 }
 
-// The connection of an attempt that timed out is closed before its result is known, so that the next
-// attempt is never a second copy beside it.
+// The connection of an attempt that timed out is closed before its Result is returned. Otherwise the
+// next attempt could run at the same time as this one.
 func TestAttemptTimeoutClosesConnection(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan error, 1)
 	addr := agenttest.RawBackend(t, func(_ net.Conn, reader *bufio.Reader) {
@@ -82,7 +82,7 @@
 	attempt := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
 	done := startAttempt(attempt)
 	<-received
-	attempt.Cancel(context.DeadlineExceeded) // as the timeout does, without waiting for it
+	attempt.Cancel(context.DeadlineExceeded) // has the same effect as the timeout, without the wait
 	if got := <-done; got.Status != policy.StatusTimeout {
 		t.Fatalf("got status %d, want %d", got.Status, policy.StatusTimeout)
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// A dial ends with its attempt. That of http.Transport would go on, and keep the connection to a
-// backend that drains.
+// The end of an attempt cancels its dial. http.Transport would let the dial continue and keep the
+// connection to a draining backend.
 func TestAttemptEndCancelsDial(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -147,7 +147,7 @@
 	}
 }
 
-// An attempt that may begin only for a while doesn't begin after it, though its connection is up.
+// An attempt does not begin after BeginBy, even if its connection is open.
 func TestAttemptBeginsOnlyUntilBeginBy(t *testing.T) {
 	addr, read := agenttest.ByteCounter(t)
 	pool := newTestPool()
@@ -156,7 +156,7 @@
 	late.BeginBy = time.Now().Add(agenttest.Never)
 	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
-		late.BeginBy = time.Now().Add(-time.Nanosecond) // the dial took that long
+		late.BeginBy = time.Now().Add(-time.Nanosecond) // simulates a dial that ends after BeginBy
 		return conn, err
 	}
 	if got := late.Run(); got.Status != policy.StatusNotSent || !errors.Is(got.Err, ErrTooLate) {
@@ -175,7 +175,7 @@
 	<-read
 }
 
-// An attempt whose time is over before its first byte doesn't begin, though its connection is up.
+// An attempt does not begin after its deadline, even if its connection is open.
 func TestAttemptDoesNotBeginPastDeadline(t *testing.T) {
 	conn := agenttest.NewScriptedConn(agenttest.OKAnswer)
 	pool := newTestPool()
@@ -190,7 +190,7 @@
 	}
 }
 
-// A panic must not end the process. The request may have run.
+// A panic in an attempt does not end the process. The status is a reset, as the request may have run.
 func TestAttemptPanicIsReset(t *testing.T) {
 	pool := newTestPool()
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
--- a/internal/backend/extra_conn_test.go
+++ b/internal/backend/extra_conn_test.go
@@ -18,21 +18,21 @@
 // countingDialer opens connections and counts its calls.
 type countingDialer struct {
 	calls atomic.Int32
-	fail  atomic.Bool   // each call after the first fails
-	held  chan struct{} // nil, or each call after the first waits until it is closed
+	fail  atomic.Bool   // if set, each call after the first fails
+	held  chan struct{} // if not nil, each call after the first waits until it is closed
 }
 
 func (d *countingDialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if n := d.calls.Add(1); n > 1 && d.fail.Load() {
 		return nil, errors.New("no capacity")
 	} else if n > 1 && d.held != nil {
-		<-d.held // whatever became of the attempt
+		<-d.held // even if the attempt has ended
 	}
 	return (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, addr)
 }
 
-// newExtraConns returns the connections to a backend whose pool may open extra ones. Connections
-// don't settle by themselves: settled ends the wait of one attempt, or of all if it is closed.
+// newExtraConns returns the connections to a backend. Their pool may open extra ones. Connections do
+// not settle after a delay: a value on settled ends the wait of one attempt, and its close that of all.
 func newExtraConns(t *testing.T) (conns *Conns, dialer *countingDialer, settled chan time.Time) {
 	t.Helper()
 	dialer, settled = &countingDialer{}, make(chan time.Time)
@@ -44,7 +44,7 @@
 	return conns, dialer, settled
 }
 
-// checkConns compares a backend's connections with what is wanted.
+// checkConns compares the numbers of idle and open connections and of dials with the wanted ones.
 func checkConns(t *testing.T, conns *Conns, dialer *countingDialer, idle, open int, dials int32) {
 	t.Helper()
 	gotIdle, gotOpen := conns.counts()
@@ -53,8 +53,8 @@
 	}
 }
 
-// Rather than wait for the only connection, which settles, an attempt opens an extra one. There is
-// never a third for attempts one after the other.
+// An attempt opens an extra connection instead of waiting for the only one, which is settling.
+// Sequential attempts never open a third one.
 func TestAttemptOpensExtraConnectionWhileOnlyOneSettles(t *testing.T) {
 	conns, dialer, settled := newExtraConns(t)
 	serveOne(t, conns)
@@ -67,7 +67,7 @@
 		t.Errorf("got the settling connection idle since %v, reused after %v, want %v and no reuse", first.idleSince, first.idleFor, since)
 	}
 	conns.keepSettling()
-	close(settled) // both settle now, and the third attempt waits for one
+	close(settled) // both connections are settling, and the third attempt waits for one
 	serveOne(t, conns)
 	checkConns(t, conns, dialer, 2, 2, 2)
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// An extra connection that can't be opened fails no attempt, and is not tried again soon.
+// If an extra connection can't be opened, no attempt fails and the connect is not retried soon.
 func TestExtraConnectionThatFailsIsNotRetriedSoon(t *testing.T) {
 	conns, dialer, settled := newExtraConns(t)
 	dialer.fail.Store(true)
@@ -141,7 +141,8 @@
 	}
 }
 
-// After an error of this machine, which says nothing of the backend, the next one may come soon.
+// An error of this machine is not a sign of a fault of the backend, so the next extra connection may be
+// opened soon.
 func TestExtraConnectionIsRetriedSoonAfterLocalError(t *testing.T) {
 	pool := newTestPool()
 	pool.DialContext = (&agenttest.FailingDialer{Errno: syscall.ENFILE, Failures: 1}).DialContext
@@ -175,8 +176,8 @@
 	})
 }
 
-// A panic while an extra connection is opened fails no attempt. The result of the attempt that waits
-// reports it once, and the pool counts no connection for it.
+// A panic while an extra connection is opened fails no attempt. The Result of the waiting attempt
+// reports the panic once, and the pool counts no connection for it.
 func TestExtraConnectionThatPanicsFailsNoAttempt(t *testing.T) {
 	conns, dialer, settled := newExtraConns(t)
 	serveOne(t, conns)
@@ -186,7 +187,7 @@
 		panic("boom")
 	}
 	result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout))
-	agenttest.Eventually(t, "the panic is noted", func() bool {
+	agenttest.Eventually(t, "the panic is recorded", func() bool {
 		conns.pool.mu.Lock()
 		defer conns.pool.mu.Unlock()
 		return conns.extra.panicked != nil
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -13,15 +13,15 @@
 	"ploverreel/policy"
 )
 
-// unusedAddr is an address for pools whose DialContext doesn't connect to it.
+// unusedAddr is an address for pools whose DialContext does not use it.
 const unusedAddr = "127.0.0.1:1"
 
-// newTestPool returns a pool whose timeouts don't run out.
+// newTestPool returns a pool whose timeouts are longer than any test.
 func newTestPool() *Pool {
 	return NewPool((&net.Dialer{}).DialContext, Settings{ConnectTimeout: agenttest.Never, IdleTimeout: agenttest.Never, MaxConns: 100})
 }
 
-// newTestAttempt returns an attempt of a request of its own.
+// newTestAttempt returns an attempt of a new request.
 func newTestAttempt(conns *Conns, method string, timeout time.Duration) *Attempt {
 	request := &Request{Method: method, Target: "/order/u1", Host: "backend.local", RequestID: "id1"}
 	if method == http.MethodPost {
@@ -30,12 +30,12 @@
 	return NewAttempt(context.Background(), conns, request, time.Now().Add(timeout))
 }
 
-// runAttempt runs an attempt of a POST that has all the time it needs.
+// runAttempt runs an attempt of a POST whose deadline is longer than any test.
 func runAttempt(conns *Conns) Result {
 	return newTestAttempt(conns, http.MethodPost, agenttest.Never).Run()
 }
 
-// startAttempt runs an attempt in a goroutine.
+// startAttempt runs an attempt in a goroutine, which sends the Result on done.
 func startAttempt(attempt *Attempt) (done chan Result) {
 	done = make(chan Result, 1)
 	go func() { done <- attempt.Run() }()
@@ -52,14 +52,14 @@
 	}
 }
 
-// counts returns how many connections of a Conns are idle, and how many of its pool are open.
+// counts returns the number of idle connections of the Conns and of open connections of its pool.
 func (c *Conns) counts() (idle, open int) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	return len(c.idle), c.pool.open
 }
 
-// keepSettling makes the idle connections settle for as long as the test lasts, however slow it is.
+// keepSettling makes the idle connections settle until the test ends, however slow it is.
 func (c *Conns) keepSettling() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// answerAll is a stand-in backend's connection that answers each request with text.
+// answerAll returns a connection handler for a fake backend, which answers each request with text.
 func answerAll(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -80,7 +80,8 @@
 	}
 }
 
-// answerOne is a stand-in backend's connection that answers one request with text, and closes.
+// answerOne returns a connection handler for a fake backend, which answers one request with text and
+// closes the connection.
 func answerOne(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
--- a/internal/backend/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -54,7 +54,7 @@
 		}
 		pool.mu.Lock()
 		for _, conn := range conns.idle {
-			conn.idleSince = conn.idleSince.Add(-time.Second) // simulates an idle time of 1 s
+			conn.idleSince = conn.idleSince.Add(-time.Second) // simulates a further idle time of 1 s
 		}
 		pool.mu.Unlock()
 	}
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Without a descriptor for a connection the request never ran, and its backend is not to blame.
-func TestAttemptWithoutSocketIsRejected(t *testing.T) {
+// If the connection limit is reached, the request never ran and its backend is not at fault.
+func TestAttemptAtConnLimitIsRejected(t *testing.T) {
 	pool := newTestPool()
 	pool.settings.MaxConns = 0
 	if got := runAttempt(pool.NewConns(unusedAddr)); got.Status != policy.StatusRejected || !errors.Is(got.Err, ErrConnLimit) {
@@ -62,12 +62,12 @@
 	}
 }
 
-// halfWriteConn takes half of each write and fails.
+// halfWriteConn writes half of the data and then fails.
 type halfWriteConn struct{ net.Conn }
 
 func (halfWriteConn) Write(data []byte) (int, error) { return len(data) / 2, errors.New("broken") }
 
-// A request of which the last byte was not written never ran.
+// A request never ran if its last byte was not written.
 func TestAttemptStatusOfIncompleteWrite(t *testing.T) {
 	addr, _ := agenttest.ByteCounter(t)
 	pool := newTestPool()
@@ -81,14 +81,15 @@
 	}
 }
 
-// runOn runs an attempt on a connection. Its timeout is so long that Request-Timeout keeps its length.
+// runOn runs an attempt on the connection. The timeout is so long that the value of Request-Timeout has
+// the same number of digits in each run, which keeps the length of the request constant.
 func runOn(conn *agenttest.ScriptedConn, method string) Result {
 	pool := newTestPool()
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
 	return newTestAttempt(pool.NewConns(unusedAddr), method, agenttest.Never).Run()
 }
 
-// A write that takes less than the request and returns no error has not sent it whole.
+// A short write without an error has not sent the whole request.
 func TestAttemptStatusOfShortWrite(t *testing.T) {
 	conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKAnswer), WriteEnd: 10, ReadEnd: -1}
 	if got := runOn(conn, http.MethodPost); got.Status != policy.StatusConnectFailed || !conn.Closed {
@@ -96,13 +97,13 @@
 	}
 }
 
-// connErrnos are the errors with which a connection may break under a read or a write.
+// connErrnos are the errors that a read or a write of a connection may return.
 var connErrnos = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
 
-// A request of which the last byte was not written never ran. One that was written whole may have
-// run, whatever the error of its write or of the reads of its answer. An answer that comes in the
-// smallest reads is whole. A connection that broke is closed.
+// A request never ran if its last byte was not written. A request that was written completely may have
+// run, whatever error its write or a read of its response returns. A response that arrives in the
+// smallest reads is complete. A connection that broke is closed.
 func TestAttemptStatusOfConnectionBrokenAtEachByte(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		whole := agenttest.NewScriptedConn(agenttest.OKAnswer)
@@ -112,14 +113,15 @@
 		}
 		for _, errno := range connErrnos {
 			checkBrokenWrites(t, method, errno, whole.Written.Len())
-			// The last byte of an answer without a length is the end of the connection.
+			// A response without a length needs one more read, which finds the end of the connection.
 			checkBrokenReads(t, method, errno, agenttest.OKAnswer, len(agenttest.OKAnswer))
 			checkBrokenReads(t, method, errno, responseWithoutLength, len(responseWithoutLength)+1)
 		}
 	}
 }
 
-// checkBrokenWrites breaks a connection at each byte of a request of a length, and behind it.
+// checkBrokenWrites breaks a connection at each byte of a request of the given length and after its
+// last byte.
 func checkBrokenWrites(t *testing.T, method string, errno syscall.Errno, length int) {
 	t.Helper()
 	for at := range length + 1 {
@@ -139,14 +141,14 @@
 	}
 }
 
-// checkBrokenReads breaks a connection at each of so many reads of an answer.
-func checkBrokenReads(t *testing.T, method string, errno syscall.Errno, answer string, reads int) {
+// checkBrokenReads breaks a connection at each of the given number of reads of a response.
+func checkBrokenReads(t *testing.T, method string, errno syscall.Errno, response string, reads int) {
 	t.Helper()
 	for at := range reads {
-		conn := &agenttest.ScriptedConn{Answer: []byte(answer), Errno: errno, WriteEnd: -1, ReadEnd: at}
+		conn := &agenttest.ScriptedConn{Answer: []byte(response), Errno: errno, WriteEnd: -1, ReadEnd: at}
 		if got := runOn(conn, method); got.Status != policy.StatusReset || !conn.Closed {
 			t.Errorf("%s: %v at byte %d read of %q: got status %d, closed %v, want %d and true",
-				method, errno, at, answer, got.Status, conn.Closed, policy.StatusReset)
+				method, errno, at, response, got.Status, conn.Closed, policy.StatusReset)
 		}
 	}
 }
--- a/internal/backend/request_test.go
+++ b/internal/backend/request_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// The time in Request-Timeout is below what the client has left: by the scheduling delay that may
-// come before the write where there is much time, and by an eighth where there is little.
+// Request-Timeout is less than the client's remaining time, as a scheduling delay may come before the
+// write. It is less by maxSchedulingDelay if much time is left, and by an eighth if little is left.
 func TestRequestTimeoutLeavesRoomForSchedulingDelay(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -15,14 +15,14 @@
 	"ploverreel/policy"
 )
 
-// responseWithoutLength is an answer that lasts to the end of its connection.
+// responseWithoutLength is a response that lasts until its connection ends.
 const responseWithoutLength = "HTTP/1.1 200 OK\r\n\r\ndone"
 
-// The status of an answer tells whether the request has run; in doubt it may have.
-func TestAttemptStatusFollowsAnswer(t *testing.T) {
+// The status says whether the request has run. If that is uncertain, it says that the request may have.
+func TestAttemptStatusFollowsResponse(t *testing.T) {
 	for _, c := range []struct {
-		name, answer string
-		want         policy.Status
+		name, response string
+		want           policy.Status
 	}{
 		{"whole", agenttest.OKAnswer, policy.StatusOK},
 		{"missing", "", policy.StatusReset},
@@ -47,7 +47,7 @@
 		{"500 not started", "HTTP/1.1 500 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conns := newTestPool().NewConns(agenttest.RawBackend(t, answerOne(c.answer)))
+			conns := newTestPool().NewConns(agenttest.RawBackend(t, answerOne(c.response)))
 			defer conns.CloseIdle()
 			got := runAttempt(conns)
 			if got.Status != c.want {
@@ -60,7 +60,7 @@
 	}
 }
 
-// readCounter closes done when so many bytes were read from a connection.
+// readCounter closes done once the given number of bytes were read from the connection.
 type readCounter struct {
 	net.Conn
 	left int
@@ -76,33 +76,34 @@
 	return n, err
 }
 
-// An end in order makes an answer without a length whole, a reset doesn't. Its connection is closed.
-func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
+// A response without a length is complete if the connection ends with an orderly close, but not if it
+// ends with a reset. The connection is closed.
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
 	for _, c := range []struct {
-		name, answer string
-		reset        bool
-		want         policy.Status
-		body         string
+		name, response string
+		reset          bool
+		want           policy.Status
+		body           string
 	}{
-		{name: "whole", answer: head + "done", want: policy.StatusOK, body: "done"},
-		{name: "empty", answer: head, want: policy.StatusOK},
-		{name: "HTTP/1.0", answer: "HTTP/1.0 200 OK\r\n\r\ndone", want: policy.StatusOK, body: "done"},
-		{name: "longest", answer: head + strings.Repeat("x", maxResponseBody), want: policy.StatusOK, body: strings.Repeat("x", maxResponseBody)},
-		{name: "too long", answer: head + strings.Repeat("x", maxResponseBody+1), want: policy.StatusReset},
-		{name: "reset", answer: head + "done", reset: true, want: policy.StatusReset},
-		{name: "reset before the body", answer: head, reset: true, want: policy.StatusReset},
-		{name: "end within the head", answer: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
-		{name: "500", answer: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.StatusServerError},
-		{name: "503 not started", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
-		{name: "503 not started and reset", answer: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
+		{name: "whole", response: head + "done", want: policy.StatusOK, body: "done"},
+		{name: "empty", response: head, want: policy.StatusOK},
+		{name: "HTTP/1.0", response: "HTTP/1.0 200 OK\r\n\r\ndone", want: policy.StatusOK, body: "done"},
+		{name: "longest", response: head + strings.Repeat("x", maxResponseBody), want: policy.StatusOK, body: strings.Repeat("x", maxResponseBody)},
+		{name: "too long", response: head + strings.Repeat("x", maxResponseBody+1), want: policy.StatusReset},
+		{name: "reset", response: head + "done", reset: true, want: policy.StatusReset},
+		{name: "reset before the body", response: head, reset: true, want: policy.StatusReset},
+		{name: "end within the head", response: "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n", want: policy.StatusReset},
+		{name: "500", response: "HTTP/1.1 500 No\r\n\r\nbad", want: policy.StatusServerError},
+		{name: "503 not started", response: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", want: policy.StatusRejected},
+		{name: "503 not started and reset", response: "HTTP/1.1 503 No\r\nNot-Started: 1\r\n\r\n", reset: true, want: policy.StatusReset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			read := make(chan struct{}) // closed when the answer was read
+			read := make(chan struct{}) // closed once the response was read
 			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-				answerOne(c.answer)(conn, reader)
+				answerOne(c.response)(conn, reader)
 				if c.reset {
-					<-read // else the reset could overtake what is to be read before it
+					<-read // otherwise the reset could discard unread bytes of the response
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
@@ -111,7 +112,7 @@
 			dial := conns.pool.DialContext
 			conns.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, network, addr)
-				return &readCounter{Conn: conn, left: len(c.answer), done: read}, err
+				return &readCounter{Conn: conn, left: len(c.response), done: read}, err
 			}
 			got := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
 			if got.Status != c.want || string(got.Body) != c.body {
@@ -124,18 +125,18 @@
 	}
 }
 
-// What a backend sends beyond an answer must not answer the next request. Whether it comes with the
-// answer or behind it, its connection is not used again.
-func TestSurplusBytesAnswerNoRequest(t *testing.T) {
+// Surplus bytes that a backend sends after a response must not be taken for the response to the next
+// request. The connection is not reused, whether they arrive with the response or after it.
+func TestSurplusBytesAreNotUsedForNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, surplus string
-		separate      bool // written behind the answer
-		attempts      int  // at once
+		separate      bool // written separately, after the response
+		attempts      int  // number of concurrent attempts
 	}{
-		// Concurrent attempts wait for each other's connections. Where the surplus comes behind its
-		// answer, an attempt begins when that of the last was written.
-		{"second answer", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), false, 8},
-		{"second answer behind", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), true, 1},
+		// Concurrent attempts wait for each other's connections. If the surplus is written separately,
+		// an attempt begins only after the surplus of the previous one was written.
+		{"second response", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), false, 8},
+		{"second response behind", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), true, 1},
 		{"noise", "\x00noise", false, 8},
 		{"noise behind", "\x00noise", true, 1},
 	} {
--- a/internal/backend/settle_test.go
+++ b/internal/backend/settle_test.go
@@ -15,19 +15,19 @@
 	"ploverreel/policy"
 )
 
-// settlingConn is a backend's only connection, which settles until the test says otherwise, with an
-// attempt that waits for it.
+// settlingConn is the only connection to a backend, together with an attempt that waits for it. The
+// connection settles until the test ends the wait.
 type settlingConn struct {
 	conns    *Conns
 	conn     *pooledConn
 	attempt  *Attempt
 	result   chan Result
-	settled  chan time.Time // is closed to end the wait
-	surplus  chan string    // is written by the backend besides its answers
-	requests chan string    // the ids that the backend got
+	settled  chan time.Time // closed to end the wait
+	surplus  chan string    // what the backend writes besides its responses
+	requests chan string    // the ids of the requests that the backend received
 }
 
-// newSettlingConn returns a settlingConn on which one request was answered.
+// newSettlingConn returns a settlingConn that has served one request.
 func newSettlingConn(t *testing.T) *settlingConn {
 	t.Helper()
 	s := &settlingConn{settled: make(chan time.Time), surplus: make(chan string), requests: make(chan string, 10)}
@@ -54,7 +54,8 @@
 	return s
 }
 
-// serve answers all requests, and writes the surplus at any time after the first answer.
+// serve answers all requests. From the first response on, it also writes each surplus text that it
+// receives.
 func (s *settlingConn) serve(conn net.Conn, reader *bufio.Reader) {
 	for {
 		request, err := agenttest.ReadRequest(reader)
@@ -71,19 +72,20 @@
 	}
 }
 
-// A second answer some milliseconds behind the first must not answer the next request.
-func TestLateSecondAnswerAnswersNoRequest(t *testing.T) {
+// A second response that arrives some milliseconds after the first must not be taken for the response
+// to the next request.
+func TestLateSecondResponseIsNotUsedForNextRequest(t *testing.T) {
 	s := newSettlingConn(t)
 	s.surplus <- strings.Replace(agenttest.OKAnswer, "done", "gone", 1)
-	agenttest.Eventually(t, "the second answer arrived", func() bool { return socket.Peek(s.conn.Conn) == socket.PeekUnread })
+	agenttest.Eventually(t, "the second response arrived", func() bool { return socket.Peek(s.conn.Conn) == socket.PeekUnread })
 	close(s.settled)
 	if got := <-s.result; got.Status != policy.StatusOK || string(got.Body) != "done" {
 		t.Fatalf("got status %d, body %q, want %d and \"done\"", got.Status, got.Body, policy.StatusOK)
 	}
 }
 
-// An attempt that is cancelled while it waits for a settling connection sends nothing and leaves the
-// connection to other attempts.
+// An attempt that is cancelled while it waits for a settling connection sends nothing. The connection
+// stays available to other attempts.
 func TestCancelEndsWaitForSettlingConnection(t *testing.T) {
 	s := newSettlingConn(t)
 	s.attempt.Cancel(ErrCancelled)
@@ -99,12 +101,12 @@
 	}
 }
 
-// socketClient is a Client that has left when its connection says so.
+// socketClient is a Client that reports a disconnect when the peer of its connection has closed.
 type socketClient struct{ conn net.Conn }
 
 func (c socketClient) Disconnected() bool { return socket.PeerClosed(c.conn) }
 
-// newSocketClient returns both ends of a client's connection.
+// newSocketClient returns both ends of a client's connection, the agent's end as a socketClient.
 func newSocketClient(t *testing.T) (remote net.Conn, client socketClient) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,20 +123,20 @@
 	return remote, socketClient{conn}
 }
 
-// Whatever an attempt waited for, it checks the client last of all before the first byte: nothing is
-// sent for a client that has left meanwhile.
+// The check of the client is the last one before the first byte is written. Nothing is sent for a
+// client that disconnected while the attempt waited, whatever it waited for.
 func TestAttemptChecksClientBeforeFirstByte(t *testing.T) {
-	for wait, prepare := range map[string]func(t *testing.T, leave func()) (*Conns, <-chan int64){
-		"connect":             leaveDuringConnect,
-		"settling connection": leaveWhileSettling,
-		"extra connection":    leaveDuringExtraConnect,
+	for wait, prepare := range map[string]func(t *testing.T, disconnect func()) (*Conns, <-chan int64){
+		"connect":             disconnectDuringConnect,
+		"settling connection": disconnectWhileSettling,
+		"extra connection":    disconnectDuringExtraConnect,
 	} {
 		for how, disconnect := range agenttest.Disconnects {
 			t.Run(wait+", "+how, func(t *testing.T) {
 				remote, client := newSocketClient(t)
 				conns, read := prepare(t, func() {
 					disconnect(remote)
-					agenttest.Eventually(t, "the client's end arrived", client.Disconnected)
+					agenttest.Eventually(t, "the client's close arrived", client.Disconnected)
 				})
 				attempt := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout)
 				attempt.request.Client = client
@@ -151,43 +153,43 @@
 	}
 }
 
-// leaveDuringConnect returns the connections to a backend, to which the first connect calls leave. It
-// sends on read how many bytes the backend got.
-func leaveDuringConnect(t *testing.T, leave func()) (conns *Conns, read <-chan int64) {
+// disconnectDuringConnect returns the connections to a backend. Each connect calls disconnect first.
+// The number of bytes that the backend received is sent on read.
+func disconnectDuringConnect(t *testing.T, disconnect func()) (conns *Conns, read <-chan int64) {
 	addr, read := agenttest.ByteCounter(t)
 	pool := newTestPool()
 	dial := pool.DialContext
 	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		leave()
+		disconnect()
 		return dial(ctx, network, addr)
 	}
 	return pool.NewConns(addr), read
 }
 
-// leaveWhileSettling returns the connections to a backend, of which the only one settles until leave
-// was called.
-func leaveWhileSettling(t *testing.T, leave func()) (*Conns, <-chan int64) {
+// disconnectWhileSettling returns the connections to a backend. There is one, which settles until
+// disconnect has been called.
+func disconnectWhileSettling(t *testing.T, disconnect func()) (*Conns, <-chan int64) {
 	conns, _, settled := newExtraConns(t)
 	serveOne(t, conns)
 	conns.keepSettling()
 	conns.pool.settings.ExtraConns = false
 	go func() {
-		leave()
+		disconnect()
 		settled <- time.Now()
 	}()
 	return conns, nil
 }
 
-// leaveDuringExtraConnect returns the connections to a backend, of which the only one settles. leave
-// is called while an extra one is being opened.
-func leaveDuringExtraConnect(t *testing.T, leave func()) (*Conns, <-chan int64) {
+// disconnectDuringExtraConnect returns the connections to a backend. There is one, which settles.
+// disconnect is called while an extra connection is being opened.
+func disconnectDuringExtraConnect(t *testing.T, disconnect func()) (*Conns, <-chan int64) {
 	conns, dialer, _ := newExtraConns(t)
 	serveOne(t, conns)
 	conns.keepSettling()
 	dialer.held = make(chan struct{})
 	go func() {
 		agenttest.Eventually(t, "an extra connection is being opened", func() bool { return dialer.calls.Load() == 2 })
-		leave()
+		disconnect()
 		close(dialer.held)
 	}()
 	return conns, nil
