--- a/internal/socket/errors_test.go
+++ b/internal/socket/errors_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The errors that this machine, the network and the peer cause are distinguished, wrapped as the
-// net package returns them.
+// Errors are classified by what caused them: this machine, the network or the peer. They are wrapped in
+// the same way as package net wraps them.
 func TestErrorsAreClassifiedByTheirCause(t *testing.T) {
 	for _, test := range []struct {
 		errno              syscall.Errno
@@ -39,6 +39,6 @@
 		})
 	}
 	if IsLocalError(nil) || IsLocalError(errors.New("another")) {
-		t.Error("IsLocalError = true for no error, or for one of no system call")
+		t.Error("IsLocalError = true for nil or for an error that is not from a system call")
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,6 +1,6 @@
-// Package socket looks at connections and errors below what package net offers: whether bytes wait
-// unread, whether the peer has closed, and which errors are this machine's own. It keeps no state;
-// all functions may be called from any goroutine and none of them blocks.
+// Package socket inspects connections and errors at a lower level than package net: whether a
+// connection has unread bytes, whether the peer has closed it, and whether this machine caused an
+// error. The package keeps no state. All functions may be called from any goroutine, and none blocks.
 package socket
 
 import (
@@ -9,29 +9,29 @@
 	"syscall"
 )
 
-// The states of Linux's TCP in which the peer has shut down its sending side, or the connection
-// is closed.
+// Values of Linux's TCP state for a connection that is closed, and for one whose peer has shut down
+// its sending side.
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
 )
 
-// PeekResult says what Peek found on a connection.
+// PeekResult is what Peek found on a connection.
 type PeekResult int8
 
 // The results of Peek.
 const (
-	PeekUnknown PeekResult = iota // the look failed for want of a resource of this machine
-	PeekClosed                    // the peer has closed, or the connection failed
-	PeekNothing                   // nothing is unread, and the connection is up
-	PeekUnread                    // at least one unread byte
+	PeekUnknown PeekResult = iota // the peek failed because this machine lacked a resource
+	PeekClosed                    // the peer has closed the connection, or it failed
+	PeekNothing                   // the connection is open and has no unread bytes
+	PeekUnread                    // the connection has at least one unread byte
 )
 
-// maxPeekAttempts is how often a look that a signal interrupts is made.
+// maxPeekAttempts is how often a peek is made if signals keep interrupting it.
 const maxPeekAttempts = 10
 
-// Peek reports what waits unread on a connection, without reading it. A connection that is not of
-// the operating system, as in tests, has nothing unread.
+// Peek reports whether a connection has unread bytes, without reading them. For a connection that is
+// not a socket, as in tests, it returns PeekNothing.
 func Peek(conn net.Conn) PeekResult {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -42,7 +42,7 @@
 		return PeekClosed
 	}
 	found := PeekClosed
-	// Control, as RawConn.Read would wait for the goroutine that reads from the connection.
+	// Control is used because RawConn.Read would wait for a goroutine that reads from the connection.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		for range maxPeekAttempts {
@@ -58,8 +58,8 @@
 	return found
 }
 
-// peekResult returns the PeekResult of a recvfrom that peeks. An error
-// that is this machine's own says nothing of the connection.
+// peekResult returns the PeekResult for the return values of a peeking recvfrom. For an error of this
+// machine the state of the connection is unknown.
 func peekResult(n int, err error) PeekResult {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
@@ -72,8 +72,8 @@
 	return PeekClosed
 }
 
-// PeerClosed reports whether the peer has shut down its sending side. Bytes from before may wait
-// unread: with these, and where the look failed, the state of the connection decides.
+// PeerClosed reports whether the peer has shut down its sending side. Earlier bytes may still be
+// unread. If there are any, or if the peek failed, the TCP state of the connection decides.
 func PeerClosed(conn net.Conn) bool {
 	switch Peek(conn) {
 	case PeekClosed:
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A peek that fails for want of a resource of this machine says nothing of the client.
+// If a peek fails because this machine lacks a resource, the state of the client's connection is unknown.
 func TestPeekResultOfLocalErrorIsUnknown(t *testing.T) {
 	for _, test := range []struct {
 		name string
