--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -78,8 +78,8 @@
 		return n, err
 	}
 	c.received.Store(true)
-	if active := c.noteRead(background, receivedAt); active && err == nil && background {
-		return n, c.watchForClose()
+	if active := c.recordRead(background, receivedAt); active && err == nil && background {
+		return n, c.watchForDisconnect()
 	}
 	return n, err
 }
@@ -104,10 +104,10 @@
 	return n, err
 }
 
-// watchForClose reads on while a request is in progress, until the client disconnects or the
+// watchForDisconnect reads on while a request is in progress, until the client disconnects or the
 // response is written. The server itself stops watching at the first byte that arrives: a client
 // that sends more and then disconnects would seem to be present, and its request be forwarded.
-func (c *Conn) watchForClose() error {
+func (c *Conn) watchForDisconnect() error {
 	chunk := make([]byte, maxReadAhead)
 	for {
 		n, err := c.Conn.Read(chunk)
@@ -140,7 +140,7 @@
 // CloseWrite lets the server shut down its sending side first, so that a client that is still
 // sending reads its response before the connection is reset.
 func (c *Conn) CloseWrite() error {
-	defer c.noteResponseWritten()
+	defer c.markResponseWritten()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
--- a/internal/clientconn/doc.go
+++ b/internal/clientconn/doc.go
@@ -1,15 +1,18 @@
-// Package clientconn accepts the clients' connections and decides which of them stay open. It lies
-// between a listener and a net/http server: the server's connections are those that a Listener
-// accepts, and its ConnState hook is Table.OnConnState.
+// Package clientconn accepts the clients' connections and decides which of them stay open. It sits
+// between a net.Listener and a net/http server: the server serves the connections that a Listener
+// accepts, and uses Table.OnConnState as its ConnState hook.
 //
-// A Table owns the connections from the accept to the close, as their number is bounded. Its mutex
-// guards what it holds and the stage of each connection. It never ends a connection that has a
-// request in progress. It ends others through the server's own read, so that a request that arrives
-// meanwhile is still answered, and closes those whose request was answered with an error. A Conn belongs to the server's goroutine of that connection, the only
-// one that may read from it; BeginRequest, MarkRejected and NetConn are for that request's handler.
-// All methods of Table may be called from any goroutine, and none but ReapIdleUntil blocks.
+// A Table limits the number of connections and holds each one from accept to close. Its mutex guards
+// its own fields and the stage of each connection. The table never closes a connection that has a
+// request in progress. To close another connection, it makes the server's pending read time out, so
+// that a request that arrives at the same time is still answered. Only a connection whose request was
+// answered with an error is closed directly.
 //
-// Errors: Listen returns the error of the listen that failed last. Listener.Accept returns an error
-// only once the listener is closed: every other failure is logged and retried. Read, Write and
-// Close of a Conn return those of the connection beneath.
+// A Conn belongs to the server's goroutine for that connection. Only that goroutine may read from it.
+// BeginRequest, MarkRejected and NetConn are for the handler of its request. All methods of Table may
+// be called from any goroutine. Only ReapIdleUntil blocks.
+//
+// Listen returns the error of its last attempt to listen. Listener.Accept returns an error only after
+// the listener was closed; it logs and retries after every other failure. Read, Write and Close of a
+// Conn return the errors of the underlying connection.
 package clientconn
--- a/internal/clientconn/eviction.go
+++ b/internal/clientconn/eviction.go
@@ -6,22 +6,22 @@
 	"ploverreel/internal/socket"
 )
 
-// evictionClass says why a connection may be evicted. Lower classes are evicted first.
+// evictionClass is the reason why a connection may be evicted. Lower classes are evicted first.
 type evictionClass uint8
 
 const (
 	evictLongIdle       evictionClass = iota // idle for idleGrace or longer
-	evictSilent                              // new, and nothing was received for the silent grace
-	evictRejected                            // answered with an error, all of which is written
-	evictUnfinishedHead                      // a head that is incomplete after unfinishedHeadGrace
-	evictIdle                                // idle, even if only just
-	notEvictable                             // with a request in progress, too recent, or ended already
+	evictSilent                              // new, and nothing was received for Table.silentGrace or longer
+	evictRejected                            // its request was answered with an error, and the response is written
+	evictUnfinishedHead                      // its head is still incomplete after unfinishedHeadGrace
+	evictIdle                                // idle for less than idleGrace
+	notEvictable                             // it has a request in progress, is too recent, or is closing already
 
 	evictionClasses = int(notEvictable)
 )
 
-// requiresNoUnreadBytes reports whether a connection of the class stays when unread bytes have
-// arrived on it: they are likely a client's request.
+// requiresNoUnreadBytes reports whether a connection of the class is not evicted if it has unread
+// bytes. Such bytes are likely to be a client's request.
 func (class evictionClass) requiresNoUnreadBytes() bool {
 	return class != evictRejected && class != evictUnfinishedHead
 }
@@ -33,7 +33,7 @@
 	case c.closing:
 		return notEvictable
 	case c.stage == stageIdle && c.head.started:
-		if age >= unfinishedHeadGrace { // the server itself allows far longer
+		if age >= unfinishedHeadGrace { // the server's own timeout is much longer
 			return evictUnfinishedHead
 		}
 	case c.stage == stageIdle && age >= idleGrace:
@@ -50,8 +50,9 @@
 	return notEvictable
 }
 
-// evictionCandidate returns the connection to evict for a new one, or nil: of the lowest class that
-// has any, the one that has been at its stage for longest. The caller holds t.mu.
+// evictionCandidate returns the connection to evict for a new one. Among the connections of the lowest
+// class that has any, it is the one that has been in its stage longest. It returns nil if no
+// connection may be evicted. The caller holds t.mu.
 func (t *Table) evictionCandidate(now time.Time) *Conn {
 	var oldest [evictionClasses]*Conn
 	for c := range t.conns {
@@ -75,7 +76,8 @@
 	return nil
 }
 
-// closingCount counts the connections that the server is about to close. The caller holds t.mu.
+// closingCount returns the number of connections that the server is about to close. The caller holds
+// t.mu.
 func (t *Table) closingCount() (n int) {
 	for c := range t.conns {
 		if c.closesWithoutRequest() {
@@ -85,12 +87,12 @@
 	return n
 }
 
-// endRead ends a connection without a request in progress, such that no request is lost: its
-// descriptor is not closed while the server reads, but that read times out at once. If the read
-// returns bytes all the same, their request is answered and the connection closed with the
-// response. If it returns none, the server closes the connection, of which nothing was read.
-// The caller holds table.mu.
-func (c *Conn) endRead() {
+// expireRead closes a connection that has no request in progress without losing a request. It does not
+// close the descriptor while the server reads, but makes that read time out at once. If the read still
+// returns bytes, their request is answered and the connection is closed with the response. If it
+// returns none, nothing of a request was read, and the server closes the connection. The caller holds
+// table.mu.
+func (c *Conn) expireRead() {
 	now := time.Now()
 	c.closing = true
 	if c.head.started {
@@ -99,8 +101,8 @@
 	_ = c.Conn.SetReadDeadline(now)
 }
 
-// closeRejected closes a connection whose client was sent an error, and which the server reads no
-// more. The caller holds t.mu.
+// closeRejected closes a connection whose request was answered with an error. The server does not read
+// from it any more. The caller holds t.mu.
 func (t *Table) closeRejected(c *Conn) {
 	c.Conn.Close()
 	delete(t.conns, c)
--- a/internal/clientconn/head.go
+++ b/internal/clientconn/head.go
@@ -75,10 +75,10 @@
 	return true
 }
 
-// noteRead notes bytes that were read from a connection and arrived at a time, either as part of
+// recordRead notes bytes that were read from a connection and arrived at a time, either as part of
 // a request or, with background set, next to a running handler. It reports whether a request is in
 // progress.
-func (c *Conn) noteRead(background bool, receivedAt time.Time) (active bool) {
+func (c *Conn) recordRead(background bool, receivedAt time.Time) (active bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
 	switch {
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -44,13 +44,13 @@
 // table. Its connections are of type *Conn.
 type Listener struct {
 	net.Listener
-	table     *Table
-	closeOnce sync.Once
-	closed    chan struct{} // closed with the listener
-	log       *slog.Logger
-	failures  int       // failed accepts so far
-	logged    time.Time // when a failure was last logged
-	after     func(time.Duration) <-chan time.Time
+	table      *Table
+	closeOnce  sync.Once
+	closed     chan struct{} // closed with the listener
+	log        *slog.Logger
+	failures   int       // failed accepts so far
+	lastLogged time.Time // when a failure was last logged
+	after      func(time.Duration) <-chan time.Time
 }
 
 // NewListener returns a Listener that accepts from ln and logs failed accepts.
@@ -93,7 +93,7 @@
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		l.noteFailure(err)
+		l.recordFailure(err)
 		select {
 		case <-l.after(acceptRetryDelay):
 		case <-l.closed:
@@ -102,11 +102,11 @@
 	}
 }
 
-// noteFailure counts a failed accept, and logs it at most once in acceptLogInterval.
-func (l *Listener) noteFailure(err error) {
+// recordFailure counts a failed accept, and logs it at most once in acceptLogInterval.
+func (l *Listener) recordFailure(err error) {
 	l.failures++
-	if now := time.Now(); l.logged.IsZero() || now.Sub(l.logged) >= acceptLogInterval {
-		l.logged = now
+	if now := time.Now(); l.lastLogged.IsZero() || now.Sub(l.lastLogged) >= acceptLogInterval {
+		l.lastLogged = now
 		l.log.Warn("accept failed, retrying", "err", err, "failures", l.failures)
 	}
 }
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -45,7 +45,7 @@
 		if waits++; delay < 5*time.Millisecond || delay > 20*time.Millisecond {
 			t.Errorf("got a pause of %v, want 5 to 20 ms", delay)
 		}
-		listener.logged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		listener.lastLogged = time.Now().Add(time.Hour) // a slow machine makes no second line
 		return now
 	}
 	agenttest.Dial(t, ln.Addr().String())
--- a/internal/clientconn/stage.go
+++ b/internal/clientconn/stage.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// connStage is where a client connection stands between its accept and its close.
+// connStage is the stage of a client connection between accept and close.
 type connStage uint8
 
 const (
 	stageNew      connStage = iota // no complete request has arrived yet
-	stageIdle                      // between two requests, kept alive
+	stageIdle                      // kept alive between two requests
 	stageActive                    // a request is being read or answered
-	stageRejected                  // its request was answered with an error, the connection is about to close
+	stageRejected                  // its request was answered with an error, and it is about to be closed
 )
 
 // OnConnState is the server's ConnState hook.
@@ -30,8 +30,9 @@
 	}
 }
 
-// BeginRequest notes that a handler takes the connection's request. It returns when the last byte
-// of the request's head was read, and whether the connection closes with the response.
+// BeginRequest records that a handler has started to handle a request of the connection. It returns
+// when the last byte of the request's head was read, and whether the request is the last one because
+// the table is closing the connection.
 func (c *Conn) BeginRequest() (receivedAt time.Time, last bool) {
 	c.setStage(stageActive)
 	c.table.mu.Lock()
@@ -39,11 +40,11 @@
 	return c.head.receivedAt, c.closing
 }
 
-// MarkRejected notes that the connection's request is answered with an error, and that the
-// connection closes with the response. It may be evicted once that is written.
+// MarkRejected records that the connection's request is answered with an error and that the connection
+// closes with the response. The connection may be evicted once the response is written.
 func (c *Conn) MarkRejected() { c.setStage(stageRejected) }
 
-// setStage moves a connection to another stage. A rejected one stays rejected.
+// setStage moves the connection to another stage. A rejected connection stays rejected.
 func (c *Conn) setStage(stage connStage) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -58,21 +59,21 @@
 	}
 }
 
-// noteResponseWritten notes that the server has written all that it will write on a connection.
-func (c *Conn) noteResponseWritten() {
+// markResponseWritten records that the server has written everything that it will write.
+func (c *Conn) markResponseWritten() {
 	c.table.mu.Lock()
 	c.responseWritten = true
 	c.table.mu.Unlock()
 }
 
-// awaitsHead reports whether the connection waits for the head of a request or reads one. The
+// awaitsHead reports whether the connection is waiting for the head of a request or reading it. The
 // caller holds table.mu.
 func (c *Conn) awaitsHead() bool {
 	return c.stage == stageNew || c.stage == stageIdle
 }
 
-// closesWithoutRequest reports whether the connection was ended before any of a further request
-// was read, so that the server is about to close it. The caller holds table.mu.
+// closesWithoutRequest reports whether the table is closing the connection and no byte of a further
+// request was read, so that the server is about to close it. The caller holds table.mu.
 func (c *Conn) closesWithoutRequest() bool {
 	return c.closing && !c.head.started && c.awaitsHead()
 }
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -5,55 +5,54 @@
 	"time"
 )
 
-// Table is the client connection table: it holds the clients' connections, at most maxConns
-// of them, and decides which are ended to make a slot free, to keep the number of idle ones in
-// bounds, and at shutdown. mu guards the table and the first group of fields of each Conn.
+// Table is the client connection table. It has maxConns slots, each for one client connection. It
+// decides which connections are closed to free a slot, to limit the number that are kept alive, and at
+// shutdown. mu guards the fields of the table and the first group of fields of each Conn.
 type Table struct {
-	mu          sync.Mutex
-	maxConns    int // the slots
-	maxKeptIdle int // connections that have carried a request, above which they are not kept alive
-	conns       map[*Conn]struct{}
-	waiting     int // accepted connections that wait for a slot
+	mu           sync.Mutex
+	maxConns     int // number of slots
+	maxKeepAlive int // with more connections that have carried a request, none is kept alive
+	conns        map[*Conn]struct{}
+	waiting      int // number of accepted connections that wait for a slot
 
-	// freed has an item when a slot has become free. Its buffer holds one: a waiter looks
-	// through the table again, however many became free.
+	// freed has an item when a slot has become free. A buffer of one item is enough, because a waiter
+	// checks the whole table again, however many slots became free.
 	freed chan struct{}
 
-	// defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has replaced them.
+	// defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has changed them.
 	silentGrace, acquireTimeout time.Duration
 }
 
-// NewTable returns an empty table of maxConns slots. Above maxKeptIdle connections that have carried
-// a request, none is kept alive any more.
-func NewTable(maxConns, maxKeptIdle int) *Table {
-	return &Table{maxConns: maxConns, maxKeptIdle: maxKeptIdle, conns: map[*Conn]struct{}{},
+// NewTable returns an empty table with maxConns slots. While more than maxKeepAlive connections have
+// carried a request, no connection is kept alive after its response.
+func NewTable(maxConns, maxKeepAlive int) *Table {
+	return &Table{maxConns: maxConns, maxKeepAlive: maxKeepAlive, conns: map[*Conn]struct{}{},
 		freed: make(chan struct{}, 1), silentGrace: defaultSilentGrace, acquireTimeout: defaultAcquireTimeout}
 }
 
-// Resize changes the limits. Connections above a lowered limit are ended as new ones arrive.
-func (t *Table) Resize(maxConns, maxKeptIdle int) {
+// Resize changes the limits. Connections above a lowered limit are closed when new ones arrive.
+func (t *Table) Resize(maxConns, maxKeepAlive int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.maxConns, t.maxKeptIdle = maxConns, maxKeptIdle
+	t.maxConns, t.maxKeepAlive = maxConns, maxKeepAlive
 }
 
-// Limits returns how many connections the table may hold, and above how many they are not kept
-// alive.
-func (t *Table) Limits() (maxConns, maxKeptIdle int) {
+// Limits returns the number of slots, and the number of connections above which none is kept alive.
+func (t *Table) Limits() (maxConns, maxKeepAlive int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.maxConns, t.maxKeptIdle
+	return t.maxConns, t.maxKeepAlive
 }
 
-// SetTimeouts changes how long a new connection may send nothing while others need its slot, and
-// how long a connection waits for a slot. It is for tests, whose clients may be slow to write.
+// SetTimeouts changes how long a new connection may send nothing before it may be evicted, and how
+// long an accepted connection waits for a slot. It is for tests, whose clients may be slow to write.
 func (t *Table) SetTimeouts(silentGrace, acquireTimeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silentGrace, t.acquireTimeout = silentGrace, acquireTimeout
 }
 
-// currentAcquireTimeout is how long a new connection waits for a slot.
+// currentAcquireTimeout returns how long an accepted connection waits for a slot.
 func (t *Table) currentAcquireTimeout() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,9 +66,9 @@
 	t.mu.Unlock()
 }
 
-// acquire enters the connection in the table and reports whether there was a free slot. Without
-// one it ends the connections that are needed least; their slots are free once the server has
-// closed them, so the caller tries again.
+// acquire enters the connection in the table and reports whether there was a free slot. If there is
+// none, it evicts the connections that are needed least, by their eviction class. The slots of most of
+// them are free only once the server has closed them, so the caller has to try again.
 func (t *Table) acquire(c *Conn, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +80,7 @@
 		if victim.stage == stageRejected {
 			t.closeRejected(victim)
 		} else {
-			victim.endRead()
+			victim.expireRead()
 		}
 	}
 	if len(t.conns) >= t.maxConns {
@@ -91,7 +90,7 @@
 	return true
 }
 
-// remove frees the slot of a connection that is closed.
+// remove frees the slot of a closed connection.
 func (t *Table) remove(c *Conn) {
 	t.mu.Lock()
 	delete(t.conns, c)
@@ -102,7 +101,8 @@
 	}
 }
 
-// Count returns how many connections are accepted and not closed.
+// Count returns the number of connections that are accepted and not closed, including those that
+// wait for a slot.
 func (t *Table) Count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Connections above maxKeptIdle are reaped once they have been idle for idleGrace, and not before.
+// Connections above maxKeepAlive are reaped once they have been idle for idleGrace, and not before.
 func TestTableReapsLongIdleConnections(t *testing.T) {
 	table := NewTable(10, 3)
 	server := serve(t, table)
@@ -189,8 +189,8 @@
 		add(t, table, &Conn{stage: stageActive, stageSince: now}, now)
 	}
 	table.Resize(1, 1)
-	if maxConns, maxKeptIdle := table.Limits(); maxConns != 1 || maxKeptIdle != 1 {
-		t.Errorf("got limits %d and %d, want 1 and 1", maxConns, maxKeptIdle)
+	if maxConns, maxKeepAlive := table.Limits(); maxConns != 1 || maxKeepAlive != 1 {
+		t.Errorf("got limits %d and %d, want 1 and 1", maxConns, maxKeepAlive)
 	}
 	if got := table.Count(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -58,8 +58,9 @@
 	return found
 }
 
-// peekResult returns the PeekResult for the return values of a peeking recvfrom. For an error of this
-// machine the state of the connection is unknown.
+// peekResult returns the PeekResult for the return values of a peeking recvfrom. EAGAIN and
+// EINTR mean that nothing is unread. After any other error of this machine the state of the connection
+// is unknown.
 func peekResult(n int, err error) PeekResult {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
