--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -49,8 +49,9 @@
 	LoadReport  string        // the response's Server-Load, for ParseLoadReport
 }
 
-// NewAttempt returns an attempt to send the request on one of the connections. The attempt ends when
-// the context ends, and at the deadline at the latest. An attempt that is not run must be cancelled.
+// NewAttempt returns an attempt to send the request on one of the connections. The attempt ends
+// when the context ends, and at the deadline at the latest. An attempt that is not run must be
+// cancelled.
 func NewAttempt(ctx context.Context, conns *Conns, request *Request, deadline time.Time) *Attempt {
 	a := &Attempt{request: request, conns: conns, started: time.Now()}
 	ctx, a.cancelCause = context.WithCancelCause(ctx)
@@ -64,8 +65,8 @@
 	return deadline
 }
 
-// Withdraw cancels the attempt unless a byte of the request may have been written. It reports whether
-// no byte was written and none will be.
+// Withdraw cancels the attempt unless a byte of the request may have been written. It reports
+// whether no byte was written and none will be.
 func (a *Attempt) Withdraw(cause error) bool {
 	withdrawn := a.withdraw()
 	if withdrawn {
@@ -85,8 +86,8 @@
 	return a.stage.CompareAndSwap(attemptWaiting, attemptWithdrawn) || a.stage.Load() == attemptWithdrawn
 }
 
-// begin reports whether the first byte may be written, which is so unless the attempt was withdrawn.
-// After begin the attempt can't be withdrawn any more.
+// begin reports whether the first byte may be written, which is so unless the attempt was
+// withdrawn. After begin the attempt can't be withdrawn any more.
 func (a *Attempt) begin() bool {
 	return a.stage.CompareAndSwap(attemptWaiting, attemptSending)
 }
@@ -121,8 +122,9 @@
 	return result
 }
 
-// roundTrip gets a connection, checks that the attempt may still begin, writes the request and reads
-// the response. If no complete response is received, it closes the connection and returns an error.
+// roundTrip gets a connection, checks that the attempt may still begin, writes the request and
+// reads the response. If no complete response is received, it closes the connection and returns an
+// error.
 func (a *Attempt) roundTrip() (result Result, err error) {
 	conn, err := a.conns.get(a.ctx)
 	if err != nil {
@@ -172,9 +174,9 @@
 	return nil
 }
 
-// isLate reports whether it is too late for the attempt to begin. It compares clock times because the
-// end of the context may be noticed too late: another goroutine acts on it, perhaps after the first
-// byte was written.
+// isLate reports whether it is too late for the attempt to begin. It compares clock times because
+// the end of the context may be noticed too late: another goroutine acts on it, perhaps after the
+// first byte was written.
 func (a *Attempt) isLate() bool {
 	now := time.Now()
 	return !now.Before(a.Deadline()) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
@@ -194,12 +196,12 @@
 	return &WriteError{incomplete: n < len(message), err: err}
 }
 
-// readers holds read buffers. They are not part of the connections because only an attempt that reads
-// a response needs one.
+// readers holds read buffers. They are not part of the connections because only an attempt that
+// reads a response needs one.
 var readers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// read reads the response to the request and reports whether the connection can be reused. The error
-// is a *ResponseError.
+// read reads the response to the request and reports whether the connection can be reused. The
+// error is a *ResponseError.
 func (a *Attempt) read(conn *pooledConn, outgoing *http.Request) (result Result, reusable bool, err error) {
 	reader := readers.Get().(*bufio.Reader)
 	reader.Reset(conn)
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// The connection of an attempt that timed out is closed before its Result is returned. Otherwise the
-// next attempt could run at the same time as this one.
+// The connection of an attempt that timed out is closed before its Result is returned. Otherwise
+// the next attempt could run at the same time as this one.
 func TestAttemptTimeoutClosesConnection(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan error, 1)
 	addr := agenttest.RawBackend(t, func(_ net.Conn, reader *bufio.Reader) {
@@ -190,7 +190,8 @@
 	}
 }
 
-// A panic in an attempt does not end the process. The status is a reset, as the request may have run.
+// A panic in an attempt does not end the process. The status is a reset, as the request may have
+// run.
 func TestAttemptPanicIsReset(t *testing.T) {
 	pool := newTestPool()
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
--- a/internal/backend/conn.go
+++ b/internal/backend/conn.go
@@ -32,11 +32,11 @@
 	return n, err
 }
 
-// interrupt makes reads and writes time out, also those that are blocked. Its deadline is in the past
-// and has a monotonic clock reading, so that it does not depend on changes of the wall clock.
+// interrupt makes reads and writes time out, also those that are blocked. Its deadline is in the
+// past and has a monotonic clock reading, so that it does not depend on changes of the wall clock.
 func (c *pooledConn) interrupt() { _ = c.SetDeadline(time.Now().Add(-time.Second)) }
 
-// unlist removes a connection from the lists of idle connections. The caller holds the pool's mutex.
+// unlist removes the connection from the lists of idle ones. The caller holds the pool's mutex.
 func (c *pooledConn) unlist() {
 	c.conns.pool.idle.Remove(c.element)
 	c.element = nil
--- a/internal/backend/conn_test.go
+++ b/internal/backend/conn_test.go
@@ -17,8 +17,8 @@
 	return nil
 }
 
-// The deadline that interrupts a connection is in the past, whatever the wall clock was set to. It has a
-// monotonic clock reading, and only that reading is compared then.
+// The deadline that interrupts a connection is in the past, whatever the wall clock was set to. It
+// has a monotonic clock reading, and only that reading is compared then.
 func TestConnInterruptUsesMonotonicClock(t *testing.T) {
 	conn := &deadlineConn{}
 	(&pooledConn{Conn: conn}).interrupt()
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -95,8 +95,8 @@
 // put returns a connection after use. It is available to other attempts once it has settled.
 func (c *Conns) put(conn *pooledConn) { c.putIdleSince(conn, time.Now()) }
 
-// putIdleSince returns a connection that has been idle since the given time, and schedules a sweep if
-// there is none.
+// putIdleSince returns a connection that has been idle since the given time, and schedules a sweep
+// unless one is scheduled already.
 func (c *Conns) putIdleSince(conn *pooledConn, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
@@ -120,7 +120,8 @@
 // Close closes the idle connections, and from then on each connection that an attempt returns.
 func (c *Conns) Close() { closeAll(c.removeAllIdle(true)) }
 
-// removeAllIdle removes and returns all idle connections. If closes is set, it also closes the Conns.
+// removeAllIdle removes and returns all idle connections. If closes is set, it also closes the
+// Conns.
 func (c *Conns) removeAllIdle(closes bool) []*pooledConn {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/backend/extra_conn.go
+++ b/internal/backend/extra_conn.go
@@ -12,22 +12,22 @@
 // this machine. It is short because such errors are temporary.
 const extraRetryDelay = 20 * time.Millisecond
 
-// extraState is the state of the extra connections of a Conns. An extra connection is opened when the
-// only connection that is not in use is settling, so that an attempt need not wait for it. The pool's
-// mutex guards the state.
+// extraState is the state of the extra connections of a Conns. An extra connection is opened when
+// the only connection that is not in use is settling, so that an attempt need not wait for it. The
+// pool's mutex guards the state.
 type extraState struct {
 	dialling bool // an extra connection is being opened
-	// notBefore is the earliest time at which the next extra connection may be opened. It is set when
-	// one could not be opened, as the backend may have no capacity for it.
+	// notBefore is the earliest time at which the next extra connection may be opened. It is set
+	// when one could not be opened, as the backend may have no capacity for it.
 	notBefore time.Time
 	// panicked is a panic while an extra connection was opened. The next Result reports it.
 	panicked *PanicError
 }
 
-// reserveExtra reports whether an extra connection may be opened, and if so counts it as open. One may
-// be opened only while an attempt uses each of the other connections. A backend therefore has at most
-// one connection more than its highest number of concurrent attempts. No connection is closed to make
-// room for an extra one. The caller holds the pool's mutex.
+// reserveExtra reports whether an extra connection may be opened, and if so counts it as open. One
+// may be opened only while an attempt uses each of the other connections. A backend therefore has
+// at most one connection more than its highest number of concurrent attempts. No connection is
+// closed to make room for an extra one. The caller holds the pool's mutex.
 func (c *Conns) reserveExtra() bool {
 	p := c.pool
 	if !p.settings.ExtraConns || c.extra.dialling || len(c.idle) > 0 || p.open >= p.settings.MaxConns ||
@@ -60,10 +60,10 @@
 	}
 }
 
-// openExtra opens an extra connection for the attempt that receives from opened. If that attempt has
-// closed abandoned, the connection becomes idle instead. A failure fails no attempt, as none depends
-// on the extra connection. A panic is recovered, as it would end the process with all the requests
-// that it serves.
+// openExtra opens an extra connection for the attempt that receives from opened. If that attempt
+// has closed abandoned, the connection becomes idle instead. A failure fails no attempt, as none
+// depends on the extra connection. A panic is recovered, as it would end the process with all the
+// requests that it serves.
 func (c *Conns) openExtra(ctx context.Context, opened chan<- *pooledConn, abandoned <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -82,9 +82,9 @@
 	}
 }
 
-// recordExtraDial records that the connect of an extra connection has ended. If it failed and was not
-// cancelled, no other is opened for extraRetryDelay after an error of this machine, and for the idle
-// timeout after any other error.
+// recordExtraDial records that the connect of an extra connection has ended. If it failed and was
+// not cancelled, no other is opened for extraRetryDelay after an error of this machine, and for the
+// idle timeout after any other error.
 func (c *Conns) recordExtraDial(err error, cancelled bool) {
 	p := c.pool
 	p.mu.Lock()
--- a/internal/backend/extra_conn_test.go
+++ b/internal/backend/extra_conn_test.go
@@ -31,8 +31,9 @@
 	return (&net.Dialer{}).DialContext(context.WithoutCancel(ctx), network, addr)
 }
 
-// newExtraConns returns the connections to a backend. Their pool may open extra ones. Connections do
-// not settle after a delay: a value on settled ends the wait of one attempt, and its close that of all.
+// newExtraConns returns the connections to a backend. Their pool may open extra ones. Connections
+// do not settle after a delay: a value on settled ends the wait of one attempt, and its close that
+// of all.
 func newExtraConns(t *testing.T) (conns *Conns, dialer *countingDialer, settled chan time.Time) {
 	t.Helper()
 	dialer, settled = &countingDialer{}, make(chan time.Time)
@@ -141,8 +142,8 @@
 	}
 }
 
-// An error of this machine is not a sign of a fault of the backend, so the next extra connection may be
-// opened soon.
+// An error of this machine is not a sign of a fault of the backend, so the next extra connection
+// may be opened soon.
 func TestExtraConnectionIsRetriedSoonAfterLocalError(t *testing.T) {
 	pool := newTestPool()
 	pool.DialContext = (&agenttest.FailingDialer{Errno: syscall.ENFILE, Failures: 1}).DialContext
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// answerOne returns a connection handler for a fake backend, which answers one request with text and
-// closes the connection.
+// answerOne returns a connection handler for a fake backend, which answers one request with text
+// and closes the connection.
 func answerOne(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
--- a/internal/backend/idle_lifetime.go
+++ b/internal/backend/idle_lifetime.go
@@ -41,7 +41,8 @@
 // that broke before the first byte of a response. The counts decay, so they are not whole numbers.
 type reuseCount struct{ reuses, broken float64 }
 
-// bucketOf returns the index of the bucket of an idle time, which must be at least baselineIdleTime.
+// bucketOf returns the index of the bucket of an idle time, which must be at least
+// baselineIdleTime.
 func bucketOf(idleFor time.Duration) int {
 	return min(int(2*math.Log2(float64(idleFor)/float64(baselineIdleTime))), idleTimeBuckets-1)
 }
--- a/internal/backend/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -10,8 +10,9 @@
 	"ploverreel/policy"
 )
 
-// Connections are not reused after an idle time at which they tend to break. Breaks that are equally
-// frequent at all idle times do not lower the limit, and the decay makes all idle times usable again.
+// Connections are not reused after an idle time at which they tend to break. Breaks that are
+// equally frequent at all idle times do not lower the limit, and the decay makes all idle times
+// usable again.
 func TestIdleLifetimeExcludesIdleTimesThatBreak(t *testing.T) {
 	now, idleTimeout := time.Now(), time.Minute
 	var estimator idleLifetimeEstimator
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// runOn runs an attempt on the connection. The timeout is so long that the value of Request-Timeout has
-// the same number of digits in each run, which keeps the length of the request constant.
+// runOn runs an attempt on the connection. The timeout is so long that the value of Request-Timeout
+// has the same number of digits in each run, which keeps the length of the request constant.
 func runOn(conn *agenttest.ScriptedConn, method string) Result {
 	pool := newTestPool()
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
@@ -101,9 +101,9 @@
 var connErrnos = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EINTR, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EIO}
 
-// A request never ran if its last byte was not written. A request that was written completely may have
-// run, whatever error its write or a read of its response returns. A response that arrives in the
-// smallest reads is complete. A connection that broke is closed.
+// A request never ran if its last byte was not written. A request that was written completely may
+// have run, whatever error its write or a read of its response returns. A response that arrives in
+// the smallest reads is complete. A connection that broke is closed.
 func TestAttemptStatusOfConnectionBrokenAtEachByte(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		whole := agenttest.NewScriptedConn(agenttest.OKAnswer)
@@ -113,7 +113,8 @@
 		}
 		for _, errno := range connErrnos {
 			checkBrokenWrites(t, method, errno, whole.Written.Len())
-			// A response without a length needs one more read, which finds the end of the connection.
+			// A response without a length needs one more read, which finds the end of the
+			// connection.
 			checkBrokenReads(t, method, errno, agenttest.OKAnswer, len(agenttest.OKAnswer))
 			checkBrokenReads(t, method, errno, responseWithoutLength, len(responseWithoutLength)+1)
 		}
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -11,8 +11,8 @@
 	"ploverreel/policy"
 )
 
-// All connections share one limit. At the limit, the connection that has been idle longest is closed to
-// make room for a new one.
+// All connections share one limit. At the limit, the connection that has been idle longest is
+// closed to make room for a new one.
 func TestPoolClosesLongestIdleAtLimit(t *testing.T) {
 	pool := newTestPool()
 	pool.settings.MaxConns = 2
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -12,8 +12,8 @@
 const (
 	// maxSchedulingDelay is the longest time that the agent may be suspended between reading its
 	// clock and writing the request. The tolerance that the deadline in Request-Timeout has covers
-	// only one such delay, and another one may already have passed between the arrival of the request
-	// and the reading of the clock. The timeout is therefore reduced by this delay.
+	// only one such delay, and another one may already have passed between the arrival of the
+	// request and the reading of the clock. The timeout is therefore reduced by this delay.
 	maxSchedulingDelay = 150 * time.Millisecond
 	// schedulingDelayDivisor limits that reduction to one eighth of the time left. A backend drops
 	// requests that have no time left, so a request with little time must keep most of it. Requests
@@ -64,8 +64,8 @@
 }
 
 // timeout returns the Request-Timeout of an attempt that has a deadline. It is the time until that
-// deadline or the client's, whichever is earlier, less an allowance for a scheduling delay before the
-// write. However late the attempt is, it is at most what the client has left, but at least one
+// deadline or the client's, whichever is earlier, less an allowance for a scheduling delay before
+// the write. However late the attempt is, it is at most what the client has left, but at least one
 // millisecond.
 func (r *Request) timeout(deadline time.Time) time.Duration {
 	if !r.Deadline.IsZero() && r.Deadline.Before(deadline) {
--- a/internal/backend/request_test.go
+++ b/internal/backend/request_test.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// Request-Timeout is less than the client's remaining time, as a scheduling delay may come before the
-// write. It is less by maxSchedulingDelay if much time is left, and by an eighth if little is left.
+// Request-Timeout is less than the client's remaining time, as a scheduling delay may come before
+// the write. It is less by maxSchedulingDelay if much time is left, and by an eighth if little is
+// left.
 func TestRequestTimeoutLeavesRoomForSchedulingDelay(t *testing.T) {
 	for _, c := range []struct {
 		name                         string
--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -11,30 +11,30 @@
 // Limits of the responses that are read from backends.
 const (
 	maxResponseBody     = 64 << 10 // bytes of a response's body
-	maxResponseHead     = 16 << 10 // bytes of a response's head, including the interim (1xx) responses before it
+	maxResponseHead     = 16 << 10 // bytes of a response's head and of the interim (1xx) responses before it
 	maxInterimResponses = 8        // number of interim (1xx) responses before a response
 )
 
 // readResponse reads the response to a request and reports whether the connection can be reused. If
-// any part of the response is wrong, all of it is discarded, and the request may have run. The error
-// is a *ResponseError.
+// any part of the response is wrong, all of it is discarded, and the request may have run. The
+// error is a *ResponseError.
 func readResponse(conn *pooledConn, reader *bufio.Reader, request *http.Request) (result Result, reusable bool, err error) {
 	response, err := readFinalHead(reader, request)
 	if err != nil {
 		return Result{}, false, &ResponseError{err}
 	}
 	// A response without a length lasts until the connection ends. It is complete if the connection
-	// ends with an orderly close. A backend that fails or dies resets its connections instead, and a
-	// reset is returned as a read error.
+	// ends with an orderly close. A backend that fails or dies resets its connections instead, and
+	// a reset is returned as a read error.
 	chunked := len(response.TransferEncoding) > 0
 	untilEnd := response.ContentLength < 0 && !chunked
 	switch {
 	case response.ContentLength > maxResponseBody:
 		return Result{}, false, &ResponseError{errResponseTooLong}
 	case untilEnd:
-		conn.readBudget += maxResponseBody + 1 // the extra byte lets the read after the last byte find the end
+		conn.readBudget += maxResponseBody + 1 // the read after the last byte detects the end
 	case chunked:
-		conn.readBudget += maxResponseBody + maxResponseHead // maxResponseHead allows for the framing of the chunks
+		conn.readBudget += maxResponseBody + maxResponseHead // with the chunk framing
 	default:
 		conn.readBudget += int(response.ContentLength)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// resultOf returns the Result of a complete response. With any status other than 200 the request may
-// have run, unless the backend says that it did not start the request.
+// resultOf returns the Result of a complete response. With any status other than 200 the request
+// may have run, unless the backend says that it did not start the request.
 func resultOf(response *http.Response, body []byte) Result {
 	result := Result{Status: policy.StatusServerError, LoadReport: response.Header.Get("Server-Load")}
 	switch response.StatusCode {
@@ -77,8 +77,8 @@
 	return result
 }
 
-// readBody reads the whole body. A negative length means that the length is unknown. readBody returns
-// errResponseTooLong if a body of unknown length has more than maxResponseBody bytes.
+// readBody reads the whole body. A negative length means that the length is unknown. readBody
+// returns errResponseTooLong if a body of unknown length has more than maxResponseBody bytes.
 func readBody(reader io.Reader, length int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -18,7 +18,8 @@
 // responseWithoutLength is a response that lasts until its connection ends.
 const responseWithoutLength = "HTTP/1.1 200 OK\r\n\r\ndone"
 
-// The status says whether the request has run. If that is uncertain, it says that the request may have.
+// The status says whether the request has run. If that is uncertain, it says that the request may
+// have.
 func TestAttemptStatusFollowsResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, response string
@@ -76,8 +77,8 @@
 	return n, err
 }
 
-// A response without a length is complete if the connection ends with an orderly close, but not if it
-// ends with a reset. The connection is closed.
+// A response without a length is complete if the connection ends with an orderly close, but not if
+// it ends with a reset. The connection is closed.
 func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\n"
 	for _, c := range []struct {
@@ -125,16 +126,16 @@
 	}
 }
 
-// Surplus bytes that a backend sends after a response must not be taken for the response to the next
-// request. The connection is not reused, whether they arrive with the response or after it.
+// Surplus bytes that a backend sends after a response must not be taken for the response to the
+// next request. The connection is not reused, whether they arrive with the response or after it.
 func TestSurplusBytesAreNotUsedForNextRequest(t *testing.T) {
 	for _, c := range []struct {
 		name, surplus string
 		separate      bool // written separately, after the response
 		attempts      int  // number of concurrent attempts
 	}{
-		// Concurrent attempts wait for each other's connections. If the surplus is written separately,
-		// an attempt begins only after the surplus of the previous one was written.
+		// Concurrent attempts wait for each other's connections. If the surplus is written
+		// separately, an attempt begins only after the surplus of the previous one was written.
 		{"second response", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), false, 8},
 		{"second response behind", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), true, 1},
 		{"noise", "\x00noise", false, 8},
--- a/internal/backend/settle_test.go
+++ b/internal/backend/settle_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// A second response that arrives some milliseconds after the first must not be taken for the response
-// to the next request.
+// A second response that arrives some milliseconds after the first must not be taken for the
+// response to the next request.
 func TestLateSecondResponseIsNotUsedForNextRequest(t *testing.T) {
 	s := newSettlingConn(t)
 	s.surplus <- strings.Replace(agenttest.OKAnswer, "done", "gone", 1)
@@ -84,8 +84,8 @@
 	}
 }
 
-// An attempt that is cancelled while it waits for a settling connection sends nothing. The connection
-// stays available to other attempts.
+// An attempt that is cancelled while it waits for a settling connection sends nothing. The
+// connection stays available to other attempts.
 func TestCancelEndsWaitForSettlingConnection(t *testing.T) {
 	s := newSettlingConn(t)
 	s.attempt.Cancel(ErrCancelled)
@@ -153,8 +153,8 @@
 	}
 }
 
-// disconnectDuringConnect returns the connections to a backend. Each connect calls disconnect first.
-// The number of bytes that the backend received is sent on read.
+// disconnectDuringConnect returns the connections to a backend. Each connect calls disconnect
+// first. The number of bytes that the backend received is sent on read.
 func disconnectDuringConnect(t *testing.T, disconnect func()) (conns *Conns, read <-chan int64) {
 	addr, read := agenttest.ByteCounter(t)
 	pool := newTestPool()
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// maxReadAhead is how many bytes are kept of what a client sends while its request is in
-// progress.
+// maxReadAhead is how many bytes of a client are buffered that arrive while its request is in
+// progress. The connection ends after them if there are more.
 const maxReadAhead = 4 << 10
 
-// Conn is a client connection, entered in the client connection table from acquire to
-// Close. Its life cycle:
+// Conn is a client connection. It is in the client connection table from acquire to Close. Its life
+// cycle is:
 //
 //	accept ──► new ──► active ──► rejected ──► closed
 //	            │       ▲  │
@@ -23,39 +23,40 @@
 //	            ▼       ▼
 //	           closing (a flag, not a stage)
 //
-// new and idle become active when the head of a request is complete, active becomes idle when the
-// response is written and the connection is kept. In new and idle the table may end the connection
-// to free its slot, to reap it or at shutdown: it is then closing, and its pending read times out.
-// When bytes of a request arrived before that was noticed, the request is still answered, with
-// "Connection: close".
+// A new or idle connection becomes active when the head of a request is complete. An active
+// connection becomes idle when the response is written and the connection is kept alive. The table
+// may close a new or idle connection to free its slot, to reap it, or at shutdown. It then sets
+// closing and makes the pending read time out. If bytes of a request arrived before the server
+// notices that, the request is still answered, with "Connection: close".
 //
-// The fields of the first group are guarded by table.mu, those of the second belong to the
-// goroutine that reads: the server never has two reads of one connection in progress.
+// table.mu guards the first group of fields below. The second group belongs to the goroutine that
+// reads. The server never has two reads of one connection in progress.
 type Conn struct {
 	net.Conn
 	table    *Table
-	received atomic.Bool // at least one byte was read
+	received atomic.Bool // at least one byte has been read
 
 	// Guarded by table.mu.
 	stage           connStage
-	stageSince      time.Time // when the stage began; for a next request, when its head began
-	closing         bool      // ended by the table; a request that still arrives is the last
-	responseWritten bool      // the server has written all that it will write
+	stageSince      time.Time // when the stage began; idle with a next head: when that began
+	closing         bool      // the table is closing the connection; one more request may arrive
+	responseWritten bool      // the server has written everything that it will write
 	head            headState
 
 	// Owned by the reading goroutine.
-	firstSeenAt         time.Time // when unread bytes were first seen before a slot was free; zero: never
+	firstSeenAt         time.Time // when unread bytes were first seen in the wait for a slot; zero: never
 	readAhead           []byte    // read while a request was in progress, not yet passed to the server
 	readAheadAt         time.Time // when the first byte of readAhead was read
-	readAheadOverflowed bool      // bytes beyond maxReadAhead were dropped: no further request can be read
+	readAheadOverflowed bool      // more than maxReadAhead arrived; the connection ends after them
 }
 
-// NetConn returns the connection that the listener accepted, on which a caller may look for the
-// client's close. It must not be read from, written to or closed.
+// NetConn returns the connection that the listener accepted. A caller may use it to detect that the
+// client has closed, but must not read from it, write to it or close it.
 func (c *Conn) NetConn() net.Conn { return c.Conn }
 
-// Read is called by the server: for heads and bodies, and with a buffer of one byte next to a
-// running handler, to notice that the client has disconnected.
+// Read is called by the server to read heads and bodies. While a handler runs, the server also
+// calls it with a buffer of one byte, in the background, to detect that the client has
+// disconnected.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
 	background := len(buffer) == 1
 	var receivedAt time.Time
@@ -67,8 +68,8 @@
 		return 0, io.EOF
 	default:
 		n, err = c.receive(buffer)
-		// A client's deadline counts from when it wrote. How long the bytes were in the kernel
-		// can't be known; all that passes from here on is part of the client's time.
+		// A client's deadline counts from when the client wrote. It is unknown how long the bytes
+		// were in the kernel, but all time from here on counts.
 		receivedAt = time.Now()
 		if !c.firstSeenAt.IsZero() {
 			receivedAt, c.firstSeenAt = c.firstSeenAt, time.Time{}
@@ -84,7 +85,7 @@
 	return n, err
 }
 
-// takeReadAhead moves bytes that were read ahead into the buffer, and returns how many.
+// takeReadAhead moves bytes that were read ahead to the buffer and returns their number.
 func (c *Conn) takeReadAhead(buffer []byte) int {
 	n := copy(buffer, c.readAhead)
 	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
@@ -93,8 +94,8 @@
 	return n
 }
 
-// receive reads from the socket. Bytes of a head that have arrived when its read times out are
-// read nevertheless.
+// receive reads from the socket. If a read of a head times out but bytes have arrived by then, it
+// reads them.
 func (c *Conn) receive(buffer []byte) (int, error) {
 	isHead := c.beginRead(len(buffer))
 	n, err := c.Conn.Read(buffer)
@@ -104,15 +105,17 @@
 	return n, err
 }
 
-// watchForDisconnect reads on while a request is in progress, until the client disconnects or the
-// response is written. The server itself stops watching at the first byte that arrives: a client
-// that sends more and then disconnects would seem to be present, and its request be forwarded.
+// watchForDisconnect keeps reading while a request is in progress, until the client disconnects or
+// the response is written. The server itself stops watching at the first byte that arrives. If a
+// client sent more and then disconnected, the server would not detect that, and the client's
+// request would be forwarded.
 func (c *Conn) watchForDisconnect() error {
 	chunk := make([]byte, maxReadAhead)
 	for {
 		n, err := c.Conn.Read(chunk)
 		if room := maxReadAhead - len(c.readAhead); n > room {
-			// Clients don't pipeline, so what is dropped is no request that anyone waits for.
+			// Clients don't pipeline requests, so no client waits for a response to the dropped
+			// bytes.
 			c.readAheadOverflowed = true
 			n = room
 		}
@@ -121,7 +124,7 @@
 		}
 		c.readAhead = append(c.readAhead, chunk[:n]...)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return nil // the response is written, or the time to read is over
+			return nil // the response is written, or the read deadline has passed
 		}
 		if err != nil {
 			return err
@@ -129,16 +132,16 @@
 	}
 }
 
-// Close closes the socket and then frees its slot in the table: in the reverse order the
-// connection that takes the slot would be open beside this one, and exceed the limit.
+// Close closes the socket and then frees its slot in the table. In the reverse order, the
+// connection that gets the slot would be open at the same time as this one and exceed the limit.
 func (c *Conn) Close() error {
 	err := c.Conn.Close()
 	c.table.remove(c)
 	return err
 }
 
-// CloseWrite lets the server shut down its sending side first, so that a client that is still
-// sending reads its response before the connection is reset.
+// CloseWrite shuts down the sending side. The server calls it before Close, so that a client that
+// is still sending can read its response before the connection is reset.
 func (c *Conn) CloseWrite() error {
 	defer c.markResponseWritten()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
--- a/internal/clientconn/crossing_test.go
+++ b/internal/clientconn/crossing_test.go
@@ -94,8 +94,8 @@
 	next.Close()
 }
 
-// awaitAtRest waits until a table's only connection is at a stage and a read waits for a head: before
-// that the server may still set another deadline for it.
+// awaitAtRest waits until a table's only connection is at a stage and a read waits for a head:
+// before that the server may still set another deadline for it.
 func awaitAtRest(t *testing.T, table *Table, hooks *crossingHooks, want connStage) *Conn {
 	t.Helper()
 	agenttest.Eventually(t, "the connection at rest", func() bool {
@@ -105,8 +105,8 @@
 	return onlyConn(table)
 }
 
-// A request that crosses the end of its connection, whatever ends that, gets its one response if any
-// of it was read, or if it arrived before the server saw that nothing had.
+// A request that crosses the end of its connection, whatever ends that, gets its one response if
+// any of it was read, or if it arrived before the server saw that nothing had.
 func TestConnAnswersRequestThatCrossesItsEnd(t *testing.T) {
 	for ending := range endings {
 		for stage, name := range map[connStage]string{stageNew: "new", stageIdle: "idle"} {
--- a/internal/clientconn/doc.go
+++ b/internal/clientconn/doc.go
@@ -2,17 +2,17 @@
 // between a net.Listener and a net/http server: the server serves the connections that a Listener
 // accepts, and uses Table.OnConnState as its ConnState hook.
 //
-// A Table limits the number of connections and holds each one from accept to close. Its mutex guards
-// its own fields and the stage of each connection. The table never closes a connection that has a
-// request in progress. To close another connection, it makes the server's pending read time out, so
-// that a request that arrives at the same time is still answered. Only a connection whose request was
-// answered with an error is closed directly.
+// A Table limits the number of connections and holds each one from accept to close. Its mutex
+// guards its own fields and the stage of each connection. The table never closes a connection that
+// has a request in progress. To close another connection, it makes the server's pending read time
+// out, so that a request that arrives at the same time is still answered. Only a connection whose
+// request was answered with an error is closed directly.
 //
-// A Conn belongs to the server's goroutine for that connection. Only that goroutine may read from it.
-// BeginRequest, MarkRejected and NetConn are for the handler of its request. All methods of Table may
-// be called from any goroutine. Only ReapIdleUntil blocks.
+// A Conn belongs to the server's goroutine for that connection. Only that goroutine may read from
+// it. BeginRequest, MarkRejected and NetConn are for the handler of its request. All methods of
+// Table may be called from any goroutine. Only ReapIdleUntil blocks.
 //
-// Listen returns the error of its last attempt to listen. Listener.Accept returns an error only after
-// the listener was closed; it logs and retries after every other failure. Read, Write and Close of a
-// Conn return the errors of the underlying connection.
+// Listen returns the error of its last attempt to listen. Listener.Accept returns an error only
+// after the listener was closed; it logs and retries after every other failure. Read, Write and
+// Close of a Conn return the errors of the underlying connection.
 package clientconn
--- a/internal/clientconn/eviction.go
+++ b/internal/clientconn/eviction.go
@@ -11,11 +11,11 @@
 
 const (
 	evictLongIdle       evictionClass = iota // idle for idleGrace or longer
-	evictSilent                              // new, and nothing was received for Table.silentGrace or longer
-	evictRejected                            // its request was answered with an error, and the response is written
+	evictSilent                              // new, and nothing received for Table.silentGrace or longer
+	evictRejected                            // its request was answered with an error, which is written
 	evictUnfinishedHead                      // its head is still incomplete after unfinishedHeadGrace
 	evictIdle                                // idle for less than idleGrace
-	notEvictable                             // it has a request in progress, is too recent, or is closing already
+	notEvictable                             // has a request in progress, is too recent, or is closing
 
 	evictionClasses = int(notEvictable)
 )
@@ -50,8 +50,8 @@
 	return notEvictable
 }
 
-// evictionCandidate returns the connection to evict for a new one. Among the connections of the lowest
-// class that has any, it is the one that has been in its stage longest. It returns nil if no
+// evictionCandidate returns the connection to evict for a new one. Among the connections of the
+// lowest class that has any, it is the one that has been in its stage longest. It returns nil if no
 // connection may be evicted. The caller holds t.mu.
 func (t *Table) evictionCandidate(now time.Time) *Conn {
 	var oldest [evictionClasses]*Conn
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// closingCount returns the number of connections that the server is about to close. The caller holds
-// t.mu.
+// closingCount returns the number of connections that the server is about to close. The caller
+// holds t.mu.
 func (t *Table) closingCount() (n int) {
 	for c := range t.conns {
 		if c.closesWithoutRequest() {
@@ -87,11 +87,11 @@
 	return n
 }
 
-// expireRead closes a connection that has no request in progress without losing a request. It does not
-// close the descriptor while the server reads, but makes that read time out at once. If the read still
-// returns bytes, their request is answered and the connection is closed with the response. If it
-// returns none, nothing of a request was read, and the server closes the connection. The caller holds
-// table.mu.
+// expireRead closes a connection that has no request in progress without losing a request. It does
+// not close the descriptor while the server reads, but makes that read time out at once. If the
+// read still returns bytes, their request is answered and the connection is closed with the
+// response. If it returns none, nothing of a request was read, and the server closes the
+// connection. The caller holds table.mu.
 func (c *Conn) expireRead() {
 	now := time.Now()
 	c.closing = true
@@ -101,8 +101,8 @@
 	_ = c.Conn.SetReadDeadline(now)
 }
 
-// closeRejected closes a connection whose request was answered with an error. The server does not read
-// from it any more. The caller holds t.mu.
+// closeRejected closes a connection whose request was answered with an error. The server does not
+// read from it any more. The caller holds t.mu.
 func (t *Table) closeRejected(c *Conn) {
 	c.Conn.Close()
 	delete(t.conns, c)
--- a/internal/clientconn/head.go
+++ b/internal/clientconn/head.go
@@ -6,17 +6,18 @@
 	"ploverreel/internal/socket"
 )
 
-// headState is the progress of reading a request's head. It is guarded by the table's mutex.
+// headState is the progress of reading the head of a request. The table's mutex guards it.
 type headState struct {
-	started            bool      // bytes of the next head were read, and it is not complete
-	deadline           time.Time // when the head in progress has to be complete
-	receivedAt         time.Time // when the last bytes of the latest head were read
-	bufferSize         int       // the size of the server's read buffer, learned from its reads
-	peekedAfterTimeout bool      // unread bytes were looked for after a read timed out
+	started            bool      // some bytes of the next head were read, but not all
+	deadline           time.Time // when the head in progress must be complete
+	receivedAt         time.Time // when the last bytes of the most recent head were read
+	bufferSize         int       // size of the server's read buffer: the largest of its reads so far
+	peekedAfterTimeout bool      // a read timed out but was repeated, as bytes were unread
 }
 
-// start notes at now that the first bytes of a head were read on a connection that has waited for
-// them since a time. The head has HeadTimeout from since, but at least minHeadTime from now.
+// start records that the first bytes of a head were read at now, on a connection that has waited
+// for them since the given time. The head must be complete HeadTimeout after since, but gets at
+// least minHeadTime from now.
 func (h *headState) start(since, now time.Time) {
 	h.started = true
 	h.deadline = since.Add(HeadTimeout)
@@ -25,16 +26,17 @@
 	}
 }
 
-// awaitNext prepares for the head of the next request on a connection that is idle since a time.
+// awaitNext prepares for the head of the next request on a connection that has been idle since the
+// given time.
 func (h *headState) awaitNext(since time.Time) {
 	h.peekedAfterTimeout = false
 	h.deadline = since.Add(HeadTimeout)
 }
 
-// beginRead notes that the server reads into a buffer of size bytes, and reports whether it reads
-// a request's head. The size of its first read is that of its whole buffer. A later read into less
-// means that the server already holds bytes of the next request, read together with the previous
-// one.
+// beginRead records that the server reads into a buffer of size bytes, and reports whether it reads
+// the head of a request. The server's first read is into its whole buffer. A later read into a
+// smaller one means that the server already holds bytes of the next request, which it read together
+// with the previous request.
 func (c *Conn) beginRead(size int) (isHead bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -48,8 +50,8 @@
 	return true
 }
 
-// startHead notes that the first bytes of a head have been read. The head has to be complete by
-// its deadline, also on a connection that the table has ended. The caller holds table.mu.
+// startHead records that the first bytes of a head were read. The head must be complete by its
+// deadline, also on a connection that the table is closing. The caller holds table.mu.
 func (c *Conn) startHead(now time.Time) {
 	if c.stage == stageIdle {
 		c.stageSince = now
@@ -58,8 +60,9 @@
 	_ = c.Conn.SetReadDeadline(c.head.deadline)
 }
 
-// retryAfterTimeout reports whether a read of a head that has timed out is to be made once more,
-// as bytes have arrived before the timeout was noticed: unread they would reset the connection.
+// retryAfterTimeout reports whether a read of a head that has timed out must be repeated because
+// bytes arrived before the timeout was noticed. If they stayed unread, the close would reset the
+// connection. A read is repeated at most once for each head.
 func (c *Conn) retryAfterTimeout() bool {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -70,14 +73,14 @@
 	if !c.head.started {
 		c.startHead(time.Now())
 	} else {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // the bytes are there already
+		_ = c.Conn.SetReadDeadline(time.Now().Add(minHeadTime)) // the bytes have already arrived
 	}
 	return true
 }
 
-// recordRead notes bytes that were read from a connection and arrived at a time, either as part of
-// a request or, with background set, next to a running handler. It reports whether a request is in
-// progress.
+// recordRead records that bytes were read that arrived at receivedAt. If background is set, the
+// server read them while a handler runs; otherwise they are part of a request. It reports whether a
+// request is in progress.
 func (c *Conn) recordRead(background bool, receivedAt time.Time) (active bool) {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
@@ -94,10 +97,10 @@
 	return false
 }
 
-// SetReadDeadline is called by the server. A connection that the table has ended keeps its own
-// deadline until bytes arrive, and a head has no longer than headState.deadline. The server sets
-// the zero time only once a head is complete: from then on a request is in progress, and the
-// connection can't be ended any more.
+// SetReadDeadline is called by the server. A connection that the table is closing keeps its expired
+// deadline until bytes arrive, and a head in progress gets no later deadline than
+// headState.deadline. The server sets the zero time only when a head is complete. From then on a
+// request is in progress, and the table can't close the connection.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	c.table.mu.Lock()
 	defer c.table.mu.Unlock()
--- a/internal/clientconn/idle.go
+++ b/internal/clientconn/idle.go
@@ -7,9 +7,9 @@
 	"ploverreel/internal/socket"
 )
 
-// exceedsMaxKeepAlive reports whether more than maxKeepAlive connections are idle or active. Clients may
-// then soon get no slot for their next request, because some clients send one request and keep their
-// connection open forever. The caller holds t.mu.
+// exceedsMaxKeepAlive reports whether more than maxKeepAlive connections are idle or active.
+// Clients may then soon get no slot for their next request, because some clients send one request
+// and keep their connection open forever. The caller holds t.mu.
 func (t *Table) exceedsMaxKeepAlive() bool {
 	kept := 0
 	for c := range t.conns {
@@ -56,8 +56,8 @@
 	}
 }
 
-// CloseIdle closes the connections that are between two requests. If newToo is set, it also closes new
-// connections on which nothing has arrived since the accept.
+// CloseIdle closes the connections that are between two requests. If newToo is set, it also closes
+// new connections on which nothing has arrived since the accept.
 func (t *Table) CloseIdle(newToo bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +74,8 @@
 	return !c.closing && c.stage == stageIdle && !c.head.started && socket.Peek(c.Conn) != socket.PeekUnread
 }
 
-// isSilent reports whether no byte has arrived on the connection, neither read nor unread. The caller
-// holds table.mu.
+// isSilent reports whether no byte has arrived on the connection, neither read nor unread. The
+// caller holds table.mu.
 func (c *Conn) isSilent() bool {
 	return !c.closing && !c.received.Load() && socket.Peek(c.Conn) == socket.PeekNothing
 }
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -12,14 +12,14 @@
 	"ploverreel/internal/socket"
 )
 
-// Listen returns a listener on a TCP address. A listen that fails for want of a resource of this
-// machine is retried for listenTimeout, or until the context ends. The error is that of the last
-// try.
+// Listen returns a listener on a TCP address. If the listen fails because this machine lacks a
+// resource, Listen retries it for listenTimeout or until the context ends. The error is that of the
+// last attempt.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	return listenWith(ctx, func() (net.Listener, error) { return net.Listen("tcp", address) }, time.After)
 }
 
-// listenWith is Listen by a function that opens the listener and one that waits.
+// listenWith is Listen with the given functions to open the listener and to wait.
 func listenWith(ctx context.Context, open func() (net.Listener, error), after func(time.Duration) <-chan time.Time) (net.Listener, error) {
 	for retries := listenTimeout / acceptRetryDelay; ; retries-- {
 		ln, err := open()
@@ -34,21 +34,22 @@
 	}
 }
 
-// isTransientListenError reports whether a listen may succeed when it is retried. An address that
-// doesn't belong to this machine is a permanent fault, unlike where a connect reports the same error.
+// isTransientListenError reports whether a listen may succeed when it is retried. For a listen,
+// EADDRNOTAVAIL is permanent, as the address does not belong to this machine. A connect returns the
+// same error for a temporary fault.
 func isTransientListenError(err error) bool {
 	return socket.IsLocalError(err) && !errors.Is(err, syscall.EADDRNOTAVAIL)
 }
 
-// Listener is a net.Listener that enters each connection that it accepts in the client connection
-// table. Its connections are of type *Conn.
+// Listener is a net.Listener that enters each accepted connection in the client connection table.
+// Its connections are of type *Conn.
 type Listener struct {
 	net.Listener
 	table      *Table
 	closeOnce  sync.Once
 	closed     chan struct{} // closed with the listener
 	log        *slog.Logger
-	failures   int       // failed accepts so far
+	failures   int       // number of failed accepts so far
 	lastLogged time.Time // when a failure was last logged
 	after      func(time.Duration) <-chan time.Time
 }
@@ -58,8 +59,8 @@
 	return &Listener{Listener: ln, table: table, closed: make(chan struct{}), log: log, after: time.After}
 }
 
-// Close closes the listener. Both the graceful shutdown and the http server call it; the second
-// call returns no error, or an agent that shut down in order would exit with one.
+// Close closes the listener. Both the graceful shutdown and the HTTP server call it. The second
+// call returns no error; otherwise the agent would exit with an error after a successful shutdown.
 func (l *Listener) Close() (err error) {
 	l.closeOnce.Do(func() {
 		err = l.Listener.Close()
@@ -68,10 +69,10 @@
 	return err
 }
 
-// Accept returns the next connection that has a slot in the table. It accepts also while the table
-// is full: a connection left in the kernel's queue would have its request count as received with
-// nobody to answer it. One that gets no slot in defaultAcquireTimeout is closed. Only the listener's close
-// ends Accept with an error.
+// Accept returns the next connection that gets a slot in the table. It also accepts connections
+// while the table is full. Otherwise the kernel would receive the request of a connection in its
+// queue, and nobody would answer it. A connection that gets no slot within defaultAcquireTimeout is
+// closed. Accept returns an error only after the listener was closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.acceptNext()
@@ -84,9 +85,9 @@
 	}
 }
 
-// acceptNext accepts a connection, however often that fails first. Linux returns errors of the
-// network and of the new connection from accept; neither these nor an exhausted descriptor table
-// say anything of the connections that follow.
+// acceptNext accepts a connection and retries after each failure. On Linux, accept also returns
+// errors of the network and of the new connection. Such an error, or an exhausted descriptor table,
+// does not mean that the next accept will fail.
 func (l *Listener) acceptNext() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -102,7 +103,7 @@
 	}
 }
 
-// recordFailure counts a failed accept, and logs it at most once in acceptLogInterval.
+// recordFailure counts a failed accept, and logs at most one in each acceptLogInterval.
 func (l *Listener) recordFailure(err error) {
 	l.failures++
 	if now := time.Now(); l.lastLogged.IsZero() || now.Sub(l.lastLogged) >= acceptLogInterval {
@@ -111,9 +112,10 @@
 	}
 }
 
-// acquireSlot waits for a slot for a new connection, and closes the connection if there is none in
-// time. The listener's close doesn't end the wait, which is short: the connection was accepted, and
-// its request may have arrived. It counts as waiting meanwhile, so that a shutdown waits for it.
+// acquireSlot waits for a slot for a new connection, and closes the connection if it gets none in
+// time. The close of the listener does not end the wait, because the connection was accepted, its
+// request may have arrived, and the wait is short. Until then the table counts the connection as
+// waiting, so that a shutdown waits for it.
 func (l *Listener) acquireSlot(conn net.Conn) *Conn {
 	client := &Conn{Conn: conn, table: l.table, stageSince: time.Now()}
 	l.table.addWaiting(1)
--- a/internal/clientconn/stage.go
+++ b/internal/clientconn/stage.go
@@ -31,8 +31,8 @@
 }
 
 // BeginRequest records that a handler has started to handle a request of the connection. It returns
-// when the last byte of the request's head was read, and whether the request is the last one because
-// the table is closing the connection.
+// when the last byte of the request's head was read, and whether the request is the last one
+// because the table is closing the connection.
 func (c *Conn) BeginRequest() (receivedAt time.Time, last bool) {
 	c.setStage(stageActive)
 	c.table.mu.Lock()
@@ -40,8 +40,8 @@
 	return c.head.receivedAt, c.closing
 }
 
-// MarkRejected records that the connection's request is answered with an error and that the connection
-// closes with the response. The connection may be evicted once the response is written.
+// MarkRejected records that the connection's request is answered with an error and that the
+// connection closes with the response. The connection may be evicted once the response is written.
 func (c *Conn) MarkRejected() { c.setStage(stageRejected) }
 
 // setStage moves the connection to another stage. A rejected connection stays rejected.
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -6,8 +6,8 @@
 )
 
 // Table is the client connection table. It has maxConns slots, each for one client connection. It
-// decides which connections are closed to free a slot, to limit the number that are kept alive, and at
-// shutdown. mu guards the fields of the table and the first group of fields of each Conn.
+// decides which connections are closed to free a slot, to limit the number that are kept alive, and
+// at shutdown. mu guards the fields of the table and the first group of fields of each Conn.
 type Table struct {
 	mu           sync.Mutex
 	maxConns     int // number of slots
@@ -15,16 +15,16 @@
 	conns        map[*Conn]struct{}
 	waiting      int // number of accepted connections that wait for a slot
 
-	// freed has an item when a slot has become free. A buffer of one item is enough, because a waiter
-	// checks the whole table again, however many slots became free.
+	// freed has an item when a slot has become free. A buffer of one item is enough, because a
+	// waiter checks the whole table again, however many slots became free.
 	freed chan struct{}
 
 	// defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has changed them.
 	silentGrace, acquireTimeout time.Duration
 }
 
-// NewTable returns an empty table with maxConns slots. While more than maxKeepAlive connections have
-// carried a request, no connection is kept alive after its response.
+// NewTable returns an empty table with maxConns slots. While more than maxKeepAlive connections
+// have carried a request, no connection is kept alive after its response.
 func NewTable(maxConns, maxKeepAlive int) *Table {
 	return &Table{maxConns: maxConns, maxKeepAlive: maxKeepAlive, conns: map[*Conn]struct{}{},
 		freed: make(chan struct{}, 1), silentGrace: defaultSilentGrace, acquireTimeout: defaultAcquireTimeout}
@@ -45,7 +45,8 @@
 }
 
 // SetTimeouts changes how long a new connection may send nothing before it may be evicted, and how
-// long an accepted connection waits for a slot. It is for tests, whose clients may be slow to write.
+// long an accepted connection waits for a slot. It is for tests, whose clients may be slow to
+// write.
 func (t *Table) SetTimeouts(silentGrace, acquireTimeout time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,8 +68,8 @@
 }
 
 // acquire enters the connection in the table and reports whether there was a free slot. If there is
-// none, it evicts the connections that are needed least, by their eviction class. The slots of most of
-// them are free only once the server has closed them, so the caller has to try again.
+// none, it evicts the connections that are needed least, by their eviction class. The slots of most
+// of them are free only once the server has closed them, so the caller has to try again.
 func (t *Table) acquire(c *Conn, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/clientconn/timeouts.go
+++ b/internal/clientconn/timeouts.go
@@ -6,20 +6,21 @@
 const (
 	// HeadTimeout is the longest time that the head of a request may take to arrive.
 	HeadTimeout = 1500 * time.Millisecond
-	// KeepAliveTimeout is how long a connection stays open between requests, unless its slot is needed
-	// earlier.
+	// KeepAliveTimeout is how long a connection stays open between requests, unless its slot is
+	// needed earlier.
 	KeepAliveTimeout = 15 * time.Second
-	// minHeadTime is the shortest time that a head gets from its first byte, even if that byte arrived
-	// late in HeadTimeout.
+	// minHeadTime is the shortest time that a head gets from its first byte, even if that byte
+	// arrived late in HeadTimeout.
 	minHeadTime = 100 * time.Millisecond
 )
 
 // Times of the client connection table.
 const (
-	// idleGrace is how long a connection must be idle before it may be reaped because too many are kept
-	// alive, and before it belongs to the class that is evicted first.
+	// idleGrace is how long a connection must be idle before it may be reaped because too many are
+	// kept alive, and before it belongs to the class that is evicted first.
 	idleGrace = 2 * time.Second
-	// unfinishedHeadGrace is how long a head may be incomplete before its connection may be evicted.
+	// unfinishedHeadGrace is how long a head may be incomplete before its connection may be
+	// evicted.
 	unfinishedHeadGrace = 500 * time.Millisecond
 	// defaultSilentGrace is how long a new connection may send nothing before it may be evicted.
 	defaultSilentGrace = 30 * time.Millisecond
@@ -40,12 +41,12 @@
 // Times of the listener.
 const (
 	// acceptRetryDelay is the delay before a failed accept or listen is retried. It does not grow
-	// (there is no backoff), because the shortest deadlines of clients are some tens of milliseconds and
-	// a failed accept costs only one system call.
+	// (there is no backoff), because the shortest deadlines of clients are some tens of
+	// milliseconds and a failed accept costs only one system call.
 	acceptRetryDelay = 10 * time.Millisecond
 	// acceptLogInterval is the shortest time between two log lines about failed accepts.
 	acceptLogInterval = time.Second
-	// listenTimeout is how long Listen retries if this machine lacks a resource. The agent has to be
-	// ready within 6 s of a restart.
+	// listenTimeout is how long Listen retries if this machine lacks a resource. The agent has to
+	// be ready within 6 s of a restart.
 	listenTimeout = 4 * time.Second
 )
--- a/internal/socket/errors.go
+++ b/internal/socket/errors.go
@@ -12,9 +12,9 @@
 	syscall.EAGAIN, syscall.EINTR,
 }
 
-// unreachableErrnos are the errors of a connect that got no response from the peer. If they occur for
-// one peer, that peer may be at fault. If they occur for most peers at once, this machine has lost its
-// network.
+// unreachableErrnos are the errors of a connect that got no response from the peer. If they occur
+// for one peer, that peer may be at fault. If they occur for most peers at once, this machine has
+// lost its network.
 var unreachableErrnos = []syscall.Errno{syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN}
 
 // IsLocalError reports whether only this machine can have caused the error.
--- a/internal/socket/errors_test.go
+++ b/internal/socket/errors_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Errors are classified by what caused them: this machine, the network or the peer. They are wrapped in
-// the same way as package net wraps them.
+// Errors are classified by what caused them: this machine, the network or the peer. They are
+// wrapped in the same way as package net wraps them.
 func TestErrorsAreClassifiedByTheirCause(t *testing.T) {
 	for _, test := range []struct {
 		errno              syscall.Errno
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,6 +1,7 @@
 // Package socket inspects connections and errors at a lower level than package net: whether a
 // connection has unread bytes, whether the peer has closed it, and whether this machine caused an
-// error. The package keeps no state. All functions may be called from any goroutine, and none blocks.
+// error. The package keeps no state. All functions may be called from any goroutine, and none
+// blocks.
 package socket
 
 import (
@@ -30,8 +31,8 @@
 // maxPeekAttempts is how often a peek is made if signals keep interrupting it.
 const maxPeekAttempts = 10
 
-// Peek reports whether a connection has unread bytes, without reading them. For a connection that is
-// not a socket, as in tests, it returns PeekNothing.
+// Peek reports whether a connection has unread bytes, without reading them. For a connection that
+// is not a socket, as in tests, it returns PeekNothing.
 func Peek(conn net.Conn) PeekResult {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -42,7 +43,8 @@
 		return PeekClosed
 	}
 	found := PeekClosed
-	// Control is used because RawConn.Read would wait for a goroutine that reads from the connection.
+	// Control is used because RawConn.Read would wait for a goroutine that reads from the
+	// connection.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		for range maxPeekAttempts {
@@ -58,9 +60,9 @@
 	return found
 }
 
-// peekResult returns the PeekResult for the return values of a peeking recvfrom. EAGAIN and
-// EINTR mean that nothing is unread. After any other error of this machine the state of the connection
-// is unknown.
+// peekResult returns the PeekResult for the return values of a peeking recvfrom. EAGAIN and EINTR
+// mean that nothing is unread. After any other error of this machine the state of the connection is
+// unknown.
 func peekResult(n int, err error) PeekResult {
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// If a peek fails because this machine lacks a resource, the state of the client's connection is unknown.
+// If a peek fails because this machine lacks a resource, the state of the client's connection is
+// unknown.
 func TestPeekResultOfLocalErrorIsUnknown(t *testing.T) {
 	for _, test := range []struct {
 		name string
