--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -11,7 +11,7 @@
 // Limits of the responses that are read from backends.
 const (
 	maxResponseBody     = 64 << 10 // bytes of a response's body
-	maxResponseHead     = 16 << 10 // bytes of a response's head and of the interim (1xx) responses before it
+	maxResponseHead     = 16 << 10 // bytes of a response head, with the interim (1xx) responses before it
 	maxInterimResponses = 8        // number of interim (1xx) responses before a response
 )
 
--- a/internal/clientconn/crossing_test.go
+++ b/internal/clientconn/close_race_test.go
@@ -16,14 +16,14 @@
 	"ploverreel/internal/socket"
 )
 
-// crossingConn is a client's connection with hooks between the end of a read and its handling by
-// the Conn: one for a read that returned bytes, one for a read that timed out.
-type crossingConn struct {
+// raceConn is a client's connection with hooks that run after a read and before the Conn handles
+// its result. One hook is for a read that returned bytes, the other for a read that timed out.
+type raceConn struct {
 	*net.TCPConn
-	hooks *crossingHooks
+	hooks *raceHooks
 }
 
-type crossingHooks struct {
+type raceHooks struct {
 	afterBytes, afterTimeout atomic.Pointer[func()]
 	reading                  atomic.Bool // a read is in progress
 }
@@ -35,37 +35,37 @@
 	}
 }
 
-func (c crossingConn) Read(buffer []byte) (int, error) {
+func (c raceConn) Read(buffer []byte) (int, error) {
 	c.hooks.reading.Store(true)
 	n, err := c.TCPConn.Read(buffer)
 	c.hooks.reading.Store(false)
 	switch {
 	case n > 0:
 		runOnce(&c.hooks.afterBytes)
-	case errors.Is(err, os.ErrDeadlineExceeded) && len(buffer) > 1: // a read of one byte is that next to a handler
+	case errors.Is(err, os.ErrDeadlineExceeded) && len(buffer) > 1: // the background read during a handler has one byte
 		runOnce(&c.hooks.afterTimeout)
 	}
 	return n, err
 }
 
-type crossingListener struct {
+type raceListener struct {
 	net.Listener
-	hooks *crossingHooks
+	hooks *raceHooks
 }
 
-func (l crossingListener) Accept() (net.Conn, error) {
+func (l raceListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return crossingConn{conn.(*net.TCPConn), l.hooks}, nil
+	return raceConn{conn.(*net.TCPConn), l.hooks}, nil
 }
 
-// timeoutEnding is the one of endings that is the server's own.
-const timeoutEnding = "timeout"
+// timeoutClose is the key in closers of the server's own timeouts.
+const timeoutClose = "timeout"
 
-// endings are the ways in which a connection without a request in progress ends.
-var endings = map[string]func(table *Table){
+// closers are the ways in which a connection without a request in progress is closed.
+var closers = map[string]func(table *Table){
 	"shutdown": func(table *Table) { table.CloseIdle(true) },
 	"reaped":   func(table *Table) { table.reapIdle(time.Now().Add(idleGrace)) },
 	"evicted": func(table *Table) {
@@ -76,7 +76,7 @@
 		table.Resize(0, 0)
 		acquireAnother(table)
 	},
-	timeoutEnding: func(table *Table) { // the keep-alive timeout, or that for a first head
+	timeoutClose: func(table *Table) { // simulates the keep-alive timeout, or the timeout of a first head
 		table.mu.Lock()
 		defer table.mu.Unlock()
 		for conn := range table.conns {
@@ -85,7 +85,7 @@
 	},
 }
 
-// acquireAnother asks for a slot for another connection, and closes it.
+// acquireAnother requests a slot for another connection, and then closes that connection.
 func acquireAnother(table *Table) {
 	server, client := net.Pipe()
 	client.Close()
@@ -94,37 +94,40 @@
 	next.Close()
 }
 
-// awaitAtRest waits until a table's only connection is at a stage and a read waits for a head:
-// before that the server may still set another deadline for it.
-func awaitAtRest(t *testing.T, table *Table, hooks *crossingHooks, want connStage) *Conn {
+// awaitReadOfHead waits until the only connection of a table is in the given stage and a read waits
+// for a head. Before that, the server may still change the read deadline. It returns the
+// connection.
+func awaitReadOfHead(t *testing.T, table *Table, hooks *raceHooks, want connStage) *Conn {
 	t.Helper()
-	agenttest.Eventually(t, "the connection at rest", func() bool {
+	agenttest.Eventually(t, "the connection awaits a head", func() bool {
 		atStage := onlyConnIs(table, func(conn *Conn) bool { return conn.stage == want && !conn.head.started })
 		return atStage && hooks.reading.Load()
 	})
 	return onlyConn(table)
 }
 
-// A request that crosses the end of its connection, whatever ends that, gets its one response if
-// any of it was read, or if it arrived before the server saw that nothing had.
-func TestConnAnswersRequestThatCrossesItsEnd(t *testing.T) {
-	for ending := range endings {
+// A request may arrive while its connection is being closed, for any reason. It gets exactly one
+// response if any of it was read, or if it arrived before the server noticed that nothing had
+// arrived.
+func TestConnAnswersRequestThatRacesWithItsClose(t *testing.T) {
+	for closer := range closers {
 		for stage, name := range map[connStage]string{stageNew: "new", stageIdle: "idle"} {
-			if stage == stageNew && ending == "reaped" {
-				continue // reaping ends idle connections only
+			if stage == stageNew && closer == "reaped" {
+				continue // only idle connections are reaped
 			}
 			for _, arrival := range []string{"read", "unread", "half read", "half unread"} {
-				t.Run(ending+" "+name+" "+arrival, func(t *testing.T) { playCrossing(t, ending, stage, arrival) })
+				t.Run(closer+" "+name+" "+arrival, func(t *testing.T) { runCloseRace(t, closer, stage, arrival) })
 			}
 		}
 	}
 }
 
-// playCrossing ends a connection at a stage, and sends a request of which all or half arrives just
-// before that is noticed: it is read then, or still unread.
-func playCrossing(t *testing.T, ending string, stage connStage, arrival string) {
-	hooks, table := &crossingHooks{}, NewTable(100, 100)
-	server := serveOn(t, table, func(ln net.Listener) net.Listener { return crossingListener{ln, hooks} })
+// runCloseRace closes a connection in the given stage and sends a request. All or half of the
+// request arrives just before the server notices the close, and is either read or still unread by
+// then.
+func runCloseRace(t *testing.T, closer string, stage connStage, arrival string) {
+	hooks, table := &raceHooks{}, NewTable(100, 100)
+	server := serveOn(t, table, func(ln net.Listener) net.Listener { return raceListener{ln, hooks} })
 	client := agenttest.Dial(t, server.addr)
 	_ = client.SetReadDeadline(time.Now().Add(agenttest.NoAnswerTimeout))
 	reader := bufio.NewReader(client)
@@ -133,11 +136,11 @@
 		readOK(t, reader)
 		<-server.received
 	}
-	conn := awaitAtRest(t, table, hooks, stage)
+	conn := awaitReadOfHead(t, table, hooks, stage)
 	if stage == stageIdle {
-		table.Resize(100, 0) // too many are kept, so that it may be reaped
+		table.Resize(100, 0) // too many are kept alive, so the connection may be reaped
 	}
-	text, rest := agenttest.RequestText("order", "crossing"), ""
+	text, rest := agenttest.RequestText("order", "racing"), ""
 	if strings.HasPrefix(arrival, "half") {
 		text, rest = text[:20], text[20:]
 	}
@@ -147,9 +150,9 @@
 			agenttest.Eventually(t, "the bytes arrived", func() bool { return socket.Peek(conn.Conn) == socket.PeekUnread })
 		}
 		hooks.afterTimeout.Store(&hook)
-		endings[ending](table)
+		closers[closer](table)
 	} else {
-		hook := func() { endings[ending](table) }
+		hook := func() { closers[closer](table) }
 		hooks.afterBytes.Store(&hook)
 		io.WriteString(client, text)
 	}
@@ -158,15 +161,15 @@
 		io.WriteString(client, rest)
 	}
 	resp, err := http.ReadResponse(reader, nil)
-	if err != nil || resp.StatusCode != 200 || !resp.Close && ending != timeoutEnding {
+	if err != nil || resp.StatusCode != 200 || !resp.Close && closer != timeoutClose {
 		t.Fatalf("got response %v, %v; want status 200 and Connection: close", resp, err)
 	}
-	if id := <-server.received; id != "crossing" || len(server.received) > 0 {
-		t.Fatalf("got request %q and %d more, want %q alone", id, len(server.received), "crossing")
+	if id := <-server.received; id != "racing" || len(server.received) > 0 {
+		t.Fatalf("got request %q and %d more, want %q alone", id, len(server.received), "racing")
 	}
 }
 
-// awaitHeadStarted waits until part of a head was read on a connection, or the table is empty.
+// awaitHeadStarted waits until part of a head was read from the connection or the table is empty.
 func awaitHeadStarted(t *testing.T, table *Table, conn *Conn) {
 	t.Helper()
 	agenttest.Eventually(t, "the first half read", func() bool {
@@ -176,21 +179,21 @@
 	})
 }
 
-// A connection that is ended while it waits for a head is closed without a response, and its slot
-// is free then.
-func TestEndedConnClosesWithoutResponse(t *testing.T) {
-	for ending, end := range endings {
-		t.Run(ending, func(t *testing.T) {
-			hooks, table := &crossingHooks{}, NewTable(100, 100)
-			server := serveOn(t, table, func(ln net.Listener) net.Listener { return crossingListener{ln, hooks} })
+// A connection that is closed while it waits for a head gets no response, and its slot becomes
+// free.
+func TestConnClosedByTableGetsNoResponse(t *testing.T) {
+	for closer, closeConns := range closers {
+		t.Run(closer, func(t *testing.T) {
+			hooks, table := &raceHooks{}, NewTable(100, 100)
+			server := serveOn(t, table, func(ln net.Listener) net.Listener { return raceListener{ln, hooks} })
 			conn := agenttest.Dial(t, server.addr)
 			_ = conn.SetReadDeadline(time.Now().Add(agenttest.NoAnswerTimeout))
 			reader := bufio.NewReader(conn)
 			io.WriteString(conn, agenttest.RequestText("order", "first"))
 			readOK(t, reader)
-			awaitAtRest(t, table, hooks, stageIdle)
+			awaitReadOfHead(t, table, hooks, stageIdle)
 			table.Resize(100, 0)
-			end(table)
+			closeConns(table)
 			if _, err := reader.ReadByte(); err != io.EOF {
 				t.Fatalf("got %v, want %v", err, io.EOF)
 			}
--- a/internal/clientconn/conn_test.go
+++ b/internal/clientconn/conn_test.go
@@ -8,7 +8,7 @@
 )
 
 // readInBackground reads one byte of a connection whose request is in progress, as the server does
-// next to a handler, while the client sends a text.
+// while a handler runs. The client sends the text in the meantime.
 func readInBackground(t *testing.T, conn *Conn, client io.Writer, text string) (n int, err error) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -19,12 +19,13 @@
 	if _, err := io.WriteString(client, text); err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.Conn.SetReadDeadline(time.Now()) // as once the response is written
+	_ = conn.Conn.SetReadDeadline(time.Now()) // as the server does once the response is written
 	<-ended
 	return n, err
 }
 
-// What a client sends during a request is read ahead, and the server gets it with its next reads.
+// Bytes that a client sends during a request are read ahead, and the next reads of the server
+// return them.
 func TestConnPassesReadAheadOn(t *testing.T) {
 	conn := &Conn{stage: stageActive}
 	client := add(t, NewTable(1, 1), conn, time.Now())
@@ -40,9 +41,9 @@
 	}
 }
 
-// Of what a client sends during a request no more than maxReadAhead is kept. The connection ends
-// behind that, as no further request can be read.
-func TestConnEndsBehindTooMuchReadAhead(t *testing.T) {
+// At most maxReadAhead of the bytes that a client sends during a request are buffered. If there are
+// more, the connection ends after the buffered ones, as no further request can be read.
+func TestConnEndsAfterReadAheadOverflow(t *testing.T) {
 	conn := &Conn{stage: stageActive}
 	client := add(t, NewTable(1, 1), conn, time.Now())
 	if n, err := readInBackground(t, conn, client, strings.Repeat("x", maxReadAhead+2)); n != 1 || err != nil {
--- a/internal/clientconn/eviction_test.go
+++ b/internal/clientconn/eviction_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each connection is in the eviction class that its stage, its age and what was read of it put it
-// in.
+// The eviction class of a connection follows from its stage, from the age of the stage and from
+// what was read from the connection.
 func TestEvictionClassFollowsStageAndAge(t *testing.T) {
 	now := time.Now()
 	for _, test := range []struct {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Of several connections the one of the lowest class is evicted, and of one class that which is at
-// its stage for longest.
+// Among several connections, one of the lowest class is evicted. Within a class it is the one that
+// has been in its stage longest.
 func TestEvictionCandidateIsOldestOfLowestClass(t *testing.T) {
 	now, table := time.Now(), NewTable(10, 10)
 	enter := func(conn *Conn, age time.Duration, received bool) *Conn {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Of several connections that could be evicted for a new one, only one is, and it keeps its slot
-// until it is closed.
+// Only one connection is evicted for a new one, even if several could be. The evicted connection
+// keeps its slot until it is closed.
 func TestTableEvictsOneConnectionForOneNew(t *testing.T) {
 	table, now := NewTable(2, 2), time.Now()
 	for range 2 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// The response to a rejected request is not cut off to make a slot free.
+// A rejected connection is not evicted before its response is written.
 func TestTableKeepsRejectedConnectionUntilResponseIsWritten(t *testing.T) {
 	table, now := NewTable(1, 1), time.Now()
 	rejected := &Conn{stageSince: now}
--- a/internal/clientconn/head_test.go
+++ b/internal/clientconn/head_test.go
@@ -13,7 +13,7 @@
 	"ploverreel/internal/socket"
 )
 
-// A head counts as received at its last read, and reads next to the handler don't change that.
+// A head's time of receipt is that of its last read. Reads while the handler runs don't change it.
 func TestConnReceivedAtIsLastReadOfHead(t *testing.T) {
 	table, conn := NewTable(1, 1), &Conn{stageSince: time.Now()}
 	client := add(t, table, conn, time.Now())
@@ -37,7 +37,7 @@
 	}
 }
 
-// deadlineHookConn calls a hook when a read deadline is set.
+// deadlineHookConn calls a hook whenever a read deadline is set.
 type deadlineHookConn struct {
 	net.Conn
 	onDeadline func()
@@ -48,13 +48,14 @@
 	return nil
 }
 
-// For a connection that waits for a slot a request counts as received when its bytes were seen.
+// For a connection that waited for a slot, a request's time of receipt is when its bytes were first
+// seen.
 func TestConnReceivedAtIsWhenBytesWereSeenBeforeSlot(t *testing.T) {
 	table, ln := NewTable(1, 1), listen(t)
 	table.SetTimeouts(defaultSilentGrace, agenttest.NoAnswerTimeout)
 	server, _ := net.Pipe()
 	var kept *Conn
-	// Closed a moment after it was evicted, so that the first acquire fails.
+	// It is closed shortly after it was evicted, so that the first acquire fails.
 	kept = &Conn{Conn: deadlineHookConn{server, func() { go kept.Close() }}, table: table, stage: stageIdle, stageSince: time.Now()}
 	table.acquire(kept, time.Now())
 	client := agenttest.Dial(t, ln.Addr().String())
@@ -80,14 +81,14 @@
 	}
 }
 
-// A head's deadline counts from its first byte, however slowly the others arrive.
+// The deadline of a head counts from its first byte, however slowly the other bytes arrive.
 func TestHeadDeadlineCountsFromFirstByte(t *testing.T) {
 	table := NewTable(1, 1)
 	conn := &Conn{stage: stageIdle, stageSince: time.Now().Add(-time.Hour), head: headState{bufferSize: 4096}}
 	client := add(t, table, conn, time.Now())
 	var first time.Time
 	for i := range 3 {
-		_ = conn.SetReadDeadline(time.Now().Add(KeepAliveTimeout)) // as the server does at each stage
+		_ = conn.SetReadDeadline(time.Now().Add(KeepAliveTimeout)) // as the server does in each stage
 		go func() { _, _ = client.Write([]byte("P")) }()
 		if n, err := conn.Read(make([]byte, 4096-i)); n != 1 || err != nil {
 			t.Fatalf("got %d bytes, %v; want 1", n, err)
@@ -101,7 +102,8 @@
 	}
 }
 
-// A connection of which part of a request was read isn't ended, though no bytes are unread.
+// The table does not close a connection from which part of a request was read, even if it has no
+// unread bytes.
 func TestTableKeepsConnectionWithPartialHead(t *testing.T) {
 	table := NewTable(10, 10)
 	server := serve(t, table)
@@ -118,7 +120,7 @@
 			})
 		})
 		table.CloseIdle(true)
-		table.Resize(10, 0) // so that too many are kept
+		table.Resize(10, 0) // so that too many connections are kept alive
 		table.reapIdle(time.Now().Add(agenttest.Never))
 		table.Resize(10, 10)
 		io.WriteString(conn, text[half:])
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -25,7 +25,7 @@
 	}}))
 }
 
-// failing returns a listener of which a number of accepts fail before one succeeds.
+// failing returns a listener whose first accepts fail.
 func failing(t *testing.T, errno syscall.Errno, failures int32) agenttest.FailingListener {
 	t.Helper()
 	left := &atomic.Int32{}
@@ -33,7 +33,7 @@
 	return agenttest.FailingListener{Listener: listen(t), Errno: errno, Failures: left}
 }
 
-// The pause after a failed accept is 5 to 20 ms however often it fails, and many failures in a row
+// The delay after a failed accept is 5 to 20 ms, however often accept fails. Many failures in a row
 // are logged in one line.
 func TestListenerRetriesFailedAcceptsSoon(t *testing.T) {
 	ln, lines := failing(t, syscall.ENOBUFS, 100), &strings.Builder{}
@@ -43,9 +43,9 @@
 	close(now)
 	listener.after = func(delay time.Duration) <-chan time.Time {
 		if waits++; delay < 5*time.Millisecond || delay > 20*time.Millisecond {
-			t.Errorf("got a pause of %v, want 5 to 20 ms", delay)
+			t.Errorf("got a delay of %v, want 5 to 20 ms", delay)
 		}
-		listener.lastLogged = time.Now().Add(time.Hour) // a slow machine makes no second line
+		listener.lastLogged = time.Now().Add(time.Hour) // prevents a second line on a slow machine
 		return now
 	}
 	agenttest.Dial(t, ln.Addr().String())
@@ -55,7 +55,7 @@
 	}
 	defer conn.Close()
 	if waits != 100 || listener.failures != 100 {
-		t.Fatalf("got %d pauses, %d failures counted; want 100 of each", waits, listener.failures)
+		t.Fatalf("got %d delays, %d failures counted; want 100 of each", waits, listener.failures)
 	}
 	const want = `level=WARN msg="accept failed, retrying" err="accept tcp: accept4: no buffer space available" failures=1` + "\n"
 	if got := lines.String(); got != want {
@@ -63,13 +63,13 @@
 	}
 }
 
-// Close ends the pause after a failed accept at once.
+// Close ends the delay after a failed accept at once.
 func TestListenerCloseEndsAcceptRetry(t *testing.T) {
 	listener := NewListener(failing(t, syscall.EMFILE, 1000), NewTable(1, 1), slog.New(slog.DiscardHandler))
 	waiting := make(chan struct{}, 1)
 	listener.after = func(time.Duration) <-chan time.Time {
 		waiting <- struct{}{}
-		return nil // never over
+		return nil // the delay never ends
 	}
 	ended := make(chan error, 1)
 	go func() {
@@ -88,8 +88,8 @@
 	}
 }
 
-// failingOpen returns a function that fails a number of times with an error before it opens a
-// listener, and a count of its calls.
+// failingOpen returns a function that fails the given number of times before it opens a listener,
+// and the number of its calls.
 func failingOpen(errno syscall.Errno, failures int) (open func() (net.Listener, error), tries *int) {
 	tries = new(int)
 	return func() (net.Listener, error) {
@@ -100,8 +100,8 @@
 	}, tries
 }
 
-// Listen is retried while a resource of this machine is exhausted. It fails at once for a permanent
-// fault, after a bounded number of retries, and when its context ends.
+// Listen retries while a resource of this machine is exhausted. It fails at once for a permanent
+// fault, after a limited number of retries, and when its context ends.
 func TestListenRetriesExhaustedResource(t *testing.T) {
 	now := make(chan time.Time)
 	close(now)
@@ -136,7 +136,7 @@
 	}
 }
 
-// The shutdown and the http server both close the listener, in either order.
+// The shutdown and the HTTP server both close the listener, in either order.
 func TestListenerClosesTwiceWithoutError(t *testing.T) {
 	listener := NewListener(listen(t), NewTable(1, 1), slog.New(slog.DiscardHandler))
 	for range 2 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// A connection that gets no slot in time is closed, and the next one is accepted all the same.
+// A connection that gets no slot in time is closed. The next connection is still accepted.
 func TestListenerClosesConnectionWithoutSlot(t *testing.T) {
 	table, ln, now := NewTable(1, 1), listen(t), time.Now()
 	table.SetTimeouts(defaultSilentGrace, 0)
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -13,8 +13,8 @@
 	"ploverreel/internal/agenttest"
 )
 
-// testServer is an http server whose connections are in a table, as those of an agent are. It
-// answers each request with 200.
+// testServer is an HTTP server whose connections are in a table, as in an agent. It answers each
+// request with 200.
 type testServer struct {
 	table    *Table
 	addr     string
@@ -22,7 +22,7 @@
 	ended    chan error  // the error of http.Server.Serve
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key under which a request's connection is stored.
 type connKey struct{}
 
 // serve starts a testServer that ends with the test.
@@ -31,7 +31,7 @@
 	return serveOn(t, table, func(ln net.Listener) net.Listener { return ln })
 }
 
-// serveOn is serve with a listener that wrap makes of a plain one.
+// serveOn does the same as serve, with the listener that wrap returns for a plain one.
 func serveOn(t *testing.T, table *Table, wrap func(net.Listener) net.Listener) *testServer {
 	t.Helper()
 	ln := listen(t)
@@ -57,7 +57,7 @@
 	io.WriteString(w, "done")
 }
 
-// onlyConn returns the connection of a table that has no other; nil: none.
+// onlyConn returns the only connection of a table, or nil if the table is empty.
 func onlyConn(table *Table) *Conn {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// onlyConnIs reports whether a table has a connection that meets a condition, which is called under
-// the table's lock. It is for tables of one connection.
+// onlyConnIs reports whether the only connection of a table meets a condition, which is called with
+// the table's mutex held. It returns false if the table is empty.
 func onlyConnIs(table *Table, condition func(conn *Conn) bool) bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -89,13 +89,13 @@
 	return resp
 }
 
-// request sends a request on a new connection and returns that, once the response was read.
+// request sends a request on a new connection, reads the response and returns both.
 func (s *testServer) request(t *testing.T, id string) (net.Conn, *http.Response) {
 	t.Helper()
 	return s.requestOn(t, agenttest.Dial(t, s.addr), id)
 }
 
-// requestOn is request on a connection that is open already.
+// requestOn does the same as request on a connection that is open already.
 func (s *testServer) requestOn(t *testing.T, conn net.Conn, id string) (net.Conn, *http.Response) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(agenttest.NoAnswerTimeout))
@@ -103,7 +103,7 @@
 	return conn, readOK(t, bufio.NewReader(conn))
 }
 
-// listen opens a listener that is closed with the test.
+// listen opens a listener that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,7 +114,8 @@
 	return ln
 }
 
-// add enters a connection with a stand-in for its socket in a table, and returns the client's end.
+// add enters a connection in a table, with one end of a pipe as its socket, and returns the
+// client's end.
 func add(t *testing.T, table *Table, conn *Conn, now time.Time) net.Conn {
 	t.Helper()
 	server, client := net.Pipe()
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -13,8 +13,8 @@
 	"ploverreel/internal/agenttest"
 )
 
-// Connections that are silent, idle without end, or stuck in an unfinished request must not keep
-// out a new client: one of them is evicted for it.
+// Connections that are silent, idle forever or stuck in an unfinished request must not block a new
+// client. One of them is evicted for it.
 func TestTableEvictsForNewConnection(t *testing.T) {
 	const slots = 29
 	for _, state := range []string{"silent", "idle", "head unfinished"} {
@@ -41,8 +41,8 @@
 	}
 }
 
-// ageIdle reports whether all connections are idle and have a head in progress or not, as started
-// says. It then lets them seem to have been so for idleGrace.
+// ageIdle reports whether all connections are idle and, depending on started, have or don't have a
+// head in progress. If so, it moves their stageSince back by idleGrace.
 func ageIdle(table *Table, started bool) bool {
 	table.mu.Lock()
 	defer table.mu.Unlock()
@@ -57,8 +57,9 @@
 	return true
 }
 
-// A connection with a request in progress, or one just accepted, is never evicted. A new one whose
-// head doesn't arrive is, and its slot is free once the server has closed it.
+// A connection that has a request in progress or was just accepted is never evicted. A new
+// connection is evicted if its head does not arrive in time. Its slot is free once the server has
+// closed it.
 func TestTableKeepsConnectionsInUse(t *testing.T) {
 	table, now := NewTable(3, 3), time.Now()
 	for _, stage := range []connStage{stageActive, stageActive} {
@@ -74,7 +75,7 @@
 	if got := table.acquire(next, now); got || table.Count() != 3 {
 		t.Fatalf("got a slot %v and %d connections, want none and 3: all are in use", got, table.Count())
 	}
-	// As the http server does: read, and close the connection when that read ends.
+	// The HTTP server also reads, and closes the connection when that read ends.
 	ended := make(chan error, 1)
 	go func() {
 		_, err := unfinished.Read(make([]byte, 4096))
@@ -93,7 +94,7 @@
 	}
 }
 
-// closingConn calls a hook before it is closed.
+// closingConn calls a hook at the start of Close.
 type closingConn struct {
 	net.Conn
 	closing func()
@@ -104,8 +105,8 @@
 	return c.Conn.Close()
 }
 
-// A slot is free once the descriptor is: before that, the old and a new connection would be open at
-// once.
+// A slot is freed only after the descriptor is closed. Otherwise the old and a new connection would
+// be open at the same time.
 func TestTableFreesSlotAfterDescriptorIsClosed(t *testing.T) {
 	table := NewTable(1, 1)
 	server, client := net.Pipe()
@@ -124,7 +125,8 @@
 	}
 }
 
-// Connections above maxKeepAlive are reaped once they have been idle for idleGrace, and not before.
+// Idle connections are reaped once they have been idle for idleGrace while more than maxKeepAlive
+// are kept alive, and not before.
 func TestTableReapsLongIdleConnections(t *testing.T) {
 	table := NewTable(10, 3)
 	server := serve(t, table)
@@ -136,13 +138,13 @@
 	if got := table.Count(); got != 3 {
 		t.Fatalf("got %d connections, want 3: none has been idle for long", got)
 	}
-	// One that isn't idle yet would stay, as two are not too many.
+	// A connection that isn't idle yet would stay, as two connections are not too many.
 	agenttest.Eventually(t, "all idle", func() bool { return ageIdle(table, false) })
 	table.reapIdle(time.Now())
 	agenttest.Eventually(t, "all reaped", func() bool { return table.Count() == 0 })
 }
 
-// ReapIdleUntil reaps in intervals, and returns when its context ends.
+// ReapIdleUntil reaps periodically, and returns when its context ends.
 func TestReapIdleUntilEndsWithContext(t *testing.T) {
 	table := NewTable(10, 1)
 	server := serve(t, table)
@@ -167,8 +169,8 @@
 	agenttest.Receive(t, ended, "the end of ReapIdleUntil")
 }
 
-// CloseIdle ends a new connection on which nothing has arrived only where that is asked for.
-func TestCloseIdleSparesNewConnections(t *testing.T) {
+// CloseIdle closes a new connection on which nothing has arrived only if newToo is set.
+func TestCloseIdleKeepsNewConnections(t *testing.T) {
 	table, conn := NewTable(1, 1), &Conn{stageSince: time.Now()}
 	add(t, table, conn, time.Now())
 	if table.CloseIdle(false); conn.closing {
@@ -182,7 +184,7 @@
 	}
 }
 
-// Resize is in force for the next connection, and what is above a lowered limit stays.
+// Resize takes effect for the next connection. Connections above a lowered limit stay open.
 func TestTableResizeKeepsConnections(t *testing.T) {
 	table, now := NewTable(2, 2), time.Now()
 	for range 2 {
