--- a/internal/backend/extra_conn.go
+++ b/internal/backend/extra_conn.go
@@ -25,7 +25,7 @@
 }
 
 // reserveExtra reports whether an extra connection may be opened, and if so counts it as open. One
-// may be opened only while an attempt uses each of the other connections. A backend therefore has
+// may be opened only while all connections but the settling one are in use. A backend therefore has
 // at most one connection more than its highest number of concurrent attempts. No connection is
 // closed to make room for an extra one. The caller holds the pool's mutex.
 func (c *Conns) reserveExtra() bool {
@@ -40,8 +40,8 @@
 }
 
 // awaitSettled waits until a connection has settled and then returns nil and nil. If openExtra is
-// set, it also opens an extra connection, and returns that if it is open before then. An extra
-// connection that is open later becomes idle.
+// set, it opens an extra connection at the same time, and returns that if it is open first. An
+// extra connection that is open later becomes idle.
 func (c *Conns) awaitSettled(ctx context.Context, wait time.Duration, openExtra bool) (*pooledConn, error) {
 	var opened chan *pooledConn // without an extra connection nil, from which a receive blocks forever
 	if openExtra {
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// maxReadAhead is how many bytes of a client are buffered that arrive while its request is in
-// progress. The connection ends after them if there are more.
+// maxReadAhead limits how many bytes are buffered that a client sends while its request is in
+// progress. If there are more, the connection ends after the buffered ones.
 const maxReadAhead = 4 << 10
 
 // Conn is a client connection. It is in the client connection table from acquire to Close. Its life
@@ -38,7 +38,7 @@
 
 	// Guarded by table.mu.
 	stage           connStage
-	stageSince      time.Time // when the stage began; idle with a next head: when that began
+	stageSince      time.Time // when the stage began or, in stageIdle, the next head
 	closing         bool      // the table is closing the connection; one more request may arrive
 	responseWritten bool      // the server has written everything that it will write
 	head            headState
@@ -47,7 +47,7 @@
 	firstSeenAt         time.Time // when unread bytes were first seen in the wait for a slot; zero: never
 	readAhead           []byte    // read while a request was in progress, not yet passed to the server
 	readAheadAt         time.Time // when the first byte of readAhead was read
-	readAheadOverflowed bool      // more than maxReadAhead arrived; the connection ends after them
+	readAheadOverflowed bool      // bytes above maxReadAhead were dropped; Read returns EOF after readAhead
 }
 
 // NetConn returns the connection that the listener accepted. A caller may use it to detect that the
--- a/internal/clientconn/idle.go
+++ b/internal/clientconn/idle.go
@@ -56,13 +56,13 @@
 	}
 }
 
-// CloseIdle closes the connections that are between two requests. If newToo is set, it also closes
-// new connections on which nothing has arrived since the accept.
-func (t *Table) CloseIdle(newToo bool) {
+// CloseIdle closes the connections that are between two requests. If includeNew is set, it also
+// closes new connections on which nothing has arrived since the accept.
+func (t *Table) CloseIdle(includeNew bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
-		if c.isIdle() || newToo && c.stage == stageNew && c.isSilent() {
+		if c.isIdle() || includeNew && c.stage == stageNew && c.isSilent() {
 			c.expireRead()
 		}
 	}
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -71,8 +71,8 @@
 
 // Accept returns the next connection that gets a slot in the table. It also accepts connections
 // while the table is full. Otherwise the kernel would receive the request of a connection in its
-// queue, and nobody would answer it. A connection that gets no slot within defaultAcquireTimeout is
-// closed. Accept returns an error only after the listener was closed.
+// queue, and nobody would answer it. A connection that gets no slot in the table's acquire timeout
+// is closed. Accept returns an error only after the listener was closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.acceptNext()
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -169,7 +169,7 @@
 	agenttest.Receive(t, ended, "the end of ReapIdleUntil")
 }
 
-// CloseIdle closes a new connection on which nothing has arrived only if newToo is set.
+// CloseIdle closes a new connection on which nothing has arrived only if includeNew is set.
 func TestCloseIdleKeepsNewConnections(t *testing.T) {
 	table, conn := NewTable(1, 1), &Conn{stageSince: time.Now()}
 	add(t, table, conn, time.Now())
--- a/internal/clientconn/timeouts.go
+++ b/internal/clientconn/timeouts.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Timeouts of the reads from a client connection.
+// Timeouts of the HTTP server's reads from a client connection.
 const (
 	// HeadTimeout is the longest time that the head of a request may take to arrive.
 	HeadTimeout = 1500 * time.Millisecond
