--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -67,7 +67,7 @@
 }
 
 // The connection of an attempt that timed out is closed before its Result is returned. Otherwise
-// the next attempt could run at the same time as this one.
+// the next attempt could be a second copy of the request that is open at the same time.
 func TestAttemptTimeoutClosesConnection(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan error, 1)
 	addr := agenttest.RawBackend(t, func(_ net.Conn, reader *bufio.Reader) {
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -9,7 +9,7 @@
 
 // defaultSettleDelay is how long a connection is not reused after a response. A backend that sends
 // more than its response sends the surplus some milliseconds later, and the delay is long enough to
-// detect it. Without the delay, a surplus second response could be taken for the response to the
+// detect it. Without the delay, a surplus second response could be removed for the response to the
 // next request.
 const defaultSettleDelay = 10 * time.Millisecond
 
@@ -126,10 +126,10 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.closed = c.closed || closes
-	taken := c.idle
+	removed := c.idle
 	c.idle = nil
-	for _, conn := range taken {
+	for _, conn := range removed {
 		c.pool.idle.Remove(conn.element)
 	}
-	return taken
+	return removed
 }
--- a/internal/backend/idle_lifetime.go
+++ b/internal/backend/idle_lifetime.go
@@ -25,10 +25,10 @@
 //
 // The estimator is a histogram of reuses by idle time, with geometric buckets and exponentially
 // decaying counts (exponential forgetting). The limit is the lower bound of the first bucket whose
-// share of broken connections is clearly above the baseline, which is the share among connections
-// that were idle for less than baselineIdleTime and broke for other reasons. The constants are this
-// project's, not from a publication. They are chosen such that a few resets lower the limit and a
-// single one does not.
+// share of broken connections is clearly above the baseline's. The baseline consists of the
+// connections that were idle for less than baselineIdleTime, which break for other reasons. The
+// constants are this project's, not from a publication. They are chosen such that a few resets
+// lower the limit and a single one does not.
 //
 // The pool's mutex guards it. Its zero value is ready for use.
 type idleLifetimeEstimator struct {
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -11,9 +11,9 @@
 
 const (
 	// maxSchedulingDelay is the longest time that the agent may be suspended between reading its
-	// clock and writing the request. The tolerance that the deadline in Request-Timeout has covers
-	// only one such delay, and another one may already have passed between the arrival of the
-	// request and the reading of the clock. The timeout is therefore reduced by this delay.
+	// clock and writing the request. The slack of the deadline in Request-Timeout covers only one
+	// such delay, and another one may already have passed between the arrival of the request and
+	// the reading of the clock. The timeout is therefore reduced by this delay.
 	maxSchedulingDelay = 150 * time.Millisecond
 	// schedulingDelayDivisor limits that reduction to one eighth of the time left. A backend drops
 	// requests that have no time left, so a request with little time must keep most of it. Requests
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -25,7 +25,7 @@
 	}}))
 }
 
-// failing returns a listener whose first accepts fail.
+// failing returns a listener whose first accepts fail with errno, as many as failures says.
 func failing(t *testing.T, errno syscall.Errno, failures int32) agenttest.FailingListener {
 	t.Helper()
 	left := &atomic.Int32{}
@@ -89,7 +89,7 @@
 }
 
 // failingOpen returns a function that fails the given number of times before it opens a listener,
-// and the number of its calls.
+// and the counter of its calls.
 func failingOpen(errno syscall.Errno, failures int) (open func() (net.Listener, error), tries *int) {
 	tries = new(int)
 	return func() (net.Listener, error) {
--- a/internal/clientconn/table_test.go
+++ b/internal/clientconn/table_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// Idle connections are reaped once they have been idle for idleGrace while more than maxKeepAlive
-// are kept alive, and not before.
+// While more than maxKeepAlive connections are kept alive, those that have been idle for idleGrace
+// are reaped, and not earlier.
 func TestTableReapsLongIdleConnections(t *testing.T) {
 	table := NewTable(10, 3)
 	server := serve(t, table)
