--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -9,7 +9,7 @@
 
 // defaultSettleDelay is how long a connection is not reused after a response. A backend that sends
 // more than its response sends the surplus some milliseconds later, and the delay is long enough to
-// detect it. Without the delay, a surplus second response could be removed for the response to the
+// detect it. Without the delay, a surplus second response could be mistaken for the response to the
 // next request.
 const defaultSettleDelay = 10 * time.Millisecond
 
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// Surplus bytes that a backend sends after a response must not be taken for the response to the
+// Surplus bytes that a backend sends after a response must not be mistaken for the response to the
 // next request. The connection is not reused, whether they arrive with the response or after it.
 func TestSurplusBytesAreNotUsedForNextRequest(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/backend/settle_test.go
+++ b/internal/backend/settle_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// A second response that arrives some milliseconds after the first must not be taken for the
+// A second response that arrives some milliseconds after the first must not be mistaken for the
 // response to the next request.
 func TestLateSecondResponseIsNotUsedForNextRequest(t *testing.T) {
 	s := newSettlingConn(t)
