--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -21,7 +21,7 @@
 		b.endpoints.markUnlisted(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
-	b.endpoints.removeUnusable(b.slowStart.forget)
+	b.endpoints.removeUnusable(b.slowStart.remove)
 	b.slowStart.listChanged()
 	b.limiter.rebase(floor, limit)
 }
@@ -32,7 +32,7 @@
 	endpoint, startedAt := b.endpoints.byAddr[entry.Server], finite(entry.StartedMs)
 	if endpoint == nil {
 		endpoint = b.endpoints.add(entry.Server, startedAt)
-		b.slowStart.begin(endpoint)
+		b.slowStart.markWarming(endpoint)
 	}
 	if startedAt > endpoint.slowStart.listedStartAt {
 		b.restartEndpoint(endpoint, startedAt)
@@ -65,7 +65,7 @@
 		b.slowStart.assumeRestart(endpoint)
 		endpoint.window.reset()
 	}
-	b.limiter.restoreStalled(endpoint)
+	b.limiter.clearStalled(endpoint)
 }
 
 // ejectSilent ejects endpoints that have attempts in flight and have answered nothing for several
@@ -103,7 +103,7 @@
 func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
 	request := attempt.request
 	if sure {
-		b.limiter.releaseStalled(attempt)
+		b.limiter.markStalled(attempt)
 	}
 	objectiveAt := request.timing.objectiveAt
 	switch {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -221,7 +221,7 @@
 		return 0
 	}
 	doublings := max(endpoint.health.consecutiveEjections-1, 0)
-	firstMs := max(d.classes.shortestObjectiveMs, d.subset.meetMs())
+	firstMs := max(d.classes.shortestObjectiveMs, d.subset.revisitIntervalMs())
 	return min(firstMs*float64(int(1)<<doublings), maxEjectionMs)
 }
 
