--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -6,9 +6,9 @@
 	"ploverreel/internal/config"
 )
 
-// minStartMs is the least that the module's clock starts at, in ms. A time of 0 or below means "long
-// past" or "never" to the module, and a wall clock may stand at 1970 or before.
-const minStartMs = 24 * 3600e3
+// minClockStartMs is the lower bound of the time at which the module's clock starts, in ms since 1970. To
+// the module a time of 0 or less means "long ago" or "never", and a wall clock may read 1970 or earlier.
+const minClockStartMs = 24 * 3600e3
 
 // moduleClock is the module's clock, in ms. It starts at the Unix time that the wall clock gives at the
 // start of the process, and is monotonic from then on. Steps of the wall clock while the process runs
@@ -25,7 +25,7 @@
 		machine = config.SystemClock()
 	}
 	startMs := float64(machine.Wall().UnixMicro()) / 1000
-	return moduleClock{machine: machine, startedAt: machine.Monotonic(), startMs: max(startMs, minStartMs)}
+	return moduleClock{machine: machine, startedAt: machine.Monotonic(), startMs: max(startMs, minClockStartMs)}
 }
 
 // now returns the module's time, in ms.
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -7,13 +7,16 @@
 )
 
 const (
-	// fallbackMargin is how long before a request's deadline the handler answers by itself, if the
-	// loop has given no response.
+	// fallbackMargin is subtracted from a request's deadline. If the loop has sent no response by
+	// then, the handler answers without it.
 	fallbackMargin = 2 * time.Millisecond
-	// decisionMargin is how much earlier still the deadline is that the decision module is given. The
-	// module's own last answer, which carries a Retry-After, is then out before the handler's, however
-	// long the interval between the module's turns.
+	// decisionMargin and fallbackMargin are both subtracted from the deadline that the decision module
+	// is given. The module's last response, which carries a Retry-After, then precedes that of the
+	// handler, whatever the interval of the module's timers is.
 	decisionMargin = 3 * time.Millisecond
+	// marginDivisor divides the time that a request has left. The quotient is the upper bound of the
+	// two margins together, so that a request with a short timeout keeps most of it.
+	marginDivisor = 4
 )
 
 // ServeHTTP reads one request, posts it to the loop and writes its one response.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -15,8 +15,20 @@
 	"ploverreel/policy"
 )
 
-// defaultConnectTimeout applies where the settings give no connect timeout.
-const defaultConnectTimeout = time.Second
+const (
+	// defaultConnectTimeout is the connect timeout if the settings have none.
+	defaultConnectTimeout = time.Second
+	// inputsPerSocket multiplies the socket limit. The product is the capacity of the input queue,
+	// which has room for all that can be in progress at once, so that a handler doesn't wait for
+	// space in it.
+	inputsPerSocket = 4
+	// idleTimeoutDivisor divides the keep-alive time of the settings. The quotient is the time after
+	// which an idle connection to a backend is closed.
+	idleTimeoutDivisor = 2
+	// seenIDMargin is added to the longest deadline. Request ids are remembered for the sum, which is
+	// longer than any request is open.
+	seenIDMargin = time.Second
+)
 
 // loop owns the Balancer. One goroutine, that of run, hands it the inputs in order and carries out what
 // it decides. Nothing in it blocks. The fields belong to that goroutine, but any may use inputs, ctx
@@ -65,13 +77,11 @@
 		return nil, err
 	}
 	l := &loop{
-		balancer: balancer,
-		config:   conf,
-		clock:    newModuleClock(conf.Clock),
-		ctx:      ctx,
-		// Room for all that can be in progress at once: a handler must not have to wait for a place
-		// in the queue.
-		inputs:     make(chan input, 4*conf.Limits.Sockets),
+		balancer:   balancer,
+		config:     conf,
+		clock:      newModuleClock(conf.Clock),
+		ctx:        ctx,
+		inputs:     make(chan input, inputsPerSocket*conf.Limits.Sockets),
 		afterFunc:  time.AfterFunc,
 		requests:   map[policy.RequestID]*request{},
 		seenIDs:    newSeenIDs(0),
@@ -99,7 +109,7 @@
 // applyLimits applies the bounds of connections and memory of the configuration in force.
 func (l *loop) applyLimits() {
 	l.pool.Configure(backendSettings(l.config))
-	l.seenIDs.keepAtLeast(l.config.MaxDeadline() + time.Second) // longer than any request is open
+	l.seenIDs.keepAtLeast(l.config.MaxDeadline() + seenIDMargin)
 	l.startTimes.setTolerance(l.config.Settings.Contract.StartToleranceMs())
 }
 
@@ -112,7 +122,7 @@
 	}
 	return backend.Settings{
 		ConnectTimeout: connectTimeout,
-		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / 2),
+		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / idleTimeoutDivisor),
 		MaxConns:       conf.Limits.BackendSockets(),
 		// Where the settings price connections, waiting some milliseconds for one that settles costs
 		// less than a new one: an answer within its latency objective is worth no less for it.
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -16,16 +16,21 @@
 )
 
 const (
-	maxBody     = 64 << 10 // bytes of a request's body
-	maxTokenLen = 256      // bytes of a Request-Id or a Host
-
-	// bodyTimeout is how long a request's body may take to arrive. A bad client has to get an error
-	// or a close within 3 s of connecting, so clientconn.HeadTimeout + bodyTimeout stays below that
-	// with a margin.
+	// maxBodyBytes bounds the body of one request.
+	maxBodyBytes = 64 << 10
+	// maxTokenBytes bounds a Request-Id and a Host.
+	maxTokenBytes = 256
+	// bodyMemoryDivisor divides the memory limit of the process. The quotient bounds all request
+	// bodies in memory together.
+	bodyMemoryDivisor = 8
+
+	// bodyTimeout bounds the time in which a request's body arrives. A faulty client must get an
+	// error or a close within 3 s of connecting, so clientconn.HeadTimeout + bodyTimeout is less than
+	// that by a margin.
 	bodyTimeout = time.Second
-	// minBodyTime is the least time that a body has, however short the request's deadline. A
-	// response after the deadline is worth nothing, but a request needn't be lost because its body is
-	// slightly late.
+	// minBodyTime is the least time in which a body may arrive, however short the request's deadline
+	// is. A response after the deadline has no value, but a request must not be lost because its body
+	// is slightly late.
 	minBodyTime = 100 * time.Millisecond
 )
 
@@ -76,7 +81,7 @@
 		// The server ignores a Content-Length next to a Transfer-Encoding, so a body could smuggle a
 		// request past a proxy that goes by the length. Clients send lengths.
 		return &requestError{status: http.StatusLengthRequired, reason: "Transfer-Encoding: not taken"}
-	case r.ContentLength > maxBody:
+	case r.ContentLength > maxBodyBytes:
 		return &requestError{status: http.StatusRequestEntityTooLarge, reason: "body: above 64 KiB"}
 	case !strings.HasPrefix(r.RequestURI, "/"):
 		return &requestError{status: http.StatusBadRequest, reason: "no path: an agent is no proxy"}
@@ -130,9 +135,9 @@
 }
 
 // isPlainToken reports whether an id or a host name can be forwarded unchanged: whether it is 1 to
-// maxTokenLen visible ASCII characters.
+// maxTokenBytes visible ASCII characters.
 func isPlainToken(text string) bool {
-	if text == "" || len(text) > maxTokenLen {
+	if text == "" || len(text) > maxTokenBytes {
 		return false
 	}
 	for _, char := range []byte(text) {
@@ -162,8 +167,8 @@
 	}
 }
 
-// readBody reads the body, whose length the head gives. All bodies in memory may together take an
-// eighth of the process's memory.
+// readBody reads the body, whose length the head gives. It rejects the request if all bodies in memory
+// would exceed the bound that bodyMemoryDivisor gives.
 func (a *Agent) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
 	if r.ContentLength == 0 {
 		return nil
@@ -174,7 +179,7 @@
 			a.bodyBytes.Add(-r.ContentLength)
 		}
 	}()
-	if inMemory > int64(req.config.Limits.MemoryMB*(1<<20)/8) {
+	if inMemory > int64(req.config.Limits.MemoryMB*(1<<20)/bodyMemoryDivisor) {
 		return &requestError{status: http.StatusServiceUnavailable, reason: "body: no memory left",
 			retryAfter: maxRetryAfter(req.config)}
 	}
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -31,7 +31,7 @@
 		"huge timeout":       func(r *http.Request) { r.Header.Set("Request-Timeout", "99999999999999m") },
 		"no idempotency key": func(r *http.Request) { r.Header.Del("Idempotency-Key") },
 		"long body": func(r *http.Request) {
-			r.Body, r.ContentLength = bodyOf(maxBody+1), maxBody+1
+			r.Body, r.ContentLength = bodyOf(maxBodyBytes+1), maxBodyBytes+1
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 		})
 	}
 	longest := call(base, "send")
-	longest.Body, longest.ContentLength = bodyOf(maxBody), maxBody
+	longest.Body, longest.ContentLength = bodyOf(maxBodyBytes), maxBodyBytes
 	longest.Header.Set("Request-Id", "longest")
 	if status, _, _ := do(t, longest); status != 200 {
 		t.Errorf("a body of 64 KiB: got status %d, want 200", status)
@@ -108,7 +108,7 @@
 	}{
 		{"chunked", func(r *http.Request) { r.TransferEncoding = []string{"chunked"} }, 411, "Transfer-Encoding"},
 		{"no length", func(r *http.Request) { r.ContentLength = -1 }, 411, "Transfer-Encoding"},
-		{"long body", func(r *http.Request) { r.ContentLength = maxBody + 1 }, 413, "body"},
+		{"long body", func(r *http.Request) { r.ContentLength = maxBodyBytes + 1 }, 413, "body"},
 		{"absolute form", func(r *http.Request) { r.RequestURI = "http://c/send/u1" }, 400, "no path"},
 		{"unknown class", func(r *http.Request) { r.URL.Path = "/none/u1" }, 404, "unknown class"},
 		{"two ids", func(r *http.Request) { r.Header.Add("Request-Id", "again") }, 400, "Request-Id: more than one"},
@@ -116,7 +116,7 @@
 		{"wrong method", func(r *http.Request) { r.Method = http.MethodPut }, 405, "this class is asked with POST"},
 		{"GET with a body", func(r *http.Request) { r.Method, r.URL.Path = http.MethodGet, "/look/u1" }, 400, "body"},
 		{"no host", func(r *http.Request) { r.Host = "" }, 400, "Host"},
-		{"long id", func(r *http.Request) { r.Header.Set("Request-Id", strings.Repeat("x", maxTokenLen+1)) }, 400, "Request-Id: missing"},
+		{"long id", func(r *http.Request) { r.Header.Set("Request-Id", strings.Repeat("x", maxTokenBytes+1)) }, 400, "Request-Id: missing"},
 		{"no key", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400, "Idempotency-Key"},
 		{"no timeout", func(r *http.Request) { r.Header.Del("Request-Timeout") }, 400, "Request-Timeout: no number"},
 		{"short body", func(r *http.Request) { r.Body = io.NopCloser(strings.NewReader("bo")) }, 408, "body: did not come whole"},
@@ -173,8 +173,8 @@
 	}{
 		"empty":           {"", false},
 		"one character":   {"x", true},
-		"longest":         {strings.Repeat("x", maxTokenLen), true},
-		"too long":        {strings.Repeat("x", maxTokenLen+1), false},
+		"longest":         {strings.Repeat("x", maxTokenBytes), true},
+		"too long":        {strings.Repeat("x", maxTokenBytes+1), false},
 		"a space":         {"a b", false},
 		"a line break":    {"a\nb", false},
 		"last of ASCII":   {"~", true},
--- a/internal/agent/ready.go
+++ b/internal/agent/ready.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// readyTimeout is how long after its start an agent that knows no backend waits for discovery before
-// it is ready all the same. While discovery is down, an agent that isn't ready is sent nothing at all
-// by its application. One that is ready queues requests for as long as they may wait for a list, and
-// rejects the others with a Retry-After. Restarted agents have to be ready within 6 s where little
-// time is left, and within 10 s in general.
+// readyTimeout is the time after its start at which an agent that knows no backend reports ready.
+// Without it an agent that starts while discovery is down would get no requests from its application.
+// A ready agent queues requests for as long as they may wait for an endpoint list, and rejects the
+// others with a Retry-After. A restarted agent must be ready within 6 s in the strictest case, and
+// within 10 s in general.
 const readyTimeout = 5 * time.Second
 
 // readyState decides the answer to /ready. It belongs to the loop, but for isReady.
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -11,7 +11,8 @@
 	"ploverreel/policy"
 )
 
-// statusDuplicateID is the status of the response to a request whose id came before.
+// statusDuplicateID is the status of the response to a request whose id is that of an earlier request.
+// No status of the decision module has this number.
 const statusDuplicateID policy.Status = 1
 
 // request is a client's request. The handler fills it in and posts it to the loop.
@@ -110,7 +111,7 @@
 	request.id = l.newRequestID()
 	l.requests[request.id] = request
 	left := time.Until(request.Deadline)
-	left -= min(fallbackMargin+decisionMargin, left/4)
+	left -= min(fallbackMargin+decisionMargin, left/marginDivisor)
 	l.notify(&policy.RequestArrived{Request: request.id, Class: request.class, Tenant: request.tenant,
 		Key: request.keyHash, TimeLeftMs: float64(left) / float64(time.Millisecond),
 		WorkHintMs: request.workHintMs, HasWorkHint: request.hasWorkHint, Retry: request.retry})
--- a/internal/agent/seen_ids.go
+++ b/internal/agent/seen_ids.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// maxIDsPerGeneration is how many ids a generation holds at most: those of some minutes at the usual
-// rates.
-const maxIDsPerGeneration = 1 << 16
+// maxIDsPerSet bounds the ids of one generation. At usual request rates it is reached after some minutes.
+const maxIDsPerSet = 1 << 16
 
 // seenIDs remembers the ids of recent requests, in two generations. Each id comes once, so one that is
 // remembered belongs to a copy, or is another client's mistake: forwarded while the first request is
@@ -31,7 +30,7 @@
 
 // add remembers an id that comes at the time given, and reports whether it is new.
 func (s *seenIDs) add(id string, at time.Time) bool {
-	if at.Sub(s.generationStart) >= s.keep || len(s.current) >= maxIDsPerGeneration {
+	if at.Sub(s.generationStart) >= s.keep || len(s.current) >= maxIDsPerSet {
 		s.previous, s.current, s.generationStart = s.current, map[uint64]struct{}{}, at
 	}
 	sum := maphash.String(s.seed, id)
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -55,15 +55,15 @@
 // However many ids arrive, the memory for them is bounded, and the latest are known.
 func TestSeenIDsIsBounded(t *testing.T) {
 	ids, now := newSeenIDs(agenttest.Never), time.Now()
-	for i := range 5 * maxIDsPerGeneration {
+	for i := range 5 * maxIDsPerSet {
 		if !ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d: got known, want new", i)
 		}
-		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
-			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerGeneration)
+		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerSet {
+			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerSet)
 		}
 	}
-	for i := 4 * maxIDsPerGeneration; i < 5*maxIDsPerGeneration; i++ {
+	for i := 4 * maxIDsPerSet; i < 5*maxIDsPerSet; i++ {
 		if ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d of the latest: got new, want known", i)
 		}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// maxHeadBytes bounds a request's head.
+	// maxHeadBytes bounds the request line and the headers of a request.
 	maxHeadBytes = 16 << 10
-	// responseWriteTimeout is how long after its deadline a client may take to read a response.
+	// responseWriteTimeout is added to a request's deadline. By then the client must have read its
+	// response.
 	responseWriteTimeout = 5 * time.Second
 )
 
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -8,20 +8,21 @@
 	"ploverreel/internal/config"
 )
 
-// Times of a graceful shutdown, counted from SIGTERM.
+// Times of a graceful shutdown. They count from SIGTERM unless their comment says otherwise.
 const (
-	// shutdownAcceptTime is how long connections are accepted: clients open new ones for up to
-	// 0.4 s.
+	// shutdownAcceptTime is the time during which new connections are accepted. Clients may open
+	// them for up to 0.4 s.
 	shutdownAcceptTime = 450 * time.Millisecond
-	// shutdownSettleTime is how long after that what was accepted last may be read.
-	shutdownSettleTime = 50 * time.Millisecond
-	// shutdownRejectAfter is from when on requests that arrive are rejected at once: SIGKILL may come
-	// before they could be answered.
+	// shutdownReadGrace starts when shutdownAcceptTime ends. During it the agent still reads the
+	// connections that it accepted last.
+	shutdownReadGrace = 50 * time.Millisecond
+	// shutdownRejectAfter is the time after which new requests are rejected at once, as SIGKILL may
+	// arrive before their response.
 	shutdownRejectAfter = 600 * time.Millisecond
-	// minKillDelay bounds the wait for SIGKILL. It comes 0.7 s after the longest deadline of the
-	// settings has passed since SIGTERM, or after minKillDelay if that is shorter.
-	minKillDelay = 3 * time.Second
-	// shutdownPollInterval is how often the connections are checked.
+	// maxDrainDeadline bounds the deadline that requests keep during the shutdown. SIGKILL arrives
+	// 0.7 s after the longest deadline of the settings or maxDrainDeadline, whichever is shorter.
+	maxDrainDeadline = 3 * time.Second
+	// shutdownPollInterval is the interval at which the shutdown checks the connections.
 	shutdownPollInterval = 5 * time.Millisecond
 )
 
@@ -30,7 +31,7 @@
 //
 //  1. For shutdownAcceptTime connections are still accepted. Idle connections are closed first,
 //     while a client whose request crosses the close can still come back on a new one.
-//  2. The listener is closed. For shutdownSettleTime the connections that were accepted last are read.
+//  2. The listener is closed. For shutdownReadGrace the connections that were accepted last are read.
 //  3. New connections on which nothing has arrived are closed as well. Those with part of a
 //     request end by the timeouts of head and body, the others with their response.
 func (a *Agent) shutdown(ln net.Listener) error {
@@ -40,7 +41,7 @@
 	limit := a.shutdownLimit()
 	for {
 		elapsed := time.Since(began)
-		settled := elapsed >= shutdownAcceptTime+shutdownSettleTime
+		settled := elapsed >= shutdownAcceptTime+shutdownReadGrace
 		if elapsed >= shutdownAcceptTime {
 			ln.Close()
 		}
@@ -56,18 +57,18 @@
 // shutdownLimit returns how long after SIGTERM the agent ends at the latest: a request on a connection
 // that is accepted last may take its whole time to arrive and to be answered.
 func (a *Agent) shutdownLimit() time.Duration {
-	return shutdownAcceptTime + shutdownSettleTime + clientconn.HeadTimeout + bodyTimeout +
-		time.Duration(a.maxDeadline.Load()) + shutdownSettleTime
+	return shutdownAcceptTime + shutdownReadGrace + clientconn.HeadTimeout + bodyTimeout +
+		time.Duration(a.maxDeadline.Load()) + shutdownReadGrace
 }
 
 // drainTimeout returns how long after SIGTERM the last response is given. A request that arrives
 // before shutdownRejectAfter may take the longest deadline of the settings, but SIGKILL doesn't wait for
-// one that is longer than minKillDelay.
+// one that is longer than maxDrainDeadline.
 func (a *Agent) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	classes := a.config.Load().Settings.Classes
 	for i := range classes {
 		longest = max(longest, config.Milliseconds(classes[i].DeadlineMs))
 	}
-	return min(longest, minKillDelay) + shutdownRejectAfter
+	return min(longest, maxDrainDeadline) + shutdownRejectAfter
 }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -57,11 +57,11 @@
 	agenttest.Eventually(t, "the shutdown begun", func() bool { return agent.shutdownAt.Load() != nil })
 	io.WriteString(conn, text+"half")
 	agenttest.Eventually(t, "no connections accepted", func() bool { return !accepts(base) })
-	// Far longer than shutdownSettleTime: an agent that didn't wait would have ended.
+	// Far longer than shutdownReadGrace: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
 		t.Errorf("got the agent's end, %v, with half a request read; want it to wait", err)
-	case <-time.After(4 * shutdownSettleTime):
+	case <-time.After(4 * shutdownReadGrace):
 	}
 	io.WriteString(conn, "rest")
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -6,9 +6,10 @@
 	"ploverreel/policy"
 )
 
-// maxClockOffset is how far apart, in ms, the wall clocks of two machines are taken to be at most. Each
-// may be stepped by as much as an hour, in opposite directions, and be off by some seconds besides.
-const maxClockOffset = 2*3600e3 + 60e3
+// maxClockOffsetMs is the assumed upper bound of the difference between the wall clocks of two machines,
+// in ms. Each clock may be stepped by up to an hour, in opposite directions, and have an error of some
+// seconds besides.
+const maxClockOffsetMs = 2*3600e3 + 60e3
 
 // startTimes translates the time when a backend started, its born_ms, to the module's clock. Slow start
 // lasts for a span of real time, but born_ms is a reading of another machine's wall clock, and the
@@ -35,7 +36,7 @@
 //     they are apart. A born_ms in the future of this machine's clock proves that the clocks disagree:
 //     it counts from its notice, and is no measure for others.
 //   - However little is known, an age by this machine's clock is true as far as it exceeds
-//     maxClockOffset.
+//     maxClockOffsetMs.
 //
 // The cost: an agent that starts less than two hours after the newest start of a backend counts that
 // backend, and those that started shortly before it, as warming up for at most the time of a slow
@@ -130,7 +131,7 @@
 	if isKnown { // the module takes only a later start for another process
 		since = max(since, math.Nextafter(former.sinceMs, math.Inf(1)))
 	} else {
-		since = min(since, born+maxClockOffset)
+		since = min(since, born+maxClockOffsetMs)
 	}
 	t.known[addr] = startTime{bornMs: born, sinceMs: since}
 	return since
@@ -168,8 +169,8 @@
 // prune removes the starts of backends that are not listed once there are more of them than of the
 // others, so that names that never come again don't add up.
 func (t *startTimes) prune(listed map[policy.Addr]*listedBackend) {
-	const spare = 1024 // keeps small fleets from pruning often
-	if len(t.known) <= 2*len(listed)+spare {
+	const minPruneExcess = 1024 // start times; spares a small fleet frequent pruning
+	if len(t.known) <= 2*len(listed)+minPruneExcess {
 		return
 	}
 	for addr := range t.known {
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -128,7 +128,7 @@
 // so it does with a backend that is listed again as before.
 func TestStartTimesOfLongRunningBackendsAreKept(t *testing.T) {
 	f := newWatchedFleet(t)
-	f.startBackend("s-0", config.Milliseconds(maxClockOffset)+slowStartTime)
+	f.startBackend("s-0", config.Milliseconds(maxClockOffsetMs)+slowStartTime)
 	f.startAgent()
 	f.notifyWhole()
 	if got := f.warmingUp(); got != 0 {
@@ -167,8 +167,8 @@
 	f.machine.step = -100 * 365 * 24 * time.Hour
 	f.startBackend("s-0", time.Second)
 	f.startAgent()
-	if got := f.loop.nowMs(); got < minStartMs {
-		t.Fatalf("got the module's time %v, want %v at least", got, float64(minStartMs))
+	if got := f.loop.nowMs(); got < minClockStartMs {
+		t.Fatalf("got the module's time %v, want %v at least", got, float64(minClockStartMs))
 	}
 	f.hold(20 * time.Second)
 	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxTraceLines bounds a trace that nobody stops.
+	// maxTraceLines bounds the lines of a trace, which otherwise ends only with the agent.
 	maxTraceLines = 100_000
-	// maxTraceClasses bounds how many classes a line has.
+	// maxTraceClasses bounds the classes of one line.
 	maxTraceClasses = 16
 )
 
