--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -13,13 +13,13 @@
 // notify hands the module one event and carries out what it decides.
 func (l *loop) notify(event policy.Event) {
 	l.decidedAt = time.Now()
-	l.actions = l.decide(l.nowMs(), event)
-	l.perform()
+	l.actions = l.handleEvent(l.nowMs(), event)
+	l.executeActions()
 }
 
-// decide hands the module one event and returns what it decides. After a panic it returns what the
+// handleEvent hands the module one event and returns what it decides. After a panic it returns what the
 // module had decided until then: the module waits for the ends of those attempts.
-func (l *loop) decide(nowMs float64, event policy.Event) (actions []policy.Action) {
+func (l *loop) handleEvent(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("panic in decision module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
@@ -33,21 +33,21 @@
 // formatting of package fmt would not.
 func eventName(event policy.Event) string { return reflect.TypeOf(event).Elem().Name() }
 
-// perform carries out the module's actions in their order.
-func (l *loop) perform() {
+// executeActions carries out the module's actions in their order.
+func (l *loop) executeActions() {
 	for i := range l.actions {
-		l.carryOut(&l.actions[i])
+		l.execute(&l.actions[i])
 	}
 }
 
-// carryOut carries out one action. A panic costs that action alone: the next ones belong to other
+// execute carries out one action. A panic costs that action alone: the next ones belong to other
 // requests, and the module relies on them.
-func (l *loop) carryOut(action *policy.Action) {
+func (l *loop) execute(action *policy.Action) {
 	defer l.recoverAction(action.Kind)
 	switch action.Kind {
 	case policy.ActionSendAttempt, policy.ActionCancelAttempt, policy.ActionRejectRequest, policy.ActionFailRequest:
 		if request := l.requests[action.Request]; request != nil {
-			l.carryOutFor(request, action)
+			l.executeForRequest(request, action)
 		}
 	case policy.ActionSetTimer:
 		token := action.Token
@@ -73,11 +73,11 @@
 	}
 }
 
-// carryOutFor carries out an action that is about an open request.
-func (l *loop) carryOutFor(request *request, action *policy.Action) {
+// executeForRequest carries out an action that is about an open request.
+func (l *loop) executeForRequest(request *request, action *policy.Action) {
 	switch action.Kind {
 	case policy.ActionSendAttempt:
-		l.send(request, action)
+		l.startAttempt(request, action)
 	case policy.ActionCancelAttempt:
 		if action.Attempt < 0 || action.Attempt >= len(request.attempts) {
 			return
@@ -86,10 +86,10 @@
 			attempt.Cancel(backend.ErrCancelled)
 		}
 	case policy.ActionRejectRequest:
-		l.answer(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
+		l.respond(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
 		l.removeIfDone(request)
 	case policy.ActionFailRequest:
-		l.answer(request, response{status: policy.StatusServerError})
+		l.respond(request, response{status: policy.StatusServerError})
 		l.removeIfDone(request)
 	}
 }
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -16,22 +16,22 @@
 	target  *listedBackend
 }
 
-// send starts an attempt in a goroutine of its own, which ends at the attempt's timeout, when the
+// startAttempt starts an attempt in a goroutine of its own, which ends at the attempt's timeout, when the
 // attempt is cancelled, or with the loop's context. Its end is posted once, also if it could not
 // begin: the module waits for the end of each attempt.
-func (l *loop) send(request *request, action *policy.Action) {
+func (l *loop) startAttempt(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
 		target = &listedBackend{addr: action.Server, conns: l.pool.NewConns("")}
 	}
-	current := l.newAttempt(request, target, action)
-	request.attempts = append(request.attempts, current)
+	created := l.newAttempt(request, target, action)
+	request.attempts = append(request.attempts, created)
 	request.inFlight++
-	begun := false
+	started := false
 	defer func() { // after a panic too
-		if !begun {
-			current.Cancel(nil)
-			l.followUps = append(l.followUps, attemptEnded{attempt: current, result: backend.Result{Status: policy.StatusNotSent}})
+		if !started {
+			created.Cancel(nil)
+			l.followUps = append(l.followUps, attemptEnded{attempt: created, result: backend.Result{Status: policy.StatusNotSent}})
 		}
 	}()
 	if !target.usable || request.closed || request.client.abandoned.Load() {
@@ -39,9 +39,9 @@
 		// does it for a client whose end is still in the queue.
 		return
 	}
-	target.attempts[current] = struct{}{}
-	begun = true
-	go func() { l.post(attemptEnded{attempt: current, result: current.Run()}) }()
+	target.attempts[created] = struct{}{}
+	started = true
+	go func() { l.post(attemptEnded{attempt: created, result: created.Run()}) }()
 }
 
 // newAttempt returns an attempt with its times, which count from the decision.
@@ -55,27 +55,27 @@
 	return created
 }
 
-// onOutcome handles the end of an attempt: an OK answers the request, and the module is notified of
+// onAttemptEnded handles the end of an attempt: an OK answers the request, and the module is notified of
 // each.
-func (l *loop) onOutcome(ended *attempt, outcome *backend.Result) {
+func (l *loop) onAttemptEnded(ended *attempt, result *backend.Result) {
 	request, target := ended.request, ended.target
 	delete(target.attempts, ended)
 	l.removeBackend(target)
 	request.inFlight--
-	if outcome.Panic != nil {
-		l.log.Error("attempt panicked", "err", outcome.Panic)
+	if result.Panic != nil {
+		l.log.Error("attempt panicked", "err", result.Panic)
 	}
-	switch outcome.Status {
+	switch result.Status {
 	case policy.StatusLocalFailure, policy.StatusUnreachable:
 		request.attempts[ended.index] = nil
 	case policy.StatusOK:
-		l.answer(request, response{status: policy.StatusOK, body: outcome.Body, contentType: outcome.ContentType})
+		l.respond(request, response{status: policy.StatusOK, body: result.Body, contentType: result.ContentType})
 	case policy.StatusTimeout:
 		// The machine may have vanished; its other connections would be as silent.
 		target.conns.CloseIdle()
 	}
 	l.notify(&policy.AttemptEnded{Request: request.id, Attempt: ended.index, Server: target.addr,
-		Status: outcome.Status, LatencyMs: float64(outcome.Elapsed) / float64(time.Millisecond),
-		Final: request.closed, Report: backend.ParseLoadReport(outcome.LoadReport, l.config.Settings.Report.Names)})
+		Status: result.Status, LatencyMs: float64(result.Elapsed) / float64(time.Millisecond),
+		Final: request.closed, Report: backend.ParseLoadReport(result.LoadReport, l.config.Settings.Report.Names)})
 	l.removeIfDone(request)
 }
--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -16,7 +16,7 @@
 
 // newLoopAttempt makes an attempt as the loop keeps it, with a request of its own.
 func newLoopAttempt(target *listedBackend) *attempt {
-	created := &attempt{target: target, request: &request{answers: make(chan response, 1)}}
+	created := &attempt{target: target, request: &request{responses: make(chan response, 1)}}
 	created.request.Request = backend.Request{Method: http.MethodPost, Target: "/order/u1", Host: "backend.local",
 		RequestID: "id1", Body: []byte("body")}
 	created.Attempt = backend.NewAttempt(context.Background(), target.conns, &created.request.Request, time.Now().Add(agenttest.Never))
@@ -28,13 +28,13 @@
 // and the send must not carry an attempt out of its window, nor past its deadline.
 func TestAttemptTimesCountFromDecision(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
-	late := &request{id: 1, answers: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
+	late := &request{id: 1, responses: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
 		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.Never)}}
 	l.requests[late.id] = late
 	l.decidedAt = time.Now().Add(-time.Minute)
 	const timeoutMs, beginWithinMs = 90_000, 30_000
 	action := policy.SendAttempt(late.id, endpointlist.AddressOf("s-0"), timeoutMs, beginWithinMs)
-	l.send(late, &action)
+	l.startAttempt(late, &action)
 	got := late.attempts[0]
 	defer got.Cancel(nil)
 	if !got.BeginBy.Before(time.Now()) {
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -28,10 +28,10 @@
 	return moduleClock{machine: machine, startedAt: machine.Monotonic(), startMs: max(startMs, minClockStartMs)}
 }
 
-// now returns the module's time, in ms.
-func (c *moduleClock) now() float64 {
+// nowMs returns the module's time, in ms.
+func (c *moduleClock) nowMs() float64 {
 	return c.startMs + float64(c.machine.Monotonic()-c.startedAt)/float64(time.Millisecond)
 }
 
 // nowMs returns the module's time, in ms.
-func (l *loop) nowMs() float64 { return l.clock.now() }
+func (l *loop) nowMs() float64 { return l.clock.nowMs() }
--- a/internal/agent/clock_offset_test.go
+++ b/internal/agent/clock_offset_test.go
@@ -14,7 +14,7 @@
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
 			f := startWatchedFleet(t, step)
-			tolerance := config.Milliseconds(f.loop.startTimes.tolerance).Truncate(time.Millisecond)
+			tolerance := config.Milliseconds(f.loop.startTimes.toleranceMs).Truncate(time.Millisecond)
 			if want := 1714 * time.Millisecond; tolerance != want { // of the settings: from 0.3 in 8 s
 				t.Fatalf("got a tolerance of %v, want %v", tolerance, want)
 			}
@@ -52,7 +52,7 @@
 			stepped.BornMs -= float64(back.Milliseconds())
 			f.notify(false, stepped)
 			want := back
-			if back > config.Milliseconds(f.loop.startTimes.tolerance) {
+			if back > config.Milliseconds(f.loop.startTimes.toleranceMs) {
 				want = 0
 			}
 			if got, _ := f.ageToAgent("s-1"); got.Round(time.Millisecond) != want {
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -101,7 +101,7 @@
 		l.handle(watchEvent{list: listOf(seq, false)})
 		l.handle(watchEnded{err: io.EOF, endedAfterNotice: endedAfterNotice})
 		l.actions = append(l.actions[:0], policy.OpenWatch())
-		l.perform()
+		l.executeActions()
 		if l.watch.fetching || !l.watch.watching {
 			t.Fatalf("got fetching %v and watching %v, want a watch alone", l.watch.fetching, l.watch.watching)
 		}
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -97,19 +97,19 @@
 // answers, the list in force and all connections stay. Its list versions have nothing to do with those
 // of the former one.
 func (l *loop) switchDiscovery(addr string) {
-	former := l.watch.discovery
-	if addr == former.Addr() {
+	previous := l.watch.discovery
+	if addr == previous.Addr() {
 		return
 	}
-	l.log.Info("discovery address changed", "previous", former.Addr(), "discovery", addr)
-	former.Close()
+	l.log.Info("discovery address changed", "previous", previous.Addr(), "discovery", addr)
+	previous.Close()
 	l.watch.generation++
-	current := discovery.New(l.ctx, addr, former.Placement(), l.discoveryResults(l.watch.generation))
-	l.watch.discovery = current
+	next := discovery.New(l.ctx, addr, previous.Placement(), l.discoveryResults(l.watch.generation))
+	l.watch.discovery = next
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.startTimes.onWatchEnded(l.nowMs(), 0)
-	go current.Fetch(discovery.RetryNew)
-	go current.Watch(0, discovery.RetryNew)
+	go next.Fetch(discovery.RetryNew)
+	go next.Watch(0, discovery.RetryNew)
 }
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
@@ -121,7 +121,7 @@
 		entries[i] = l.config.Names.Entry(&list.Hosts[i])
 		l.updateBackend(&entries[i], &list.Hosts[i])
 	}
-	l.startTimes.translate(entries, l.nowMs())
+	l.startTimes.toModuleClock(entries, l.nowMs())
 	l.startTimes.prune(l.backends)
 	if kind != policy.ListDelta {
 		l.disableUnlisted(entries)
@@ -186,7 +186,7 @@
 
 // removeBackend removes a backend if it is done.
 func (l *loop) removeBackend(target *listedBackend) {
-	if target.isDone() {
+	if target.isRemovable() {
 		target.conns.Close()
 		if l.backends[target.addr] == target {
 			delete(l.backends, target.addr)
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -36,7 +36,7 @@
 		return
 	}
 	conf := a.config.Load()
-	if longest := conf.MaxDeadline(); longest > a.startDeadline {
+	if longest := conf.MaxDeadline(); longest > a.initialMaxDeadline {
 		_ = http.NewResponseController(w).SetWriteDeadline(receivedAt.Add(longest + responseWriteTimeout))
 	}
 	req, err := a.readRequest(conf, w, r, receivedAt)
@@ -48,7 +48,7 @@
 	if client != nil {
 		req.client.conn = client.NetConn()
 	}
-	if !a.hasTimeFor(req) {
+	if !a.canRespondInTime(req) {
 		a.writeNotStarted(w, conf)
 		return
 	}
@@ -85,9 +85,9 @@
 	}
 }
 
-// hasTimeFor reports whether a request can be answered in time. During a graceful shutdown it first
+// canRespondInTime reports whether a request can be answered in time. During a graceful shutdown it first
 // limits the request's deadline to the time of the last response.
-func (a *Agent) hasTimeFor(req *request) bool {
+func (a *Agent) canRespondInTime(req *request) bool {
 	if began := a.shutdownAt.Load(); began != nil {
 		if last := began.Add(a.drainTimeout()); last.Before(req.Deadline) {
 			req.Deadline = last
@@ -102,15 +102,15 @@
 // awaitResponse posts a request to the loop, waits for its response and writes that. It waits no longer
 // than the client does, as the loop may be busy, its queue full, or its decision lost in a panic.
 func (a *Agent) awaitResponse(w http.ResponseWriter, r *http.Request, req *request) {
-	fallback := time.NewTimer(time.Until(req.Deadline) - fallbackMargin)
-	defer fallback.Stop()
+	fallbackTimer := time.NewTimer(time.Until(req.Deadline) - fallbackMargin)
+	defer fallbackTimer.Stop()
 	queue := a.loop.inputs // nil once the request is posted, so that it is posted once
 	for {
 		select {
 		case queue <- requestArrived{request: req}:
 			queue = nil
-		case response := <-req.answers:
-			a.writeDecided(w, r, response)
+		case response := <-req.responses:
+			a.writeLoopResponse(w, r, response)
 			return
 		case <-r.Context().Done():
 			if queue == nil {
@@ -118,19 +118,19 @@
 			}
 			a.writeClientGone(w)
 			return
-		case <-fallback.C:
-			a.giveUp(w, req, queue == nil)
+		case <-fallbackTimer.C:
+			a.respondWithoutLoop(w, req, queue == nil)
 			return
 		case <-a.drainDeadline:
-			a.giveUp(w, req, queue == nil)
+			a.respondWithoutLoop(w, req, queue == nil)
 			return
 		}
 	}
 }
 
-// giveUp answers a request to which the loop has given no response in time. A request that was not
+// respondWithoutLoop answers a request to which the loop has given no response in time. A request that was not
 // posted never ran, and the client may send it again.
-func (a *Agent) giveUp(w http.ResponseWriter, req *request, posted bool) {
+func (a *Agent) respondWithoutLoop(w http.ResponseWriter, req *request, posted bool) {
 	if !posted {
 		a.writeNotStarted(w, req.config)
 		return
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -75,7 +75,7 @@
 
 // newTestRequest returns a request of the class "order" as the handler posts it.
 func newTestRequest(conf *config.Config, id string, deadline time.Time) *request {
-	return &request{config: conf, class: 2, tenant: -1, answers: make(chan response, 2), Request: backend.Request{
+	return &request{config: conf, class: 2, tenant: -1, responses: make(chan response, 2), Request: backend.Request{
 		Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: id, Deadline: deadline}}
 }
 
--- a/internal/agent/listed_backend.go
+++ b/internal/agent/listed_backend.go
@@ -40,5 +40,5 @@
 	b.conns.CloseIdle()
 }
 
-// isDone reports whether nothing may be sent to the backend and no attempt is in flight.
-func (b *listedBackend) isDone() bool { return !b.usable && len(b.attempts) == 0 }
+// isRemovable reports whether nothing may be sent to the backend and no attempt is in flight.
+func (b *listedBackend) isRemovable() bool { return !b.usable && len(b.attempts) == 0 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -93,7 +93,7 @@
 	l.applyLimits()
 	l.watch.discovery = discovery.New(ctx, conf.Discovery, placementOf(&settings), l.discoveryResults(0))
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
-	l.perform()
+	l.executeActions()
 	l.applyEndpointList(policy.ListCached, &conf.Known)
 	return l, nil
 }
@@ -109,7 +109,7 @@
 // applyLimits applies the bounds of connections and memory of the configuration in force.
 func (l *loop) applyLimits() {
 	l.pool.Configure(backendSettings(l.config))
-	l.seenIDs.keepAtLeast(l.config.MaxDeadline() + seenIDMargin)
+	l.seenIDs.extendRetention(l.config.MaxDeadline() + seenIDMargin)
 	l.startTimes.setTolerance(l.config.Settings.Contract.StartToleranceMs())
 }
 
@@ -172,7 +172,7 @@
 	case clientDisconnected:
 		l.onClientDisconnected(in.request)
 	case attemptEnded:
-		l.onOutcome(in.attempt, &in.result)
+		l.onAttemptEnded(in.attempt, &in.result)
 	case timerFired:
 		l.notify(&policy.TimerFired{Token: in.token})
 	case endpointsFetched:
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -37,15 +37,15 @@
 	}
 	for i, r := range requests {
 		select {
-		case got := <-r.answers:
+		case got := <-r.responses:
 			if got.status != policy.StatusRejected {
 				t.Errorf("request %d: got status %d, want %d", i, got.status, policy.StatusRejected)
 			}
 		default:
 			t.Errorf("request %d: got no response, want one", i)
 		}
-		if len(r.answers) > 0 || r.inFlight != 0 {
-			t.Errorf("request %d: got %d more responses and %d attempts in flight, want none", i, len(r.answers), r.inFlight)
+		if len(r.responses) > 0 || r.inFlight != 0 {
+			t.Errorf("request %d: got %d more responses and %d attempts in flight, want none", i, len(r.responses), r.inFlight)
 		}
 	}
 	if got := l.balancer.Snapshot(l.nowMs()); got.Inflight != 0 || got.Queued != 0 {
@@ -58,16 +58,16 @@
 
 func TestLoopCarriesOutActionsBehindPanic(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
-	rejected := &request{id: 7, answers: make(chan response, 1)}
+	rejected := &request{id: 7, responses: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, rejected
 	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // cancelling it panics
 	l.actions = []policy.Action{policy.CancelAttempt(2, 0), policy.RejectRequest(7, 0)}
 	func() {
 		defer func() { _ = recover() }()
-		l.perform()
+		l.executeActions()
 	}()
-	if len(rejected.answers) != 1 {
-		t.Errorf("got %d responses by the action behind a panic, want 1", len(rejected.answers))
+	if len(rejected.responses) != 1 {
+		t.Errorf("got %d responses by the action behind a panic, want 1", len(rejected.responses))
 	}
 }
 
@@ -82,7 +82,7 @@
 		{"in an action", func(l *loop) {
 			l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}}
 			l.actions = []policy.Action{policy.CancelAttempt(2, 0)}
-			l.perform()
+			l.executeActions()
 		}, `msg="panic in event loop" action=` + fmt.Sprint(int(policy.ActionCancelAttempt)) + ` panic=`},
 		{"in the module", func(l *loop) { l.notify((*policy.RequestArrived)(nil)) },
 			`msg="panic in decision module" event=RequestArrived panic=`},
@@ -109,7 +109,7 @@
 func TestLoopLogsTextOfModule(t *testing.T) {
 	l, log := loggingLoop(t, nowhere)
 	l.actions = []policy.Action{policy.LogText("all is well")}
-	l.perform()
+	l.executeActions()
 	want := `level=INFO msg="decision module message" text="all is well"`
 	if got := strings.TrimSpace(log.String()); got != want {
 		t.Errorf("got log\n%s, want\n%s", got, want)
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -54,14 +54,14 @@
 	if !known {
 		return nil, &requestError{status: http.StatusNotFound, reason: "unknown class of request"}
 	}
-	req := &request{config: conf, class: class, retry: r.Header.Get("Client-Retry") == "1", answers: make(chan response, 1)}
+	req := &request{config: conf, class: class, retry: r.Header.Get("Client-Retry") == "1", responses: make(chan response, 1)}
 	req.Method, req.Target, req.Host, req.Client = r.Method, r.RequestURI, r.Host, &req.client
 	timeoutText, err := readUniqueHeaders(req, r.Header)
 	if err != nil {
 		return nil, err
 	}
 	settings := &conf.Settings.Classes[class]
-	if err := checkClass(req, settings.Effect, r.ContentLength); err != nil {
+	if err := checkClassRequirements(req, settings.Effect, r.ContentLength); err != nil {
 		return nil, err
 	}
 	timeout, err := parseTimeout(timeoutText, conf.MaxDeadline())
@@ -112,9 +112,9 @@
 	return timeoutText, nil
 }
 
-// checkClass checks that a request has what the effect of its class requires, and that its Host and
+// checkClassRequirements checks that a request has what the effect of its class requires, and that its Host and
 // Request-Id can be forwarded.
-func checkClass(req *request, effect policy.Effect, contentLength int64) error {
+func checkClassRequirements(req *request, effect policy.Effect, contentLength int64) error {
 	method := http.MethodPost
 	if effect == policy.EffectIdempotent {
 		method = http.MethodGet
@@ -124,9 +124,9 @@
 		return &requestError{status: http.StatusMethodNotAllowed, reason: "this class is asked with " + method}
 	case method == http.MethodGet && contentLength > 0:
 		return &requestError{status: http.StatusBadRequest, reason: "body: none belongs to GET"}
-	case !isPlainToken(req.Host):
+	case !isValidToken(req.Host):
 		return &requestError{status: http.StatusBadRequest, reason: "Host: missing or no plain word"}
-	case !isPlainToken(req.RequestID):
+	case !isValidToken(req.RequestID):
 		return &requestError{status: http.StatusBadRequest, reason: "Request-Id: missing or no plain word"}
 	case effect == policy.EffectIdempotentWithKey && req.IdempotencyKey == "":
 		return &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key: missing"}
@@ -134,9 +134,9 @@
 	return nil
 }
 
-// isPlainToken reports whether an id or a host name can be forwarded unchanged: whether it is 1 to
+// isValidToken reports whether an id or a host name can be forwarded unchanged: whether it is 1 to
 // maxTokenBytes visible ASCII characters.
-func isPlainToken(text string) bool {
+func isValidToken(text string) bool {
 	if text == "" || len(text) > maxTokenBytes {
 		return false
 	}
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestIsPlainToken(t *testing.T) {
+func TestIsValidToken(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want bool
@@ -182,7 +182,7 @@
 		"not ASCII":       {"\u00e9", false},
 		"all punctuation": {"!#$%&'*+-.^_`|:/", true},
 	} {
-		if got := isPlainToken(c.text); got != c.want {
+		if got := isValidToken(c.text); got != c.want {
 			t.Errorf("%s: got %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/agent/ready.go
+++ b/internal/agent/ready.go
@@ -20,7 +20,7 @@
 }
 
 // update notes whether a backend can be sent to.
-func (r *readyState) update(hasEndpoint bool) { r.isReady.Store(hasEndpoint || r.timedOut) }
+func (r *readyState) update(hasBackend bool) { r.isReady.Store(hasBackend || r.timedOut) }
 
 // timeOut notes that readyTimeout is over, and reports whether that alone made the agent ready.
 func (r *readyState) timeOut() bool {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -83,8 +83,8 @@
 		if got := l.pool.Settings().MaxConns; got != limits.BackendSockets() {
 			t.Errorf("got %d connections to backends, want %d", got, limits.BackendSockets())
 		}
-		if l.seenIDs.keep < 300*time.Second {
-			t.Errorf("got ids remembered for %v, want 5m0s at least", l.seenIDs.keep)
+		if l.seenIDs.retention < 300*time.Second {
+			t.Errorf("got ids remembered for %v, want 5m0s at least", l.seenIDs.retention)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 			}
 			l.handle(requestArrived{request: r})
 			if c.wantClass < 0 {
-				if len(r.answers) != 1 || (<-r.answers).status != policy.StatusRejected || len(r.attempts) > 0 {
+				if len(r.responses) != 1 || (<-r.responses).status != policy.StatusRejected || len(r.attempts) > 0 {
 					t.Errorf("got %d attempts, want the request rejected without one", len(r.attempts))
 				}
 				return
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -26,7 +26,7 @@
 	workHintMs  float64 // the work that the client expects
 	hasWorkHint bool
 	retry       bool          // the client says that it has sent the request before
-	answers     chan response // has room for the one response
+	responses   chan response // has room for the one response
 	client      client
 
 	id policy.RequestID // the module's; 0: not yet given. Belongs to the loop
@@ -64,32 +64,32 @@
 	retryAfter  time.Duration // if it was rejected; 0: none is given
 }
 
-// renumber sets the class and the tenant of a request that was read under another configuration to the
+// remapClass sets the class and the tenant of a request that was read under another configuration to the
 // numbers that they have now. It reports whether the class still exists with the same effect.
-func (l *loop) renumber(request *request) bool {
+func (l *loop) remapClass(request *request) bool {
 	if request.config == l.config {
 		return true
 	}
-	former := &request.config.Settings.Classes[request.class]
-	class, known := l.config.Names.Class(former.Name)
-	if !known || l.config.Settings.Classes[class].Effect != former.Effect {
+	oldClass := &request.config.Settings.Classes[request.class]
+	class, known := l.config.Names.Class(oldClass.Name)
+	if !known || l.config.Settings.Classes[class].Effect != oldClass.Effect {
 		return false
 	}
 	request.class = class
 	if l.config.Names.HasTenants() {
-		request.tenant = l.tenantNow(request)
+		request.tenant = l.currentTenant(request)
 	}
 	return true
 }
 
-// tenantNow returns the number that the tenant of a request has in the configuration in force; -1 if
+// currentTenant returns the number that the tenant of a request has in the configuration in force; -1 if
 // the settings don't name it.
-func (l *loop) tenantNow(request *request) int {
-	former := request.config.Settings.Tenants
-	if request.tenant < 0 || request.tenant >= len(former) {
+func (l *loop) currentTenant(request *request) int {
+	oldTenants := request.config.Settings.Tenants
+	if request.tenant < 0 || request.tenant >= len(oldTenants) {
 		return -1
 	}
-	tenant, known := l.config.Names.Tenant(former[request.tenant].Name)
+	tenant, known := l.config.Names.Tenant(oldTenants[request.tenant].Name)
 	if !known {
 		return -1
 	}
@@ -100,12 +100,12 @@
 // It answers at once one whose class is no longer in the settings, as it never ran, and one whose id
 // came before.
 func (l *loop) onRequest(request *request) {
-	if !l.renumber(request) {
-		l.answer(request, response{status: policy.StatusRejected, retryAfter: maxRetryAfter(l.config)})
+	if !l.remapClass(request) {
+		l.respond(request, response{status: policy.StatusRejected, retryAfter: maxRetryAfter(l.config)})
 		return
 	}
 	if !l.seenIDs.add(request.RequestID, time.Now()) {
-		l.answer(request, response{status: statusDuplicateID})
+		l.respond(request, response{status: statusDuplicateID})
 		return
 	}
 	request.id = l.newRequestID()
@@ -136,11 +136,11 @@
 	l.removeIfDone(request)
 }
 
-// answer sends a request its one response, unless it is closed.
-func (l *loop) answer(request *request, answer response) {
+// respond sends a request its one response, unless it is closed.
+func (l *loop) respond(request *request, resp response) {
 	if !request.closed {
 		l.closeRequest(request)
-		request.answers <- answer
+		request.responses <- resp
 	}
 }
 
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -40,8 +40,8 @@
 	a.write(w, invalid.status, "text/plain", []byte(invalid.reason+"\n"))
 }
 
-// writeDecided writes the loop's response to a request.
-func (a *Agent) writeDecided(w http.ResponseWriter, r *http.Request, response response) {
+// writeLoopResponse writes the loop's response to a request.
+func (a *Agent) writeLoopResponse(w http.ResponseWriter, r *http.Request, response response) {
 	if response.status == statusDuplicateID {
 		a.writeRequestError(w, r, &requestError{status: http.StatusConflict, reason: "Request-Id: came before"})
 		return
--- a/internal/agent/seen_ids.go
+++ b/internal/agent/seen_ids.go
@@ -15,31 +15,31 @@
 // A generation also ends when it is full: a client that sends ids at full speed shortens how long they
 // are remembered, and doesn't use up the agent's memory. A seenIDs belongs to the loop.
 type seenIDs struct {
-	keep              time.Duration // how long an id is remembered at least, unless a generation was full
+	retention         time.Duration // how long an id is remembered at least, unless a generation was full
 	seed              maphash.Seed
 	current, previous map[uint64]struct{} // hashes of ids
 	generationStart   time.Time
 }
 
-func newSeenIDs(keep time.Duration) *seenIDs {
-	return &seenIDs{keep: keep, seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
+func newSeenIDs(retention time.Duration) *seenIDs {
+	return &seenIDs{retention: retention, seed: maphash.MakeSeed(), current: map[uint64]struct{}{}}
 }
 
-// keepAtLeast has ids remembered for a time, or for longer if they already were.
-func (s *seenIDs) keepAtLeast(keep time.Duration) { s.keep = max(s.keep, keep) }
+// extendRetention has ids remembered for a time, or for longer if they already were.
+func (s *seenIDs) extendRetention(retention time.Duration) { s.retention = max(s.retention, retention) }
 
 // add remembers an id that comes at the time given, and reports whether it is new.
-func (s *seenIDs) add(id string, at time.Time) bool {
-	if at.Sub(s.generationStart) >= s.keep || len(s.current) >= maxIDsPerSet {
-		s.previous, s.current, s.generationStart = s.current, map[uint64]struct{}{}, at
+func (s *seenIDs) add(id string, now time.Time) bool {
+	if now.Sub(s.generationStart) >= s.retention || len(s.current) >= maxIDsPerSet {
+		s.previous, s.current, s.generationStart = s.current, map[uint64]struct{}{}, now
 	}
-	sum := maphash.String(s.seed, id)
-	if _, known := s.current[sum]; known {
+	hash := maphash.String(s.seed, id)
+	if _, known := s.current[hash]; known {
 		return false
 	}
-	if _, known := s.previous[sum]; known {
+	if _, known := s.previous[hash]; known {
 		return false
 	}
-	s.current[sum] = struct{}{}
+	s.current[hash] = struct{}{}
 	return true
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -31,10 +31,10 @@
 	log     *slog.Logger
 	stop    context.CancelFunc // ends the loop
 
-	config        atomic.Pointer[config.Config] // under which new requests are read
-	startDeadline time.Duration                 // the longest deadline of the first configuration, which server.WriteTimeout allows for
-	maxDeadline   atomic.Int64                  // the longest deadline of all configurations so far, in ns
-	bodyBytes     atomic.Int64                  // bytes of the bodies in memory
+	config             atomic.Pointer[config.Config] // under which new requests are read
+	initialMaxDeadline time.Duration                 // the longest deadline of the first configuration, which server.WriteTimeout allows for
+	maxDeadline        atomic.Int64                  // the longest deadline of all configurations so far, in ns
+	bodyBytes          atomic.Int64                  // bytes of the bodies in memory
 
 	shutdownAt    atomic.Pointer[time.Time]               // when the graceful shutdown began; nil: not yet
 	drainDeadline chan struct{}                           // closed when requests in progress must be answered, before SIGKILL
@@ -52,12 +52,12 @@
 		return nil, err
 	}
 	a := &Agent{
-		loop: loop, log: log, stop: stop, startDeadline: conf.MaxDeadline(),
+		loop: loop, log: log, stop: stop, initialMaxDeadline: conf.MaxDeadline(),
 		clients:       clientconn.NewTable(conf.Limits.ClientSockets(), conf.Limits.KeptSockets()),
 		drainDeadline: make(chan struct{}), afterFunc: time.AfterFunc,
 	}
 	a.config.Store(conf)
-	a.maxDeadline.Store(int64(a.startDeadline))
+	a.maxDeadline.Store(int64(a.initialMaxDeadline))
 	a.server = a.newServer()
 	return a, nil
 }
@@ -89,7 +89,7 @@
 		ReadHeaderTimeout: clientconn.HeadTimeout,
 		IdleTimeout:       clientconn.KeepAliveTimeout,
 		MaxHeaderBytes:    maxHeadBytes,
-		WriteTimeout:      a.startDeadline + responseWriteTimeout,
+		WriteTimeout:      a.initialMaxDeadline + responseWriteTimeout,
 		// "OPTIONS *" is a request of no class: readRequest rejects it.
 		DisableGeneralOptionsHandler: true,
 		ErrorLog:                     slog.NewLogLogger(a.log.Handler(), slog.LevelWarn),
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -38,15 +38,15 @@
 	began := time.Now()
 	a.shutdownAt.Store(&began)
 	defer a.afterFunc(a.drainTimeout(), func() { close(a.drainDeadline) }).Stop()
-	limit := a.shutdownLimit()
+	maxTime := a.maxShutdownTime()
 	for {
 		elapsed := time.Since(began)
-		settled := elapsed >= shutdownAcceptTime+shutdownReadGrace
+		readGraceOver := elapsed >= shutdownAcceptTime+shutdownReadGrace
 		if elapsed >= shutdownAcceptTime {
 			ln.Close()
 		}
-		a.clients.CloseIdle(settled)
-		if settled && (a.clients.Count() == 0 || elapsed >= limit) {
+		a.clients.CloseIdle(readGraceOver)
+		if readGraceOver && (a.clients.Count() == 0 || elapsed >= maxTime) {
 			break
 		}
 		time.Sleep(shutdownPollInterval)
@@ -54,9 +54,9 @@
 	return a.server.Close() // the clients that are left are past their deadline, or don't read
 }
 
-// shutdownLimit returns how long after SIGTERM the agent ends at the latest: a request on a connection
+// maxShutdownTime returns how long after SIGTERM the agent ends at the latest: a request on a connection
 // that is accepted last may take its whole time to arrive and to be answered.
-func (a *Agent) shutdownLimit() time.Duration {
+func (a *Agent) maxShutdownTime() time.Duration {
 	return shutdownAcceptTime + shutdownReadGrace + clientconn.HeadTimeout + bodyTimeout +
 		time.Duration(a.maxDeadline.Load()) + shutdownReadGrace
 }
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -51,51 +51,51 @@
 // All times are in ms, and by the module's clock unless they are a born_ms. A startTimes belongs to
 // the loop.
 type startTimes struct {
-	known       map[policy.Addr]startTime
-	tolerance   float64 // by how much a notice may come later than the quickest one
-	noListYet   bool    // discovery has delivered no list yet
-	completeTo  float64 // up to when the list in force has all starts; 0: a watch is open
-	offset      float64 // estimate of the module's clock less that of born_ms
-	isEstimated bool    // offset was estimated
+	known           map[policy.Addr]startTime
+	toleranceMs     float64 // by how much a notice may come later than the quickest one
+	awaitsFirstList bool    // discovery has delivered no list yet
+	completeUntilMs float64 // up to when the list in force has all starts; 0: a watch is open
+	offsetMs        float64 // estimate of the module's clock less that of born_ms
+	hasOffset       bool    // offset was estimated
 }
 
 // startTime is when a backend started.
 type startTime struct {
 	bornMs  float64 // as listed
-	sinceMs float64 // by the module's clock
+	startMs float64 // by the module's clock
 }
 
 func newStartTimes() *startTimes {
-	return &startTimes{known: map[policy.Addr]startTime{}, noListYet: true}
+	return &startTimes{known: map[policy.Addr]startTime{}, awaitsFirstList: true}
 }
 
 // setTolerance sets by how much a notice may come later than the quickest one.
-func (t *startTimes) setTolerance(tolerance float64) { t.tolerance = tolerance }
+func (t *startTimes) setTolerance(toleranceMs float64) { t.toleranceMs = toleranceMs }
 
 // onWatchEnded notes that from now on no watch brings notices of starts, and that the last watch may
 // have brought none for the time silence.
-func (t *startTimes) onWatchEnded(now, silence float64) {
-	if t.completeTo == 0 {
-		t.completeTo = now - silence
+func (t *startTimes) onWatchEnded(nowMs, silenceMs float64) {
+	if t.completeUntilMs == 0 {
+		t.completeUntilMs = nowMs - silenceMs
 	}
 }
 
 // onWatchEvent notes that a watch has delivered all starts so far, and will deliver the next ones.
-func (t *startTimes) onWatchEvent() { t.noListYet, t.completeTo = false, 0 }
+func (t *startTimes) onWatchEvent() { t.awaitsFirstList, t.completeUntilMs = false, 0 }
 
 // onFetched notes that all starts so far were delivered just now.
-func (t *startTimes) onFetched(now float64) {
-	t.noListYet = false
-	if t.completeTo != 0 {
-		t.completeTo = now
+func (t *startTimes) onFetched(nowMs float64) {
+	t.awaitsFirstList = false
+	if t.completeUntilMs != 0 {
+		t.completeUntilMs = nowMs
 	}
 }
 
-// translate sets the start times of a list's entries, which hold born_ms, to those by the module's
+// toModuleClock sets the start times of a list's entries, which hold born_ms, to those by the module's
 // clock.
-func (t *startTimes) translate(entries []policy.Entry, now float64) {
-	if newest := t.newestStart(entries, now); newest > 0 {
-		t.estimate(newest, now)
+func (t *startTimes) toModuleClock(entries []policy.Entry, nowMs float64) {
+	if newestMs := t.newestBornMs(entries, nowMs); newestMs > 0 {
+		t.updateOffset(newestMs, nowMs)
 	}
 	for i := range entries {
 		entry := &entries[i]
@@ -103,67 +103,67 @@
 			entry.StartedMs = 0
 			continue
 		}
-		entry.StartedMs = t.startOf(entry.Server, entry.StartedMs, now)
+		entry.StartedMs = t.moduleStart(entry.Server, entry.StartedMs, nowMs)
 	}
 }
 
-// newestStart returns the newest born_ms of those that this list notifies of and that are a measure of
+// newestBornMs returns the newest born_ms of those that this list notifies of and that are a measure of
 // the offset; 0 if there is none.
-func (t *startTimes) newestStart(entries []policy.Entry, now float64) float64 {
-	newest := 0.0
+func (t *startTimes) newestBornMs(entries []policy.Entry, nowMs float64) float64 {
+	newestBornMs := 0.0
 	for i := range entries {
-		born := entries[i].StartedMs
-		if t.noListYet && born > now || !t.noListYet && t.known[entries[i].Server].bornMs == born {
+		bornMs := entries[i].StartedMs
+		if t.awaitsFirstList && bornMs > nowMs || !t.awaitsFirstList && t.known[entries[i].Server].bornMs == bornMs {
 			continue
 		}
-		newest = max(newest, born)
+		newestBornMs = max(newestBornMs, bornMs)
 	}
-	return newest
+	return newestBornMs
 }
 
-// startOf returns the start of a backend by the module's clock, and remembers it.
-func (t *startTimes) startOf(addr policy.Addr, born, now float64) float64 {
-	former, isKnown := t.known[addr]
-	if isKnown && former.bornMs == born {
-		return former.sinceMs
+// moduleStart returns the start of a backend by the module's clock, and remembers it.
+func (t *startTimes) moduleStart(addr policy.Addr, bornMs, nowMs float64) float64 {
+	previous, isKnown := t.known[addr]
+	if isKnown && previous.bornMs == bornMs {
+		return previous.startMs
 	}
-	since := t.noticed(born, now)
+	startMs := t.startOnNotification(bornMs, nowMs)
 	if isKnown { // the module takes only a later start for another process
-		since = max(since, math.Nextafter(former.sinceMs, math.Inf(1)))
+		startMs = max(startMs, math.Nextafter(previous.startMs, math.Inf(1)))
 	} else {
-		since = min(since, born+maxClockOffsetMs)
+		startMs = min(startMs, bornMs+maxClockOffsetMs)
 	}
-	t.known[addr] = startTime{bornMs: born, sinceMs: since}
-	return since
+	t.known[addr] = startTime{bornMs: bornMs, startMs: startMs}
+	return startMs
 }
 
-// estimate updates the estimate of the offset by the newest start of which a notice comes now.
-func (t *startTimes) estimate(newest, now float64) {
-	offset := now - newest // more than the true one, by the delay of this notice
-	if !t.isEstimated || t.noListYet || offset < t.offset || offset-t.offset > t.maxNoticeDelay(now) {
-		t.offset, t.isEstimated = offset, true
+// updateOffset updates the estimate of the offset by the newest start of which a notice comes now.
+func (t *startTimes) updateOffset(newestBornMs, nowMs float64) {
+	offsetMs := nowMs - newestBornMs // more than the true one, by the delay of this notice
+	if !t.hasOffset || t.awaitsFirstList || offsetMs < t.offsetMs || offsetMs-t.offsetMs > t.maxNotificationDelayMs(nowMs) {
+		t.offsetMs, t.hasOffset = offsetMs, true
 	}
 }
 
-// maxNoticeDelay returns how much later than the quickest notice one that comes now may be.
-func (t *startTimes) maxNoticeDelay(now float64) float64 {
+// maxNotificationDelayMs returns how much later than the quickest notice one that comes now may be.
+func (t *startTimes) maxNotificationDelayMs(nowMs float64) float64 {
 	switch {
-	case t.noListYet:
+	case t.awaitsFirstList:
 		return math.Inf(1)
-	case t.completeTo != 0:
-		return t.tolerance + now - t.completeTo
+	case t.completeUntilMs != 0:
+		return t.toleranceMs + nowMs - t.completeUntilMs
 	}
-	return t.tolerance
+	return t.toleranceMs
 }
 
-// noticed returns the start, by the module's clock, of a backend of whose start a notice comes now. It
+// startOnNotification returns the start, by the module's clock, of a backend of whose start a notice comes now. It
 // is never after now.
-func (t *startTimes) noticed(born, now float64) float64 {
-	since := born + t.offset
-	if since > now || now-since > t.maxNoticeDelay(now) {
-		return now
+func (t *startTimes) startOnNotification(bornMs, nowMs float64) float64 {
+	startMs := bornMs + t.offsetMs
+	if startMs > nowMs || nowMs-startMs > t.maxNotificationDelayMs(nowMs) {
+		return nowMs
 	}
-	return since
+	return startMs
 }
 
 // prune removes the starts of backends that are not listed once there are more of them than of the
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -172,7 +172,7 @@
 	}
 	f.hold(20 * time.Second)
 	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
-	f.loop.startTimes.translate(entries, f.loop.nowMs())
+	f.loop.startTimes.toModuleClock(entries, f.loop.nowMs())
 	if got, now := entries[0].StartedMs, f.loop.nowMs(); got > now {
 		t.Errorf("got a start at %v, want it at the module's now, %v, at the latest", got, now)
 	}
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -63,10 +63,10 @@
 
 // attributes returns the attributes of one line. Counts are those since the last line.
 func (t *tracer) attributes(state policy.Snapshot) []any {
-	all := []any{"limit", rounded(state.Limit), "floor", rounded(state.Floor),
+	all := []any{"limit", truncated(state.Limit), "floor", truncated(state.Floor),
 		"inFlight", state.Inflight, "stalled", state.Stalled, "queued", state.Queued,
-		"retryBudget", rounded(state.RetryBudget), "uncontendedLatency", rounded(state.UncontendedLatency),
-		"latency", rounded(state.Latency), t.outcomeAttr(state.Outcomes)}
+		"retryBudget", truncated(state.RetryBudget), "uncontendedLatency", truncated(state.UncontendedLatency),
+		"latency", truncated(state.Latency), t.outcomeAttr(state.Outcomes)}
 	for rank, tier := range state.Tiers {
 		all = append(all, slog.Group(fmt.Sprint("tier", rank),
 			"endpoints", tier.Endpoints, "warmingUp", tier.WarmingUp, "withCapacity", tier.WithCapacity))
@@ -81,7 +81,7 @@
 			"requests", now.Requests-last.Requests, "attempts", now.Attempts-last.Attempts,
 			"served", now.Served-last.Served, "withinObjective", now.WithinObjective-last.WithinObjective,
 			"rejected", now.Rejected-last.Rejected, "failed", now.Failed-last.Failed,
-			"queued", class.Queued, "expectedMs", rounded(class.ExpectedMs)))
+			"queued", class.Queued, "expectedMs", truncated(class.ExpectedMs)))
 		t.classes[i] = now
 	}
 	return all
@@ -98,5 +98,5 @@
 		"localFailure", now.LocalFailure-last.LocalFailure, "unreachable", now.Unreachable-last.Unreachable)
 }
 
-// rounded returns a figure cut to three decimal places, which keeps lines short.
-func rounded(x float64) float64 { return float64(int64(x*1000)) / 1000 }
+// truncated returns a figure cut to three decimal places, which keeps lines short.
+func truncated(x float64) float64 { return float64(int64(x*1000)) / 1000 }
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -109,7 +109,7 @@
 // ageToAgent returns how old a backend is to the agent, if it knows of its start.
 func (f *watchedFleet) ageToAgent(name string) (age time.Duration, known bool) {
 	start, known := f.loop.startTimes.known[endpointlist.AddressOf(name)]
-	return config.Milliseconds(f.loop.nowMs() - start.sinceMs), known
+	return config.Milliseconds(f.loop.nowMs() - start.startMs), known
 }
 
 // warmingUp returns how many backends are in their slow start to the agent.
