--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -10,15 +10,16 @@
 	"ploverreel/policy"
 )
 
-// notify hands the module one event and carries out what it decides.
+// notify passes one event to the module and executes the actions that the module decides.
 func (l *loop) notify(event policy.Event) {
 	l.decidedAt = time.Now()
 	l.actions = l.handleEvent(l.nowMs(), event)
 	l.executeActions()
 }
 
-// handleEvent hands the module one event and returns what it decides. After a panic it returns what the
-// module had decided until then: the module waits for the ends of those attempts.
+// handleEvent passes one event to the module and returns the actions that the module decides. If the
+// module panics, it returns the actions decided before the panic, because the module waits for the
+// attempts among them to end.
 func (l *loop) handleEvent(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -29,19 +30,19 @@
 	return l.balancer.Handle(nowMs, event, l.actions[:0])
 }
 
-// eventName returns the name of an event's type. It keeps the event on the caller's stack, which the
-// formatting of package fmt would not.
+// eventName returns the name of an event's type. Unlike formatting with package fmt, it doesn't make
+// the event escape to the heap.
 func eventName(event policy.Event) string { return reflect.TypeOf(event).Elem().Name() }
 
-// executeActions carries out the module's actions in their order.
+// executeActions executes the module's actions in order.
 func (l *loop) executeActions() {
 	for i := range l.actions {
 		l.execute(&l.actions[i])
 	}
 }
 
-// execute carries out one action. A panic costs that action alone: the next ones belong to other
-// requests, and the module relies on them.
+// execute executes one action. A panic affects only that action: the following ones belong to other
+// requests, and the module relies on their execution.
 func (l *loop) execute(action *policy.Action) {
 	defer l.recoverAction(action.Kind)
 	switch action.Kind {
@@ -65,15 +66,14 @@
 	}
 }
 
-// recoverAction logs a panic while an action was carried out, if there is one, and lets the loop go on.
-// It is to be deferred.
+// recoverAction recovers from a panic in the execution of an action, and logs it. It must be deferred.
 func (l *loop) recoverAction(kind policy.ActionKind) {
 	if p := recover(); p != nil {
 		l.log.Error("panic in event loop", "action", int(kind), "panic", p, "stack", string(debug.Stack()))
 	}
 }
 
-// executeForRequest carries out an action that is about an open request.
+// executeForRequest executes an action on an open request.
 func (l *loop) executeForRequest(request *request, action *policy.Action) {
 	switch action.Kind {
 	case policy.ActionSendAttempt:
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -8,17 +8,17 @@
 	"ploverreel/policy"
 )
 
-// attempt is one attempt of a request, as the loop keeps it.
+// attempt is one attempt of a request, with the data that the loop needs for it.
 type attempt struct {
 	*backend.Attempt
 	request *request
-	index   int // among the attempts of the request
+	index   int // in request.attempts
 	target  *listedBackend
 }
 
-// startAttempt starts an attempt in a goroutine of its own, which ends at the attempt's timeout, when the
-// attempt is cancelled, or with the loop's context. Its end is posted once, also if it could not
-// begin: the module waits for the end of each attempt.
+// startAttempt starts an attempt in its own goroutine, which ends by the attempt's timeout, when the
+// attempt is cancelled, or with the loop's context. The end of each attempt is posted exactly once, even
+// if the attempt could not start, because the module waits for it.
 func (l *loop) startAttempt(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
@@ -28,15 +28,15 @@
 	request.attempts = append(request.attempts, created)
 	request.inFlight++
 	started := false
-	defer func() { // after a panic too
+	defer func() { // also runs after a panic
 		if !started {
 			created.Cancel(nil)
 			l.followUps = append(l.followUps, attemptEnded{attempt: created, result: backend.Result{Status: policy.StatusNotSent}})
 		}
 	}()
 	if !target.usable || request.closed || request.client.abandoned.Load() {
-		// The module sends only to what is listed as ready; should it not, nothing goes out. Nor
-		// does it for a client whose end is still in the queue.
+		// The module sends only to backends that are listed as ready. This check doesn't rely on
+		// that. It also stops attempts for a client whose disconnect is still in the queue.
 		return
 	}
 	target.attempts[created] = struct{}{}
@@ -44,7 +44,7 @@
 	go func() { l.post(attemptEnded{attempt: created, result: created.Run()}) }()
 }
 
-// newAttempt returns an attempt with its times, which count from the decision.
+// newAttempt returns an attempt whose deadlines count from the time of the module's decision.
 func (l *loop) newAttempt(request *request, target *listedBackend, action *policy.Action) *attempt {
 	deadline := l.decidedAt.Add(config.Milliseconds(action.TimeoutMs))
 	created := &attempt{request: request, index: len(request.attempts), target: target,
@@ -55,8 +55,8 @@
 	return created
 }
 
-// onAttemptEnded handles the end of an attempt: an OK answers the request, and the module is notified of
-// each.
+// onAttemptEnded handles the end of an attempt. A result with StatusOK is sent as the response to the
+// request. The module is notified of every result.
 func (l *loop) onAttemptEnded(ended *attempt, result *backend.Result) {
 	request, target := ended.request, ended.target
 	delete(target.attempts, ended)
@@ -71,7 +71,7 @@
 	case policy.StatusOK:
 		l.respond(request, response{status: policy.StatusOK, body: result.Body, contentType: result.ContentType})
 	case policy.StatusTimeout:
-		// The machine may have vanished; its other connections would be as silent.
+		// The backend's machine may be gone, and its other connections would not respond either.
 		target.conns.CloseIdle()
 	}
 	l.notify(&policy.AttemptEnded{Request: request.id, Attempt: ended.index, Server: target.addr,
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -19,11 +19,11 @@
 	marginDivisor = 4
 )
 
-// ServeHTTP reads one request, posts it to the loop and writes its one response.
+// ServeHTTP reads one request, posts it to the loop and writes the single response.
 func (a *Agent) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	w := &responseWriter{ResponseWriter: rw}
-	var req *request // set once it is read
-	// A panic must leave neither the request without a response nor the loop with the request.
+	var req *request // nil until it has been read
+	// After a panic, the client must still get a response and the loop must drop the request.
 	defer func() {
 		if reason := recover(); reason != nil {
 			a.onHandlerPanic(w, req, reason)
@@ -55,9 +55,9 @@
 	a.awaitResponse(w, r, req)
 }
 
-// beginRequest notes that a request of a client's connection is handled, and returns when it was
-// received: when its head was read, if that is known, as the client's deadline doesn't wait until the
-// handler runs. The connection is nil in tests that call the handler alone.
+// beginRequest marks a client's connection as having a request in progress, and returns when the
+// request was received. That is when its head was read, if known, as the client's timeout runs before
+// the handler does. The connection is nil in tests that call the handler without a server.
 func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
@@ -73,8 +73,8 @@
 	return receivedAt
 }
 
-// onHandlerPanic logs a panic of the handler, abandons its request if that was read, and answers with
-// 500 unless a response was begun.
+// onHandlerPanic logs a panic of the handler, abandons the request if it had been read, and responds
+// with 500 unless a response was begun.
 func (a *Agent) onHandlerPanic(w *responseWriter, req *request, reason any) {
 	a.log.Error("panic in request handler", "panic", reason, "stack", string(debug.Stack()))
 	if req != nil {
@@ -85,8 +85,8 @@
 	}
 }
 
-// canRespondInTime reports whether a request can be answered in time. During a graceful shutdown it first
-// limits the request's deadline to the time of the last response.
+// canRespondInTime reports whether a request can be answered before its deadline. During a graceful
+// shutdown it first limits the deadline to the time of the last response.
 func (a *Agent) canRespondInTime(req *request) bool {
 	if began := a.shutdownAt.Load(); began != nil {
 		if last := began.Add(a.drainTimeout()); last.Before(req.Deadline) {
@@ -99,12 +99,13 @@
 	return time.Until(req.Deadline) > fallbackMargin
 }
 
-// awaitResponse posts a request to the loop, waits for its response and writes that. It waits no longer
-// than the client does, as the loop may be busy, its queue full, or its decision lost in a panic.
+// awaitResponse posts a request to the loop, waits for the response and writes it. It stops waiting
+// shortly before the request's deadline, or when the client disconnects, because the loop may be busy,
+// its queue may be full, or a panic may have lost the decision.
 func (a *Agent) awaitResponse(w http.ResponseWriter, r *http.Request, req *request) {
 	fallbackTimer := time.NewTimer(time.Until(req.Deadline) - fallbackMargin)
 	defer fallbackTimer.Stop()
-	queue := a.loop.inputs // nil once the request is posted, so that it is posted once
+	queue := a.loop.inputs // nil after the request is posted, so that it isn't posted twice
 	for {
 		select {
 		case queue <- requestArrived{request: req}:
@@ -128,8 +129,8 @@
 	}
 }
 
-// respondWithoutLoop answers a request to which the loop has given no response in time. A request that was not
-// posted never ran, and the client may send it again.
+// respondWithoutLoop responds to a request for which the loop has sent no response in time. If the
+// request was not posted, it never ran and the client may retry it.
 func (a *Agent) respondWithoutLoop(w http.ResponseWriter, req *request, posted bool) {
 	if !posted {
 		a.writeNotStarted(w, req.config)
@@ -139,11 +140,12 @@
 	a.write(w, http.StatusGatewayTimeout, "", nil)
 }
 
-// abandon notifies the loop that nobody waits for a request any more. It doesn't block: where the
-// loop's queue is full, a goroutine waits to post. But for a panic, only posted requests are
-// abandoned, so there are no more of these goroutines than requests in the loop and its queue.
+// abandon notifies the loop that the handler of a request has stopped waiting for a response. It
+// doesn't block: if the loop's queue is full, a goroutine waits for space in it. Except after a panic,
+// only posted requests are abandoned. The number of these goroutines is therefore bounded by the
+// number of requests in the loop and its queue.
 func (a *Agent) abandon(req *request) {
-	req.client.abandoned.Store(true) // attempts see it at once, however long the loop's queue is
+	req.client.abandoned.Store(true) // attempts check it without waiting for the loop's queue
 	disconnected := clientDisconnected{request: req}
 	select {
 	case a.loop.inputs <- disconnected:
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -30,29 +30,30 @@
 	seenIDMargin = time.Second
 )
 
-// loop owns the Balancer. One goroutine, that of run, hands it the inputs in order and carries out what
-// it decides. Nothing in it blocks. The fields belong to that goroutine, but any may use inputs, ctx
-// and ready.isReady.
+// loop is the event loop of an agent. It owns the policy.Balancer, which is the decision module. The
+// goroutine of run passes the inputs to the module in order and executes the actions that the module
+// decides. It never blocks. The fields belong to that goroutine, except for inputs, ctx and
+// ready.isReady, which any goroutine may use.
 //
-// The loop starts a goroutine for each attempt and each call to discovery. All of them, and run,
-// end with ctx, which belongs to whoever made the loop: Agent.stop ends that of an agent.
+// The loop starts a goroutine for each attempt and for each call to discovery. All of them, and run,
+// end with ctx, which the creator of the loop cancels: Agent.stop does so for an agent.
 type loop struct {
-	// The decision module, and what it decided last.
+	// The decision module and its last decision.
 	balancer  *policy.Balancer
 	config    *config.Config // in force
 	clock     moduleClock
-	decidedAt time.Time       // just before the module read its clock for the current event: its timeouts count from then
+	decidedAt time.Time       // just before the module's clock was read for the current event; timeouts of actions start here
 	actions   []policy.Action // decided for the current event; reused
 
-	// Inputs, and timers that post some.
+	// Inputs, and the timers that post them.
 	ctx       context.Context
 	inputs    chan input
-	followUps []input                                 // inputs that the loop itself caused, to be handled next
+	followUps []input                                 // inputs that the loop itself caused; handled before those in the queue
 	afterFunc func(time.Duration, func()) *time.Timer // time.AfterFunc; replaced by tests
 
-	// Open requests and the backends that they go to.
+	// Open requests and backends.
 	requests map[policy.RequestID]*request
-	lastID   policy.RequestID // given to a request
+	lastID   policy.RequestID // the id that was assigned last
 	seenIDs  *seenIDs
 	backends map[policy.Addr]*listedBackend
 	pool     *backend.Pool
@@ -60,16 +61,16 @@
 	// The endpoint list.
 	watch         watchState
 	startTimes    *startTimes
-	onListApplied func(seq int64, whole bool) // called with each list that is put in force; may be nil
+	onListApplied func(seq int64, whole bool) // called after each list is put in force; may be nil
 
 	ready readyState
 
 	log    *slog.Logger
-	tracer *tracer // nil: no trace was started
+	tracer *tracer // nil until a trace is started
 }
 
-// newLoop returns a loop whose module knows the endpoint list of the configuration. Its error is that
-// of a configuration that the module refuses.
+// newLoop returns a loop whose module has the endpoint list of the configuration. It returns an error
+// if the module rejects the settings.
 func newLoop(ctx context.Context, conf *config.Config, log *slog.Logger) (*loop, error) {
 	settings := conf.ModuleSettings()
 	balancer, err := policy.New(settings, conf.Seed)
@@ -98,7 +99,7 @@
 	return l, nil
 }
 
-// placementOf returns where discovery runs: a list that is watched comes from the agent's own machine.
+// placementOf returns where discovery runs. With watched membership it runs on the agent's own machine.
 func placementOf(settings *policy.Settings) discovery.Placement {
 	if settings.Membership == policy.MembershipWatched {
 		return discovery.Local
@@ -106,14 +107,15 @@
 	return discovery.Shared
 }
 
-// applyLimits applies the bounds of connections and memory of the configuration in force.
+// applyLimits applies the limits of the configuration in force to connections, request ids and start
+// times.
 func (l *loop) applyLimits() {
 	l.pool.Configure(backendSettings(l.config))
 	l.seenIDs.extendRetention(l.config.MaxDeadline() + seenIDMargin)
 	l.startTimes.setTolerance(l.config.Settings.Contract.StartToleranceMs())
 }
 
-// backendSettings returns the settings of the connections to backends.
+// backendSettings returns the settings of the connection pool for backends.
 func backendSettings(conf *config.Config) backend.Settings {
 	settings := &conf.Settings
 	connectTimeout := config.Milliseconds(settings.Limits.ConnectTimeoutMs)
@@ -124,14 +126,15 @@
 		ConnectTimeout: connectTimeout,
 		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / idleTimeoutDivisor),
 		MaxConns:       conf.Limits.BackendSockets(),
-		// Where the settings price connections, waiting some milliseconds for one that settles costs
-		// less than a new one: an answer within its latency objective is worth no less for it.
+		// If connections have a price in the settings, waiting some milliseconds for one to settle
+		// costs less than opening another. The wait doesn't lower the value of an answer that stays
+		// within its latency objective.
 		ExtraConns: settings.Prices.Handshake == 0 && settings.Prices.Connection == 0,
 	}
 }
 
-// post queues an input. It waits while the queue is full and returns at once when the loop has
-// ended. The loop's own goroutine must not call it, and uses followUps instead.
+// post adds an input to the queue. It blocks while the queue is full, and returns at once after the
+// loop has ended. The loop's own goroutine must not call it and uses followUps instead.
 func (l *loop) post(in input) {
 	select {
 	case l.inputs <- in:
@@ -139,7 +142,7 @@
 	}
 }
 
-// run handles the inputs, each with its follow-ups, until ctx ends.
+// run handles each input and its follow-ups until ctx ends.
 func (l *loop) run() {
 	l.afterFunc(readyTimeout, func() { l.post(readyTimeoutExpired{}) })
 	for {
@@ -153,7 +156,7 @@
 	}
 }
 
-// handleFollowUps handles the inputs that the loop itself caused, until none is left.
+// handleFollowUps handles the inputs that the loop itself caused until none remains.
 func (l *loop) handleFollowUps() {
 	for len(l.followUps) > 0 {
 		var in input
@@ -162,8 +165,8 @@
 	}
 }
 
-// handle handles one input. A panic costs only the request of that input its decision, which its
-// handler then answers by itself: one bad event must not end all other requests.
+// handle handles one input. If that panics, only the request of that input loses its decision, and its
+// HTTP handler responds without the loop. The other requests must not fail with it.
 func (l *loop) handle(in input) {
 	defer l.recoverInput(in)
 	switch in := in.(type) {
@@ -198,8 +201,9 @@
 	}
 }
 
-// reload puts another configuration in force, all or nothing. Its error is a *fielderror.Error where a
-// field can't be put in force, or that of a panic: the caller waits for a result in any case.
+// reload puts another configuration in force, as a whole or not at all. Its error is a
+// *fielderror.Error if a field can't be changed. A panic is returned as an error too, because the
+// caller waits for a result.
 func (l *loop) reload(conf *config.Config) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -218,8 +222,8 @@
 	return nil
 }
 
-// recoverInput logs a panic while an input was handled, if there is one, with the type of the input,
-// and lets the loop go on. It is to be deferred.
+// recoverInput recovers from a panic in the handling of an input, and logs it with the type of the
+// input. It must be deferred.
 func (l *loop) recoverInput(in input) {
 	if p := recover(); p != nil {
 		l.log.Error("panic in event loop", "input", fmt.Sprintf("%T", in), "panic", p, "stack", string(debug.Stack()))
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -19,36 +19,36 @@
 type request struct {
 	backend.Request // as it is forwarded
 
-	config      *config.Config // in force when it was read; class and tenant are its numbers
+	config      *config.Config // in force when the request was read; class and tenant are indices in it
 	class       int
-	tenant      int     // -1: none that the settings name
+	tenant      int     // -1: not in the settings
 	keyHash     uint64  // of the key by which a backend is chosen; 0: no key
-	workHintMs  float64 // the work that the client expects
+	workHintMs  float64 // processing time that the client expects
 	hasWorkHint bool
-	retry       bool          // the client says that it has sent the request before
-	responses   chan response // has room for the one response
+	retry       bool          // the client marked the request as a retry
+	responses   chan response // buffered for the single response
 	client      client
 
-	id policy.RequestID // the module's; 0: not yet given. Belongs to the loop
+	id policy.RequestID // the module's id, which belongs to the loop; 0: not assigned yet
 	progress
 }
 
-// progress records how far a request has come. It belongs to the loop.
+// progress is the state of a request in the loop, to which it belongs.
 type progress struct {
-	closed   bool       // it was answered, or its client has disconnected
-	attempts []*attempt // an element is nil where this machine failed the attempt, as may happen often
+	closed   bool       // the request was answered, or its client has disconnected
+	attempts []*attempt // nil elements are attempts that this machine could not make, which may be many
 	inFlight int        // attempts that have not ended
 }
 
-// client is who waits for the response to a request.
+// client is the client that waits for the response to a request.
 type client struct {
-	conn      net.Conn    // nil in tests that call the handler alone
-	abandoned atomic.Bool // it has disconnected, or was answered without the loop; any goroutine may set it
+	conn      net.Conn    // nil in tests that call the handler without a server
+	abandoned atomic.Bool // the client disconnected, or the handler responded without the loop; set by any goroutine
 }
 
-// HasLeft reports whether nobody waits for the response any more. It looks at the client's connection
-// itself, whose end may have arrived without having been read: on a busy machine the goroutine that
-// reads it, or the loop, may be far behind.
+// HasLeft reports whether the client no longer waits for the response. It checks the connection itself
+// for a close that has arrived and was not read yet: on a busy machine the goroutine that reads the
+// connection, or the loop, may lag far behind.
 func (c *client) HasLeft() bool {
 	if !c.abandoned.Load() && c.conn != nil && socket.PeerClosed(c.conn) {
 		c.abandoned.Store(true)
@@ -56,16 +56,17 @@
 	return c.abandoned.Load()
 }
 
-// response is the one final response to a request.
+// response is the single response to a request.
 type response struct {
-	status      policy.Status // StatusOK: served; StatusRejected: never ran; statusDuplicateID; any other: failed
+	status      policy.Status // StatusOK: served; StatusRejected: never ran; statusDuplicateID; any other status: failed
 	body        []byte
 	contentType string
-	retryAfter  time.Duration // if it was rejected; 0: none is given
+	retryAfter  time.Duration // of a rejected request; 0: no Retry-After
 }
 
-// remapClass sets the class and the tenant of a request that was read under another configuration to the
-// numbers that they have now. It reports whether the class still exists with the same effect.
+// remapClass updates the class and the tenant of a request that was read under another configuration to
+// their indices in the configuration in force. It reports whether the class still exists with the same
+// effect.
 func (l *loop) remapClass(request *request) bool {
 	if request.config == l.config {
 		return true
@@ -82,8 +83,8 @@
 	return true
 }
 
-// currentTenant returns the number that the tenant of a request has in the configuration in force; -1 if
-// the settings don't name it.
+// currentTenant returns the index of a request's tenant in the configuration in force, or -1 if the
+// settings don't contain the tenant.
 func (l *loop) currentTenant(request *request) int {
 	oldTenants := request.config.Settings.Tenants
 	if request.tenant < 0 || request.tenant >= len(oldTenants) {
@@ -96,9 +97,9 @@
 	return tenant
 }
 
-// onRequest notifies the module of a request that arrived, with the time that is left for attempts.
-// It answers at once one whose class is no longer in the settings, as it never ran, and one whose id
-// came before.
+// onRequest notifies the module of a new request and of the time that remains for attempts. It rejects
+// the request at once, as never run, if its class is no longer in the settings. It also responds at
+// once if the id is that of an earlier request.
 func (l *loop) onRequest(request *request) {
 	if !l.remapClass(request) {
 		l.respond(request, response{status: policy.StatusRejected, retryAfter: maxRetryAfter(l.config)})
@@ -117,7 +118,7 @@
 		WorkHintMs: request.workHintMs, HasWorkHint: request.hasWorkHint, Retry: request.retry})
 }
 
-// newRequestID returns the next id for the module. It is never 0, which means that none was given.
+// newRequestID returns the next id for the module. It skips 0, which means that no id was assigned.
 func (l *loop) newRequestID() policy.RequestID {
 	l.lastID++
 	if l.lastID == 0 {
@@ -126,7 +127,8 @@
 	return l.lastID
 }
 
-// onClientDisconnected closes a request whose handler has given up on the loop, unless it is closed.
+// onClientDisconnected closes a request whose handler has stopped waiting for the loop, unless the
+// request is already closed.
 func (l *loop) onClientDisconnected(request *request) {
 	if request.id == 0 || request.closed {
 		return
@@ -136,7 +138,7 @@
 	l.removeIfDone(request)
 }
 
-// respond sends a request its one response, unless it is closed.
+// respond closes a request and sends its single response, unless the request is already closed.
 func (l *loop) respond(request *request, resp response) {
 	if !request.closed {
 		l.closeRequest(request)
@@ -144,9 +146,9 @@
 	}
 }
 
-// closeRequest marks a request that is answered or whose client has disconnected. Its attempts that
-// have not begun must not begin any more, wherever they wait. That is no cancellation, which the
-// settings may forbid, as no byte of them has been sent.
+// closeRequest marks a request as closed because it is answered or its client has disconnected. Its
+// attempts that have not begun to send are withdrawn, wherever they wait. The settings may forbid
+// cancellation, but this is none, as no byte of those attempts was sent.
 func (l *loop) closeRequest(request *request) {
 	request.closed = true
 	for _, attempt := range request.attempts {
@@ -156,7 +158,7 @@
 	}
 }
 
-// removeIfDone removes a request that is closed and has no attempt in flight.
+// removeIfDone removes a request if it is closed and has no attempt in flight.
 func (l *loop) removeIfDone(request *request) {
 	if request.closed && request.inFlight == 0 {
 		delete(l.requests, request.id)
