--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -14,8 +14,8 @@
 	"ploverreel/policy"
 )
 
-// newLoopAttempt makes an attempt as the loop keeps it, with a request of its own.
-func newLoopAttempt(target *listedBackend) *attempt {
+// newTestAttempt returns an attempt in the loop's form, with its own request.
+func newTestAttempt(target *listedBackend) *attempt {
 	created := &attempt{target: target, request: &request{responses: make(chan response, 1)}}
 	created.request.Request = backend.Request{Method: http.MethodPost, Target: "/order/u1", Host: "backend.local",
 		RequestID: "id1", Body: []byte("body")}
@@ -24,8 +24,8 @@
 	return created
 }
 
-// The times of an action count from when the module's clock was read: a scheduling delay between
-// that and the send must not carry an attempt out of its window, nor past its deadline.
+// The timeouts of an action count from when the module's clock was read. A scheduling delay between
+// that and the send must not let an attempt begin after its window, nor run past its deadline.
 func TestAttemptTimesCountFromDecision(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	late := &request{id: 1, responses: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
@@ -46,9 +46,9 @@
 }
 
 func TestLoopLogsPanicOfAttempt(t *testing.T) {
-	l, text := loggingLoop(t, nowhere)
+	l, text := newLoggingLoop(t, refusingAddr)
 	l.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	panics := newLoopAttempt(l.backends[endpointlist.AddressOf("s-0")])
+	panics := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
 	l.handle(attemptEnded{attempt: panics, result: panics.Run()})
 	want := `level=ERROR msg="attempt panicked" err="panic in an attempt: boom\n`
 	if got := text.String(); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
@@ -56,7 +56,7 @@
 	}
 	text.Reset()
 	l.pool.DialContext = (&net.Dialer{}).DialContext
-	fails := newLoopAttempt(l.backends[endpointlist.AddressOf("s-0")])
+	fails := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
 	l.handle(attemptEnded{attempt: fails, result: fails.Run()})
 	if got := text.String(); got != "" {
 		t.Errorf("got log\n%s, want none of an attempt that fails without a panic", got)
--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -13,11 +13,11 @@
 	"ploverreel/internal/clientconn"
 )
 
-// Clients that send one request and keep their connections without end must not use up all slots:
-// above the limit connections close with their response.
-func TestAgentClosesConnectionsAboveKeptLimit(t *testing.T) {
+// Clients that send one request and never close their connections must not take all slots: above
+// the limit, connections are closed with their response.
+func TestAgentClosesConnectionsAboveKeepAliveLimit(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	slots, _ := agent.clients.Limits()
 	agent.clients.Resize(slots, 3)
 	kept := 0
@@ -38,11 +38,11 @@
 	}
 }
 
-// Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
-// on the connection reach a backend.
+// Malformed and ambiguous requests get an error or a close soon. Neither they nor the bytes that
+// follow on the connection reach a backend.
 func TestAgentRejectsMalformedRequests(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	addr, received := agenttest.IDBackend(t, 200, false)
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	head := func(extra ...string) string {
 		return "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: bad1\r\nRequest-Timeout: 30000m\r\n" +
 			strings.Join(extra, "\r\n") + "\r\n"
@@ -85,8 +85,8 @@
 		})
 	}
 	t.Cleanup(func() {
-		if len(came) > 0 {
-			t.Errorf("the backend got request %q, want none", <-came)
+		if len(received) > 0 {
+			t.Errorf("the backend got request %q, want none", <-received)
 		}
 	})
 }
@@ -97,16 +97,16 @@
 		t.Fatalf("got %v until a client that sends nothing is closed, want less than 3 s", got)
 	}
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	if got := agenttest.ReadToEnd(t, agenttest.Dial(t, base)); got != "" {
 		t.Fatalf("got %q, want nothing for a client that sent nothing", got)
 	}
 }
 
-// A graceful shutdown doesn't wait for incomplete requests and silent connections.
+// A graceful shutdown doesn't wait for incomplete requests or silent connections.
 func TestShutdownDoesNotWaitForIncompleteRequests(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr)) // the deadline of its classes is 30 s
+	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr)) // the deadline of its classes is 30 s
 	agenttest.Dial(t, base)
 	half := agenttest.Dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -15,21 +15,22 @@
 	"ploverreel/internal/agenttest"
 )
 
-// attemptBounds are how many attempts a request may lead to.
-type attemptBounds struct{ least, most int }
+// attemptBounds are the bounds of the number of attempts of a request.
+type attemptBounds struct{ min, max int }
 
-// The attempts of a request that was not received whole, that may have been, and that was.
+// The bounds for a request that was not received completely, that may have been received, and that
+// was.
 var (
 	noAttempt  = attemptBounds{0, 0}
 	atMostOne  = attemptBounds{0, 1}
 	exactlyOne = attemptBounds{1, 1}
 )
 
-// connErrnos are errors with which reads and writes of a client's connection may fail.
+// connErrnos are errors that reads and writes on a client's connection may return.
 var connErrnos = []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENOBUFS}
 
-// faultyClient sends requests to an agent over connections with faults, and counts the attempts that
-// each leads to.
+// faultyClient sends requests to an agent over connections with faults, and counts the attempts of
+// each request.
 type faultyClient struct {
 	agent    *Agent
 	base     string
@@ -44,18 +45,19 @@
 	addr, received := agenttest.IDBackend(t, 200, false)
 	c := &faultyClient{received: received, attempts: map[string]int{}, want: map[string]attemptBounds{}}
 	c.next.Store(&agenttest.NoFault)
-	c.agent, c.base, _, _ = startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
+	c.agent, c.base, _, _ = startAgentOn(t, agenttest.Config(refusingAddr, addr), func(ln net.Listener) net.Listener {
 		return agenttest.FaultyListener{Listener: ln, Next: &c.next}
 	})
 	return c
 }
 
-// requestText returns a request with a body, after which the connection closes.
+// requestText returns a request with a body that asks for its connection to be closed.
 func (*faultyClient) requestText(id string) string {
 	return strings.Replace(agenttest.RequestText("order", id), "\r\n\r\n", "\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody", 1)
 }
 
-// send sends a request over a connection with a fault, and returns what arrived until its end.
+// send sends a request over a connection with a fault, and returns the bytes received until the
+// connection ended.
 func (c *faultyClient) send(t *testing.T, fault agenttest.Fault, want attemptBounds) string {
 	t.Helper()
 	c.countAttempts()
@@ -65,33 +67,33 @@
 	conn := agenttest.Dial(t, c.base)
 	defer conn.Close()
 	io.WriteString(conn, c.requestText(id))
-	said := agenttest.ReadToEnd(t, conn)
+	answer := agenttest.ReadToEnd(t, conn)
 	conn.Close()
 	agenttest.Eventually(t, "its slot free", func() bool { return c.agent.clients.Count() == 0 })
-	return said
+	return answer
 }
 
-// countAttempts counts what the backend has got so far.
+// countAttempts counts the requests that the backend has received so far.
 func (c *faultyClient) countAttempts() {
 	for len(c.received) > 0 {
 		c.attempts[<-c.received]++
 	}
 }
 
-// checkAttempts checks the attempts that the requests have led to.
+// checkAttempts checks the number of attempts of each request.
 func (c *faultyClient) checkAttempts(t *testing.T) {
 	t.Helper()
 	checkNothingForwarded(t, c.agent, make(chan string))
 	c.countAttempts()
 	for id, want := range c.want {
-		if got := c.attempts[id]; got < want.least || got > want.most {
-			t.Errorf("request %s: got %d attempts, want %d to %d", id, got, want.least, want.most)
+		if got := c.attempts[id]; got < want.min || got > want.max {
+			t.Errorf("request %s: got %d attempts, want %d to %d", id, got, want.min, want.max)
 		}
 	}
 }
 
-// checkReadFaults breaks connections at each step-th byte of the request, and right after it: to the
-// agent its client has disconnected then.
+// checkReadFaults breaks connections at every step-th byte of the request, and right after it. For
+// the agent the client has disconnected then.
 func (c *faultyClient) checkReadFaults(t *testing.T, errno syscall.Errno, step int, whole string) {
 	t.Helper()
 	length := len(c.requestText("f000000"))
@@ -108,7 +110,7 @@
 	}
 }
 
-// checkWriteFaults breaks connections at each step-th byte of the response.
+// checkWriteFaults breaks connections at every step-th byte of the response.
 func (c *faultyClient) checkWriteFaults(t *testing.T, errno syscall.Errno, step int, whole string) {
 	t.Helper()
 	for at := 0; at < len(whole); at += step {
@@ -119,9 +121,10 @@
 	}
 }
 
-// Wherever in a request or its response a client's connection breaks, and however few bytes each
-// read and write moves: the client gets one response, a part of it or none, never a wrong one; there
-// is at most one attempt, none before the request is complete; and the slot is free again.
+// A client's connection may break at any byte of a request or its response, and each read and write
+// may move few bytes. The client gets one response, a part of it or none, and never a wrong one.
+// There is at most one attempt, and none before the request is complete. The slot is free again
+// afterwards.
 func TestAgentAnswersOnceWhereverClientConnectionBreaks(t *testing.T) {
 	client := newFaultyClient(t)
 	whole := client.send(t, agenttest.NoFault, exactlyOne)
@@ -142,14 +145,14 @@
 	client.checkAttempts(t)
 }
 
-// acceptErrnos are errors of accept that say nothing against the listener.
+// acceptErrnos are errors of accept that don't mean that the listener has failed.
 var acceptErrnos = []syscall.Errno{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.EPERM, syscall.ENFILE, syscall.EMFILE, syscall.ETIMEDOUT,
 	syscall.EINTR, syscall.ECONNABORTED, syscall.EAGAIN, syscall.EINVAL,
 }
 
-// However accept fails and however often, the agent serves the next connection.
+// The agent serves the next connection after any number of failed accepts, whatever their error.
 func TestAgentServesAfterFailedAccepts(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
 	for _, errno := range acceptErrnos {
@@ -157,7 +160,7 @@
 			t.Parallel()
 			left := &atomic.Int32{}
 			left.Store(8)
-			_, base, _, ended := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
+			_, base, _, ended := startAgentOn(t, agenttest.Config(refusingAddr, addr), func(ln net.Listener) net.Listener {
 				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
 			})
 			conn := agenttest.Dial(t, base)
--- a/internal/agent/clock_offset_test.go
+++ b/internal/agent/clock_offset_test.go
@@ -8,9 +8,10 @@
 	"ploverreel/internal/config"
 )
 
-// The quickest notice of a start gives the offset of the backends' clock from the agent's, whatever
-// the agent's reads. By it later notices are known to be late, up to the tolerance.
-func TestStartTimesMeasureOffsetByQuickestNotice(t *testing.T) {
+// The fastest notification of a start determines the offset between the backends' clock and the
+// agent's, whatever the agent's clock reads. The delay of later notifications is then known, up to
+// the tolerance.
+func TestStartTimesEstimateOffsetFromFastestNotification(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
 			f := startWatchedFleet(t, step)
@@ -29,33 +30,33 @@
 				{"s-4", 300*time.Millisecond + tolerance, 0}, // a clock disagrees, or the notice was very late
 				{"s-5", 100 * time.Millisecond, 0},
 			} {
-				f.notify(false, f.startBackend(c.name, c.delay))
-				if got, _ := f.ageToAgent(c.name); got.Round(time.Millisecond) != c.want {
+				f.deliver(false, f.startBackend(c.name, c.delay))
+				if got, _ := f.estimatedAge(c.name); got.Round(time.Millisecond) != c.want {
 					t.Errorf("%s, notice after %v: got it %v old, want %v", c.name, c.delay, got, c.want)
 				}
-				f.hold(time.Second)
+				f.advanceChecked(time.Second)
 			}
-			f.hold(20 * time.Second)
+			f.advanceChecked(20 * time.Second)
 		})
 	}
 }
 
-// A backend whose clock was stepped back looks older by the step as long as that is within the
-// tolerance, and by nothing if it is not.
+// A backend whose clock was stepped back appears older by the size of the step if that is within
+// the tolerance, and not older otherwise.
 func TestStartTimesBoundStepOfBackendClock(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 1714 * time.Millisecond, 1715 * time.Millisecond, time.Minute, time.Hour} {
 		t.Run(fmt.Sprint("back by ", back), func(t *testing.T) {
 			f := startWatchedFleet(t, 0)
-			f.notify(false, f.startBackend("s-0", 0))
-			f.machine.pass(time.Second)
+			f.deliver(false, f.startBackend("s-0", 0))
+			f.machine.advance(time.Second)
 			stepped := f.startBackend("s-1", 0)
 			stepped.BornMs -= float64(back.Milliseconds())
-			f.notify(false, stepped)
+			f.deliver(false, stepped)
 			want := back
 			if back > config.Milliseconds(f.loop.startTimes.toleranceMs) {
 				want = 0
 			}
-			if got, _ := f.ageToAgent("s-1"); got.Round(time.Millisecond) != want {
+			if got, _ := f.estimatedAge("s-1"); got.Round(time.Millisecond) != want {
 				t.Errorf("got it %v old at its start, want %v", got, want)
 			}
 		})
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -13,33 +13,33 @@
 	"ploverreel/internal/agenttest"
 )
 
-// rejectingBackend is a stand-in that rejects its one request, when the test lets it.
+// rejectingBackend is a fake backend that rejects its only request when the test allows it.
 type rejectingBackend struct {
 	addr     string
 	received chan struct{} // closed once the request has arrived
-	answer   chan struct{} // closed by the test: the request is rejected
+	release  chan struct{} // closed by the test: the request is rejected
 }
 
-func startRejecting(t *testing.T) *rejectingBackend {
+func startRejectingBackend(t *testing.T) *rejectingBackend {
 	t.Helper()
-	b := &rejectingBackend{received: make(chan struct{}), answer: make(chan struct{})}
+	b := &rejectingBackend{received: make(chan struct{}), release: make(chan struct{})}
 	b.addr = agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
 			close(b.received)
-			<-b.answer
+			<-b.release
 			io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
 	return b
 }
 
-// unansweredAddr is the address of a backend that accepts no connection, on an agent whose connects
-// holdConnects holds.
+// unansweredAddr is the address of a backend that accepts no connection. Connects to it are blocked
+// by blockConnects.
 const unansweredAddr = "127.0.0.1:1"
 
-// holdConnects holds an agent's connects to unansweredAddr until their contexts end. Closed are
-// began when one begins, and ended when it has ended.
-func holdConnects(agent *Agent) (began, ended chan struct{}) {
+// blockConnects blocks an agent's connects to unansweredAddr until their contexts end. began is
+// closed when a connect begins, and ended when it has ended.
+func blockConnects(agent *Agent) (began, ended chan struct{}) {
 	began, ended = make(chan struct{}), make(chan struct{})
 	connect := agent.loop.pool.DialContext
 	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -54,11 +54,11 @@
 	return began, ended
 }
 
-// checkNextServed checks that the agent serves another client next, as the first whose request
-// reaches the backend.
+// checkNextServed checks that the agent serves another client next, and that its request is the
+// first one to reach the backend.
 func checkNextServed(t *testing.T, base string, received chan string) {
 	t.Helper()
-	if status, _, _ := do(t, call(base, "order")); status != 200 {
+	if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 {
 		t.Fatalf("got status %d for the next client, want 200", status)
 	}
 	if id := <-received; id == "left" {
@@ -66,12 +66,12 @@
 	}
 }
 
-// checkNothingForwarded waits until no request is in progress, and fails the test if a backend got
-// one.
+// checkNothingForwarded waits until no request is in progress, and fails the test if a backend
+// received one.
 func checkNothingForwarded(t *testing.T, agent *Agent, received chan string) {
 	t.Helper()
 	agenttest.Eventually(t, "no request in progress", func() (none bool) {
-		agent.look(func(l *loop) { none = len(l.requests) == 0 })
+		agent.inspect(func(l *loop) { none = len(l.requests) == 0 })
 		return none
 	})
 	if len(received) > 0 {
@@ -79,8 +79,9 @@
 	}
 }
 
-// The request of a client that has disconnected is not forwarded: wherever it waits, whatever the
-// settings say of cancelling, and whether or not more bytes arrived before the close.
+// The request of a client that has disconnected is not forwarded. This holds wherever the request
+// waits, whether or not the settings allow cancellation, and whether or not more bytes arrived
+// before the close.
 func TestAgentForwardsNothingForDisconnectedClient(t *testing.T) {
 	for _, more := range []struct{ name, text string }{
 		{"nothing sent after it", ""},
@@ -91,32 +92,32 @@
 		for _, cancelling := range []bool{true, false} {
 			for _, wait := range []string{"capacity", "connect", "retry"} {
 				t.Run(fmt.Sprintf("waits for %s, %s, cancelling %v", wait, more.name, cancelling), func(t *testing.T) {
-					playDisconnect(t, wait, more.text, cancelling)
+					testDisconnect(t, wait, more.text, cancelling)
 				})
 			}
 		}
 	}
 }
 
-// playDisconnect has a client disconnect after some more bytes, while its request waits for
-// capacity, a connect or a retry.
-func playDisconnect(t *testing.T, wait, more string, cancelling bool) {
+// testDisconnect lets a client disconnect after sending some more bytes, while its request waits
+// for capacity, a connect or a retry.
+func testDisconnect(t *testing.T, wait, more string, cancelling bool) {
 	backend, received := agenttest.IDBackend(t, 200, false)
-	rejecting := startRejecting(t)
-	conf := agenttest.Config(nowhere, map[string][]string{"capacity": nil, "connect": {unansweredAddr}, "retry": {rejecting.addr}}[wait]...)
+	rejecting := startRejectingBackend(t)
+	conf := agenttest.Config(refusingAddr, map[string][]string{"capacity": nil, "connect": {unansweredAddr}, "retry": {rejecting.addr}}[wait]...)
 	conf["settings"].(map[string]any)["limits"].(map[string]any)["cancelling"] = cancelling
-	agent, base, _, _ := start(t, conf)
-	connectBegan, connectEnded := holdConnects(agent)
+	agent, base, _, _ := startAgent(t, conf)
+	connectBegan, connectEnded := blockConnects(agent)
 	conn := agenttest.Dial(t, base)
 	io.WriteString(conn, agenttest.RequestText("order", "left"))
-	agenttest.Eventually(t, "the request in progress", func() bool { return agent.holds("left") })
+	agenttest.Eventually(t, "the request in progress", func() bool { return agent.hasOpenRequest("left") })
 	switch wait {
 	case "connect":
 		<-connectBegan
 	case "retry":
 		<-rejecting.received
 		agent.applyList(2) // no endpoint remains
-		close(rejecting.answer)
+		close(rejecting.release)
 		agenttest.Eventually(t, "the attempt ended", func() bool { return agent.hasNoAttempt("left") })
 	}
 	io.WriteString(conn, more)
@@ -124,13 +125,13 @@
 	if wait == "connect" {
 		agenttest.Receive(t, connectEnded, "the end of the connect for a client that has disconnected")
 	}
-	agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.holds("left") })
+	agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.hasOpenRequest("left") })
 	agent.applyList(3, readyHost(9, backend))
 	checkNextServed(t, base, received)
 }
 
-// A client that only shut down its sending side may still read: it is sent an error, never a 200
-// that no backend gave.
+// A client that only shut down its sending side may still read. It is sent an error, and never a
+// 200 that no backend sent.
 func TestAgentAnswers502ToHalfClosedClient(t *testing.T) {
 	got := make(chan struct{})
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -139,7 +140,7 @@
 			reader.ReadByte() // until the agent closes it
 		}
 	})
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	conn := agenttest.Dial(t, base)
 	io.WriteString(conn, agenttest.RequestText("order", "half"))
 	<-got
@@ -149,7 +150,7 @@
 	}
 }
 
-// Requests read while another is in progress are answered in order, and none is lost.
+// Requests that are read while another one is in progress are answered in order, and none is lost.
 func TestAgentAnswersPipelinedRequestsInOrder(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -163,7 +164,7 @@
 			io.WriteString(conn, agenttest.OKAnswer)
 		}
 	})
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	conn := agenttest.Dial(t, base)
 	io.WriteString(conn, agenttest.RequestText("order", "p1"))
 	if id := <-got; id != "p1" {
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -14,8 +14,7 @@
 	"ploverreel/internal/agenttest"
 )
 
-// stalledConn is a client's connection of which no more than the first bytes are read until it is
-// released.
+// stalledConn is a client's connection of which only the first bytes are read until it is released.
 type stalledConn struct {
 	*trackedConn
 	begun   atomic.Bool // the first bytes were read
@@ -33,7 +32,7 @@
 	return n, err
 }
 
-// stalledListener accepts connections that are stalledConns.
+// stalledListener wraps the connections that it accepts in stalledConns.
 type stalledListener struct {
 	*trackingListener
 	release chan struct{}
@@ -47,9 +46,9 @@
 	return &stalledConn{trackedConn: conn.(*trackedConn), release: l.release}, nil
 }
 
-// delayConnects delays connects to backends until the test lets them be made: began has an item for
-// each that has begun, and each takes one of proceed. Only the client's connection tells an attempt
-// then whether the client has disconnected.
+// delayConnects delays connects to backends until the test allows them. began receives an item for
+// each connect that begins, and each connect takes one item of proceed. During the delay an attempt
+// can find out that the client has disconnected only from the client's connection.
 func delayConnects(agent *Agent) (began, proceed chan struct{}) {
 	began, proceed = make(chan struct{}, 10), make(chan struct{})
 	connect := agent.loop.pool.DialContext
@@ -61,14 +60,14 @@
 	return began, proceed
 }
 
-// A client's close counts as soon as it has arrived, read or not: on a busy machine the goroutine
-// that reads it may run later than the attempt.
+// A client's close takes effect when it has arrived, even if it was not read. On a busy machine the
+// goroutine that reads it may run later than the attempt.
 func TestAgentForwardsNothingForUnreadDisconnect(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
 			addr, received := agenttest.IDBackend(t, 200, false)
 			read, clients := make(chan struct{}), &trackingListener{}
-			agent, base, _, _ := startOn(t, agenttest.Config(nowhere, addr), func(ln net.Listener) net.Listener {
+			agent, base, _, _ := startAgentOn(t, agenttest.Config(refusingAddr, addr), func(ln net.Listener) net.Listener {
 				clients.Listener = ln
 				return stalledListener{clients, read}
 			})
@@ -81,15 +80,16 @@
 			close(proceed)
 			checkNothingForwarded(t, agent, received)
 			close(read)
-			if status, _, _ := do(t, call(base, "order")); status != 200 {
+			if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 {
 				t.Fatalf("got status %d for the next client, want 200", status)
 			}
 		})
 	}
 }
 
-// The http server doesn't watch for a client's close during a request that arrived together with the
-// one before it, if a byte of a third was read during that one. Nothing is forwarded all the same.
+// Two requests arrive together, and one byte of a third arrives while the first is handled. During
+// the second request the HTTP server then doesn't watch for the client's close. Still nothing is
+// forwarded after it.
 func TestAgentForwardsNothingForDisconnectBehindPipelinedRequests(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
@@ -101,7 +101,7 @@
 					io.WriteString(conn, strings.Replace(agenttest.OKAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
-			agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
+			agent, base, clients := startTracked(t, agenttest.Config(refusingAddr, addr))
 			began, proceed := delayConnects(agent)
 			conn := agenttest.Dial(t, base)
 			both := agenttest.RequestText("order", "p1") + agenttest.RequestText("order", "p2")
@@ -124,7 +124,7 @@
 }
 
 // Nothing is forwarded for a client that disconnects in the head, in the body or right after its
-// request, here with all of it there before the connection is accepted.
+// request. Here all of this happens before the connection is accepted.
 func TestAgentForwardsNothingForDisconnectBeforeAccept(t *testing.T) {
 	whole := strings.Replace(agenttest.RequestText("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, received := agenttest.IDBackend(t, 200, false)
@@ -143,11 +143,11 @@
 			disconnect(conn)
 		}
 	}
-	agent := newAgent(t, agenttest.Config(nowhere, addr))
+	agent := newAgent(t, agenttest.Config(refusingAddr, addr))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); agent.server.Close(); agent.stop() })
 	go agent.Serve(ctx, ln)
-	if status, _, _ := do(t, call(base, "order")); status != 200 { // the last in the backlog
+	if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 { // the last in the backlog
 		t.Fatalf("got status %d for the next client, want 200", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
@@ -159,11 +159,11 @@
 }
 
 // Nothing is forwarded for a client that disconnects while the agent waits for the rest of its
-// request, and its slot is free again.
+// request, and the slot is free again.
 func TestAgentForwardsNothingForIncompleteRequest(t *testing.T) {
 	whole := strings.Replace(agenttest.RequestText("order", "left"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalfrest", 1)
 	addr, received := agenttest.IDBackend(t, 200, false)
-	agent, base, clients := startTracked(t, agenttest.Config(nowhere, addr))
+	agent, base, clients := startTracked(t, agenttest.Config(refusingAddr, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
 		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
 			t.Run(part+" "+how, func(t *testing.T) {
@@ -178,22 +178,22 @@
 	}
 }
 
-// Nothing is sent for a client that disconnects while its attempt waits for a connection at rest.
+// Nothing is sent for a client that disconnects while its attempt waits for a connection to settle.
 func TestAgentForwardsNothingForDisconnectDuringSettleDelay(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
 			addr, received := agenttest.IDBackend(t, 200, false)
-			agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+			agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
 			settings.SettleDelay = agenttest.Never
 			pool.Configure(settings)
-			if status, _, _ := do(t, call(base, "order")); status != 200 {
+			if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 {
 				t.Fatalf("got status %d, want 200", status)
 			}
 			<-received
 			resting := make(chan struct{})
-			agent.look(func(*loop) {
+			agent.inspect(func(*loop) {
 				dial := pool.DialContext
 				pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 					close(resting) // an extra connection is opened for a request that waits for one at rest
@@ -205,7 +205,7 @@
 			io.WriteString(conn, agenttest.RequestText("order", "left"))
 			<-resting
 			disconnect(conn)
-			agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.holds("left") })
+			agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.hasOpenRequest("left") })
 			checkNothingForwarded(t, agent, received)
 		})
 	}
--- a/internal/agent/discovery_reload_test.go
+++ b/internal/agent/discovery_reload_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// A new discovery is watched and fetched from at once, late events of the old one are ignored, and
-// the versions of the new one may start lower. Backends stay known meanwhile.
+// The agent watches a new discovery and fetches from it at once, and ignores late results of the
+// old one. List versions of the new one may be lower. Backends stay known meanwhile.
 func TestReloadSwitchesDiscovery(t *testing.T) {
 	calls := make(chan string, 10)
 	discoveryServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -39,13 +39,13 @@
 		t.Fatalf("got calls %v, want a fetch and a watch from version 0", got)
 	}
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	loop.handle(watchEvent{list: listOf(42, false, endpoint)})
+	loop.handle(watchEvent{list: newList(42, false, endpoint)})
 	loop.handle(watchEnded{err: io.EOF})
-	loop.handle(endpointsFetched{list: listOf(42, true, endpoint)})
+	loop.handle(endpointsFetched{list: newList(42, true, endpoint)})
 	if !loop.watch.watching || !loop.watch.fetching || !loop.backends[endpointlist.AddressOf("s-0")].usable || loop.backends[endpointlist.AddressOf("s-0")].conns != before {
 		t.Fatal("got a late result of the old discovery applied, want it ignored")
 	}
-	loop.handle(watchEvent{list: listOf(3, false, endpoint), generation: 1})
+	loop.handle(watchEvent{list: newList(3, false, endpoint), generation: 1})
 	if b := loop.backends[endpointlist.AddressOf("s-0")]; b != nil && b.usable || loop.watch.listVersion != 3 {
 		t.Fatalf("got version %d, want that of the new discovery, 3", loop.watch.listVersion)
 	}
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -27,17 +27,17 @@
 	}
 }
 
-// Endpoint lists apply in the order of their versions, whether watched or fetched.
+// Endpoint lists are applied in the order of their versions, whether they were watched or fetched.
 func TestEndpointListsApplyInOrderOfVersions(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}
-	l.handle(watchEvent{list: listOf(5, false, endpoint)})
+	l.handle(watchEvent{list: newList(5, false, endpoint)})
 	checkUsable(t, l, "after the change of version 5", false, true)
 	endpoint.Health = "ready"
-	l.handle(watchEvent{list: listOf(4, false, endpoint)})
-	l.handle(endpointsFetched{list: listOf(3, true, endpoint)})
+	l.handle(watchEvent{list: newList(4, false, endpoint)})
+	l.handle(endpointsFetched{list: newList(3, true, endpoint)})
 	checkUsable(t, l, "after older versions", false, true)
-	l.handle(endpointsFetched{list: listOf(6, true, endpoint)})
+	l.handle(endpointsFetched{list: newList(6, true, endpoint)})
 	checkUsable(t, l, "after the whole list of version 6", true, false)
 	if l.watch.listVersion != 6 {
 		t.Fatalf("got version %d in force, want 6", l.watch.listVersion)
@@ -45,7 +45,7 @@
 	if len(l.backends) != 1 {
 		t.Fatalf("got %d backends, want the one that is listed", len(l.backends))
 	}
-	l.handle(watchEvent{list: listOf(7, false, endpointlist.Host{Host: "s-0", Health: "gone"})})
+	l.handle(watchEvent{list: newList(7, false, endpointlist.Host{Host: "s-0", Health: "gone"})})
 	if len(l.backends) != 0 {
 		t.Fatalf("got %d backends after the only one is gone, want 0", len(l.backends))
 	}
@@ -54,17 +54,17 @@
 	}
 }
 
-// A new process or address of a backend gets new connections; the backend stays the same.
+// A backend with a new process or address gets new connections and keeps its entry in the loop.
 func TestListedBackendReconnectsToNewProcess(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	target := l.backends[endpointlist.AddressOf("s-0")]
 	former := target.conns
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
-	l.handle(watchEvent{list: listOf(2, false, endpoint)})
+	l.handle(watchEvent{list: newList(2, false, endpoint)})
 	if target.conns != former {
 		t.Fatal("got new connections to the same process, want the former ones")
 	}
-	waiting := newLoopAttempt(target)
+	waiting := newTestAttempt(target)
 	for i, change := range []struct {
 		name  string
 		apply func()
@@ -73,7 +73,7 @@
 		{"another start", func() { endpoint.BornMs = 7 }},
 	} {
 		change.apply()
-		l.handle(watchEvent{list: listOf(int64(3+i), false, endpoint)})
+		l.handle(watchEvent{list: newList(int64(3+i), false, endpoint)})
 		if l.backends[endpointlist.AddressOf("s-0")] != target {
 			t.Fatalf("%s: got another backend, want the same", change.name)
 		}
@@ -87,11 +87,11 @@
 	}
 }
 
-// A backend that begins to drain during the connect to it is sent nothing, and the request is sent
-// to another.
-func TestDrainDuringConnectMovesRequest(t *testing.T) {
+// A backend that starts to drain during a connect to it receives nothing, and the request is sent
+// to another backend.
+func TestRequestIsReroutedIfBackendDrainsDuringConnect(t *testing.T) {
 	ready, received := agenttest.IDBackend(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
+	agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, "127.0.0.1:1"))
 	connecting := make(chan struct{})
 	connect := agent.loop.pool.DialContext
 	agent.loop.pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -102,19 +102,19 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	status := doAsync(t, call(base, "order"))
+	status := doAsync(t, newClientRequest(base, "order"))
 	<-connecting
 	draining := readyHost(0, "127.0.0.1:1")
 	draining.Health = "draining"
-	agent.loop.post(watchEvent{list: listOf(2, false, draining, readyHost(1, ready))})
+	agent.loop.post(watchEvent{list: newList(2, false, draining, readyHost(1, ready))})
 	if got := <-status; got != 200 {
 		t.Fatalf("got status %d, want 200", got)
 	}
 	<-received
 }
 
-// The module is notified that a watch ended, and opens the next one, in either mode: on sockets only
-// an agent that watches is notified of a drain.
+// The module is notified that a watch has ended and opens the next one, in both membership modes:
+// an agent on a network is notified of a drain only by a watch.
 func TestLoopOpensWatchAgain(t *testing.T) {
 	for _, mode := range []string{policy.MembershipPushed, policy.MembershipOnRequest} {
 		t.Run(mode, func(t *testing.T) {
@@ -127,7 +127,7 @@
 			conf := agenttest.Config(server.Listener.Addr().String(), "127.0.0.1:1")
 			agenttest.Set(conf, mode, "settings", "membershipMode")
 			agenttest.Set(conf, 10, "settings", "contract", "askWithinMs")
-			start(t, conf)
+			startAgent(t, conf)
 			for _, want := range []string{"follow=1&since=1", "follow=1&since=2"} {
 				if got := agenttest.Receive(t, calls, "the call "+want); got != want {
 					t.Fatalf("got call %q, want %q", got, want)
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -15,23 +15,22 @@
 	"ploverreel/policy"
 )
 
-// A list that brings nothing new still notifies the module that discovery is there: else the
-// failures of a discovery that was down go on counting, and a watch that ends is opened again
-// seconds later.
-func TestListWithoutNewsEndsTheBackoff(t *testing.T) {
-	conf := agenttest.Config(nowhere)
+// A list without changes still notifies the module that discovery works. Otherwise earlier failures
+// would keep adding to the backoff, and a watch that ends would be opened again only seconds later.
+func TestUnchangedListResetsBackoff(t *testing.T) {
+	conf := agenttest.Config(refusingAddr)
 	conf["settings"].(map[string]any)["membershipMode"] = policy.MembershipOnRequest
-	silent, heard := backoffAfterFailures(t, conf, false), backoffAfterFailures(t, conf, true)
-	if silent < time.Second || heard > time.Second {
-		t.Fatalf("got a backoff of %v, and %v after a list without news, want at least and at most a second", silent, heard)
+	withoutList, withList := backoffAfterFailures(t, conf, false), backoffAfterFailures(t, conf, true)
+	if withoutList < time.Second || withList > time.Second {
+		t.Fatalf("got a backoff of %v, and %v after a list without news, want at least and at most a second", withoutList, withList)
 	}
 }
 
-// backoffAfterFailures returns how long the module waits for its next call after seven failed ones,
-// before the last of which a list without news came, or none did.
+// backoffAfterFailures returns the module's delay before its next call after seven failures. If
+// listBeforeLast is set, a list without changes arrives before the last failure.
 func backoffAfterFailures(t *testing.T, conf map[string]any, listBeforeLast bool) time.Duration {
 	t.Helper()
-	l, err := newLoop(t.Context(), parse(t, conf), slog.New(slog.DiscardHandler))
+	l, err := newLoop(t.Context(), parseConfig(t, conf), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,16 +51,16 @@
 	return 0
 }
 
-// A discovery on the agent's own machine answers at once, so a call to which nothing comes is given
-// up soon. Where it is one service for all agents, calls wait in turn.
-func TestDiscoveryIsPlacedByMembership(t *testing.T) {
+// A discovery on the agent's own machine answers at once, so a call without a response is given up
+// soon. A discovery that all agents share serves calls in turn.
+func TestDiscoveryPlacementFollowsMembershipMode(t *testing.T) {
 	for mode, want := range map[string]discovery.Placement{policy.MembershipPushed: discovery.Local,
 		policy.MembershipOnRequest: discovery.Shared} {
 		t.Run(mode, func(t *testing.T) {
-			conf := agenttest.Config(nowhere)
+			conf := agenttest.Config(refusingAddr)
 			conf["settings"].(map[string]any)["membershipMode"] = mode
-			a, _, _, _ := start(t, conf)
-			a.look(func(l *loop) {
+			a, _, _, _ := startAgent(t, conf)
+			a.inspect(func(l *loop) {
 				if got := l.watch.discovery.Placement(); got != want {
 					t.Errorf("got placement %v, want %v", got, want)
 				}
@@ -74,11 +73,11 @@
 	}
 }
 
-// The loop tells the results of one discovery from those of another by their generation.
+// The generation distinguishes the results of one discovery client from those of another.
 func TestDiscoveryResultsCarryTheirGeneration(t *testing.T) {
 	l := newTestLoop(t)
 	deliver := l.discoveryResults(3)
-	list := listOf(7, true)
+	list := newList(7, true)
 	for _, c := range []struct {
 		result discovery.Result
 		want   input
--- a/internal/agent/final_answer_test.go
+++ b/internal/agent/final_answer_test.go
@@ -12,10 +12,10 @@
 	"ploverreel/internal/agenttest"
 )
 
-// newFullAgent returns an agent whose loop doesn't run and has its queue full.
-func newFullAgent(t *testing.T) *Agent {
+// newAgentWithFullQueue returns an agent whose loop doesn't run and whose queue is full.
+func newAgentWithFullQueue(t *testing.T) *Agent {
 	t.Helper()
-	agent := newAgent(t, agenttest.Config(nowhere))
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	agent.fillQueue()
 	return agent
 }
@@ -31,13 +31,14 @@
 	}
 }
 
-// takeRequest empties the queue up to the first request, in the background, and then calls then.
+// takeRequest takes inputs from the queue up to the first request, in the background, and then
+// calls then.
 func (a *Agent) takeRequest(then func()) {
 	go func() {
 		for {
 			select {
 			case in := <-a.loop.inputs:
-				if is[requestArrived](in) {
+				if isType[requestArrived](in) {
 					then()
 					return
 				}
@@ -48,7 +49,7 @@
 	}()
 }
 
-// handlerRequest returns a request as the HTTP server hands it to the handler.
+// handlerRequest returns a request in the form in which the HTTP server passes it to the handler.
 func handlerRequest(timeout string) *http.Request {
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", fmt.Sprint("final", lastID.Add(1)))
@@ -56,8 +57,8 @@
 	return req
 }
 
-// handle has the handler answer a request, and fails the test if it doesn't return.
-func handle(t *testing.T, agent *Agent, w http.ResponseWriter, req *http.Request) {
+// serveRequest runs the handler for a request, and fails the test if it doesn't return.
+func serveRequest(t *testing.T, agent *Agent, w http.ResponseWriter, req *http.Request) {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
@@ -87,8 +88,8 @@
 	return req
 }
 
-// Each request that was read gets its one final response in time, whatever fails in the agent: with
-// a true status, and with a Retry-After if it never ran.
+// Each request that was read gets exactly one response in time, whatever fails in the agent. The
+// status is accurate, and there is a Retry-After if the request never ran.
 func TestHandlerAnswersWhateverFails(t *testing.T) {
 	for _, c := range []struct {
 		name, timeout  string
@@ -137,8 +138,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			agent, recorder := newFullAgent(t), httptest.NewRecorder()
-			handle(t, agent, recorder, c.fail(agent, handlerRequest(c.timeout)))
+			agent, recorder := newAgentWithFullQueue(t), httptest.NewRecorder()
+			serveRequest(t, agent, recorder, c.fail(agent, handlerRequest(c.timeout)))
 			if recorder.Code != c.wantStatus {
 				t.Errorf("got status %d, want %d", recorder.Code, c.wantStatus)
 			}
@@ -149,19 +150,20 @@
 	}
 }
 
-// The loop isn't notified that a request was abandoned which it never got: while its queue is full,
-// nothing would bound the goroutines that wait to post that.
+// The loop is not notified that a request was abandoned if the request was never posted. Otherwise,
+// while the queue is full, the number of goroutines that wait to post the notification would be
+// unbounded.
 func TestHandlerAbandonsOnlyPostedRequests(t *testing.T) {
-	agent := newFullAgent(t)
+	agent := newAgentWithFullQueue(t)
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnect()
 	for range 20 {
-		handle(t, agent, httptest.NewRecorder(), handlerRequest("30000m").WithContext(ctx))
+		serveRequest(t, agent, httptest.NewRecorder(), handlerRequest("30000m").WithContext(ctx))
 	}
 	for {
 		select {
 		case in := <-agent.loop.inputs:
-			if is[clientDisconnected](in) || is[requestArrived](in) {
+			if isType[clientDisconnected](in) || isType[requestArrived](in) {
 				t.Fatalf("got input %T, want none of requests that were not posted", in)
 			}
 			continue
@@ -171,10 +173,10 @@
 	}
 }
 
-// A panic before a response is begun, also while it is being composed, is answered with 500.
+// A panic before a response is begun, or while it is composed, is answered with 500.
 func TestHandlerAnswersAfterPanicInItsResponse(t *testing.T) {
-	agent, w := newFullAgent(t), &panickingWriter{ResponseRecorder: httptest.NewRecorder()}
-	handle(t, agent, w, handlerRequest("20m"))
+	agent, w := newAgentWithFullQueue(t), &panickingWriter{ResponseRecorder: httptest.NewRecorder()}
+	serveRequest(t, agent, w, handlerRequest("20m"))
 	if w.Code != http.StatusInternalServerError {
 		t.Fatalf("got status %d, want %d", w.Code, http.StatusInternalServerError)
 	}
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -14,9 +14,9 @@
 
 func TestAgentServesEachClass(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	for _, class := range []string{"look", "send", "order"} {
-		if status, body, _ := do(t, call(base, class)); status != 200 || body != "done" {
+		if status, body, _ := do(t, newClientRequest(base, class)); status != 200 || body != "done" {
 			t.Fatalf("class %s: got %d %q, want 200 %q", class, status, body, "done")
 		}
 	}
@@ -26,8 +26,8 @@
 }
 
 func TestHandlerAnswersWithoutTheLoop(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere)) // its loop doesn't run
-	req := call("http://b", "order")
+	agent := newAgent(t, agenttest.Config(refusingAddr)) // its loop doesn't run
+	req := newClientRequest("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Header.Set("Request-Timeout", "20m")
 	recorder := httptest.NewRecorder()
@@ -35,13 +35,13 @@
 	if recorder.Code != http.StatusGatewayTimeout {
 		t.Fatalf("got status %d, want %d", recorder.Code, http.StatusGatewayTimeout)
 	}
-	if first, second := <-agent.loop.inputs, <-agent.loop.inputs; !is[requestArrived](first) || !is[clientDisconnected](second) {
+	if first, second := <-agent.loop.inputs, <-agent.loop.inputs; !isType[requestArrived](first) || !isType[clientDisconnected](second) {
 		t.Fatalf("got inputs %T and %T, want requestArrived and clientDisconnected", first, second)
 	}
 }
 
-// The decision module's last answer comes before the handler's own, however short the interval
-// between its turns: only the module's has a Retry-After.
+// The decision module's last response precedes the handler's own, whatever the interval of the
+// module's ticks is: only the module's response has a Retry-After.
 func TestModuleDeadlineIsBeforeHandlers(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -52,8 +52,8 @@
 		{"8 ms left, a quarter of it", 8 * time.Millisecond, 2 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newTestLoop(t, nowhere)
-			r := newTestRequest(l.config, "last", time.Now().Add(c.left))
+			l := newTestLoop(t, refusingAddr)
+			r := newLoopRequest(l.config, "last", time.Now().Add(c.left))
 			before := time.Until(r.Deadline)
 			l.handle(requestArrived{request: r})
 			sent := false
@@ -73,17 +73,17 @@
 	}
 }
 
-// newTestRequest returns a request of the class "order" as the handler posts it.
-func newTestRequest(conf *config.Config, id string, deadline time.Time) *request {
+// newLoopRequest returns a request of the class "order" in the form in which the handler posts it.
+func newLoopRequest(conf *config.Config, id string, deadline time.Time) *request {
 	return &request{config: conf, class: 2, tenant: -1, responses: make(chan response, 2), Request: backend.Request{
 		Method: http.MethodPost, Target: "/order/u1", Host: "b", RequestID: id, Deadline: deadline}}
 }
 
-// A request with no time left never ran: it is rejected with a Retry-After.
+// A request without time left never ran: it is rejected with a Retry-After.
 func TestHandlerRejectsRequestWithoutTimeLeft(t *testing.T) {
 	addr, received := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	req := call(base, "order")
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
+	req := newClientRequest(base, "order")
 	req.Header.Set("Request-Timeout", "1u")
 	status, _, header := do(t, req)
 	checkRejected(t, status, header)
@@ -92,7 +92,7 @@
 	}
 }
 
-// panickingBody is a body that panics when it is read.
+// panickingBody is a body whose reads panic.
 type panickingBody struct{}
 
 func (panickingBody) Read([]byte) (int, error) { panic("boom") }
@@ -100,8 +100,8 @@
 func (panickingBody) Close() error { return nil }
 
 func TestHandlerAnswersAfterPanic(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
-	req := call("http://b", "order")
+	agent := newAgent(t, agenttest.Config(refusingAddr))
+	req := newClientRequest("http://b", "order")
 	req.RequestURI = "/order/u1"
 	req.Body = panickingBody{}
 	recorder := httptest.NewRecorder()
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -11,25 +11,25 @@
 	"ploverreel/internal/agenttest"
 )
 
-// standInConn is a client's connection, open as long as the test lasts, whose request was received
-// at a time.
-type standInConn struct{ receivedAt time.Time }
+// fakeClientConn is a client's connection that stays open during the test, with a given time at
+// which its request was received.
+type fakeClientConn struct{ receivedAt time.Time }
 
-func (c standInConn) BeginRequest() (time.Time, bool) { return c.receivedAt, false }
-func (standInConn) MarkRejected()                     {}
-func (standInConn) NetConn() net.Conn                 { return nil }
+func (c fakeClientConn) BeginRequest() (time.Time, bool) { return c.receivedAt, false }
+func (fakeClientConn) MarkRejected()                     {}
+func (fakeClientConn) NetConn() net.Conn                 { return nil }
 
-// The timeout that a backend is sent counts from when the request's head was read: the time until
-// the handler ran is part of it.
+// The timeout that a backend receives counts from when the request's head was read. It includes the
+// time until the handler ran.
 func TestRequestTimeoutCountsFromReadOfHead(t *testing.T) {
 	timeouts := make(chan string, 1)
 	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		timeouts <- r.Header.Get("Request-Timeout")
 	}))
 	t.Cleanup(backend.Close)
-	agent, _, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
+	agent, _, _, _ := startAgent(t, agenttest.Config(refusingAddr, backend.Listener.Addr().String()))
 	const held = 5 * time.Second
-	conn := standInConn{receivedAt: time.Now().Add(-held)}
+	conn := fakeClientConn{receivedAt: time.Now().Add(-held)}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", "held")
 	req.Header.Set("Request-Timeout", "30000m")
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -19,17 +19,18 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// nowhere is the address of a discovery or a backend that refuses connections.
-const nowhere = "127.0.0.1:1"
+// refusingAddr is an address that refuses connections. It serves as that of a discovery or a
+// backend.
+const refusingAddr = "127.0.0.1:1"
 
-// clientTimeout is how long a raw client waits for a response before its test fails.
+// clientTimeout is the time that a raw client waits for a response before its test fails.
 const clientTimeout = 20 * time.Second
 
-// minLimits has the smallest descriptor limit that a configuration may have.
+// minLimits has the smallest limit of file descriptors that a configuration may have.
 var minLimits = config.Limits{Sockets: config.MinSockets}
 
-// parse returns the configuration that a JSON object describes.
-func parse(t *testing.T, conf map[string]any) *config.Config {
+// parseConfig returns the configuration that a JSON object describes.
+func parseConfig(t *testing.T, conf map[string]any) *config.Config {
 	t.Helper()
 	text, err := json.Marshal(conf)
 	if err != nil {
@@ -42,26 +43,26 @@
 	return parsed
 }
 
-// listOf returns an endpoint list.
-func listOf(seq int64, whole bool, hosts ...endpointlist.Host) endpointlist.List {
+// newList returns an endpoint list.
+func newList(seq int64, whole bool, hosts ...endpointlist.Host) endpointlist.List {
 	return endpointlist.List{Seq: seq, Whole: whole, Hosts: hosts}
 }
 
-// newTestLoop returns a loop with these backends, which ends with the test. It doesn't run: the test
-// handles its inputs.
+// newTestLoop returns a loop that knows these backends and ends with the test. No goroutine runs
+// it: the test handles its inputs.
 func newTestLoop(t *testing.T, backends ...string) *loop {
 	t.Helper()
-	l, err := newLoop(t.Context(), parse(t, agenttest.Config(nowhere, backends...)), slog.New(slog.DiscardHandler))
+	l, err := newLoop(t.Context(), parseConfig(t, agenttest.Config(refusingAddr, backends...)), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// newAgent returns an agent that serves nothing yet. Its loop ends with the test.
+// newAgent returns an agent that doesn't serve yet. Its loop ends with the test.
 func newAgent(t *testing.T, conf map[string]any) *Agent {
 	t.Helper()
-	agent, err := New(parse(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
+	agent, err := New(parseConfig(t, conf), slog.New(loopInspector{slog.DiscardHandler, make(chan func(), 1)}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +70,8 @@
 	return agent
 }
 
-// listen returns a listener that is closed at the end of the test.
-func listen(t *testing.T) net.Listener {
+// newListener returns a listener that is closed at the end of the test.
+func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,9 +81,9 @@
 	return listener
 }
 
-// serve serves an agent on the listener until the test ends. stop is its SIGTERM, and ended gets
-// what Serve returns.
-func serve(t *testing.T, agent *Agent, listener net.Listener) (base string, stop func(), ended chan error) {
+// serveAgent serves an agent on the listener until the test ends. stop has the effect of SIGTERM,
+// and ended receives the result of Serve.
+func serveAgent(t *testing.T, agent *Agent, listener net.Listener) (base string, stop func(), ended chan error) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
@@ -95,25 +96,25 @@
 	return "http://" + listener.Addr().String(), stop, ended
 }
 
-// start makes an agent and serves it, see serve.
-func start(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
+// startAgent creates an agent and serves it with serveAgent.
+func startAgent(t *testing.T, conf map[string]any) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
-	return startOn(t, conf, func(listener net.Listener) net.Listener { return listener })
+	return startAgentOn(t, conf, func(listener net.Listener) net.Listener { return listener })
 }
 
-// startOn is start with a listener that wrap makes of the agent's.
-func startOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
+// startAgentOn is startAgent with a listener that wrap returns for the agent's own.
+func startAgentOn(t *testing.T, conf map[string]any, wrap func(net.Listener) net.Listener) (agent *Agent, base string, stop func(), ended chan error) {
 	t.Helper()
 	agent = newAgent(t, conf)
-	base, stop, ended = serve(t, agent, wrap(listen(t)))
+	base, stop, ended = serveAgent(t, agent, wrap(newListener(t)))
 	return agent, base, stop, ended
 }
 
-// lastID counts up, so that every request has an id of its own.
+// lastID is the number of the last request id, so that each request has an id of its own.
 var lastID atomic.Int64
 
-// call returns a valid request of a class.
-func call(base, class string) *http.Request {
+// newClientRequest returns a valid request of a class.
+func newClientRequest(base, class string) *http.Request {
 	method, body := http.MethodPost, io.Reader(strings.NewReader("body"))
 	if class == "look" {
 		method, body = http.MethodGet, nil
@@ -130,7 +131,7 @@
 	return req
 }
 
-// do sends a request, and returns the status, the body and the header of the response.
+// do sends a request and returns the status, the body and the header of the response.
 func do(t *testing.T, req *http.Request) (int, string, http.Header) {
 	t.Helper()
 	resp, err := http.DefaultTransport.RoundTrip(req)
@@ -145,8 +146,8 @@
 	return resp.StatusCode, string(body), resp.Header
 }
 
-// doAsync sends a request on a connection of its own, in the background, and sends the status of the
-// response on the channel. It fails the test, and sends 0, if there is none.
+// doAsync sends a request in the background on its own connection, and sends the status of the
+// response on the channel. If there is no response, it fails the test and sends 0.
 func doAsync(t *testing.T, req *http.Request) <-chan int {
 	statuses := make(chan int, 1)
 	go func() {
@@ -165,7 +166,7 @@
 // checkStatus sends a valid request of the class "order" and checks the status of the response.
 func checkStatus(t *testing.T, base string, want int, when string) {
 	t.Helper()
-	if status, _, _ := do(t, call(base, "order")); status != want {
+	if status, _, _ := do(t, newClientRequest(base, "order")); status != want {
 		t.Fatalf("%s: got status %d, want %d", when, status, want)
 	}
 }
--- a/internal/agent/incomplete_request_test.go
+++ b/internal/agent/incomplete_request_test.go
@@ -13,8 +13,8 @@
 	"ploverreel/internal/clientconn"
 )
 
-// sendFirst sends a request on a new connection and reads its response, so that the next one is the
-// second on the connection.
+// sendFirst sends a request on a new connection and reads its response, so that the next request is
+// the second on the connection.
 func sendFirst(t *testing.T, conn net.Conn, received <-chan string) {
 	t.Helper()
 	io.WriteString(conn, agenttest.RequestText("order", fmt.Sprint("whole", lastID.Add(1))))
@@ -23,11 +23,12 @@
 	<-received
 }
 
-// Clients that stop in the middle of a request and stay connected get an error or a close: also if
-// the head is invalid, the timeout short, or the request the second on its connection.
+// Clients that stop in the middle of a request and stay connected get an error or a close. This
+// holds too if the head is invalid, the timeout is short, or the request is the second on its
+// connection.
 func TestAgentEndsIncompleteRequests(t *testing.T) {
 	addr, received := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	head := agenttest.RequestText("order", "half")
 	halfBody := strings.Replace(head, "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalf", 1)
 	for _, c := range []struct {
@@ -60,8 +61,8 @@
 				if c.want == "503" && !strings.Contains(got, "Retry-After: 0.6\r\n") {
 					t.Fatalf("got %q, want Retry-After: 0.6", got)
 				}
-				// clientconn.KeepAliveTimeout is 15 s. The 3 s that a bad client has are checked by
-				// the constants, in a test of their own.
+				// clientconn.KeepAliveTimeout is 15 s. That a faulty client is closed within 3 s is
+				// checked on the constants, in another test.
 				if took := time.Since(began); took > clientconn.KeepAliveTimeout-2*time.Second {
 					t.Fatalf("got the end after %v, want it well before the keep-alive timeout", took)
 				}
--- a/internal/agent/inputs_test.go
+++ b/internal/agent/inputs_test.go
@@ -7,14 +7,14 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// is reports whether an input is of the type T.
-func is[T input](in input) bool {
+// isType reports whether an input is of the type T.
+func isType[T input](in input) bool {
 	_, ok := in.(T)
 	return ok
 }
 
-// An input costs at most one allocation on its way through the queue, and none if it is a pointer.
-func TestInputsCostAtMostOneAllocation(t *testing.T) {
+// An input needs at most one allocation on its way through the queue, and none if it is a pointer.
+func TestInputsAllocateAtMostOnce(t *testing.T) {
 	l := &loop{ctx: context.Background(), inputs: make(chan input, 1)}
 	arrived, ended := &request{}, &attempt{}
 	for _, c := range []struct {
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -11,7 +11,7 @@
 	"ploverreel/internal/agenttest"
 )
 
-// heapMB returns the size of the heap after a garbage collection.
+// heapMB returns the size of the heap in MB after a garbage collection.
 func heapMB() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -19,8 +19,8 @@
 	return float64(stats.HeapAlloc) / (1 << 20)
 }
 
-// An agent in a fleet of 1,024 agents whose list has 1,024 backends serves each request, with far
-// less memory than the smallest limit that operators give.
+// An agent in a fleet of 1,024 agents, with a list of 1,024 backends, serves each request with far
+// less memory than the smallest limit that operators set.
 func TestAgentServesLargeListWithinMemoryLimit(t *testing.T) {
 	const backends, agents, requests, limitMB = 1024, 1024, 1000, 32
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -32,15 +32,15 @@
 		dials[i] = backend.Listener.Addr().String()
 	}
 	before := heapMB()
-	conf := agenttest.Config(nowhere, dials...)
+	conf := agenttest.Config(refusingAddr, dials...)
 	conf["limits"] = map[string]any{"cores": 1, "memory_mb": limitMB, "sockets": 1024}
 	set := conf["settings"].(map[string]any)
 	set["replicasOfMe"], set["index"] = agents, agents-1
-	agent, base, _, _ := start(t, conf)
+	agent, base, _, _ := startAgent(t, conf)
 	conf, dials = nil, nil
 	for i := range requests {
 		class := []string{"look", "send", "order"}[i%3]
-		req := call(base, class)
+		req := newClientRequest(base, class)
 		req.URL.Path = fmt.Sprintf("/%s/key%d", class, i%700)
 		id := req.Header.Get("Request-Id")
 		if status, body, _ := do(t, req); status != 200 || strings.TrimSpace(body) != id {
--- a/internal/agent/listed_backend_test.go
+++ b/internal/agent/listed_backend_test.go
@@ -10,8 +10,8 @@
 	"ploverreel/policy"
 )
 
-// A backend that drains gets the first byte of no attempt that had not passed its last check by
-// then, however far its connection is.
+// A backend that drains receives no first byte of an attempt that had not passed its last check by
+// the time of the drain, in whatever state its connection is.
 func TestListedBackendWithdrawsAttemptsUpToTheWrite(t *testing.T) {
 	for _, c := range []struct {
 		at, name string
@@ -36,7 +36,7 @@
 			}
 			settings := backend.Settings{ConnectTimeout: agenttest.Never, IdleTimeout: agenttest.Never, MaxConns: 1}
 			target.conns = backend.NewPool(dial, settings).NewConns("127.0.0.1:1")
-			got := newLoopAttempt(target).Run()
+			got := newTestAttempt(target).Run()
 			if written := conn.Written.Len() > 0; written != c.written {
 				t.Errorf("got %d bytes written, want any: %v", conn.Written.Len(), c.written)
 			}
@@ -47,7 +47,8 @@
 	}
 }
 
-// Where the settings price connections, none is opened while the only one of a backend settles.
+// If connections have a price in the settings, no extra connection is opened while the only
+// connection of a backend settles.
 func TestPoolOpensExtraConnectionsUnlessPriced(t *testing.T) {
 	for _, c := range []struct {
 		name, price string
@@ -58,9 +59,9 @@
 		{"price of a connection", "connection", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conf := agenttest.Config(nowhere)
+			conf := agenttest.Config(refusingAddr)
 			conf["settings"].(map[string]any)["prices"] = map[string]any{c.price: 0.01}
-			agent, _, _, _ := start(t, conf)
+			agent, _, _, _ := startAgent(t, conf)
 			if got := agent.loop.pool.Settings().ExtraConns; got != c.want {
 				t.Errorf("got ExtraConns %v, want %v", got, c.want)
 			}
--- a/internal/agent/local_failure_test.go
+++ b/internal/agent/local_failure_test.go
@@ -9,9 +9,9 @@
 	"ploverreel/internal/agenttest"
 )
 
-// While this machine can't open connections, requests of all classes wait until it can. Connects are
-// few in that time, and no backend is blamed.
-func TestRequestsOutlastLocalFailures(t *testing.T) {
+// While this machine can't open connections, requests of all classes wait until it can. There are
+// few connects in that time, and no backend is treated as failing.
+func TestRequestsSurviveLocalFailures(t *testing.T) {
 	const requests, failures = 20, 30
 	for _, errno := range []syscall.Errno{
 		syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN,
@@ -23,16 +23,16 @@
 				addr, _ := agenttest.IDBackend(t, http.StatusOK, false)
 				addrs = append(addrs, addr)
 			}
-			agent, base, _, _ := start(t, agenttest.Config(nowhere, addrs...))
+			agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addrs...))
 			dialer := &agenttest.FailingDialer{Errno: errno, Failures: failures}
-			agent.look(func(l *loop) { l.pool.DialContext = dialer.DialContext })
+			agent.inspect(func(l *loop) { l.pool.DialContext = dialer.DialContext })
 			var answered sync.WaitGroup
 			for i := range requests {
 				answered.Add(1)
 				go func() {
 					defer answered.Done()
 					class := []string{"look", "send", "order"}[i%3]
-					resp, err := http.DefaultTransport.RoundTrip(call(base, class))
+					resp, err := http.DefaultTransport.RoundTrip(newClientRequest(base, class))
 					if err != nil {
 						t.Errorf("%s: got error %v, want an answer", class, err)
 						return
@@ -44,11 +44,11 @@
 				}()
 			}
 			answered.Wait()
-			// Each request needs one connect at most, besides those that fail.
+			// Each request needs at most one connect besides those that fail.
 			if got := dialer.Calls.Load(); got > failures+requests {
 				t.Errorf("got %d connects, want at most %d", got, failures+requests)
 			}
-			agent.look(func(l *loop) {
+			agent.inspect(func(l *loop) {
 				for rank, tier := range l.balancer.Snapshot(l.nowMs()).Tiers {
 					if rank > 0 && tier.Endpoints > 0 {
 						t.Errorf("got %d endpoints in tier %d, want all in tier 0", tier.Endpoints, rank)
--- a/internal/agent/loop_inspector_test.go
+++ b/internal/agent/loop_inspector_test.go
@@ -11,11 +11,11 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// loopInspector is a log handler that lets a test inspect the loop's state: it runs a function in
-// the loop's goroutine when the loop logs the error that look posted.
+// loopInspector is a log handler with which a test inspects the loop's state. It runs a function in
+// the loop's goroutine when the loop logs the error that postInspection causes.
 type loopInspector struct {
 	slog.Handler
-	inspect chan func()
+	inspections chan func()
 }
 
 func (loopInspector) Enabled(context.Context, slog.Level) bool { return true }
@@ -23,7 +23,7 @@
 func (h loopInspector) Handle(_ context.Context, record slog.Record) error {
 	if record.Message == "endpoint list fetch failed" {
 		select {
-		case inspect := <-h.inspect:
+		case inspect := <-h.inspections:
 			inspect()
 		default:
 		}
@@ -31,45 +31,45 @@
 	return nil
 }
 
-// postLook has inspect run in the loop's goroutine, after all inputs posted so far, and returns once
-// that is posted. The loop handles nothing else until inspect returns.
-func (a *Agent) postLook(inspect func(l *loop)) {
-	a.log.Handler().(loopInspector).inspect <- func() { inspect(a.loop) }
+// postInspection lets inspect run in the loop's goroutine after all inputs posted so far, and
+// returns once it is posted. The loop handles nothing else until inspect returns.
+func (a *Agent) postInspection(inspect func(l *loop)) {
+	a.log.Handler().(loopInspector).inspections <- func() { inspect(a.loop) }
 	a.loop.post(endpointsFetched{err: io.EOF})
 }
 
-// look runs inspect in the loop's goroutine, after all inputs posted so far.
-func (a *Agent) look(inspect func(l *loop)) {
+// inspect runs a function in the loop's goroutine after all inputs posted so far, and waits for it.
+func (a *Agent) inspect(inspect func(l *loop)) {
 	done := make(chan struct{})
-	a.postLook(func(l *loop) { inspect(l); close(done) })
+	a.postInspection(func(l *loop) { inspect(l); close(done) })
 	<-done
 }
 
-// occupyLoop keeps the loop busy until release is closed. What is posted meanwhile is queued.
-func (a *Agent) occupyLoop() (release chan struct{}) {
+// blockLoop blocks the loop until release is closed. Inputs that are posted meanwhile stay queued.
+func (a *Agent) blockLoop() (release chan struct{}) {
 	occupied, release := make(chan struct{}), make(chan struct{})
-	a.postLook(func(*loop) { close(occupied); <-release })
+	a.postInspection(func(*loop) { close(occupied); <-release })
 	<-occupied
 	return release
 }
 
-// awaitLoop waits until the loop has handled all inputs posted so far.
-func (a *Agent) awaitLoop() { a.look(func(*loop) {}) }
+// waitForLoop waits until the loop has handled all inputs posted so far.
+func (a *Agent) waitForLoop() { a.inspect(func(*loop) {}) }
 
-// applyList posts a complete endpoint list to the loop and waits until it is applied.
+// applyList posts a whole endpoint list to the loop and waits until it is applied.
 func (a *Agent) applyList(seq int64, hosts ...endpointlist.Host) {
-	a.loop.post(watchEvent{list: listOf(seq, true, hosts...)})
-	a.awaitLoop()
+	a.loop.post(watchEvent{list: newList(seq, true, hosts...)})
+	a.waitForLoop()
 }
 
-// readyHost returns the endpoint s-i of an endpoint list.
+// readyHost returns the host s-i of an endpoint list, with the health "ready".
 func readyHost(i int, dial string) endpointlist.Host {
 	return endpointlist.Host{Host: fmt.Sprint("s-", i), Dial: dial, Site: "a", Class: "k", Block: 1, Health: "ready", Share: 1}
 }
 
-// holds reports whether the loop has the request with this id in progress.
-func (a *Agent) holds(id string) (found bool) {
-	a.look(func(l *loop) {
+// hasOpenRequest reports whether the request with this id is open in the loop.
+func (a *Agent) hasOpenRequest(id string) (found bool) {
+	a.inspect(func(l *loop) {
 		for _, r := range l.requests {
 			found = found || r.RequestID == id && !r.closed
 		}
@@ -77,10 +77,10 @@
 	return found
 }
 
-// hasNoAttempt reports whether the loop has the request with this id, and no attempt of it in
+// hasNoAttempt reports whether the loop has the request with this id and no attempt of it is in
 // flight.
 func (a *Agent) hasNoAttempt(id string) (none bool) {
-	a.look(func(l *loop) {
+	a.inspect(func(l *loop) {
 		for _, r := range l.requests {
 			none = none || r.RequestID == id && r.inFlight == 0
 		}
@@ -88,8 +88,8 @@
 	return none
 }
 
-// takeQueued takes the first input of a kind out of the queue of a busy loop, and posts those before
-// it again.
+// takeQueued takes the first input of type T from the queue of a busy loop, and posts the inputs
+// before it again.
 func takeQueued[T input](t *testing.T, a *Agent) (found T) {
 	t.Helper()
 	var others []input
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -12,21 +12,21 @@
 	"ploverreel/policy"
 )
 
-// A panic in the loop loses one input only.
+// A panic in the loop loses only one input.
 func TestLoopServesAfterPanic(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	agent.loop.post(requestArrived{request: nil})
 	checkStatus(t, base, http.StatusOK, "after a panic")
 }
 
-// A panic amid the module's actions costs none of the others: an attempt that could not be sent ends
-// as one that never ran, each request gets one response, and nothing stays in flight.
+// A panic in one of the module's actions doesn't affect the others. An attempt that could not be
+// sent ends as one that never ran, each request gets one response, and no attempt stays in flight.
 func TestLoopAnswersEachRequestAfterPanicsInActions(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
 	for i := range 3 {
-		requests = append(requests, newTestRequest(l.config, fmt.Sprint("id", i), time.Now().Add(agenttest.Never)))
+		requests = append(requests, newLoopRequest(l.config, fmt.Sprint("id", i), time.Now().Add(agenttest.Never)))
 	}
 	for _, target := range l.backends {
 		target.attempts = nil // a write to it panics
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestLoopCarriesOutActionsBehindPanic(t *testing.T) {
+func TestLoopExecutesActionsAfterPanic(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	rejected := &request{id: 7, responses: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, rejected
@@ -71,7 +71,7 @@
 	}
 }
 
-// A panic is logged with what was handled then, and the loop goes on.
+// A panic is logged with the input, action or event that was handled, and the loop continues.
 func TestLoopLogsPanics(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -88,7 +88,7 @@
 			`msg="panic in decision module" event=RequestArrived panic=`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, log := loggingLoop(t, nowhere)
+			l, log := newLoggingLoop(t, refusingAddr)
 			c.provoke(l)
 			got := log.String()
 			if !strings.HasPrefix(got, "level=ERROR "+c.want) || !strings.Contains(got, " stack=") {
@@ -97,7 +97,7 @@
 			if strings.Count(got, "\n") != 1 {
 				t.Errorf("got log\n%s, want one line", got)
 			}
-			l.handle(watchEvent{list: listOf(2, true)})
+			l.handle(watchEvent{list: newList(2, true)})
 			if backend := l.backends[endpointlist.AddressOf("s-0")]; backend != nil {
 				t.Error("got a list after the panic not applied, want it applied")
 			}
@@ -105,9 +105,9 @@
 	}
 }
 
-// What the module has to say is an attribute of a constant message.
+// A text of the module is logged as an attribute of a constant message.
 func TestLoopLogsTextOfModule(t *testing.T) {
-	l, log := loggingLoop(t, nowhere)
+	l, log := newLoggingLoop(t, refusingAddr)
 	l.actions = []policy.Action{policy.LogText("all is well")}
 	l.executeActions()
 	want := `level=INFO msg="decision module message" text="all is well"`
@@ -116,7 +116,7 @@
 	}
 }
 
-// A panic in a change of the configuration is the error that its caller gets.
+// A panic during a reload is returned to its caller as an error.
 func TestReloadReturnsPanicAsError(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -15,11 +15,11 @@
 // bodyOf returns a body of n bytes.
 func bodyOf(n int) io.ReadCloser { return io.NopCloser(strings.NewReader(strings.Repeat("x", n))) }
 
-// An invalid request gets a 4xx other than 429, as it fails again when retried, and reaches no
+// An invalid request gets a 4xx other than 429, as a retry would fail again, and reaches no
 // backend.
 func TestAgentRefusesInvalidRequests(t *testing.T) {
 	addr, received := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	for name, change := range map[string]func(r *http.Request){
 		"unknown class":      func(r *http.Request) { r.URL.Path = "/nothing/u1" },
 		"no class":           func(r *http.Request) { r.URL.Path = "/" },
@@ -35,14 +35,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			req := call(base, "send")
+			req := newClientRequest(base, "send")
 			change(req)
 			if status, _, _ := do(t, req); status < 400 || status > 499 || status == 429 {
 				t.Errorf("got status %d, want a 4xx other than 429", status)
 			}
 		})
 	}
-	longest := call(base, "send")
+	longest := newClientRequest(base, "send")
 	longest.Body, longest.ContentLength = bodyOf(maxBodyBytes), maxBodyBytes
 	longest.Header.Set("Request-Id", "longest")
 	if status, _, _ := do(t, longest); status != 200 {
@@ -54,11 +54,11 @@
 }
 
 // A path without a last segment has no key: such requests must not all hash to the same backend.
-func TestReadRequestTakesKeyFromPath(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
+func TestReadRequestReadsKeyFromPath(t *testing.T) {
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	for path, wantKey := range map[string]bool{"/order": false, "/order/": false, "/order/u1": true, "/order/a/u1": true} {
 		t.Run(path, func(t *testing.T) {
-			req := call("http://b", "order")
+			req := newClientRequest("http://b", "order")
 			req.RequestURI, req.URL.Path = path, path
 			req.Body = http.NoBody
 			req.ContentLength = 0
@@ -73,20 +73,20 @@
 	}
 }
 
-// The longest timeout that is accepted follows from the settings, where a class may have a deadline
-// of minutes. It holds for all classes.
+// The longest timeout that is accepted is the longest deadline of the settings, where a class may
+// have one of minutes. It applies to all classes.
 func TestAgentAcceptsTimeoutsUpToLongestDeadline(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	conf := agenttest.Config(nowhere, addr)
+	conf := agenttest.Config(refusingAddr, addr)
 	agenttest.Set(conf, 300000, "settings", "classes", 2, "giveUpMs")
-	_, base, _, _ := start(t, conf)
+	_, base, _, _ := startAgent(t, conf)
 	for text, want := range map[string]int{
 		"75000m": 200, "300000m": 200, "300000000u": 200, // within the longest class's
 		"300001m": 400, "18446744073709551615m": 400, "-75000m": 400, "75000": 400, "m": 400,
 	} {
 		for _, class := range []string{"order", "look"} {
 			t.Run(class+" "+text, func(t *testing.T) {
-				req := call(base, class)
+				req := newClientRequest(base, class)
 				req.Header.Set("Request-Timeout", text)
 				if status, body, _ := do(t, req); status != want {
 					t.Errorf("got status %d %q, want %d", status, body, want)
@@ -96,10 +96,10 @@
 	}
 }
 
-// A request that is refused before the loop has a requestError with its HTTP status, whose text
-// names the header or the part at fault.
+// A request that is rejected before it reaches the loop has a requestError with the HTTP status.
+// Its text names the invalid header or part.
 func TestReadRequestErrorsNameTheFault(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	for _, test := range []struct {
 		name   string
 		change func(r *http.Request)
@@ -124,7 +124,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			agent.bodyBytes.Store(0)
-			req := call("http://b", "send")
+			req := newClientRequest("http://b", "send")
 			req.RequestURI = "/send/u1"
 			test.change(req)
 			before := agent.bodyBytes.Load()
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestParseTimeoutTakesBothUnits(t *testing.T) {
+func TestParseTimeoutAcceptsBothUnits(t *testing.T) {
 	for text, want := range map[string]time.Duration{"480m": 480 * time.Millisecond, "1u": time.Microsecond, "60000m": time.Minute} {
 		if got, err := parseTimeout(text, time.Minute); err != nil || got != want {
 			t.Errorf("%q: got %v, %v; want %v", text, got, err, want)
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -27,8 +27,8 @@
 		timers <- call
 		return nil
 	}
-	base, _, _ = serve(t, agent, listener)
-	return agent, base, func() { (<-timers)(); agent.awaitLoop() }
+	base, _, _ = serveAgent(t, agent, listener)
+	return agent, base, func() { (<-timers)(); agent.waitForLoop() }
 }
 
 // readiness returns the status of /ready.
@@ -50,24 +50,23 @@
 	}
 }
 
-// While discovery is down, an agent that knows no backend is ready some time after its start all
-// the same. It queues the requests that come then, forwards them as soon as it knows a backend, and
-// stays ready.
+// While discovery is down, an agent that knows no backend becomes ready after a timeout. It queues
+// the requests that arrive then, forwards them once it knows a backend, and stays ready.
 func TestAgentIsReadyWithoutDiscovery(t *testing.T) {
 	if readyTimeout > 5*time.Second {
 		t.Fatalf("got a ready timeout of %v, want 5s at most: restarted agents have to be ready within 6 s", readyTimeout)
 	}
-	silent := listen(t) // the kernel accepts, and nobody answers
-	for name, discovery := range map[string]string{"silent": silent.Addr().String(), "refusing": nowhere} {
+	silent := newListener(t) // the kernel accepts, and nobody answers
+	for name, discovery := range map[string]string{"silent": silent.Addr().String(), "refusing": refusingAddr} {
 		t.Run(name+" discovery", func(t *testing.T) {
 			backend, _ := agenttest.IDBackend(t, 200, false)
-			agent, base, expire := startOnListener(t, agenttest.Config(discovery), listen(t))
+			agent, base, expire := startOnListener(t, agenttest.Config(discovery), newListener(t))
 			checkReadiness(t, base, http.StatusServiceUnavailable, "at the start")
 			expire()
 			checkReadiness(t, base, http.StatusOK, "after the ready timeout")
 			conn := agenttest.Dial(t, base)
 			io.WriteString(conn, agenttest.RequestText("order", "early"))
-			agenttest.Eventually(t, "the request queued", func() bool { return agent.holds("early") })
+			agenttest.Eventually(t, "the request queued", func() bool { return agent.hasOpenRequest("early") })
 			agent.applyList(2, readyHost(0, backend))
 			checkResponse(t, bufio.NewReader(conn), http.StatusOK)
 			agent.applyList(3)
@@ -86,9 +85,9 @@
 		{"a backend", true, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l, log := loggingLoop(t, nowhere) // with a backend
+			l, log := newLoggingLoop(t, refusingAddr) // with a backend
 			if !c.backend {
-				l.handle(watchEvent{list: listOf(2, true)})
+				l.handle(watchEvent{list: newList(2, true)})
 			}
 			if got := l.ready.isReady.Load(); got != c.backend {
 				t.Errorf("before the timeout: got ready %v, want %v", got, c.backend)
@@ -104,19 +103,19 @@
 	}
 }
 
-// An agent whose configured backends can't be reached is ready at once, rejects the requests that
-// reach none of them, and serves when it knows another.
+// An agent whose configured backends can't be reached is ready at once. It rejects the requests
+// that reach none of them, and serves requests once it knows another backend.
 func TestAgentIsReadyWithUnreachableBackends(t *testing.T) {
 	backend, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, _ := startOnListener(t, agenttest.Config(nowhere, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), listen(t))
+	agent, base, _ := startOnListener(t, agenttest.Config(refusingAddr, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"), newListener(t))
 	checkReadiness(t, base, http.StatusOK, "at the start")
-	status, _, header := do(t, call(base, "order"))
+	status, _, header := do(t, newClientRequest(base, "order"))
 	checkRejected(t, status, header)
 	agent.applyList(2, readyHost(9, backend))
 	checkStatus(t, base, http.StatusOK, "with a backend known")
 }
 
-// setBacklog sets how many connections the kernel accepts ahead of a listener.
+// setBacklog sets the number of connections that the kernel accepts in advance for a listener.
 func setBacklog(t *testing.T, listener net.Listener, backlog int) {
 	t.Helper()
 	conn, err := listener.(*net.TCPListener).SyscallConn()
@@ -131,16 +130,17 @@
 	}
 }
 
-// An agent that starts with a full backlog of clients, more than it has slots for, answers the one
-// behind them all, and serves each that sent a request: clients that send nothing make room.
-func TestAgentAnswersBehindFullBacklog(t *testing.T) {
+// An agent starts with a full backlog of clients, which are more than it has slots for. It answers
+// the client behind them, and each client that sent a request. Clients that send nothing are closed
+// to free their slots.
+func TestAgentAnswersClientBehindFullBacklog(t *testing.T) {
 	const backlog, every = 128, 16 // one client in so many sends a request
 	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.OpenRequests() {
 		t.Fatalf("got %d clients of which %d send, want more than %d of which %d send at most",
 			backlog, backlog/every, minLimits.ClientSockets(), minLimits.OpenRequests())
 	}
 	backend, _ := agenttest.IDBackend(t, 200, false)
-	listener := listen(t)
+	listener := newListener(t)
 	setBacklog(t, listener, backlog)
 	senders := []net.Conn{}
 	for i := range backlog {
@@ -150,7 +150,7 @@
 			senders = append(senders, conn)
 		}
 	}
-	conf := agenttest.Config(nowhere, backend)
+	conf := agenttest.Config(refusingAddr, backend)
 	agenttest.Set(conf, config.MinSockets, "limits", "sockets")
 	_, base, _ := startOnListener(t, conf, listener)
 	checkReadiness(t, base, http.StatusOK, "behind the backlog")
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -15,7 +15,7 @@
 	"ploverreel/policy"
 )
 
-// testClass returns the JSON object of a class of the settings.
+// testClass returns the JSON object of a class in the settings.
 func testClass(name, effect string, giveUpMs int) map[string]any {
 	return map[string]any{"name": name, "aimMs": 20000, "giveUpMs": giveUpMs, "credit": 1,
 		"effect": effect, "group": "all", "keyTtlMs": 20000}
@@ -29,8 +29,8 @@
 	return conf
 }
 
-// steppedBackend answers one request each time that the test lets it.
-func steppedBackend(t *testing.T) (addr string, received chan string, answer chan struct{}) {
+// startGatedBackend starts a backend that answers one request for each item of answer.
+func startGatedBackend(t *testing.T) (addr string, received chan string, answer chan struct{}) {
 	received, answer = make(chan string, 10), make(chan struct{})
 	addr = agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -46,13 +46,13 @@
 	return addr, received, answer
 }
 
-// Other classes, limits and sockets are in force at once. Open requests are answered under the
-// settings that they were read under, later ones go by the new ones, and the agent stays ready.
+// A reload applies new classes, limits and sockets at once. Open requests are answered under the
+// settings under which they were read, later ones use the new settings, and the agent stays ready.
 func TestReloadAppliesSettingsUnderLoad(t *testing.T) {
-	addr, received, answer := steppedBackend(t)
-	conf := agenttest.Config(nowhere, addr)
-	agent, base, _, _ := start(t, conf)
-	open := doAsync(t, call(base, "order"))
+	addr, received, answer := startGatedBackend(t)
+	conf := agenttest.Config(refusingAddr, addr)
+	agent, base, _, _ := startAgent(t, conf)
+	open := doAsync(t, newClientRequest(base, "order"))
 	if got := <-received; got != "/order/u1" {
 		t.Fatalf("got a request of %s, want /order/u1", got)
 	}
@@ -60,7 +60,7 @@
 	next := withSettings(conf, map[string]any{"classes": []any{testClass("fresh", "single_shot", 300000),
 		testClass("send", "guarded", 30000), testClass("look", "free", 30000)}})
 	next["limits"] = map[string]any{"cores": 1, "memory_mb": 96, "sockets": limits.Sockets}
-	if err := agent.Reload(parse(t, next)); err != nil {
+	if err := agent.Reload(parseConfig(t, next)); err != nil {
 		t.Fatalf("got %v, want the configuration applied", err)
 	}
 	checkStatus(t, base, http.StatusNotFound, "a class that was removed")
@@ -70,7 +70,7 @@
 		t.Errorf("a request from before the reload: got status %d, want 200", got)
 	}
 	for class, timeout := range map[string]string{"fresh": "300000m", "look": "20000m"} {
-		req := call(base, class)
+		req := newClientRequest(base, class)
 		req.Header.Set("Request-Timeout", timeout)
 		if status, body, _ := do(t, req); status != http.StatusOK {
 			t.Errorf("class %s: got %d %q, want 200", class, status, body)
@@ -79,7 +79,7 @@
 	if got, _ := agent.clients.Limits(); got != limits.ClientSockets() {
 		t.Errorf("got %d slots for clients, want %d", got, limits.ClientSockets())
 	}
-	agent.look(func(l *loop) {
+	agent.inspect(func(l *loop) {
 		if got := l.pool.Settings().MaxConns; got != limits.BackendSockets() {
 			t.Errorf("got %d connections to backends, want %d", got, limits.BackendSockets())
 		}
@@ -89,12 +89,12 @@
 	})
 }
 
-// A configuration is applied whole or not at all: what can't change without a restart is named, and
-// neither the classes nor the discovery of that configuration are in force.
+// A configuration is applied as a whole or not at all. The error names the field that can't change
+// without a restart, and neither the classes nor the discovery of that configuration are in force.
 func TestReloadAppliesAllOrNothing(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	conf := agenttest.Config(nowhere, addr)
-	agent, base, _, _ := start(t, conf)
+	conf := agenttest.Config(refusingAddr, addr)
+	agent, base, _, _ := startAgent(t, conf)
 	classes := map[string]any{"classes": []any{testClass("fresh", "single_shot", 30000)}}
 	for _, c := range []struct {
 		field string
@@ -112,29 +112,29 @@
 			next := withSettings(conf, classes)
 			next["discovery"] = "127.0.0.1:2"
 			agenttest.Set(next, c.value, c.path...)
-			err := agent.Reload(parse(t, next))
+			err := agent.Reload(parseConfig(t, next))
 			if err == nil || !strings.HasPrefix(err.Error(), "config: "+c.field+": ") || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got error %v, want one line that names %s", err, c.field)
 			}
 			checkStatus(t, base, http.StatusOK, "the class in force")
-			agent.look(func(l *loop) {
-				if got := l.watch.discoveryAddr(); got != nowhere {
-					t.Errorf("got discovery %s, want %s", got, nowhere)
+			agent.inspect(func(l *loop) {
+				if got := l.watch.discoveryAddr(); got != refusingAddr {
+					t.Errorf("got discovery %s, want %s", got, refusingAddr)
 				}
 			})
 		})
 	}
 	next := withSettings(conf, classes)
 	agenttest.Set(next, []any{"a", "b", "c"}, "settings", "failureDomains")
-	if err := agent.Reload(parse(t, next)); err != nil {
+	if err := agent.Reload(parseConfig(t, next)); err != nil {
 		t.Errorf("one more failure domain: got %v, want it applied", err)
 	}
 }
 
-// A request that was read just before other settings came is decided under its class's new number.
-// It is rejected, as it never ran, if its class was removed or has another effect.
+// A request that was read just before a reload is decided under the new index of its class. If the
+// class was removed or has another effect, the request is rejected, as it never ran.
 func TestReloadRenumbersClassesOfRequestsReadBefore(t *testing.T) {
-	conf := agenttest.Config(nowhere, "127.0.0.1:1")
+	conf := agenttest.Config(refusingAddr, "127.0.0.1:1")
 	for _, c := range []struct {
 		name      string
 		classes   []any
@@ -146,9 +146,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newTestLoop(t, "127.0.0.1:1")
-			r := newTestRequest(l.config, "x", time.Now().Add(agenttest.Never))
+			r := newLoopRequest(l.config, "x", time.Now().Add(agenttest.Never))
 			done := make(chan error, 1)
-			l.handle(reloadRequested{config: parse(t, withSettings(conf, map[string]any{"classes": c.classes})), done: done})
+			l.handle(reloadRequested{config: parseConfig(t, withSettings(conf, map[string]any{"classes": c.classes})), done: done})
 			if err := <-done; err != nil {
 				t.Fatalf("got %v, want the configuration applied", err)
 			}
--- a/internal/agent/reload_errors_test.go
+++ b/internal/agent/reload_errors_test.go
@@ -6,9 +6,9 @@
 	"ploverreel/internal/agenttest"
 )
 
-// The texts are an interface: they are pinned word for word.
+// The texts are an interface to operators, so the test compares them word for word.
 func TestReloadErrorIsOneLineWithTheField(t *testing.T) {
-	agent, _, _, _ := start(t, agenttest.Config(nowhere, "127.0.0.1:1"))
+	agent, _, _, _ := startAgent(t, agenttest.Config(refusingAddr, "127.0.0.1:1"))
 	for _, c := range []struct {
 		name  string
 		value any
@@ -23,9 +23,9 @@
 		{"shapes", []any{"other"}, []any{"settings", "shapes"}, `config: settings: shapes: the place of "k" can't change without a restart`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conf := agenttest.Config(nowhere, "127.0.0.1:1")
+			conf := agenttest.Config(refusingAddr, "127.0.0.1:1")
 			agenttest.Set(conf, c.value, c.path...)
-			if err := agent.Reload(parse(t, conf)); err == nil || err.Error() != c.want {
+			if err := agent.Reload(parseConfig(t, conf)); err == nil || err.Error() != c.want {
 				t.Errorf("got error\n%v, want\n%s", err, c.want)
 			}
 		})
@@ -33,9 +33,9 @@
 }
 
 func TestReloadOfAStoppedAgentFails(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	agent.stop()
-	if err := agent.Reload(parse(t, agenttest.Config(nowhere))); err == nil || err.Error() != "config: the agent has ended" {
+	if err := agent.Reload(parseConfig(t, agenttest.Config(refusingAddr))); err == nil || err.Error() != "config: the agent has ended" {
 		t.Errorf("got error %v, want config: the agent has ended", err)
 	}
 }
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -28,13 +28,12 @@
 	} {
 		next := withSettings(conf, map[string]any{"classes": c.classes})
 		next["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": c.sockets}
-		configs = append(configs, parse(t, next))
+		configs = append(configs, parseConfig(t, next))
 	}
 	return configs
 }
 
-// persistentClient sends requests one after the other, and connects again where its connection
-// closes.
+// persistentClient sends requests one after the other, and reconnects when its connection closes.
 type persistentClient struct {
 	t      *testing.T
 	base   string
@@ -68,7 +67,7 @@
 	return err == nil
 }
 
-// reloadUntil reloads one configuration after the other until done is closed.
+// reloadUntil reloads the configurations in turn until done is closed.
 func reloadUntil(t *testing.T, agent *Agent, configs []*config.Config, done <-chan struct{}) {
 	t.Helper()
 	for i := 0; ; i++ {
@@ -83,8 +82,8 @@
 	}
 }
 
-// Reloads in a row, each with other limits and another order of the classes, cost no request its
-// response: a request that was read is answered, and one that was not is not forwarded.
+// Successive reloads, each with other limits and another order of the classes, lose no response. A
+// request that was read is answered, and one that was not read is not forwarded.
 func TestReloadsLoseNoRequest(t *testing.T) {
 	const clients, requests = 6, 30
 	received := make(chan string, 2*clients*requests)
@@ -98,8 +97,8 @@
 			io.WriteString(conn, agenttest.OKAnswer)
 		}
 	})
-	conf := agenttest.Config(nowhere, addr)
-	agent, base, _, _ := start(t, conf)
+	conf := agenttest.Config(refusingAddr, addr)
+	agent, base, _, _ := startAgent(t, conf)
 	var sending sync.WaitGroup
 	unanswered := make(chan string, clients*requests)
 	for i := range clients {
@@ -120,7 +119,7 @@
 		close(done)
 	}()
 	reloadUntil(t, agent, reloadConfigs(t, conf), done)
-	agent.awaitLoop()
+	agent.waitForLoop()
 	close(received)
 	close(unanswered)
 	forwarded := map[string]bool{}
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -19,8 +19,8 @@
 	"ploverreel/policy"
 )
 
-// A request that may have run is retried only if its class allows it; one that was rejected may be
-// sent to another backend in any class.
+// A request that may have run is retried only if its class allows it. A request that was rejected
+// may be sent to another backend in any class.
 func TestAgentRetriesAsTheClassAllows(t *testing.T) {
 	for _, c := range []struct {
 		name, class  string
@@ -42,8 +42,8 @@
 				addr, ids := agenttest.IDBackend(t, c.status, c.notStarted)
 				addrs, received = append(addrs, addr), append(received, ids)
 			}
-			_, base, _, _ := start(t, agenttest.Config(nowhere, addrs...))
-			status, _, header := do(t, call(base, c.class))
+			_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addrs...))
+			status, _, header := do(t, newClientRequest(base, c.class))
 			if status != c.wantStatus {
 				t.Errorf("got status %d, want %d", status, c.wantStatus)
 			}
@@ -65,21 +65,21 @@
 	}
 }
 
-// A backend's incomplete response is not forwarded, whole or in part.
+// An incomplete response of a backend is not forwarded, neither as a whole nor in part.
 func TestAgentAnswers502ForIncompleteResponse(t *testing.T) {
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone")
 		}
 	})
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
-	if status, body, _ := do(t, call(base, "order")); status != http.StatusBadGateway || body != "" {
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
+	if status, body, _ := do(t, newClientRequest(base, "order")); status != http.StatusBadGateway || body != "" {
 		t.Fatalf("got %d %q, want %d with no body", status, body, http.StatusBadGateway)
 	}
 }
 
-// Requests above the limit of open ones are rejected at once: the module would have no time left for
-// them later.
+// Requests above the limit of open requests are rejected at once, as the module would have no time
+// left for them later.
 func TestAgentRejectsRequestsAboveItsLimit(t *testing.T) {
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
@@ -89,10 +89,10 @@
 	}))
 	t.Cleanup(server.Close)
 	t.Cleanup(release) // before the backend closes, also when the test fails
-	conf := agenttest.Config(nowhere, server.Listener.Addr().String())
+	conf := agenttest.Config(refusingAddr, server.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
-	agent, base, _, _ := start(t, conf)
-	// On a slow machine clients may write late, and handlers answer late.
+	agent, base, _, _ := startAgent(t, conf)
+	// On a slow machine clients may write late and handlers may respond late.
 	agent.clients.SetPatience(agenttest.Never, agenttest.Never)
 	const excess = 20
 	requests := minLimits.OpenRequests() + excess
@@ -101,7 +101,7 @@
 	}
 	statuses := make(chan int, requests)
 	for range requests {
-		go func() { statuses <- <-doAsync(t, call(base, "order")) }()
+		go func() { statuses <- <-doAsync(t, newClientRequest(base, "order")) }()
 	}
 	atOnce := time.After(10 * time.Second) // the module would reject what is queued after 15 s
 	for range excess {
@@ -132,16 +132,16 @@
 		reader.ReadByte()
 		close(ended)
 	})
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	ctx, cancel := context.WithCancel(context.Background())
-	go http.DefaultTransport.RoundTrip(call(base, "order").WithContext(ctx))
+	go http.DefaultTransport.RoundTrip(newClientRequest(base, "order").WithContext(ctx))
 	<-received
 	cancel()
 	<-ended
 }
 
-// A machine that vanished is silent on all its connections: after a timeout no idle connection to it
-// is used again.
+// A machine that vanished doesn't respond on any of its connections. After a timeout no idle
+// connection to it is used again.
 func TestAttemptTimeoutClosesIdleConnections(t *testing.T) {
 	closed := make(chan struct{})
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -156,9 +156,9 @@
 	settings := l.pool.Settings()
 	settings.IdleTimeout = agenttest.Never
 	l.pool.Configure(settings)
-	if got := newLoopAttempt(target).Run(); got.Status != policy.StatusOK {
+	if got := newTestAttempt(target).Run(); got.Status != policy.StatusOK {
 		t.Fatalf("got status %d, want %d", got.Status, policy.StatusOK)
 	}
-	l.handle(attemptEnded{attempt: newLoopAttempt(target), result: backend.Result{Status: policy.StatusTimeout}})
+	l.handle(attemptEnded{attempt: newTestAttempt(target), result: backend.Result{Status: policy.StatusTimeout}})
 	<-closed
 }
--- a/internal/agent/response_test.go
+++ b/internal/agent/response_test.go
@@ -24,7 +24,7 @@
 		{"failed", response{status: policy.StatusServerError, retryAfter: time.Second}, http.StatusBadGateway, "", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			agent, recorder := newAgent(t, agenttest.Config(nowhere)), httptest.NewRecorder()
+			agent, recorder := newAgent(t, agenttest.Config(refusingAddr)), httptest.NewRecorder()
 			agent.writeResponse(recorder, c.response)
 			if recorder.Code != c.wantStatus {
 				t.Errorf("got status %d, want %d", recorder.Code, c.wantStatus)
@@ -44,7 +44,7 @@
 
 // During a shutdown each response closes its connection, so that the agent can end.
 func TestWriteResponseClosesConnectionDuringShutdown(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	for _, c := range []struct{ when, want string }{{"before the shutdown", ""}, {"during the shutdown", "close"}} {
 		recorder := httptest.NewRecorder()
 		agent.writeResponse(recorder, response{status: policy.StatusOK})
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -10,7 +10,7 @@
 	"ploverreel/internal/agenttest"
 )
 
-// A request whose id is in progress is rejected, and the first one forwarded once.
+// A request with the id of a request in progress is rejected, and the first one is forwarded once.
 func TestAgentRejectsIDOfRequestInProgress(t *testing.T) {
 	got, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -18,8 +18,8 @@
 		<-release
 	}))
 	t.Cleanup(backend.Close)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
-	first, again := call(base, "order"), call(base, "order")
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, backend.Listener.Addr().String()))
+	first, again := newClientRequest(base, "order"), newClientRequest(base, "order")
 	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
 	served := make(chan int, 1)
 	go func() {
@@ -41,8 +41,8 @@
 	}
 }
 
-// Ids are known for a time, and forgotten some time after it.
-func TestSeenIDsKnowsIDForItsTime(t *testing.T) {
+// Ids are known for the retention, and forgotten some time after it.
+func TestSeenIDsKeepsIDsForRetention(t *testing.T) {
 	ids, now := newSeenIDs(time.Second), time.Now()
 	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
 		t.Fatal("got an id added twice within its time, want it known")
@@ -52,7 +52,7 @@
 	}
 }
 
-// However many ids arrive, the memory for them is bounded, and the latest are known.
+// The memory for ids is bounded however many arrive, and the latest ids are known.
 func TestSeenIDsIsBounded(t *testing.T) {
 	ids, now := newSeenIDs(agenttest.Never), time.Now()
 	for i := range 5 * maxIDsPerSet {
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -24,9 +24,9 @@
 	return err == nil
 }
 
-// startBlocking starts a backend that answers when release is closed, and sends the Request-Timeout
-// of each request on received.
-func startBlocking(t *testing.T) (addr string, received chan string, release chan struct{}) {
+// startBlockingBackend starts a backend that answers after release is closed, and sends the
+// Request-Timeout of each request on received.
+func startBlockingBackend(t *testing.T) (addr string, received chan string, release chan struct{}) {
 	t.Helper()
 	received, release = make(chan string, 10), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -38,7 +38,7 @@
 	return server.Listener.Addr().String(), received, release
 }
 
-// awaitEnd waits for the agent's end, and checks that it is one without an error.
+// awaitEnd waits for the agent to end, and checks that it ends without an error.
 func awaitEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	if err := agenttest.Receive(t, ended, "the agent's end"); err != nil {
@@ -46,18 +46,18 @@
 	}
 }
 
-// A shutdown waits for a request whose head was read, also if nothing else is in progress: it came
-// on an accepted connection.
+// A shutdown waits for a request whose head was read even if nothing else is in progress, as the
+// request arrived on an accepted connection.
 func TestShutdownWaitsForRequestBeingRead(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr))
+	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr))
 	conn := agenttest.Dial(t, base)
 	text := strings.Replace(agenttest.RequestText("order", "late"), "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\n", 1)
 	stop()
 	agenttest.Eventually(t, "the shutdown begun", func() bool { return agent.shutdownAt.Load() != nil })
 	io.WriteString(conn, text+"half")
 	agenttest.Eventually(t, "no connections accepted", func() bool { return !accepts(base) })
-	// Far longer than shutdownReadGrace: an agent that didn't wait would have ended.
+	// This is far longer than shutdownReadGrace: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
 		t.Errorf("got the agent's end, %v, with half a request read; want it to wait", err)
@@ -71,26 +71,26 @@
 	awaitEnd(t, ended)
 }
 
-// A request so late after SIGTERM that SIGKILL might find it unanswered is rejected at once and not
-// forwarded.
+// A request that arrives so late after SIGTERM that SIGKILL might precede its response is rejected
+// at once and not forwarded.
 func TestShutdownRejectsLateRequests(t *testing.T) {
 	addr, received := agenttest.IDBackend(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	began := time.Now().Add(-shutdownRejectAfter)
 	agent.shutdownAt.Store(&began)
-	status, _, header := do(t, call(base, "order"))
+	status, _, header := do(t, newClientRequest(base, "order"))
 	checkRejected(t, status, header)
 	if len(received) > 0 {
 		t.Fatalf("got %d requests forwarded, want 0", len(received))
 	}
 }
 
-// SIGTERM before the agent serves, with no request in progress, ends it without an error.
+// SIGTERM before the agent serves, without a request in progress, ends it without an error.
 func TestShutdownBeforeServing(t *testing.T) {
-	agent := newAgent(t, agenttest.Config(nowhere))
+	agent := newAgent(t, agenttest.Config(refusingAddr))
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if err := agent.Serve(ctx, listen(t)); err != nil {
+	if err := agent.Serve(ctx, newListener(t)); err != nil {
 		t.Fatalf("got %v, want no error", err)
 	}
 }
@@ -98,11 +98,11 @@
 // After SIGTERM requests on new connections are still answered, those in progress are finished, and
 // the agent ends without an error.
 func TestShutdownAnswersRequestsInProgress(t *testing.T) {
-	addr, received, release := startBlocking(t)
-	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr))
+	addr, received, release := startBlockingBackend(t)
+	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr))
 	responses := make(chan *http.Response, 2)
 	send := func() {
-		resp, err := http.DefaultTransport.RoundTrip(call(base, "look"))
+		resp, err := http.DefaultTransport.RoundTrip(newClientRequest(base, "look"))
 		if err != nil {
 			t.Errorf("got %v, want a response", err)
 		}
@@ -123,7 +123,7 @@
 	awaitEnd(t, ended)
 }
 
-// captureTimer has the agent hand its timer to the test in place of the clock, and checks its delay.
+// captureTimer passes the agent's timer to the test instead of starting it, and checks its delay.
 func captureTimer(t *testing.T, agent *Agent, want time.Duration) (timers chan func()) {
 	timers = make(chan func(), 1)
 	agent.afterFunc = func(delay time.Duration, call func()) *time.Timer {
@@ -136,15 +136,15 @@
 	return timers
 }
 
-// A request that SIGKILL, 3.7 s after SIGTERM, would find unanswered is answered before, and a
-// request after SIGTERM is forwarded with no more time than until then.
+// SIGKILL arrives 3.7 s after SIGTERM. A request that would still be unanswered then is answered
+// before, and a request after SIGTERM is forwarded with at most the time until then.
 func TestShutdownAnswersBeforeKill(t *testing.T) {
 	const lastResponse = 3600 * time.Millisecond // after SIGTERM
-	addr, received, release := startBlocking(t)
+	addr, received, release := startBlockingBackend(t)
 	t.Cleanup(func() { close(release) })
-	agent := newAgent(t, agenttest.Config(nowhere, addr))
+	agent := newAgent(t, agenttest.Config(refusingAddr, addr))
 	timers := captureTimer(t, agent, lastResponse)
-	base, stop, ended := serve(t, agent, listen(t))
+	base, stop, ended := serveAgent(t, agent, newListener(t))
 	var readers []*bufio.Reader
 	open := func() net.Conn {
 		conn := agenttest.Dial(t, base)
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -11,8 +11,8 @@
 	"ploverreel/internal/agenttest"
 )
 
-// A simulated agent watches like any agent, reports each list that is put in force, and ends with
-// its context. The list of its configuration is not reported.
+// A simulated agent watches like a real agent, reports each list that is put in force, and ends
+// with its context. The list of its configuration is not reported.
 func TestSimulatedAgentReportsListsInForce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"seq":7,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"ready"}]}`, "\n",
@@ -28,7 +28,7 @@
 	lists, ended := make(chan report, 100), make(chan error, 1)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	conf := parse(t, agenttest.Config(server.Listener.Addr().String(), nowhere))
+	conf := parseConfig(t, agenttest.Config(server.Listener.Addr().String(), refusingAddr))
 	go func() {
 		ended <- RunSimulated(ctx, conf, slog.New(slog.DiscardHandler), func(seq int64, whole bool) { lists <- report{seq, whole} })
 	}()
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -11,33 +11,33 @@
 	"ploverreel/policy"
 )
 
-// clockSteps are the steps of a wall clock that the tests play.
+// clockSteps are the sizes of the wall clock steps that the tests simulate.
 var clockSteps = []time.Duration{0, time.Second, -time.Second, time.Minute, -time.Minute, time.Hour, -time.Hour}
 
-// The scenarios of a wall clock that is stepped.
+// clockScenarios are the scenarios with a stepped wall clock.
 var clockScenarios = []struct {
 	name string
 	play func(*watchedFleet, time.Duration)
 }{
-	{"off at the start", playClockOffAtStart},
-	{"off at the start, empty list", playClockOffAtStartWithoutList},
-	{"stepped while the agent runs", playClockSteppedWhileRunning},
-	{"stepped across a restart of the agent", playClockSteppedAcrossRestart},
-	{"backends' clock stepped", playBackendClockStepped},
+	{"off at the start", runClockOffAtStart},
+	{"off at the start, empty list", runClockOffAtStartWithoutList},
+	{"stepped while the agent runs", runClockSteppedWhileRunning},
+	{"stepped across a restart of the agent", runClockSteppedAcrossRestart},
+	{"backends' clock stepped", runBackendClockStepped},
 }
 
-func playClockOffAtStart(f *watchedFleet, step time.Duration) {
+func runClockOffAtStart(f *watchedFleet, step time.Duration) {
 	f.machine.step = step
 	f.startBackend("s-0", time.Second)
 	f.startAgent()
-	f.hold(3 * time.Second)
-	f.notify(true, append(f.hosts, f.startBackend("s-1", time.Second))...)
-	f.hold(3 * time.Second)
-	f.notify(false, f.startBackend("s-2", time.Second/4))
-	f.hold(20 * time.Second)
+	f.advanceChecked(3 * time.Second)
+	f.deliver(true, append(f.hosts, f.startBackend("s-1", time.Second))...)
+	f.advanceChecked(3 * time.Second)
+	f.deliver(false, f.startBackend("s-2", time.Second/4))
+	f.advanceChecked(20 * time.Second)
 }
 
-func playClockOffAtStartWithoutList(f *watchedFleet, step time.Duration) {
+func runClockOffAtStartWithoutList(f *watchedFleet, step time.Duration) {
 	f.machine.step = step
 	hosts := f.hosts
 	f.hosts = nil
@@ -45,53 +45,53 @@
 	f.hosts = hosts
 	f.startBackend("s-0", time.Second)
 	f.startBackend("s-1", 5*time.Second)
-	f.notifyWhole()
-	f.hold(20 * time.Second)
+	f.deliverWhole()
+	f.advanceChecked(20 * time.Second)
 }
 
-func playClockSteppedWhileRunning(f *watchedFleet, step time.Duration) {
+func runClockSteppedWhileRunning(f *watchedFleet, step time.Duration) {
 	f.startAgent()
-	f.notifyWhole()
-	f.notify(false, f.startBackend("s-0", time.Second/2))
-	f.hold(time.Second)
+	f.deliverWhole()
+	f.deliver(false, f.startBackend("s-0", time.Second/2))
+	f.advanceChecked(time.Second)
 	f.machine.step = step
-	f.hold(time.Second)
-	f.notify(false, f.startBackend("s-1", 0))
-	f.hold(time.Second)
-	f.notify(false, f.startBackend("s-0", time.Second/4)) // a restart
-	f.hold(20 * time.Second)
+	f.advanceChecked(time.Second)
+	f.deliver(false, f.startBackend("s-1", 0))
+	f.advanceChecked(time.Second)
+	f.deliver(false, f.startBackend("s-0", time.Second/4)) // a restart
+	f.advanceChecked(20 * time.Second)
 }
 
-func playClockSteppedAcrossRestart(f *watchedFleet, step time.Duration) {
+func runClockSteppedAcrossRestart(f *watchedFleet, step time.Duration) {
 	f.startAgent()
-	f.notify(false, f.startBackend("s-0", time.Second))
-	f.hold(2 * time.Second)
+	f.deliver(false, f.startBackend("s-0", time.Second))
+	f.advanceChecked(2 * time.Second)
 	f.machine.step = step
-	f.machine.pass(time.Second)
+	f.machine.advance(time.Second)
 	f.startBackend("s-1", time.Second/2)
 	f.startAgent()
-	f.hold(time.Second)
+	f.advanceChecked(time.Second)
 	f.startBackend("s-0", time.Second/2)
-	f.notifyWhole()
-	f.hold(20 * time.Second)
+	f.deliverWhole()
+	f.advanceChecked(20 * time.Second)
 }
 
-func playBackendClockStepped(f *watchedFleet, step time.Duration) {
+func runBackendClockStepped(f *watchedFleet, step time.Duration) {
 	f.startAgent()
-	f.notify(false, f.startBackend("s-0", time.Second))
-	f.hold(2 * time.Second)
+	f.deliver(false, f.startBackend("s-0", time.Second))
+	f.advanceChecked(2 * time.Second)
 	for _, name := range []string{"s-0", "s-1"} { // a restart and a new backend
 		host := f.startBackend(name, time.Second/2)
 		host.BornMs += float64(step.Milliseconds())
-		f.notify(false, host)
-		f.hold(time.Second)
+		f.deliver(false, host)
+		f.advanceChecked(time.Second)
 	}
-	f.hold(20 * time.Second)
+	f.advanceChecked(20 * time.Second)
 }
 
-// A wall clock that is off, or is stepped, ends no slow start early and prolongs none: it is a span
-// of real time.
-func TestSlowStartLastsInRealTime(t *testing.T) {
+// A slow start is a span of real time. An error or a step of a wall clock neither shortens nor
+// prolongs it.
+func TestSlowStartIsUnaffectedByClockSteps(t *testing.T) {
 	for _, c := range clockScenarios {
 		for _, step := range clockSteps {
 			t.Run(fmt.Sprint(c.name, " by ", step), func(t *testing.T) { c.play(newWatchedFleet(t), step) })
@@ -99,61 +99,61 @@
 	}
 }
 
-// After a time without a watch, the first list has the starts of all that time. They count as far
-// apart as their born_ms are, as long as that fits.
+// After a time without a watch, the first list contains the starts from all of that time. The agent
+// spaces them like their born_ms, as long as they fit into that time.
 func TestStartTimesAfterTimeWithoutWatch(t *testing.T) {
 	for _, step := range clockSteps {
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
 			f := startWatchedFleet(t, step)
-			f.machine.pass(time.Minute)
+			f.machine.advance(time.Minute)
 			f.loop.handle(watchEnded{err: io.EOF, endedAfterNotice: true})
 			f.startBackend("s-0", 0)
-			f.machine.pass(4 * time.Second)
+			f.machine.advance(4 * time.Second)
 			f.startBackend("s-1", 0)
-			f.machine.pass(time.Second)
+			f.machine.advance(time.Second)
 			stepped := f.startBackend("s-2", time.Second) // on a machine whose clock is an hour behind
 			stepped.BornMs -= 3600e3
-			f.notify(false, f.hosts[1], f.hosts[2], stepped)
+			f.deliver(false, f.hosts[1], f.hosts[2], stepped)
 			for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
-				if got, known := f.ageToAgent(name); got.Round(time.Millisecond) != want || !known {
+				if got, known := f.estimatedAge(name); got.Round(time.Millisecond) != want || !known {
 					t.Errorf("got %s %v old, want %v", name, got, want)
 				}
 			}
-			f.hold(20 * time.Second)
+			f.advanceChecked(20 * time.Second)
 		})
 	}
 }
 
-// Where no step can explain the age of the backends, an agent that starts takes them for warmed up;
-// and so it does with a backend that is listed again as before.
+// If no clock step can explain the age of the backends, an agent that starts treats them as warmed
+// up. The same holds for a backend that is listed again unchanged.
 func TestStartTimesOfLongRunningBackendsAreKept(t *testing.T) {
 	f := newWatchedFleet(t)
 	f.startBackend("s-0", config.Milliseconds(maxClockOffsetMs)+slowStartTime)
 	f.startAgent()
-	f.notifyWhole()
+	f.deliverWhole()
 	if got := f.warmingUp(); got != 0 {
 		t.Errorf("got %d backends warming up hours after their start, want 0", got)
 	}
 	late := f.startBackend("s-1", 0)
-	f.notify(false, late)
-	f.hold(10 * time.Second)
+	f.deliver(false, late)
+	f.advanceChecked(10 * time.Second)
 	for _, health := range []string{"draining", "gone", "ready"} {
 		late.Health = health
-		f.notify(false, late)
+		f.deliver(false, late)
 		if got := f.warmingUp(); got != 0 {
 			t.Errorf("got %d backends warming up after one is listed as %s again, want 0", got, health)
 		}
 	}
 }
 
-// The start times that are remembered are bounded by the length of the list.
+// The number of start times that are stored is bounded by the length of the list.
 func TestStartTimesArePruned(t *testing.T) {
 	f := newWatchedFleet(t)
 	f.startAgent()
 	for i := range 5000 {
 		host := f.startBackend(fmt.Sprint("s-", i), 0)
 		f.hosts = f.hosts[:1]
-		f.notify(true, f.hosts[0], host)
+		f.deliver(true, f.hosts[0], host)
 	}
 	if got := len(f.loop.startTimes.known); got > 1100 {
 		t.Errorf("got %d start times remembered with two backends listed, want 1100 at most", got)
@@ -161,7 +161,7 @@
 }
 
 // Whatever the wall clock reads, the module's clock never has a time that means "never" to the
-// module, and no start is after its now.
+// module, and no start is later than its current time.
 func TestModuleClockWithWallClockBeforeEpoch(t *testing.T) {
 	f := newWatchedFleet(t)
 	f.machine.step = -100 * 365 * 24 * time.Hour
@@ -170,7 +170,7 @@
 	if got := f.loop.nowMs(); got < minClockStartMs {
 		t.Fatalf("got the module's time %v, want %v at least", got, float64(minClockStartMs))
 	}
-	f.hold(20 * time.Second)
+	f.advanceChecked(20 * time.Second)
 	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
 	f.loop.startTimes.toModuleClock(entries, f.loop.nowMs())
 	if got, now := entries[0].StartedMs, f.loop.nowMs(); got > now {
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -12,8 +12,8 @@
 	"ploverreel/policy"
 )
 
-// The trace writes one line at its start and one each time that its timer fires, with the counts
-// since the last line, and stops at its limit.
+// The trace writes one line at its start and one each time its timer fires, with the counts since
+// the last line. It stops at its line limit.
 func TestTraceLogsTheModulesState(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2")
 	var text bytes.Buffer
@@ -53,7 +53,8 @@
 	}
 }
 
-// traceKeys returns the keys of the attributes of a trace's line, those of a group behind its name.
+// traceKeys returns the keys of the attributes of a trace line. Keys in a group have the group's
+// name as a prefix.
 func traceKeys(attributes []any) (keys []string) {
 	for i := 0; i < len(attributes); i++ {
 		group, isGroup := attributes[i].(slog.Attr)
@@ -69,7 +70,7 @@
 	return keys
 }
 
-// The attributes of the trace are read by those on call, and keep their names and their order.
+// Operators read the attributes of the trace, so their names and their order don't change.
 func TestTraceAttributesKeepTheirNames(t *testing.T) {
 	state := policy.Snapshot{Classes: []policy.ClassSnapshot{{Name: "order"}}}
 	got := traceKeys((&tracer{}).attributes(state))
--- a/internal/agent/tracked_conn_test.go
+++ b/internal/agent/tracked_conn_test.go
@@ -10,7 +10,7 @@
 	"ploverreel/internal/socket"
 )
 
-// trackingListener keeps the agent's side of the connection that it accepted last.
+// trackingListener stores the agent's side of the connection that it accepted last.
 type trackingListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -28,7 +28,7 @@
 	return l.last, nil
 }
 
-// accepted returns the connection that was accepted last; nil: none yet.
+// accepted returns the connection that was accepted last, or nil if there is none yet.
 func (l *trackingListener) accepted() *trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,32 +50,34 @@
 	return n, err
 }
 
-// awaitsMoreThan reports whether the agent has read a number of bytes and waits for further ones.
-func (c *trackedConn) awaitsMoreThan(bytes int) bool {
+// isWaitingAfter reports whether the agent has read exactly this number of bytes and waits for
+// more.
+func (c *trackedConn) isWaitingAfter(bytes int) bool {
 	return c.read.Load() == int64(bytes) && c.reading.Load()
 }
 
-// awaitRead waits until the agent has read a number of bytes of its last connection, and reads on.
+// awaitRead waits until the agent has read this number of bytes from its last connection and waits
+// for more.
 func awaitRead(t *testing.T, clients *trackingListener, bytes int) {
 	t.Helper()
 	agenttest.Eventually(t, "all bytes of the client read", func() bool {
 		conn := clients.accepted()
-		return conn != nil && conn.awaitsMoreThan(bytes)
+		return conn != nil && conn.isWaitingAfter(bytes)
 	})
 }
 
-// awaitClientClose waits until the close of the client of the last connection has arrived in the
-// agent's kernel.
+// awaitClientClose waits until the client's close of the last connection has arrived in the agent's
+// kernel.
 func awaitClientClose(t *testing.T, clients *trackingListener) {
 	t.Helper()
 	agenttest.Eventually(t, "the client's close arrived", func() bool { return socket.PeerClosed(clients.accepted()) })
 }
 
-// startTracked is start with a listener that tracks the agent's side of connections.
+// startTracked is startAgent with a listener that tracks the agent's side of connections.
 func startTracked(t *testing.T, conf map[string]any) (agent *Agent, base string, clients *trackingListener) {
 	t.Helper()
 	clients = &trackingListener{}
-	agent, base, _, _ = startOn(t, conf, func(ln net.Listener) net.Listener {
+	agent, base, _, _ = startAgentOn(t, conf, func(ln net.Listener) net.Listener {
 		clients.Listener = ln
 		return clients
 	})
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -10,58 +10,58 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// steppedMachine is a machine whose wall clock may be stepped. Both clocks stand still between
-// calls of pass.
-type steppedMachine struct {
-	real   time.Time     // what a right wall clock reads
-	step   time.Duration // of this wall clock
-	uptime time.Duration
+// fakeMachine is a machine whose wall clock may be stepped. Its clocks advance only by calls of
+// advance.
+type fakeMachine struct {
+	trueTime time.Time     // what a right wall clock reads
+	step     time.Duration // of this wall clock
+	uptime   time.Duration
 }
 
-func (m *steppedMachine) Wall() time.Time          { return m.real.Add(m.step).Round(0) }
-func (m *steppedMachine) Monotonic() time.Duration { return m.uptime }
+func (m *fakeMachine) Wall() time.Time          { return m.trueTime.Add(m.step).Round(0) }
+func (m *fakeMachine) Monotonic() time.Duration { return m.uptime }
 
-func (m *steppedMachine) pass(d time.Duration) {
-	m.real = m.real.Add(d)
+func (m *fakeMachine) advance(d time.Duration) {
+	m.trueTime = m.trueTime.Add(d)
 	m.uptime += d
 }
 
-// watchedFleet is an agent on such a machine, and a list whose backends start at known times.
+// watchedFleet is an agent on a fakeMachine, with a list of backends that start at known times.
 type watchedFleet struct {
-	t         *testing.T
-	machine   *steppedMachine
-	loop      *loop
-	seq       int64
-	startedAt map[string]time.Time // in real time
-	noticedAt time.Time            // when the agent was last notified of a start
-	hosts     []endpointlist.Host
+	t          *testing.T
+	machine    *fakeMachine
+	loop       *loop
+	seq        int64
+	startedAt  map[string]time.Time // in real time
+	notifiedAt time.Time            // when the agent was last notified of a start
+	hosts      []endpointlist.Host
 }
 
-// slowStartTime is how long a slow start lasts under the settings of agenttest.Config.
+// slowStartTime is the duration of a slow start under the settings of agenttest.Config.
 var slowStartTime = config.Milliseconds(8000)
 
 // newWatchedFleet returns a fleet with one backend that has run for long. Its agent is not started
 // yet.
 func newWatchedFleet(t *testing.T) *watchedFleet {
 	real := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
-	f := &watchedFleet{t: t, machine: &steppedMachine{real: real, uptime: time.Minute}, seq: 1, startedAt: map[string]time.Time{}}
+	f := &watchedFleet{t: t, machine: &fakeMachine{trueTime: real, uptime: time.Minute}, seq: 1, startedAt: map[string]time.Time{}}
 	f.hosts = append(f.hosts, endpointlist.Host{Host: "s-old", Dial: "127.0.0.1:1", Health: "ready", Share: 1})
 	return f
 }
 
-// startWatchedFleet returns a fleet whose agent has started with its wall clock off by the step,
-// and has been notified of the list.
+// startWatchedFleet returns a fleet whose agent started with its wall clock off by the step, and
+// has been notified of the list.
 func startWatchedFleet(t *testing.T, step time.Duration) *watchedFleet {
 	f := newWatchedFleet(t)
 	f.machine.step = step
 	f.startAgent()
-	f.notifyWhole()
+	f.deliverWhole()
 	return f
 }
 
-// startBackend starts a backend, or restarts it, so long ago. The agent isn't notified.
+// startBackend starts or restarts a backend at the given time before now. The agent isn't notified.
 func (f *watchedFleet) startBackend(name string, ago time.Duration) endpointlist.Host {
-	at := f.machine.real.Add(-ago)
+	at := f.machine.trueTime.Add(-ago)
 	f.startedAt[name] = at
 	host := endpointlist.Host{Host: name, Dial: "127.0.0.1:1", Health: "ready", Share: 1, BornMs: float64(at.UnixMilli())}
 	for i := range f.hosts {
@@ -74,46 +74,47 @@
 	return host
 }
 
-// startAgent starts the agent's process with the list as it is.
+// startAgent starts the agent's process with the current list.
 func (f *watchedFleet) startAgent() {
-	conf := parse(f.t, agenttest.Config(nowhere))
-	conf.Known = listOf(f.seq, true, f.hosts...)
+	conf := parseConfig(f.t, agenttest.Config(refusingAddr))
+	conf.Known = newList(f.seq, true, f.hosts...)
 	conf.Clock = f.machine
 	l, err := newLoop(f.t.Context(), conf, slog.New(slog.DiscardHandler))
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.loop, f.noticedAt = l, f.machine.real
+	f.loop, f.notifiedAt = l, f.machine.trueTime
 }
 
-// notify hands the agent a list that a watch delivered.
-func (f *watchedFleet) notify(whole bool, hosts ...endpointlist.Host) {
+// deliver passes the agent a list as a watch would deliver it.
+func (f *watchedFleet) deliver(whole bool, hosts ...endpointlist.Host) {
 	f.seq++
-	f.loop.handle(watchEvent{list: listOf(f.seq, whole, hosts...)})
-	f.noticedAt = f.machine.real
+	f.loop.handle(watchEvent{list: newList(f.seq, whole, hosts...)})
+	f.notifiedAt = f.machine.trueTime
 }
 
-// notifyWhole hands the agent the whole list as it is.
-func (f *watchedFleet) notifyWhole() { f.notify(true, f.hosts...) }
+// deliverWhole passes the agent the current whole list.
+func (f *watchedFleet) deliverWhole() { f.deliver(true, f.hosts...) }
 
-// hold lets time pass. All the while no backend may count as older than it is, and none as warming
-// up once a slow start is over since the last notice.
-func (f *watchedFleet) hold(d time.Duration) {
+// advanceChecked advances the clocks and checks the ages of the backends all the while, see
+// checkAges.
+func (f *watchedFleet) advanceChecked(d time.Duration) {
 	f.t.Helper()
-	for end := f.machine.real.Add(d); ; f.machine.pass(250 * time.Millisecond) {
-		if f.check(); !f.machine.real.Before(end) {
+	for end := f.machine.trueTime.Add(d); ; f.machine.advance(250 * time.Millisecond) {
+		if f.checkAges(); !f.machine.trueTime.Before(end) {
 			return
 		}
 	}
 }
 
-// ageToAgent returns how old a backend is to the agent, if it knows of its start.
-func (f *watchedFleet) ageToAgent(name string) (age time.Duration, known bool) {
+// estimatedAge returns the age that the agent assumes for a backend, if it knows the backend's
+// start.
+func (f *watchedFleet) estimatedAge(name string) (age time.Duration, known bool) {
 	start, known := f.loop.startTimes.known[endpointlist.AddressOf(name)]
 	return config.Milliseconds(f.loop.nowMs() - start.startMs), known
 }
 
-// warmingUp returns how many backends are in their slow start to the agent.
+// warmingUp returns the number of backends that the agent treats as warming up.
 func (f *watchedFleet) warmingUp() (n int) {
 	for _, tier := range f.loop.balancer.Snapshot(f.loop.nowMs()).Tiers {
 		n += tier.WarmingUp
@@ -121,17 +122,18 @@
 	return n
 }
 
-// check checks the ages that the agent takes the backends to have.
-func (f *watchedFleet) check() {
+// checkAges checks the ages that the agent assumes. No backend may have a higher age than its real
+// one, and none may be warming up if a slow start has passed since the last notification.
+func (f *watchedFleet) checkAges() {
 	f.t.Helper()
 	want := 0
 	for name, at := range f.startedAt {
-		age := f.machine.real.Sub(at)
+		age := f.machine.trueTime.Sub(at)
 		if age >= slowStartTime {
 			continue
 		}
 		want++
-		if got, known := f.ageToAgent(name); known && got > age+time.Microsecond {
+		if got, known := f.estimatedAge(name); known && got > age+time.Microsecond {
 			f.t.Fatalf("got %s %v old, want at most its age of %v", name, got, age)
 		}
 	}
@@ -139,7 +141,7 @@
 	if got < want {
 		f.t.Fatalf("got %d backends warming up, want %d at least", got, want)
 	}
-	if sinceNotice := f.machine.real.Sub(f.noticedAt); sinceNotice > slowStartTime && got > 0 {
+	if sinceNotice := f.machine.trueTime.Sub(f.notifiedAt); sinceNotice > slowStartTime && got > 0 {
 		f.t.Fatalf("got %d backends warming up %v after the last notice, want 0", got, sinceNotice)
 	}
 }
