--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -16,7 +16,7 @@
 	target  *listedBackend
 }
 
-// startAttempt starts an attempt in its own goroutine, which ends by the attempt's timeout, when
+// startAttempt starts an attempt in its own goroutine, which ends at the attempt's timeout, when
 // the attempt is cancelled, or with the loop's context. The end of each attempt is posted exactly
 // once, even if the attempt could not start, because the module waits for it.
 func (l *loop) startAttempt(request *request, action *policy.Action) {
--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -106,7 +106,7 @@
 // A graceful shutdown doesn't wait for incomplete requests or silent connections.
 func TestShutdownDoesNotWaitForIncompleteRequests(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr)) // the deadline of its classes is 30 s
+	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr)) // its classes have a deadline of 30 s
 	agenttest.Dial(t, base)
 	half := agenttest.Dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -34,8 +34,8 @@
 type faultyClient struct {
 	agent    *Agent
 	base     string
-	next     atomic.Pointer[agenttest.Fault] // of the next connection
-	received chan string                     // the ids that the backend got
+	next     atomic.Pointer[agenttest.Fault] // fault of the next connection
+	received chan string                     // ids that the backend received
 	attempts map[string]int                  // by id
 	want     map[string]attemptBounds        // by id
 }
--- a/internal/agent/clock_offset_test.go
+++ b/internal/agent/clock_offset_test.go
@@ -16,7 +16,7 @@
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
 			f := startWatchedFleet(t, step)
 			tolerance := config.Milliseconds(f.loop.startTimes.toleranceMs).Truncate(time.Millisecond)
-			if want := 1714 * time.Millisecond; tolerance != want { // of the settings: from 0.3 in 8 s
+			if want := 1714 * time.Millisecond; tolerance != want { // by the settings: a slow start of 8 s from a capacity of 0.3
 				t.Fatalf("got a tolerance of %v, want %v", tolerance, want)
 			}
 			for _, c := range []struct {
@@ -27,7 +27,7 @@
 				{"s-1", 200 * time.Millisecond, 0},
 				{"s-2", 900 * time.Millisecond, 700 * time.Millisecond},
 				{"s-3", 200*time.Millisecond + tolerance, tolerance},
-				{"s-4", 300*time.Millisecond + tolerance, 0}, // a clock disagrees, or the notice was very late
+				{"s-4", 300*time.Millisecond + tolerance, 0}, // a clock was stepped, or the notification was very slow
 				{"s-5", 100 * time.Millisecond, 0},
 			} {
 				f.deliver(false, f.startBackend(c.name, c.delay))
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -17,7 +17,7 @@
 type rejectingBackend struct {
 	addr     string
 	received chan struct{} // closed once the request has arrived
-	release  chan struct{} // closed by the test: the request is rejected
+	release  chan struct{} // closed by the test to have the request rejected
 }
 
 func startRejectingBackend(t *testing.T) *rejectingBackend {
@@ -116,7 +116,7 @@
 		<-connectBegan
 	case "retry":
 		<-rejecting.received
-		agent.applyList(2) // no endpoint remains
+		agent.applyList(2) // no backend remains
 		close(rejecting.release)
 		agenttest.Eventually(t, "the attempt ended", func() bool { return agent.hasNoAttempt("left") })
 	}
@@ -137,7 +137,7 @@
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
 			close(got)
-			reader.ReadByte() // until the agent closes it
+			reader.ReadByte() // returns when the agent closes the connection
 		}
 	})
 	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -111,10 +111,10 @@
 			if id := <-got; id != "p1" {
 				t.Fatalf("got request %q first, want p1", id)
 			}
-			io.WriteString(conn, "P") // and not the rest of the third
+			io.WriteString(conn, "P") // the first byte of a third request
 			awaitRead(t, clients, len(both)+1)
 			close(release)
-			<-began // the second
+			<-began // the connect of the second request
 			disconnect(conn)
 			awaitClientClose(t, clients)
 			close(proceed)
@@ -136,7 +136,7 @@
 	for i, text := range []string{whole[:20], whole[:len(whole)-4], whole, whole + whole} {
 		for how, disconnect := range agenttest.Disconnects {
 			if how == "end of its sending" && len(text) < len(whole) {
-				continue // it reads its response, that the request is incomplete
+				continue // the client still reads the response to its incomplete request
 			}
 			conn := agenttest.Dial(t, base)
 			io.WriteString(conn, strings.ReplaceAll(text, "left", fmt.Sprint("left", i, strings.ReplaceAll(how, " ", "_"))))
@@ -147,7 +147,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() { stop(); agent.server.Close(); agent.stop() })
 	go agent.Serve(ctx, ln)
-	if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 { // the last in the backlog
+	if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 { // this client is the last in the backlog
 		t.Fatalf("got status %d for the next client, want 200", status)
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
@@ -165,7 +165,7 @@
 	addr, received := agenttest.IDBackend(t, 200, false)
 	agent, base, clients := startTracked(t, agenttest.Config(refusingAddr, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
-		for _, how := range []string{"close", "reset", "end of its sending"} { // bytes might make it whole
+		for _, how := range []string{"close", "reset", "end of its sending"} { // the other ones send bytes, which might complete the request
 			t.Run(part+" "+how, func(t *testing.T) {
 				conn := agenttest.Dial(t, base)
 				io.WriteString(conn, text)
@@ -192,18 +192,18 @@
 				t.Fatalf("got status %d, want 200", status)
 			}
 			<-received
-			resting := make(chan struct{})
+			connecting := make(chan struct{})
 			agent.inspect(func(*loop) {
 				dial := pool.DialContext
 				pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-					close(resting) // an extra connection is opened for a request that waits for one at rest
-					<-ctx.Done()   // one that came up would rightly be sent on
+					close(connecting) // the extra connection for a request that waits for one to settle
+					<-ctx.Done()      // on an open connection the request would rightly be sent
 					return dial(ctx, network, addr)
 				}
 			})
 			conn := agenttest.Dial(t, base)
 			io.WriteString(conn, agenttest.RequestText("order", "left"))
-			<-resting
+			<-connecting
 			disconnect(conn)
 			agenttest.Eventually(t, "the disconnect handled", func() bool { return !agent.hasOpenRequest("left") })
 			checkNothingForwarded(t, agent, received)
--- a/internal/agent/discovery_log_test.go
+++ b/internal/agent/discovery_log_test.go
@@ -35,7 +35,7 @@
 	for _, c := range []struct {
 		name, discovery string
 		call            func(*loop)
-		inputs          int // that the call gives rise to
+		inputs          int // number of inputs that the call causes
 		want            string
 	}{
 		{"fetch refused", refusingAddr, (*loop).startFetch, 1,
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -73,7 +73,7 @@
 			b := l.backends[endpointlist.AddressOf("s-0")]
 			waits := newTestAttempt(b)
 			l.handle(watchEvent{list: list})
-			if res := waits.Run(); res.Status != policy.StatusRejected { // not begun, as its backend drains
+			if res := waits.Run(); res.Status != policy.StatusRejected { // withdrawn, as its backend drains
 				t.Fatalf("got status %d of an attempt that had not begun before the list, want it withdrawn", res.Status)
 			}
 			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
@@ -92,7 +92,7 @@
 func TestWatchResumesFromListInForce(t *testing.T) {
 	calls := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		calls <- r.URL.RequestURI() // and the watch ends
+		calls <- r.URL.RequestURI() // the watch ends with the return
 	}))
 	t.Cleanup(server.Close)
 	l, err := newLoop(t.Context(), parseConfig(t, agenttest.Config(server.Listener.Addr().String(), "127.0.0.1:1")), slog.New(slog.DiscardHandler))
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -56,8 +56,8 @@
 }
 
 // beginRequest marks a client's connection as having a request in progress, and returns when the
-// request was received. That is when its head was read, if known, as the client's timeout runs
-// before the handler does. The connection is nil in tests that call the handler without a server.
+// request was received. That is when its head was read, if known, because the client's
+// timeout starts before the handler runs. The connection is nil in tests that call the handler without a server.
 func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
@@ -86,7 +86,8 @@
 }
 
 // canRespondInTime reports whether a request can be answered before its deadline. During a graceful
-// shutdown it first limits the deadline to the time of the last response.
+// shutdown it first limits the deadline to the time of the last response, and it returns false once
+// new requests are rejected.
 func (a *Agent) canRespondInTime(req *request) bool {
 	if began := a.shutdownAt.Load(); began != nil {
 		if last := began.Add(a.drainTimeout()); last.Before(req.Deadline) {
@@ -100,8 +101,9 @@
 }
 
 // awaitResponse posts a request to the loop, waits for the response and writes it. It stops waiting
-// shortly before the request's deadline, or when the client disconnects, because the loop may be
-// busy, its queue may be full, or a panic may have lost the decision.
+// shortly before the request's deadline, when the client disconnects, or at the end of a graceful
+// shutdown, because the loop may be busy, its queue may be full, or a panic may have lost the
+// decision.
 func (a *Agent) awaitResponse(w http.ResponseWriter, r *http.Request, req *request) {
 	fallbackTimer := time.NewTimer(time.Until(req.Deadline) - fallbackMargin)
 	defer fallbackTimer.Stop()
--- a/internal/agent/incomplete_request_test.go
+++ b/internal/agent/incomplete_request_test.go
@@ -33,7 +33,7 @@
 	halfBody := strings.Replace(head, "\r\n\r\n", "\r\nContent-Length: 8\r\n\r\nhalf", 1)
 	for _, c := range []struct {
 		name, text string
-		want       string // the status; "": a close is enough
+		want       string // status; "": a close suffices
 	}{
 		{"one byte", "P", ""},
 		{"half a head", head[:30], ""},
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -60,7 +60,7 @@
 	l := newTestLoop(t, "127.0.0.1:1")
 	rejected := &request{id: 7, responses: make(chan response, 1)}
 	l.requests[1], l.requests[7] = nil, rejected
-	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // cancelling it panics
+	l.requests[2] = &request{id: 2, progress: progress{attempts: []*attempt{{}}}} // its cancellation panics
 	l.actions = []policy.Action{policy.CancelAttempt(2, 0), policy.RejectRequest(7, 0)}
 	func() {
 		defer func() { _ = recover() }()
@@ -120,7 +120,7 @@
 func TestReloadReturnsPanicAsError(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	done := make(chan error, 1)
-	l.handle(reloadRequested{done: done}) // no configuration at all
+	l.handle(reloadRequested{done: done}) // without a configuration
 	select {
 	case err := <-done:
 		if err == nil {
--- a/internal/agent/read_request_test.go
+++ b/internal/agent/read_request_test.go
@@ -81,7 +81,7 @@
 	agenttest.Set(conf, 300000, "settings", "classes", 2, "giveUpMs")
 	_, base, _, _ := startAgent(t, conf)
 	for text, want := range map[string]int{
-		"75000m": 200, "300000m": 200, "300000000u": 200, // within the longest class's
+		"75000m": 200, "300000m": 200, "300000000u": 200, // up to the longest deadline
 		"300001m": 400, "18446744073709551615m": 400, "-75000m": 400, "75000": 400, "m": 400,
 	} {
 		for _, class := range []string{"order", "look"} {
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -56,7 +56,7 @@
 	if readyTimeout > 5*time.Second {
 		t.Fatalf("got a ready timeout of %v, want 5s at most: restarted agents have to be ready within 6 s", readyTimeout)
 	}
-	silent := newListener(t) // the kernel accepts, and nobody answers
+	silent := newListener(t) // the kernel accepts connections, and nothing responds
 	for name, discovery := range map[string]string{"silent": silent.Addr().String(), "refusing": refusingAddr} {
 		t.Run(name+" discovery", func(t *testing.T) {
 			backend, _ := agenttest.IDBackend(t, 200, false)
@@ -134,7 +134,7 @@
 // the client behind them, and each client that sent a request. Clients that send nothing are closed
 // to free their slots.
 func TestAgentAnswersClientBehindFullBacklog(t *testing.T) {
-	const backlog, every = 128, 16 // one client in so many sends a request
+	const backlog, every = 128, 16 // every 16th client sends a request
 	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.OpenRequests() {
 		t.Fatalf("got %d clients of which %d send, want more than %d of which %d send at most",
 			backlog, backlog/every, minLimits.ClientSockets(), minLimits.OpenRequests())
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -24,7 +24,7 @@
 func TestAgentRetriesAsTheClassAllows(t *testing.T) {
 	for _, c := range []struct {
 		name, class  string
-		status       int // of each backend
+		status       int // that each backend responds with
 		notStarted   bool
 		wantAttempts int
 		wantStatus   int
@@ -56,7 +56,7 @@
 			}
 			attempts := 0
 			for _, ids := range received {
-				attempts += len(ids) // each was received before it was answered
+				attempts += len(ids) // each request was received before its response
 			}
 			if attempts != c.wantAttempts {
 				t.Errorf("got %d attempts, want %d", attempts, c.wantAttempts)
@@ -88,7 +88,7 @@
 		fmt.Fprint(w, "done")
 	}))
 	t.Cleanup(server.Close)
-	t.Cleanup(release) // before the backend closes, also when the test fails
+	t.Cleanup(release) // runs before the backend closes, also if the test fails
 	conf := agenttest.Config(refusingAddr, server.Listener.Addr().String())
 	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
 	agent, base, _, _ := startAgent(t, conf)
@@ -103,7 +103,7 @@
 	for range requests {
 		go func() { statuses <- <-doAsync(t, newClientRequest(base, "order")) }()
 	}
-	atOnce := time.After(10 * time.Second) // the module would reject what is queued after 15 s
+	atOnce := time.After(10 * time.Second) // the module would reject queued requests after 15 s
 	for range excess {
 		select {
 		case status := <-statuses:
--- a/internal/agent/seen_ids.go
+++ b/internal/agent/seen_ids.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// maxIDsPerSet bounds the ids of one generation. At usual request rates it is reached after some
+// maxIDsPerGeneration bounds the ids of one generation. At usual request rates it is reached after some
 // minutes.
-const maxIDsPerSet = 1 << 16
+const maxIDsPerGeneration = 1 << 16
 
 // seenIDs stores the ids of recent requests, in two generations. Ids are unique, so a request whose
 // id is stored is a copy of the earlier request or an error of another client. If it were forwarded
@@ -32,7 +32,7 @@
 
 // add stores an id that arrives at the time now, and reports whether the id is new.
 func (s *seenIDs) add(id string, now time.Time) bool {
-	if now.Sub(s.generationStart) >= s.retention || len(s.current) >= maxIDsPerSet {
+	if now.Sub(s.generationStart) >= s.retention || len(s.current) >= maxIDsPerGeneration {
 		s.previous, s.current, s.generationStart = s.current, map[uint64]struct{}{}, now
 	}
 	hash := maphash.String(s.seed, id)
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -55,15 +55,15 @@
 // The memory for ids is bounded however many arrive, and the latest ids are known.
 func TestSeenIDsIsBounded(t *testing.T) {
 	ids, now := newSeenIDs(agenttest.Never), time.Now()
-	for i := range 5 * maxIDsPerSet {
+	for i := range 5 * maxIDsPerGeneration {
 		if !ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d: got known, want new", i)
 		}
-		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerSet {
-			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerSet)
+		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
+			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerGeneration)
 		}
 	}
-	for i := 4 * maxIDsPerSet; i < 5*maxIDsPerSet; i++ {
+	for i := 4 * maxIDsPerGeneration; i < 5*maxIDsPerGeneration; i++ {
 		if ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d of the latest: got new, want known", i)
 		}
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -111,7 +111,7 @@
 			f.machine.advance(4 * time.Second)
 			f.startBackend("s-1", 0)
 			f.machine.advance(time.Second)
-			stepped := f.startBackend("s-2", time.Second) // on a machine whose clock is an hour behind
+			stepped := f.startBackend("s-2", time.Second) // on a machine whose clock is an hour slow
 			stepped.BornMs -= 3600e3
 			f.deliver(false, f.hosts[1], f.hosts[2], stepped)
 			for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -60,7 +60,7 @@
 		group, isGroup := attributes[i].(slog.Attr)
 		if !isGroup {
 			keys = append(keys, attributes[i].(string))
-			i++ // its value
+			i++ // skips the value
 			continue
 		}
 		for _, attr := range group.Value.Group() {
--- a/internal/agent/tracked_conn_test.go
+++ b/internal/agent/tracked_conn_test.go
@@ -38,7 +38,7 @@
 // trackedConn counts the bytes that the agent has read from a client.
 type trackedConn struct {
 	*net.TCPConn
-	read    atomic.Int64 // bytes so far
+	read    atomic.Int64 // number of bytes so far
 	reading atomic.Bool  // a read is in progress
 }
 
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -13,8 +13,8 @@
 // fakeMachine is a machine whose wall clock may be stepped. Its clocks advance only by calls of
 // advance.
 type fakeMachine struct {
-	trueTime time.Time     // what a right wall clock reads
-	step     time.Duration // of this wall clock
+	trueTime time.Time     // reading of an accurate wall clock
+	step     time.Duration // error of this wall clock
 	uptime   time.Duration
 }
 
