--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -80,7 +80,7 @@
 				t.Errorf("got %q, want an error or nothing", got)
 			}
 			if strings.Count(got, "HTTP/1.1") > 1 {
-				t.Errorf("got %q, want no response to what follows", got)
+				t.Errorf("got %q, want at most one response", got)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 // Silent connections and incomplete requests end within 3 s of connecting.
 func TestAgentClosesSilentConnections(t *testing.T) {
 	if got := clientconn.HeadTimeout + bodyTimeout; got > 2700*time.Millisecond {
-		t.Fatalf("got %v until a client that sends nothing is closed, want less than 3 s", got)
+		t.Fatalf("got %v until a silent client is closed, want at most 2.7 s", got)
 	}
 	addr, _ := agenttest.IDBackend(t, 200, false)
 	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
@@ -118,6 +118,6 @@
 			t.Fatalf("got %v, want no error", err)
 		}
 	case <-time.After(20 * time.Second): // before that deadline
-		t.Fatal("got no end of the agent, want one in spite of the incomplete request")
+		t.Fatal("the agent has not ended, want it to end despite the incomplete request")
 	}
 }
--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -116,7 +116,7 @@
 	for at := 0; at < len(whole); at += step {
 		fault := agenttest.Fault{Errno: errno, ReadAt: -1, WriteAt: int64(at)}
 		if got := c.send(t, fault, exactlyOne); got != whole[:min(at, len(got))] {
-			t.Fatalf("%+v: got %q, want a beginning of %q", fault, got, whole[:at])
+			t.Fatalf("%+v: got %q, want a prefix of %q", fault, got, whole[:at])
 		}
 	}
 }
@@ -172,7 +172,7 @@
 			}
 			select {
 			case err := <-ended:
-				t.Fatalf("got the agent's end, %v; want it to serve on", err)
+				t.Fatalf("the agent ended with %v, want it to continue to serve", err)
 			default:
 			}
 		})
--- a/internal/agent/clock_offset_test.go
+++ b/internal/agent/clock_offset_test.go
@@ -32,7 +32,7 @@
 			} {
 				f.deliver(false, f.startBackend(c.name, c.delay))
 				if got, _ := f.estimatedAge(c.name); got.Round(time.Millisecond) != c.want {
-					t.Errorf("%s, notice after %v: got it %v old, want %v", c.name, c.delay, got, c.want)
+					t.Errorf("%s, notification after %v: got age %v, want %v", c.name, c.delay, got, c.want)
 				}
 				f.advanceChecked(time.Second)
 			}
@@ -57,7 +57,7 @@
 				want = 0
 			}
 			if got, _ := f.estimatedAge("s-1"); got.Round(time.Millisecond) != want {
-				t.Errorf("got it %v old at its start, want %v", got, want)
+				t.Errorf("got age %v at the start, want %v", got, want)
 			}
 		})
 	}
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -35,7 +35,7 @@
 		select {
 		case <-client.Done():
 		default:
-			t.Fatalf("got calls of %s that go on, want them ended", client.Addr())
+			t.Fatalf("got calls of %s still in progress, want them ended", client.Addr())
 		}
 		for _, in := range []input{
 			watchEvent{generation: generation, list: newList(100, true, draining)},
@@ -45,7 +45,7 @@
 			l.handle(in)
 		}
 		if b := l.backends[endpointlist.AddressOf("s-0")]; b == nil || !b.usable || l.watch.listVersion != 0 || !l.watch.watching || !l.watch.fetching {
-			t.Fatalf("got a change by what %s delivers, want none once discovery has moved", client.Addr())
+			t.Fatalf("got a change by a result of %s, want none after the discovery address has changed", client.Addr())
 		}
 	}
 	if now := l.watch.discovery; now.Addr() != "127.0.0.1:1" || now.Placement() != discovery.Local {
@@ -74,7 +74,7 @@
 			waits := newTestAttempt(b)
 			l.handle(watchEvent{list: list})
 			if res := waits.Run(); res.Status != policy.StatusRejected { // withdrawn, as its backend drains
-				t.Fatalf("got status %d of an attempt that had not begun before the list, want it withdrawn", res.Status)
+				t.Fatalf("got status %d for an attempt that had not begun before the list, want it withdrawn", res.Status)
 			}
 			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
 			for _, a := range l.actions {
@@ -106,7 +106,7 @@
 		l.actions = append(l.actions[:0], policy.OpenWatch())
 		l.executeActions()
 		if l.watch.fetching || !l.watch.watching {
-			t.Fatalf("got fetching %v and watching %v, want a watch alone", l.watch.fetching, l.watch.watching)
+			t.Fatalf("got fetching %v and watching %v, want only a watch", l.watch.fetching, l.watch.watching)
 		}
 		got, want := agenttest.Receive(t, calls, "a watch"), fmt.Sprint("/v1/endpoints?follow=1&since=", seq)
 		if got != want {
--- a/internal/agent/discovery_reload_test.go
+++ b/internal/agent/discovery_reload_test.go
@@ -43,7 +43,7 @@
 	loop.handle(watchEnded{err: io.EOF})
 	loop.handle(endpointsFetched{list: newList(42, true, endpoint)})
 	if !loop.watch.watching || !loop.watch.fetching || !loop.backends[endpointlist.AddressOf("s-0")].usable || loop.backends[endpointlist.AddressOf("s-0")].conns != before {
-		t.Fatal("got a late result of the old discovery applied, want it ignored")
+		t.Fatal("a late result of the old discovery was applied, want it ignored")
 	}
 	loop.handle(watchEvent{list: newList(3, false, endpoint), generation: 1})
 	if b := loop.backends[endpointlist.AddressOf("s-0")]; b != nil && b.usable || loop.watch.listVersion != 3 {
@@ -51,6 +51,6 @@
 	}
 	disc := loop.watch.discovery
 	if reloadTo(t, loop, disc.Addr()); loop.watch.discovery != disc {
-		t.Fatal("got the discovery replaced by one of the same address, want it kept")
+		t.Fatal("discovery client was replaced by one of the same address, want it kept")
 	}
 }
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -62,7 +62,7 @@
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
 	l.handle(watchEvent{list: newList(2, false, endpoint)})
 	if target.conns != former {
-		t.Fatal("got new connections to the same process, want the former ones")
+		t.Fatal("got new connections to the same process, want the previous ones")
 	}
 	waiting := newTestAttempt(target)
 	for i, change := range []struct {
@@ -78,12 +78,12 @@
 			t.Fatalf("%s: got another backend, want the same", change.name)
 		}
 		if target.conns == former || target.conns.Addr() != endpoint.Dial {
-			t.Fatalf("%s: got the former connections or some to %s, want new ones to %s", change.name, target.conns.Addr(), endpoint.Dial)
+			t.Fatalf("%s: got the previous connections or ones to %s, want new ones to %s", change.name, target.conns.Addr(), endpoint.Dial)
 		}
 		former = target.conns
 	}
 	if got := waiting.Run(); got.Status != policy.StatusRejected { // withdrawn, as its backend drains
-		t.Fatalf("got status %d of an attempt that had not begun on the former address, want %d", got.Status, policy.StatusRejected)
+		t.Fatalf("got status %d for an attempt that had not begun on the previous address, want %d", got.Status, policy.StatusRejected)
 	}
 }
 
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -22,7 +22,7 @@
 	conf["settings"].(map[string]any)["membershipMode"] = policy.MembershipOnRequest
 	withoutList, withList := backoffAfterFailures(t, conf, false), backoffAfterFailures(t, conf, true)
 	if withoutList < time.Second || withList > time.Second {
-		t.Fatalf("got a backoff of %v, and %v after a list without news, want at least and at most a second", withoutList, withList)
+		t.Fatalf("got a backoff of %v, and %v after an unchanged list, want at least 1 s and at most 1 s", withoutList, withList)
 	}
 }
 
--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -56,8 +56,9 @@
 }
 
 // beginRequest marks a client's connection as having a request in progress, and returns when the
-// request was received. That is when its head was read, if known, because the client's
-// timeout starts before the handler runs. The connection is nil in tests that call the handler without a server.
+// request was received. That is when its head was read, if known, because the client's timeout
+// starts before the handler runs. The connection is nil in tests that call the handler without a
+// server.
 func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
--- a/internal/agent/incomplete_request_test.go
+++ b/internal/agent/incomplete_request_test.go
@@ -64,7 +64,7 @@
 				// clientconn.KeepAliveTimeout is 15 s. That a faulty client is closed within 3 s is
 				// checked on the constants, in another test.
 				if took := time.Since(began); took > clientconn.KeepAliveTimeout-2*time.Second {
-					t.Fatalf("got the end after %v, want it well before the keep-alive timeout", took)
+					t.Fatalf("connection ended after %v, want it well before the keep-alive timeout", took)
 				}
 			})
 		}
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	if grown := heapMB() - before; grown > limitMB/2 {
-		t.Errorf("got a heap that has grown by %.1f MB, want half the limit of %d MB at most", grown, limitMB)
+		t.Errorf("heap has grown by %.1f MB, want at most half of the limit of %d MB", grown, limitMB)
 	}
 	runtime.KeepAlive(agent)
 }
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -67,7 +67,7 @@
 		l.executeActions()
 	}()
 	if len(rejected.responses) != 1 {
-		t.Errorf("got %d responses by the action behind a panic, want 1", len(rejected.responses))
+		t.Errorf("got %d responses by the action after a panic, want 1", len(rejected.responses))
 	}
 }
 
@@ -99,7 +99,7 @@
 			}
 			l.handle(watchEvent{list: newList(2, true)})
 			if backend := l.backends[endpointlist.AddressOf("s-0")]; backend != nil {
-				t.Error("got a list after the panic not applied, want it applied")
+				t.Error("the list after the panic was not applied, want it applied")
 			}
 		})
 	}
@@ -124,9 +124,9 @@
 	select {
 	case err := <-done:
 		if err == nil {
-			t.Error("got no error of a reload that panics, want one")
+			t.Error("got no error from a reload that panics, want one")
 		}
 	default:
-		t.Error("got no result of a reload that panics, want an error")
+		t.Error("got no result from a reload that panics, want an error")
 	}
 }
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -84,7 +84,7 @@
 			t.Errorf("got %d connections to backends, want %d", got, limits.BackendSockets())
 		}
 		if l.seenIDs.retention < 300*time.Second {
-			t.Errorf("got ids remembered for %v, want 5m0s at least", l.seenIDs.retention)
+			t.Errorf("got a retention of ids of %v, want at least 5m0s", l.seenIDs.retention)
 		}
 	})
 }
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -125,13 +125,13 @@
 	forwarded := map[string]bool{}
 	for id := range received {
 		if forwarded[id] {
-			t.Errorf("request %s: got it forwarded twice, want once", id)
+			t.Errorf("request %s: forwarded twice, want once", id)
 		}
 		forwarded[id] = true
 	}
 	for id := range unanswered {
 		if forwarded[id] {
-			t.Errorf("request %s: got it forwarded and not answered, want an answer", id)
+			t.Errorf("request %s: forwarded and not answered, want an answer", id)
 		}
 	}
 	if len(forwarded) < clients*requests/2 {
--- a/internal/agent/seen_ids.go
+++ b/internal/agent/seen_ids.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxIDsPerGeneration bounds the ids of one generation. At usual request rates it is reached after some
-// minutes.
+// maxIDsPerGeneration bounds the ids of one generation. At usual request rates it is reached after
+// some minutes.
 const maxIDsPerGeneration = 1 << 16
 
 // seenIDs stores the ids of recent requests, in two generations. Ids are unique, so a request whose
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -45,10 +45,10 @@
 func TestSeenIDsKeepsIDsForRetention(t *testing.T) {
 	ids, now := newSeenIDs(time.Second), time.Now()
 	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
-		t.Fatal("got an id added twice within its time, want it known")
+		t.Fatal("got an id accepted twice within the retention, want it known")
 	}
 	if !ids.add("b", now.Add(2*time.Second)) || !ids.add("a", now.Add(4*time.Second)) || len(ids.current)+len(ids.previous) > 2 {
-		t.Fatal("got an id known after its time, want it forgotten")
+		t.Fatal("got an id known after the retention, want it forgotten")
 	}
 }
 
@@ -60,7 +60,7 @@
 			t.Fatalf("id %d: got known, want new", i)
 		}
 		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
-			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerGeneration)
+			t.Fatalf("got %d ids stored, want at most %d", n, 2*maxIDsPerGeneration)
 		}
 	}
 	for i := 4 * maxIDsPerGeneration; i < 5*maxIDsPerGeneration; i++ {
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -67,7 +67,7 @@
 
 // drainTimeout returns the time after SIGTERM by which the last response is sent. A request that
 // arrives before shutdownRejectAfter may take the longest deadline of the settings, but no longer
-// than maxDrainDeadline, as SIGKILL doesn't wait longer.
+// than maxDrainDeadline, as SIGKILL isn't delayed any further.
 func (a *Agent) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	classes := a.config.Load().Settings.Classes
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -42,7 +42,7 @@
 func awaitEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	if err := agenttest.Receive(t, ended, "the agent's end"); err != nil {
-		t.Fatalf("got the agent's end with %v, want no error", err)
+		t.Fatalf("the agent ended with %v, want no error", err)
 	}
 }
 
@@ -60,7 +60,7 @@
 	// This is far longer than shutdownReadGrace: an agent that didn't wait would have ended.
 	select {
 	case err := <-ended:
-		t.Errorf("got the agent's end, %v, with half a request read; want it to wait", err)
+		t.Errorf("the agent ended with %v while a request was being read, want it to wait", err)
 	case <-time.After(4 * shutdownReadGrace):
 	}
 	io.WriteString(conn, "rest")
@@ -160,7 +160,7 @@
 	reachDrainDeadline := <-timers
 	io.WriteString(late, agenttest.RequestText("order", "after"))
 	if got, err := parseTimeout(<-received, time.Minute); err != nil || got > lastResponse {
-		t.Errorf("got Request-Timeout %v, %v of a request after SIGTERM; want at most %v", got, err, lastResponse)
+		t.Errorf("got Request-Timeout %v, %v for a request after SIGTERM; want at most %v", got, err, lastResponse)
 	}
 	reachDrainDeadline()
 	for _, reader := range readers {
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -39,6 +39,6 @@
 	}
 	stop()
 	if err := <-ended; err != nil {
-		t.Fatalf("got the end %v, want no error", err)
+		t.Fatalf("got error %v, want none", err)
 	}
 }
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -116,7 +116,7 @@
 			f.deliver(false, f.hosts[1], f.hosts[2], stepped)
 			for name, want := range map[string]time.Duration{"s-0": 4 * time.Second, "s-1": 0, "s-2": 0} {
 				if got, known := f.estimatedAge(name); got.Round(time.Millisecond) != want || !known {
-					t.Errorf("got %s %v old, want %v", name, got, want)
+					t.Errorf("%s: got age %v, want %v", name, got, want)
 				}
 			}
 			f.advanceChecked(20 * time.Second)
@@ -156,7 +156,7 @@
 		f.deliver(true, f.hosts[0], host)
 	}
 	if got := len(f.loop.startTimes.known); got > 1100 {
-		t.Errorf("got %d start times remembered with two backends listed, want 1100 at most", got)
+		t.Errorf("got %d start times stored with two backends listed, want at most 1100", got)
 	}
 }
 
@@ -174,6 +174,6 @@
 	entries := []policy.Entry{{Server: endpointlist.AddressOf("s-1"), StartedMs: 1e300}}
 	f.loop.startTimes.toModuleClock(entries, f.loop.nowMs())
 	if got, now := entries[0].StartedMs, f.loop.nowMs(); got > now {
-		t.Errorf("got a start at %v, want it at the module's now, %v, at the latest", got, now)
+		t.Errorf("got a start at %v, want it no later than the module's current time, %v", got, now)
 	}
 }
--- a/internal/agent/trace_test.go
+++ b/internal/agent/trace_test.go
@@ -30,7 +30,7 @@
 		t.Fatalf("got %v, want the trace started", err)
 	}
 	if err := l.startTrace(time.Second); err != errTraceStarted {
-		t.Errorf("got %v of a second trace, want %v", err, errTraceStarted)
+		t.Errorf("got %v from a second trace, want %v", err, errTraceStarted)
 	}
 	l.balancer.Handle(l.nowMs(), &policy.RequestArrived{Request: 1, TimeLeftMs: 1000}, nil)
 	for range 2 {
@@ -49,7 +49,7 @@
 	l.tracer.lines = maxTraceLines - 1
 	l.handle(traceDue{})
 	if want := fmt.Sprint(`msg="trace stopped at its line limit" lines=`, maxTraceLines); timers != 3 || !strings.Contains(text.String(), want) {
-		t.Errorf("got %d timers after the last line, want no further one and %s", timers, want)
+		t.Errorf("got %d timers after the last line, want no further timer and %s", timers, want)
 	}
 }
 
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -134,7 +134,7 @@
 		}
 		want++
 		if got, known := f.estimatedAge(name); known && got > age+time.Microsecond {
-			f.t.Fatalf("got %s %v old, want at most its age of %v", name, got, age)
+			f.t.Fatalf("%s: got age %v, want at most the real age of %v", name, got, age)
 		}
 	}
 	got := f.warmingUp()
@@ -142,6 +142,6 @@
 		f.t.Fatalf("got %d backends warming up, want %d at least", got, want)
 	}
 	if sinceNotice := f.machine.trueTime.Sub(f.notifiedAt); sinceNotice > slowStartTime && got > 0 {
-		f.t.Fatalf("got %d backends warming up %v after the last notice, want 0", got, sinceNotice)
+		f.t.Fatalf("got %d backends warming up %v after the last notification, want 0", got, sinceNotice)
 	}
 }
