--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -59,9 +59,9 @@
 	l.watch.discovery.Close()
 }
 
-// A backend that a list removes from use receives no new attempt once the list is applied, even if
-// the agent was suspended before. Attempts that have not begun never do, and later ones go to other
-// backends.
+// A backend that a list removes from use receives no new attempt once the list is applied, however
+// long the agent was suspended before. Attempts that have not begun never do, and later ones go to
+// other backends.
 func TestEndpointListWithdrawsAttemptsNotBegun(t *testing.T) {
 	for name, list := range map[string]endpointlist.List{
 		"draining":     newList(2, false, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "draining"}),
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -46,10 +46,10 @@
 	abandoned atomic.Bool // the client disconnected, or the handler responded without the loop; set by any goroutine
 }
 
-// HasLeft reports whether the client no longer waits for the response. It checks the connection
-// itself for a close that has arrived and was not read yet: on a busy machine the goroutine that
-// reads the connection, or the loop, may lag far behind.
-func (c *client) HasLeft() bool {
+// Disconnected reports whether the client no longer waits for the response. It checks the
+// connection itself for a close that has arrived and was not read yet: on a busy machine the
+// goroutine that reads the connection, or the loop, may lag far behind.
+func (c *client) Disconnected() bool {
 	if !c.abandoned.Load() && c.conn != nil && socket.PeerClosed(c.conn) {
 		c.abandoned.Store(true)
 	}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -28,12 +28,12 @@
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.set.Contract.SlowStartMs
+	oldSpanMs, oldSlowStartMs := b.traffic.decayMs(), b.set.Contract.SlowStartMs
 	b.moveTenants(set.Tenants)
 	b.set = set
 	b.queue.keepUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
-		b.slowStart.begin(endpoint)
+		b.slowStart.markWarming(endpoint)
 	}
 	// Counts that fade over a time stand for as much as before.
 	b.traffic.rescale(oldSpanMs)
@@ -56,7 +56,7 @@
 		}
 		return -1
 	}
-	b.quotas.move(tenants, index)
+	b.quotas.remap(tenants, index)
 	for _, request := range b.queue.open {
 		request.tenant = index(request.tenant)
 	}
