--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -86,10 +86,10 @@
 	}
 }
 
-// A watch that is opened again asks for the changes since the list in force, whatever ended the
+// A watch that is opened again asks for the changes since the current list, whatever ended the
 // last watch. So does the first watch of a process. The whole list is requested only from a new
 // discovery.
-func TestWatchResumesFromListInForce(t *testing.T) {
+func TestWatchResumesFromCurrentList(t *testing.T) {
 	calls := make(chan string, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RequestURI() // the watch ends with the return
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -40,7 +40,7 @@
 	l.handle(endpointsFetched{list: newList(6, true, endpoint)})
 	checkUsable(t, l, "after the whole list of version 6", true, false)
 	if l.watch.listVersion != 6 {
-		t.Fatalf("got version %d in force, want 6", l.watch.listVersion)
+		t.Fatalf("got current version %d, want 6", l.watch.listVersion)
 	}
 	if len(l.backends) != 1 {
 		t.Fatalf("got %d backends, want the one that is listed", len(l.backends))
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -6,13 +6,13 @@
 	"ploverreel/policy"
 )
 
-// watchState holds the discovery client and the version of the endpoint list in force.
+// watchState holds the discovery client and the version of the current endpoint list.
 type watchState struct {
-	discovery   *discovery.Client // of the discovery address in force
+	discovery   *discovery.Client // of the current discovery address
 	generation  int               // number of earlier clients; distinguishes the results of this client from theirs
 	watching    bool              // a watch is open or being opened
 	fetching    bool              // a fetch is in progress
-	listVersion int64             // version of the list in force; 0 after a change of discovery
+	listVersion int64             // version of the current list; 0 after a change of discovery
 }
 
 // isCurrent reports whether the generation is that of the current discovery client.
@@ -35,7 +35,7 @@
 	}
 }
 
-// onEndpointsFetched applies a list that was fetched, unless the list in force is newer. If the
+// onEndpointsFetched applies a list that was fetched, unless the current list is newer. If the
 // fetch failed, it notifies the module.
 func (l *loop) onEndpointsFetched(in *endpointsFetched) {
 	l.watch.fetching = false
@@ -76,7 +76,7 @@
 	}
 }
 
-// openWatch opens a watch for the changes after the list in force, unless a watch is open.
+// openWatch opens a watch for the changes after the current list, unless a watch is open.
 func (l *loop) openWatch() {
 	if !l.watch.watching {
 		l.watch.watching = true
@@ -94,8 +94,8 @@
 
 // switchDiscovery changes the discovery address, unless it is the same. The calls to the previous
 // address end, and their results are ignored. A fetch from the new address and a watch of it start
-// at once. Until it answers, the list in force and all connections are kept. List versions of the
-// two addresses can't be compared, so the version in force is reset.
+// at once. Until it answers, the current list and all connections are kept. List versions of the
+// two addresses can't be compared, so the current version is reset.
 func (l *loop) switchDiscovery(addr string) {
 	previous := l.watch.discovery
 	if addr == previous.Addr() {
@@ -112,7 +112,7 @@
 	go next.Watch(0, discovery.RetryNew)
 }
 
-// applyEndpointList puts a list in force. It updates the backends first, so that no new attempt is
+// applyEndpointList applies a list. It updates the backends first, so that no new attempt is
 // sent to a backend that is no longer ready, and then notifies the module.
 func (l *loop) applyEndpointList(kind policy.ListKind, list *endpointlist.List) {
 	l.watch.listVersion = list.Seq
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -60,7 +60,7 @@
 
 // Commands of the operator, and timers of the agent.
 type (
-	// reloadRequested asks the loop to put another configuration in force. The result, an error or
+	// reloadRequested asks the loop to apply another configuration. The result, an error or
 	// nil, is sent on done, which is buffered for it.
 	reloadRequested struct {
 		config *config.Config
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -40,7 +40,7 @@
 type loop struct {
 	// The decision module and its last decision.
 	balancer  *policy.Balancer
-	config    *config.Config // in force
+	config    *config.Config // current configuration
 	clock     moduleClock
 	decidedAt time.Time       // just before the module's clock was read for the current event; timeouts of actions start here
 	actions   []policy.Action // decided for the current event; reused
@@ -61,7 +61,7 @@
 	// The endpoint list.
 	watch         watchState
 	startTimes    *startTimes
-	onListApplied func(seq int64, whole bool) // called after each list is put in force; may be nil
+	onListApplied func(seq int64, whole bool) // called after each list is applied; may be nil
 
 	ready readyState
 
@@ -108,7 +108,7 @@
 	return discovery.Shared
 }
 
-// applyLimits applies the limits of the configuration in force to connections, request ids and start
+// applyLimits applies the limits of the current configuration to connections, request ids and start
 // times.
 func (l *loop) applyLimits() {
 	l.pool.Configure(backendSettings(l.config))
@@ -202,7 +202,7 @@
 	}
 }
 
-// reload puts another configuration in force, as a whole or not at all. Its error is a
+// reload applies another configuration, as a whole or not at all. Its error is a
 // *fielderror.Error if a field can't be changed. A panic is returned as an error too, because the
 // caller waits for a result.
 func (l *loop) reload(conf *config.Config) (err error) {
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -90,7 +90,7 @@
 }
 
 // A configuration is applied as a whole or not at all. The error names the field that can't change
-// without a restart, and neither the classes nor the discovery of that configuration are in force.
+// without a restart, and neither the classes nor the discovery of that configuration are applied.
 func TestReloadAppliesAllOrNothing(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
 	conf := agenttest.Config(refusingAddr, addr)
@@ -116,7 +116,7 @@
 			if err == nil || !strings.HasPrefix(err.Error(), "config: "+c.field+": ") || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got error %v, want one line that names %s", err, c.field)
 			}
-			checkStatus(t, base, http.StatusOK, "the class in force")
+			checkStatus(t, base, http.StatusOK, "a class of the current configuration")
 			agent.inspect(func(l *loop) {
 				if got := l.watch.discoveryAddr(); got != refusingAddr {
 					t.Errorf("got discovery %s, want %s", got, refusingAddr)
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -19,7 +19,7 @@
 type request struct {
 	backend.Request // as it is forwarded
 
-	config      *config.Config // in force when the request was read; class and tenant are indices in it
+	config      *config.Config // current when the request was read; class and tenant are indices in it
 	class       int
 	tenant      int     // -1: not in the settings
 	keyHash     uint64  // of the key by which a backend is chosen; 0: no key
@@ -65,7 +65,7 @@
 }
 
 // remapClass updates the class and the tenant of a request that was read under another
-// configuration to their indices in the configuration in force. It reports whether the class still
+// configuration to their indices in the current configuration. It reports whether the class still
 // exists with the same effect.
 func (l *loop) remapClass(request *request) bool {
 	if request.config == l.config {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// currentTenant returns the index of a request's tenant in the configuration in force, or -1 if the
+// currentTenant returns the index of a request's tenant in the current configuration, or -1 if the
 // settings don't contain the tenant.
 func (l *loop) currentTenant(request *request) int {
 	oldTenants := request.config.Settings.Tenants
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Reload puts another configuration in force while the agent runs, as a whole or not at all. In the
+// Reload applies another configuration while the agent runs, as a whole or not at all. In the
 // latter case the error names the field that can't change without a restart. Requests in progress
 // continue under the configuration under which they were read. The endpoint list, the connections
 // and the module's measurements of backends are kept. The seed and the endpoint list of next are
--- a/internal/agent/simulated.go
+++ b/internal/agent/simulated.go
@@ -11,7 +11,7 @@
 // the endpoint list are the same as those of a real agent. A bench can run thousands of such agents
 // in one process. All goroutines of the agent end with ctx.
 //
-// After each list that is put in force, for the connections and the module, onListApplied is called
+// After each list that is applied, for the connections and the module, onListApplied is called
 // with the version of the list and whether it was a whole list. It is called from the loop and must
 // not block. It is not called for the list of the configuration. RunSimulated returns an error if
 // the module rejects the settings.
--- a/internal/agent/simulated_test.go
+++ b/internal/agent/simulated_test.go
@@ -11,9 +11,9 @@
 	"ploverreel/internal/agenttest"
 )
 
-// A simulated agent watches like a real agent, reports each list that is put in force, and ends
+// A simulated agent watches like a real agent, reports each list that is applied, and ends
 // with its context. The list of its configuration is not reported.
-func TestSimulatedAgentReportsListsInForce(t *testing.T) {
+func TestSimulatedAgentReportsAppliedLists(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, `{"seq":7,"whole":true,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"ready"}]}`, "\n",
 			`{"seq":8,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`, "\n")
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -56,7 +56,7 @@
 	known           map[policy.Addr]startTime
 	toleranceMs     float64 // by which a notification may be slower than the fastest one
 	awaitsFirstList bool    // discovery has delivered no list yet
-	completeUntilMs float64 // the list in force contains all starts up to this time; 0: a watch is open
+	completeUntilMs float64 // the current list contains all starts up to this time; 0: a watch is open
 	offsetMs        float64 // estimate of the module's clock minus the clock of born_ms
 	hasOffset       bool    // offsetMs was estimated
 }
