--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -23,15 +23,15 @@
 		t.Fatal(err)
 	}
 	l.handle(watchEvent{list: newList(7, true, endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "ready"})})
-	var former []*discovery.Client
+	var previous []*discovery.Client
 	for _, addr := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:1"} {
-		former = append(former, l.watch.discovery)
+		previous = append(previous, l.watch.discovery)
 		if err := l.reload(parseConfig(t, agenttest.Config(addr, "127.0.0.1:9"))); err != nil {
 			t.Fatal(err)
 		}
 	}
 	draining := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:9", Health: "draining"}
-	for generation, client := range former {
+	for generation, client := range previous {
 		select {
 		case <-client.Done():
 		default:
--- a/internal/agent/endpoint_list_test.go
+++ b/internal/agent/endpoint_list_test.go
@@ -58,10 +58,10 @@
 func TestListedBackendReconnectsToNewProcess(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	target := l.backends[endpointlist.AddressOf("s-0")]
-	former := target.conns
+	previous := target.conns
 	endpoint := endpointlist.Host{Host: "s-0", Dial: "127.0.0.1:1", Health: "ready", Share: 1}
 	l.handle(watchEvent{list: newList(2, false, endpoint)})
-	if target.conns != former {
+	if target.conns != previous {
 		t.Fatal("got new connections to the same process, want the previous ones")
 	}
 	waiting := newTestAttempt(target)
@@ -77,10 +77,10 @@
 		if l.backends[endpointlist.AddressOf("s-0")] != target {
 			t.Fatalf("%s: got another backend, want the same", change.name)
 		}
-		if target.conns == former || target.conns.Addr() != endpoint.Dial {
+		if target.conns == previous || target.conns.Addr() != endpoint.Dial {
 			t.Fatalf("%s: got the previous connections or ones to %s, want new ones to %s", change.name, target.conns.Addr(), endpoint.Dial)
 		}
-		former = target.conns
+		previous = target.conns
 	}
 	if got := waiting.Run(); got.Status != policy.StatusRejected { // withdrawn, as its backend drains
 		t.Fatalf("got status %d for an attempt that had not begun on the previous address, want %d", got.Status, policy.StatusRejected)
--- a/internal/agent/head_time_test.go
+++ b/internal/agent/head_time_test.go
@@ -28,8 +28,8 @@
 	}))
 	t.Cleanup(backend.Close)
 	agent, _, _, _ := startAgent(t, agenttest.Config(refusingAddr, backend.Listener.Addr().String()))
-	const held = 5 * time.Second
-	conn := fakeClientConn{receivedAt: time.Now().Add(-held)}
+	const handlerDelay = 5 * time.Second
+	conn := fakeClientConn{receivedAt: time.Now().Add(-handlerDelay)}
 	req := httptest.NewRequest(http.MethodPost, "/order/u1", nil)
 	req.Header.Set("Request-Id", "held")
 	req.Header.Set("Request-Timeout", "30000m")
@@ -38,7 +38,7 @@
 	if w.Code != 200 {
 		t.Fatalf("got status %d, want 200", w.Code)
 	}
-	if left, err := parseTimeout(<-timeouts, time.Minute); err != nil || left > 30*time.Second-held {
-		t.Fatalf("got timeout %v, %v; want %v at most, as the head was read %v ago", left, err, 30*time.Second-held, held)
+	if left, err := parseTimeout(<-timeouts, time.Minute); err != nil || left > 30*time.Second-handlerDelay {
+		t.Fatalf("got timeout %v, %v; want %v at most, as the head was read %v ago", left, err, 30*time.Second-handlerDelay, handlerDelay)
 	}
 }
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -17,7 +17,7 @@
 // clockScenarios are the scenarios with a stepped wall clock.
 var clockScenarios = []struct {
 	name string
-	play func(*watchedFleet, time.Duration)
+	run  func(*watchedFleet, time.Duration)
 }{
 	{"off at the start", runClockOffAtStart},
 	{"off at the start, empty list", runClockOffAtStartWithoutList},
@@ -94,7 +94,7 @@
 func TestSlowStartIsUnaffectedByClockSteps(t *testing.T) {
 	for _, c := range clockScenarios {
 		for _, step := range clockSteps {
-			t.Run(fmt.Sprint(c.name, " by ", step), func(t *testing.T) { c.play(newWatchedFleet(t), step) })
+			t.Run(fmt.Sprint(c.name, " by ", step), func(t *testing.T) { c.run(newWatchedFleet(t), step) })
 		}
 	}
 }
