--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -48,16 +48,16 @@
 func TestLoopLogsPanicOfAttempt(t *testing.T) {
 	l, text := newLoggingLoop(t, refusingAddr)
 	l.pool.DialContext = func(context.Context, string, string) (net.Conn, error) { panic("boom") }
-	panics := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
-	l.handle(attemptEnded{attempt: panics, result: panics.Run()})
+	panicking := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
+	l.handle(attemptEnded{attempt: panicking, result: panicking.Run()})
 	want := `level=ERROR msg="attempt panicked" err="panic in an attempt: boom\n`
 	if got := text.String(); !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 {
 		t.Errorf("got log\n%s, want one line that begins with\n%s", got, want)
 	}
 	text.Reset()
 	l.pool.DialContext = (&net.Dialer{}).DialContext
-	fails := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
-	l.handle(attemptEnded{attempt: fails, result: fails.Run()})
+	failing := newTestAttempt(l.backends[endpointlist.AddressOf("s-0")])
+	l.handle(attemptEnded{attempt: failing, result: failing.Run()})
 	if got := text.String(); got != "" {
 		t.Errorf("got log\n%s, want none of an attempt that fails without a panic", got)
 	}
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -152,14 +152,14 @@
 
 // Requests that are read while another one is in progress are answered in order, and none is lost.
 func TestAgentAnswersPipelinedRequestsInOrder(t *testing.T) {
-	got, release := make(chan string, 10), make(chan struct{})
+	received, release := make(chan string, 10), make(chan struct{})
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			req, err := agenttest.ReadRequest(reader)
 			if err != nil {
 				return
 			}
-			got <- req.Header.Get("Request-Id")
+			received <- req.Header.Get("Request-Id")
 			<-release
 			io.WriteString(conn, agenttest.OKAnswer)
 		}
@@ -167,7 +167,7 @@
 	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	conn := agenttest.Dial(t, base)
 	io.WriteString(conn, agenttest.RequestText("order", "p1"))
-	if id := <-got; id != "p1" {
+	if id := <-received; id != "p1" {
 		t.Fatalf("got request %q first, want p1", id)
 	}
 	io.WriteString(conn, agenttest.RequestText("order", "p2")+agenttest.RequestText("order", "p3"))
@@ -182,7 +182,7 @@
 			t.Fatalf("got %d %q, %v; want 200 %q", resp.StatusCode, body, err, "done")
 		}
 	}
-	if second, third := <-got, <-got; second != "p2" || third != "p3" {
+	if second, third := <-received, <-received; second != "p2" || third != "p3" {
 		t.Fatalf("got requests %q and %q, want p2 and p3", second, third)
 	}
 }
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -93,10 +93,10 @@
 func TestAgentForwardsNothingForDisconnectBehindPipelinedRequests(t *testing.T) {
 	for how, disconnect := range agenttest.Disconnects {
 		t.Run(how, func(t *testing.T) {
-			got, release := make(chan string, 10), make(chan struct{})
+			received, release := make(chan string, 10), make(chan struct{})
 			addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 				if req, err := agenttest.ReadRequest(reader); err == nil {
-					got <- req.Header.Get("Request-Id")
+					received <- req.Header.Get("Request-Id")
 					<-release
 					io.WriteString(conn, strings.Replace(agenttest.OKAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
@@ -108,7 +108,7 @@
 			io.WriteString(conn, both)
 			<-began
 			proceed <- struct{}{}
-			if id := <-got; id != "p1" {
+			if id := <-received; id != "p1" {
 				t.Fatalf("got request %q first, want p1", id)
 			}
 			io.WriteString(conn, "P") // the first byte of a third request
@@ -118,7 +118,7 @@
 			disconnect(conn)
 			awaitClientClose(t, clients)
 			close(proceed)
-			checkNothingForwarded(t, agent, got)
+			checkNothingForwarded(t, agent, received)
 		})
 	}
 }
--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -71,9 +71,9 @@
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t, "127.0.0.1:1")
 			b := l.backends[endpointlist.AddressOf("s-0")]
-			waits := newTestAttempt(b)
+			waiting := newTestAttempt(b)
 			l.handle(watchEvent{list: list})
-			if res := waits.Run(); res.Status != policy.StatusRejected { // withdrawn, as its backend drains
+			if res := waiting.Run(); res.Status != policy.StatusRejected { // withdrawn, as its backend drains
 				t.Fatalf("got status %d for an attempt that had not begun before the list, want it withdrawn", res.Status)
 			}
 			l.notify(&policy.RequestArrived{Request: 99, TimeLeftMs: 1000})
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -12,9 +12,9 @@
 
 // A request with the id of a request in progress is rejected, and the first one is forwarded once.
 func TestAgentRejectsIDOfRequestInProgress(t *testing.T) {
-	got, release := make(chan string, 10), make(chan struct{})
+	received, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get("Request-Id")
+		received <- r.Header.Get("Request-Id")
 		<-release
 	}))
 	t.Cleanup(backend.Close)
@@ -31,13 +31,13 @@
 		}
 		served <- resp.StatusCode
 	}()
-	<-got
+	<-received
 	if status, _, _ := do(t, again); status != http.StatusConflict {
 		t.Errorf("got status %d, want %d", status, http.StatusConflict)
 	}
 	close(release)
-	if status := <-served; status != 200 || len(got) > 0 {
-		t.Errorf("got status %d for the first and %d more attempts, want 200 and none", status, len(got))
+	if status := <-served; status != 200 || len(received) > 0 {
+		t.Errorf("got status %d for the first and %d more attempts, want 200 and none", status, len(received))
 	}
 }
 
