--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -14,7 +14,7 @@
 	request.tries.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
-	b.local.sent(sent)
+	b.local.attemptSent(sent)
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
@@ -30,7 +30,7 @@
 	}
 	request.started = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
-		attempt.endpoint.traffic.heard(b.now)
+		attempt.endpoint.traffic.recordResponse(b.now)
 	}
 }
 
@@ -50,7 +50,7 @@
 	if status == StatusLocalFailure {
 		b.takeBackAttempt(attempt)
 	} else {
-		b.local.succeeded(attempt)
+		b.local.attemptSucceeded(attempt)
 		b.learn(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
@@ -78,14 +78,14 @@
 // takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
 // anything of it.
 func (b *Balancer) takeBackAttempt(attempt *attempt) {
-	b.local.failed(attempt)
+	b.local.attemptFailed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.tries.uncount(attempt)
 }
 
 // learn takes what an attempt's end after rttMs says into all that learns from attempts.
 func (b *Balancer) learn(attempt *attempt, status Status, rttMs float64) {
-	b.outliers.countUnanswered(attempt, status)
+	b.outliers.recordUnanswered(attempt, status)
 	b.closeIdle(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
 		b.retries.earn()
@@ -109,20 +109,20 @@
 	case StatusCancelled:
 		b.recordCancelled(attempt, rttMs)
 	case StatusRejected:
-		endpoint.traffic.heard(b.now)
-		endpoint.window.cut(b.now, rejectedWindowCut, 1)
+		endpoint.traffic.recordResponse(b.now)
+		endpoint.window.decrease(b.now, rejectedWindowFactor, 1)
 	}
 }
 
 // recordServed learns from an answer that came after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	endpoint.health.countServed()
+	endpoint.health.recordSuccess()
 	b.latency.hints.observeAnswer(request, rttMs)
 	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.answered(rttMs)
-	endpoint.traffic.answered(attempt)
-	endpoint.latency.answered(rttMs)
+	endpoint.traffic.attemptAnswered(attempt)
+	endpoint.latency.recordLast(rttMs)
 	request.class.observeServed(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
 	b.latency.observe(fraction, attempt.alone)
@@ -141,7 +141,7 @@
 	if !b.set.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
-	if endpoint.traffic.heardSince(attempt) {
+	if endpoint.traffic.respondedSince(attempt) {
 		b.latency.hints.observeAnswer(request, rttMs)
 		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
 	} else {
@@ -154,7 +154,7 @@
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.observeUnanswered(b.now, rttMs)
-	if b.now >= request.timing.objectiveAt && !endpoint.traffic.heardSince(attempt) &&
+	if b.now >= request.timing.objectiveAt && !endpoint.traffic.respondedSince(attempt) &&
 		!b.outliers.mostUnanswered() {
 		b.outliers.eject(endpoint, true)
 	}
@@ -175,7 +175,7 @@
 // requests are taken for this one's times their number: where a thousand agents each meet every
 // endpoint, they would keep hundreds of connections an endpoint open.
 func (b *Balancer) closeIdle(endpoint *endpoint) {
-	prices, gapMs := &b.set.Prices, endpoint.traffic.meanGapMs
+	prices, gapMs := &b.set.Prices, endpoint.traffic.meanIntervalMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -1,26 +1,27 @@
-// This file holds the way of an endpoint: it is listed, restarts, is checked, answers again after a
-// failure, or falls silent.
+// This file implements the lifecycle of an endpoint: it is listed, restarts, is checked, answers again
+// after a failure, or stops answering.
 
 package policy
 
-// silentAfter is after how many expected answer times without an answer an endpoint is taken to be
-// silent, divided by its attempts in flight up to silentAttempts.
-const silentAfter, silentAttempts = 8, 3
+// silenceFactor multiplies the expected answer time of a request: an endpoint that has answered
+// nothing for the product is silent. The time is divided by the number of the endpoint's attempts in
+// flight, up to maxSilenceDivisor.
+const silenceFactor, maxSilenceDivisor = 8, 3
 
 // onEndpointsUpdated applies a change of the list.
 func (b *Balancer) onEndpointsUpdated(event *EndpointsUpdated) {
 	b.watch.onDelivered()
-	b.endpoints.listChanged()
+	b.endpoints.startEpoch()
 	listed := map[Addr]bool{}
 	for i := range event.Entries {
 		listed[event.Entries[i].Server] = true
 		b.updateEndpoint(&event.Entries[i])
 	}
 	if event.Kind != ListDelta {
-		b.endpoints.keepListed(listed)
+		b.endpoints.markUnlisted(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
-	b.endpoints.removeGone(b.slowStart.remove)
+	b.endpoints.removeUnusable(b.slowStart.remove)
 	b.slowStart.listChanged()
 	b.limiter.rebase(floor, limit)
 }
@@ -33,22 +34,22 @@
 		endpoint = b.endpoints.add(entry.Server, startedAt)
 		b.slowStart.markWarming(endpoint)
 	}
-	if startedAt > endpoint.slowStart.listedAt {
+	if startedAt > endpoint.slowStart.listedStartAt {
 		b.restartEndpoint(endpoint, startedAt)
 	}
 	endpoint.update(entry)
 }
 
-// restartEndpoint takes an endpoint for a new process: nothing known of the old one holds, and it
-// is warming up.
+// restartEndpoint resets the state of an endpoint whose process has restarted: what is known of the
+// old process no longer applies, and the new one is warming up.
 func (b *Balancer) restartEndpoint(endpoint *endpoint, startedAt float64) {
 	b.outliers.restart(endpoint)
 	b.slowStart.restart(endpoint, startedAt)
 	b.latency.restart(endpoint)
-	endpoint.window.restart()
+	endpoint.window.reset()
 }
 
-// onHealthCheckEnded takes the result of a health check.
+// onHealthCheckEnded handles the result of a health check.
 func (b *Balancer) onHealthCheckEnded(event *HealthCheckEnded) {
 	endpoint := b.endpoints.byAddr[event.Server]
 	if endpoint != nil && b.outliers.onHealthCheckEnded(endpoint, event.Status) {
@@ -56,48 +57,49 @@
 	}
 }
 
-// endpointAnswered notes that an endpoint lives. One that no connect reached for long may be a new
-// process, warming up and not yet listed: it is taken to have started now. Time-outs alone don't
-// tell: crowded endpoints would be left to idle.
+// endpointAnswered handles a sign that an endpoint is alive. If no connect has reached the endpoint
+// for long, it may be a new process that is warming up and not yet listed, so a restart now is
+// assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be left idle.
 func (b *Balancer) endpointAnswered(endpoint *endpoint) {
 	if b.outliers.onAnswer(endpoint) {
 		b.slowStart.assumeRestart(endpoint)
-		endpoint.window.restart()
+		endpoint.window.reset()
 	}
 	b.limiter.clearStalled(endpoint)
 }
 
-// ejectSilent ejects endpoints that took attempts and have answered nothing for several answer
-// times: hung or gone silent, they would stay connected.
+// ejectSilent ejects endpoints that have attempts in flight and have answered nothing for several
+// expected answer times. Otherwise a hung endpoint would stay in StateConnected.
 func (b *Balancer) ejectSilent() {
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		inFlight, health := endpoint.traffic.inFlight, &endpoint.health
-		soon := silentAfter / float64(max(min(len(inFlight), silentAttempts), 1))
-		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], soon) {
+		factor := silenceFactor / float64(max(min(len(inFlight), maxSilenceDivisor), 1))
+		if len(inFlight) > 0 && health.state != StateUnhealthy && b.unansweredFor(inFlight[0], factor) {
 			b.outliers.eject(endpoint, true)
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
-			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, soon) {
-				b.releaseStalled(attempt, b.unansweredFor(attempt, silentAfter))
+			if health.silent && health.state == StateUnhealthy && b.unansweredFor(attempt, factor) {
+				b.releaseStalled(attempt, b.unansweredFor(attempt, silenceFactor))
 			}
 		}
 	}
 }
 
-// unansweredFor reports whether neither an attempt nor its endpoint has answered for so many times
-// the expected answer time.
-func (b *Balancer) unansweredFor(attempt *attempt, times float64) bool {
-	quietMs := b.now - max(attempt.endpoint.traffic.heardAt, attempt.sentAt)
-	return quietMs >= b.latency.expectedMs(attempt.request)*times
+// unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
+// for factor times the expected answer time.
+func (b *Balancer) unansweredFor(attempt *attempt, factor float64) bool {
+	quietMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
+	return quietMs >= b.latency.expectedMs(attempt.request)*factor
 }
 
-// releaseStalled lets go of an attempt at an endpoint that fell silent under it. It stands in no
-// queue that the agent's limit is to keep short: held by the limit up to deadlines of a minute and
-// more, such attempts would take all of it, and nothing would be sent to the endpoints that live.
-// Where the request may go elsewhere in time the attempt is cancelled, and else the request ends
-// when it can no longer earn anything, as queued ones do. The limit lets go only when it is sure:
-// crowded endpoints seem silent for a while too, and need the limit most.
+// releaseStalled releases an attempt in flight at an endpoint that stopped answering. The concurrency
+// limit exists to keep queues at endpoints short, and such an attempt is in no queue. With deadlines
+// of a minute and more, stalled attempts would use up the whole limit, and nothing would be sent to
+// the endpoints that are alive. If the request can be sent elsewhere in time, the attempt is
+// cancelled. Otherwise the request ends when its answer is no longer worth anything, as queued
+// requests do. The limit releases the attempt only if sure is set: overloaded endpoints seem silent
+// for a while too, and they need the limit most.
 func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
 	request := attempt.request
 	if sure {
@@ -106,7 +108,7 @@
 	objectiveAt := request.timing.objectiveAt
 	switch {
 	case attempt.cancelled || request.closed || request.started:
-	case request.class.LateWeight == 0 && b.now >= objectiveAt:
+	case request.class.LateShare == 0 && b.now >= objectiveAt:
 		attempt.cancelled = true
 		b.finishUnserved(request)
 	case b.set.Limits.Cancellation && b.retries.mayRetryNow(request) &&
