--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -10,16 +10,17 @@
 	"ploverreel/policy"
 )
 
-// notify hands the module one event and carries out what it decides.
+// notify passes one event to the module and executes the actions that the module decides.
 func (l *loop) notify(event policy.Event) {
 	l.decidedAt = time.Now()
-	l.actions = l.decide(l.nowMs(), event)
-	l.perform()
+	l.actions = l.handleEvent(l.nowMs(), event)
+	l.executeActions()
 }
 
-// decide hands the module one event and returns what it decides. After a panic it returns what the
-// module had decided until then: the module waits for the ends of those attempts.
-func (l *loop) decide(nowMs float64, event policy.Event) (actions []policy.Action) {
+// handleEvent passes one event to the module and returns the actions that the module decides. If the
+// module panics, it returns the actions decided before the panic, because the module waits for the
+// attempts among them to end.
+func (l *loop) handleEvent(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("panic in decision module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
@@ -29,25 +30,25 @@
 	return l.balancer.Handle(nowMs, event, l.actions[:0])
 }
 
-// eventName returns the name of an event's type. It keeps the event on the caller's stack, which the
-// formatting of package fmt would not.
+// eventName returns the name of an event's type. Unlike formatting with package fmt, it doesn't make
+// the event escape to the heap.
 func eventName(event policy.Event) string { return reflect.TypeOf(event).Elem().Name() }
 
-// perform carries out the module's actions in their order.
-func (l *loop) perform() {
+// executeActions executes the module's actions in order.
+func (l *loop) executeActions() {
 	for i := range l.actions {
-		l.carryOut(&l.actions[i])
+		l.execute(&l.actions[i])
 	}
 }
 
-// carryOut carries out one action. A panic costs that action alone: the next ones belong to other
-// requests, and the module relies on them.
-func (l *loop) carryOut(action *policy.Action) {
+// execute executes one action. A panic affects only that action: the following ones belong to other
+// requests, and the module relies on their execution.
+func (l *loop) execute(action *policy.Action) {
 	defer l.recoverAction(action.Kind)
 	switch action.Kind {
 	case policy.ActionSendAttempt, policy.ActionCancelAttempt, policy.ActionRejectRequest, policy.ActionFailRequest:
 		if request := l.requests[action.Request]; request != nil {
-			l.carryOutFor(request, action)
+			l.executeForRequest(request, action)
 		}
 	case policy.ActionSetTimer:
 		token := action.Token
@@ -65,19 +66,19 @@
 	}
 }
 
-// recoverAction logs a panic while an action was carried out, if there is one, and lets the loop go on.
-// It is to be deferred.
+// recoverAction recovers from a panic in the execution of an action, and logs it. It must be
+// deferred.
 func (l *loop) recoverAction(kind policy.ActionKind) {
 	if p := recover(); p != nil {
 		l.log.Error("panic in event loop", "action", int(kind), "panic", p, "stack", string(debug.Stack()))
 	}
 }
 
-// carryOutFor carries out an action that is about an open request.
-func (l *loop) carryOutFor(request *request, action *policy.Action) {
+// executeForRequest executes an action on an open request.
+func (l *loop) executeForRequest(request *request, action *policy.Action) {
 	switch action.Kind {
 	case policy.ActionSendAttempt:
-		l.send(request, action)
+		l.startAttempt(request, action)
 	case policy.ActionCancelAttempt:
 		if action.Attempt < 0 || action.Attempt >= len(request.attempts) {
 			return
@@ -86,10 +87,10 @@
 			attempt.Cancel(backend.ErrCancelled)
 		}
 	case policy.ActionRejectRequest:
-		l.answer(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
+		l.respond(request, response{status: policy.StatusRejected, retryAfter: config.Milliseconds(action.RetryAfterMs)})
 		l.removeIfDone(request)
 	case policy.ActionFailRequest:
-		l.answer(request, response{status: policy.StatusServerError})
+		l.respond(request, response{status: policy.StatusServerError})
 		l.removeIfDone(request)
 	}
 }
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -10,16 +10,16 @@
 	"ploverreel/internal/agenttest"
 )
 
-// A request whose id is in progress is rejected, and the first one forwarded once.
+// A request with the id of a request in progress is rejected, and the first one is forwarded once.
 func TestAgentRejectsIDOfRequestInProgress(t *testing.T) {
-	got, release := make(chan string, 10), make(chan struct{})
+	received, release := make(chan string, 10), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get("Request-Id")
+		received <- r.Header.Get("Request-Id")
 		<-release
 	}))
 	t.Cleanup(backend.Close)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, backend.Listener.Addr().String()))
-	first, again := call(base, "order"), call(base, "order")
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, backend.Listener.Addr().String()))
+	first, again := newClientRequest(base, "order"), newClientRequest(base, "order")
 	again.Header.Set("Request-Id", first.Header.Get("Request-Id"))
 	served := make(chan int, 1)
 	go func() {
@@ -31,28 +31,28 @@
 		}
 		served <- resp.StatusCode
 	}()
-	<-got
+	<-received
 	if status, _, _ := do(t, again); status != http.StatusConflict {
 		t.Errorf("got status %d, want %d", status, http.StatusConflict)
 	}
 	close(release)
-	if status := <-served; status != 200 || len(got) > 0 {
-		t.Errorf("got status %d for the first and %d more attempts, want 200 and none", status, len(got))
+	if status := <-served; status != 200 || len(received) > 0 {
+		t.Errorf("got status %d for the first and %d more attempts, want 200 and none", status, len(received))
 	}
 }
 
-// Ids are known for a time, and forgotten some time after it.
-func TestSeenIDsKnowsIDForItsTime(t *testing.T) {
+// Ids are known for the retention, and forgotten some time after it.
+func TestSeenIDsKeepsIDsForRetention(t *testing.T) {
 	ids, now := newSeenIDs(time.Second), time.Now()
 	if !ids.add("a", now) || ids.add("a", now.Add(900*time.Millisecond)) || ids.add("a", now.Add(1500*time.Millisecond)) {
-		t.Fatal("got an id added twice within its time, want it known")
+		t.Fatal("got an id accepted twice within the retention, want it known")
 	}
 	if !ids.add("b", now.Add(2*time.Second)) || !ids.add("a", now.Add(4*time.Second)) || len(ids.current)+len(ids.previous) > 2 {
-		t.Fatal("got an id known after its time, want it forgotten")
+		t.Fatal("got an id known after the retention, want it forgotten")
 	}
 }
 
-// However many ids arrive, the memory for them is bounded, and the latest are known.
+// The memory for ids is bounded however many arrive, and the latest ids are known.
 func TestSeenIDsIsBounded(t *testing.T) {
 	ids, now := newSeenIDs(agenttest.Never), time.Now()
 	for i := range 5 * maxIDsPerGeneration {
@@ -60,7 +60,7 @@
 			t.Fatalf("id %d: got known, want new", i)
 		}
 		if n := len(ids.current) + len(ids.previous); n > 2*maxIDsPerGeneration {
-			t.Fatalf("got %d ids held, want %d at most", n, 2*maxIDsPerGeneration)
+			t.Fatalf("got %d ids stored, want at most %d", n, 2*maxIDsPerGeneration)
 		}
 	}
 	for i := 4 * maxIDsPerGeneration; i < 5*maxIDsPerGeneration; i++ {
