--- a/internal/agent/attempts_test.go
+++ b/internal/agent/attempts_test.go
@@ -19,7 +19,7 @@
 	created := &attempt{target: target, request: &request{responses: make(chan response, 1)}}
 	created.request.Request = backend.Request{Method: http.MethodPost, Target: "/order/u1", Host: "backend.local",
 		RequestID: "id1", Body: []byte("body")}
-	created.Attempt = backend.NewAttempt(context.Background(), target.conns, &created.request.Request, time.Now().Add(agenttest.Never))
+	created.Attempt = backend.NewAttempt(context.Background(), target.conns, &created.request.Request, time.Now().Add(agenttest.LongTimeout))
 	target.attempts[created] = struct{}{}
 	return created
 }
@@ -29,7 +29,7 @@
 func TestAttemptTimesCountFromDecision(t *testing.T) {
 	l := newTestLoop(t, "127.0.0.1:1")
 	late := &request{id: 1, responses: make(chan response, 1), Request: backend.Request{Method: http.MethodPost,
-		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.Never)}}
+		Target: "/send/u1", Host: "b", RequestID: "id", Deadline: time.Now().Add(agenttest.LongTimeout)}}
 	l.requests[late.id] = late
 	l.decidedAt = time.Now().Add(-time.Minute)
 	const timeoutMs, beginWithinMs = 90_000, 30_000
--- a/internal/agent/disconnect_test.go
+++ b/internal/agent/disconnect_test.go
@@ -161,7 +161,7 @@
 			}
 			received <- req.Header.Get("Request-Id")
 			<-release
-			io.WriteString(conn, agenttest.OKAnswer)
+			io.WriteString(conn, agenttest.OKResponse)
 		}
 	})
 	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -98,7 +98,7 @@
 				if req, err := agenttest.ReadRequest(reader); err == nil {
 					received <- req.Header.Get("Request-Id")
 					<-release
-					io.WriteString(conn, strings.Replace(agenttest.OKAnswer, "\r\n", "\r\nConnection: close\r\n", 1))
+					io.WriteString(conn, strings.Replace(agenttest.OKResponse, "\r\n", "\r\nConnection: close\r\n", 1))
 				}
 			})
 			agent, base, clients := startTracked(t, agenttest.Config(refusingAddr, addr))
@@ -186,7 +186,7 @@
 			agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 			pool := agent.loop.pool
 			settings := pool.Settings()
-			settings.SettleDelay = agenttest.Never
+			settings.SettleDelay = agenttest.LongTimeout
 			pool.Configure(settings)
 			if status, _, _ := do(t, newClientRequest(base, "order")); status != 200 {
 				t.Fatalf("got status %d, want 200", status)
--- a/internal/agent/handler_test.go
+++ b/internal/agent/handler_test.go
@@ -47,7 +47,7 @@
 		name         string
 		left, margin time.Duration
 	}{
-		{"an hour left", agenttest.Never, fallbackMargin + decisionMargin},
+		{"an hour left", agenttest.LongTimeout, fallbackMargin + decisionMargin},
 		{"40 s left", 40 * time.Second, fallbackMargin + decisionMargin},
 		{"8 ms left, a quarter of it", 8 * time.Millisecond, 2 * time.Millisecond},
 	} {
--- a/internal/agent/listed_backend_test.go
+++ b/internal/agent/listed_backend_test.go
@@ -22,7 +22,7 @@
 		{"write", "withdrawn just before the write", policy.StatusOK, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn := agenttest.NewScriptedConn(agenttest.OKAnswer)
+			conn := agenttest.NewScriptedConn(agenttest.OKResponse)
 			target := &listedBackend{attempts: map[*attempt]struct{}{}}
 			withdrawAt := func(stage string) {
 				if stage == c.at {
@@ -34,7 +34,7 @@
 				withdrawAt("connect")
 				return conn, nil
 			}
-			settings := backend.Settings{ConnectTimeout: agenttest.Never, IdleTimeout: agenttest.Never, MaxConns: 1}
+			settings := backend.Settings{ConnectTimeout: agenttest.LongTimeout, IdleTimeout: agenttest.LongTimeout, MaxConns: 1}
 			target.conns = backend.NewPool(dial, settings).NewConns("127.0.0.1:1")
 			got := newTestAttempt(target).Run()
 			if written := conn.Written.Len() > 0; written != c.written {
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -26,7 +26,7 @@
 	l := newTestLoop(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 	var requests []*request
 	for i := range 3 {
-		requests = append(requests, newLoopRequest(l.config, fmt.Sprint("id", i), time.Now().Add(agenttest.Never)))
+		requests = append(requests, newLoopRequest(l.config, fmt.Sprint("id", i), time.Now().Add(agenttest.LongTimeout)))
 	}
 	for _, target := range l.backends {
 		target.attempts = nil // a write to it panics
--- a/internal/agent/reconfigure_test.go
+++ b/internal/agent/reconfigure_test.go
@@ -40,7 +40,7 @@
 			}
 			received <- req.URL.Path
 			<-answer
-			io.WriteString(conn, agenttest.OKAnswer)
+			io.WriteString(conn, agenttest.OKResponse)
 		}
 	})
 	return addr, received, answer
@@ -146,7 +146,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newTestLoop(t, "127.0.0.1:1")
-			r := newLoopRequest(l.config, "x", time.Now().Add(agenttest.Never))
+			r := newLoopRequest(l.config, "x", time.Now().Add(agenttest.LongTimeout))
 			done := make(chan error, 1)
 			l.handle(reloadRequested{config: parseConfig(t, withSettings(conf, map[string]any{"classes": c.classes})), done: done})
 			if err := <-done; err != nil {
--- a/internal/agent/reloads_test.go
+++ b/internal/agent/reloads_test.go
@@ -94,7 +94,7 @@
 				return
 			}
 			received <- req.Header.Get("Request-Id")
-			io.WriteString(conn, agenttest.OKAnswer)
+			io.WriteString(conn, agenttest.OKResponse)
 		}
 	})
 	conf := agenttest.Config(refusingAddr, addr)
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -93,7 +93,7 @@
 	conf["limits"].(map[string]any)["sockets"] = config.MinSockets
 	agent, base, _, _ := startAgent(t, conf)
 	// On a slow machine clients may write late and handlers may respond late.
-	agent.clients.SetTimeouts(agenttest.Never, agenttest.Never)
+	agent.clients.SetTimeouts(agenttest.LongTimeout, agenttest.LongTimeout)
 	const excess = 20
 	requests := minLimits.OpenRequests() + excess
 	if requests <= minLimits.ClientSockets() {
@@ -146,7 +146,7 @@
 	closed := make(chan struct{})
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := agenttest.ReadRequest(reader); err == nil {
-			io.WriteString(conn, agenttest.OKAnswer)
+			io.WriteString(conn, agenttest.OKResponse)
 			reader.ReadByte()
 			close(closed)
 		}
@@ -154,7 +154,7 @@
 	l := newTestLoop(t, addr)
 	target := l.backends[endpointlist.AddressOf("s-0")]
 	settings := l.pool.Settings()
-	settings.IdleTimeout = agenttest.Never
+	settings.IdleTimeout = agenttest.LongTimeout
 	l.pool.Configure(settings)
 	if got := newTestAttempt(target).Run(); got.Status != policy.StatusOK {
 		t.Fatalf("got status %d, want %d", got.Status, policy.StatusOK)
--- a/internal/agent/seen_ids_test.go
+++ b/internal/agent/seen_ids_test.go
@@ -54,7 +54,7 @@
 
 // The memory for ids is bounded however many arrive, and the latest ids are known.
 func TestSeenIDsIsBounded(t *testing.T) {
-	ids, now := newSeenIDs(agenttest.Never), time.Now()
+	ids, now := newSeenIDs(agenttest.LongTimeout), time.Now()
 	for i := range 5 * maxIDsPerGeneration {
 		if !ids.add(fmt.Sprint(i), now) {
 			t.Fatalf("id %d: got known, want new", i)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -131,7 +131,7 @@
 			t.Errorf("got a timer of %v, want %v", delay, want)
 		}
 		timers <- call
-		return time.NewTimer(agenttest.Never)
+		return time.NewTimer(agenttest.LongTimeout)
 	}
 	return timers
 }
--- a/internal/agenttest/backend.go
+++ b/internal/agenttest/backend.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// OKAnswer is a backend's whole answer with status 200 and the body "done".
-const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+// OKResponse is a backend's whole answer with status 200 and the body "done".
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 // RawBackend starts a stand-in backend and returns its address. It hands each connection to serve,
 // in a goroutine of its own, and closes it when serve returns. No connection is accepted after the
@@ -47,9 +47,9 @@
 	return request, err
 }
 
-// ByteCounter starts a stand-in backend that answers nothing. It sends on read how many bytes each
+// ByteCountingBackend starts a stand-in backend that answers nothing. It sends on read how many bytes each
 // connection brought, once that has ended.
-func ByteCounter(t testing.TB) (addr string, read <-chan int64) {
+func ByteCountingBackend(t testing.TB) (addr string, read <-chan int64) {
 	t.Helper()
 	counts := make(chan int64, 1)
 	addr = RawBackend(t, func(_ net.Conn, reader *bufio.Reader) {
--- a/internal/agenttest/wait.go
+++ b/internal/agenttest/wait.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// NoAnswerTimeout is how long a test waits for what has to come before it fails.
-	NoAnswerTimeout = time.Minute
-	// Never is a timeout that no test lets run out.
-	Never = time.Hour
+	// WaitTimeout is how long a test waits for what has to come before it fails.
+	WaitTimeout = time.Minute
+	// LongTimeout is a timeout that no test lets run out.
+	LongTimeout = time.Hour
 
 	// eventuallyTimeout bounds Eventually, and eventuallyInterval is how often it looks.
 	eventuallyTimeout  = 20 * time.Second
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestAttemptBeginsOnce(t *testing.T) {
-	attempt := newTestAttempt(nil, http.MethodPost, agenttest.Never)
+	attempt := newTestAttempt(nil, http.MethodPost, agenttest.LongTimeout)
 	defer attempt.Cancel(nil)
 	if !attempt.begin() {
 		t.Fatal("got no begin of a new attempt, want one")
@@ -47,13 +47,13 @@
 					if requests.Add(1) > 1 {
 						return // breaks the connection during the second request
 					}
-					io.WriteString(conn, agenttest.OKAnswer)
+					io.WriteString(conn, agenttest.OKResponse)
 				}
 			})
 			conns := newTestPool().NewConns(addr)
 			defer conns.CloseIdle()
 			for i, want := range []policy.Status{policy.StatusOK, policy.StatusReset} {
-				attempt := newTestAttempt(conns, c.method, agenttest.Never)
+				attempt := newTestAttempt(conns, c.method, agenttest.LongTimeout)
 				attempt.request.IdempotencyKey = c.key
 				if got := attempt.Run().Status; got != want {
 					t.Fatalf("attempt %d: got status %d, want %d", i, got, want)
@@ -79,7 +79,7 @@
 		closed <- err
 	})
 	pool := newTestPool()
-	attempt := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
+	attempt := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.LongTimeout)
 	done := startAttempt(attempt)
 	<-received
 	attempt.Cancel(context.DeadlineExceeded) // has the same effect as the timeout, without the wait
@@ -114,7 +114,7 @@
 				close(ended)
 				return nil, ctx.Err()
 			}
-			attempt := newTestAttempt(pool.NewConns(unusedAddr), http.MethodPost, agenttest.Never)
+			attempt := newTestAttempt(pool.NewConns(unusedAddr), http.MethodPost, agenttest.LongTimeout)
 			done := startAttempt(attempt)
 			<-dialling
 			attempt.Cancel(c.cause)
@@ -127,7 +127,7 @@
 }
 
 func TestAttemptWithdrawnDuringDialSendsNothing(t *testing.T) {
-	addr, read := agenttest.ByteCounter(t)
+	addr, read := agenttest.ByteCountingBackend(t)
 	pool := newTestPool()
 	var attempt *Attempt
 	dial := pool.DialContext
@@ -138,7 +138,7 @@
 		}
 		return conn, err
 	}
-	attempt = newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
+	attempt = newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.LongTimeout)
 	if got := attempt.Run(); !got.Status.NeverRan() || !errors.Is(got.Err, ErrWithdrawn) {
 		t.Fatalf("got status %d (%v), want one that never ran, for %v", got.Status, got.Err, ErrWithdrawn)
 	}
@@ -149,11 +149,11 @@
 
 // An attempt does not begin after BeginBy, even if its connection is open.
 func TestAttemptBeginsOnlyUntilBeginBy(t *testing.T) {
-	addr, read := agenttest.ByteCounter(t)
+	addr, read := agenttest.ByteCountingBackend(t)
 	pool := newTestPool()
 	dial := pool.DialContext
-	late := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
-	late.BeginBy = time.Now().Add(agenttest.Never)
+	late := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.LongTimeout)
+	late.BeginBy = time.Now().Add(agenttest.LongTimeout)
 	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		late.BeginBy = time.Now().Add(-time.Nanosecond) // simulates a dial that ends after BeginBy
@@ -166,8 +166,8 @@
 		t.Fatalf("got %d bytes at the backend, want 0", n)
 	}
 	pool.DialContext = dial
-	inTime := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.Never)
-	inTime.BeginBy = time.Now().Add(agenttest.Never)
+	inTime := newTestAttempt(pool.NewConns(addr), http.MethodPost, agenttest.LongTimeout)
+	inTime.BeginBy = time.Now().Add(agenttest.LongTimeout)
 	done := startAttempt(inTime)
 	agenttest.Eventually(t, "the attempt in time has begun", func() bool { return inTime.stage.Load() == attemptSending })
 	inTime.Cancel(ErrCancelled)
@@ -177,7 +177,7 @@
 
 // An attempt does not begin after its deadline, even if its connection is open.
 func TestAttemptDoesNotBeginPastDeadline(t *testing.T) {
-	conn := agenttest.NewScriptedConn(agenttest.OKAnswer)
+	conn := agenttest.NewScriptedConn(agenttest.OKResponse)
 	pool := newTestPool()
 	attempt := newTestAttempt(pool.NewConns(unusedAddr), http.MethodPost, time.Nanosecond)
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) {
--- a/internal/backend/extra_conn_test.go
+++ b/internal/backend/extra_conn_test.go
@@ -40,7 +40,7 @@
 	pool := newTestPool()
 	pool.settings.ExtraConns, pool.DialContext = true, dialer.DialContext
 	pool.after = func(time.Duration) <-chan time.Time { return settled }
-	conns = pool.NewConns(agenttest.RawBackend(t, answerAll(agenttest.OKAnswer)))
+	conns = pool.NewConns(agenttest.RawBackend(t, answerAll(agenttest.OKResponse)))
 	t.Cleanup(conns.CloseIdle)
 	return conns, dialer, settled
 }
@@ -83,7 +83,7 @@
 			running.Add(1)
 			go func() {
 				defer running.Done()
-				got := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+				got := newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout).Run()
 				if got.Status != policy.StatusOK {
 					t.Errorf("got status %d, want %d", got.Status, policy.StatusOK)
 				}
@@ -127,7 +127,7 @@
 	serveOne(t, conns)
 	for range 2 {
 		conns.keepSettling()
-		result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout))
+		result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout))
 		agenttest.Eventually(t, "the dial has failed", func() bool {
 			_, open := conns.counts()
 			return dialer.calls.Load() == 2 && open == 1
@@ -164,7 +164,7 @@
 	dialer.held = make(chan struct{})
 	serveOne(t, conns)
 	conns.keepSettling()
-	result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout))
+	result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout))
 	agenttest.Eventually(t, "an extra connection is being opened", func() bool { return dialer.calls.Load() == 2 })
 	settled <- time.Now()
 	if got := <-result; got.Status != policy.StatusOK {
@@ -187,7 +187,7 @@
 		dialer.calls.Add(1)
 		panic("boom")
 	}
-	result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout))
+	result := startAttempt(newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout))
 	agenttest.Eventually(t, "the panic is recorded", func() bool {
 		conns.pool.mu.Lock()
 		defer conns.pool.mu.Unlock()
@@ -203,7 +203,7 @@
 	}
 	conns.keepSettling()
 	close(settled)
-	got := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+	got := newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout).Run()
 	if got.Status != policy.StatusOK || got.Panic != nil {
 		t.Errorf("next attempt: got status %d, panic %v, want %d and none", got.Status, got.Panic, policy.StatusOK)
 	}
--- a/internal/backend/helpers_test.go
+++ b/internal/backend/helpers_test.go
@@ -18,7 +18,7 @@
 
 // newTestPool returns a pool whose timeouts are longer than any test.
 func newTestPool() *Pool {
-	return NewPool((&net.Dialer{}).DialContext, Settings{ConnectTimeout: agenttest.Never, IdleTimeout: agenttest.Never, MaxConns: 100})
+	return NewPool((&net.Dialer{}).DialContext, Settings{ConnectTimeout: agenttest.LongTimeout, IdleTimeout: agenttest.LongTimeout, MaxConns: 100})
 }
 
 // newTestAttempt returns an attempt of a new request.
@@ -32,7 +32,7 @@
 
 // runAttempt runs an attempt of a POST whose deadline is longer than any test.
 func runAttempt(conns *Conns) Result {
-	return newTestAttempt(conns, http.MethodPost, agenttest.Never).Run()
+	return newTestAttempt(conns, http.MethodPost, agenttest.LongTimeout).Run()
 }
 
 // startAttempt runs an attempt in a goroutine, which sends the Result on done.
@@ -43,10 +43,10 @@
 }
 
 // serveOne runs an attempt and fails the test if it isn't answered with 200 within
-// agenttest.NoAnswerTimeout.
+// agenttest.WaitTimeout.
 func serveOne(t *testing.T, conns *Conns) {
 	t.Helper()
-	result := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+	result := newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout).Run()
 	if result.Status != policy.StatusOK {
 		t.Fatalf("got status %d (%v), want %d", result.Status, result.Err, policy.StatusOK)
 	}
@@ -64,7 +64,7 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	for _, conn := range c.idle {
-		conn.idleSince = time.Now().Add(agenttest.Never)
+		conn.idleSince = time.Now().Add(agenttest.LongTimeout)
 	}
 }
 
--- a/internal/backend/idle_lifetime_test.go
+++ b/internal/backend/idle_lifetime_test.go
@@ -40,7 +40,7 @@
 // were reset.
 func TestPoolStopsReusingSilentlyDroppedConnections(t *testing.T) {
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		answerOne(agenttest.OKAnswer)(conn, reader)
+		answerOne(agenttest.OKResponse)(conn, reader)
 		agenttest.ReadRequest(reader) // closes the connection when the next request arrives
 	})
 	pool := newTestPool()
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -69,7 +69,7 @@
 
 // A request never ran if its last byte was not written.
 func TestAttemptStatusOfIncompleteWrite(t *testing.T) {
-	addr, _ := agenttest.ByteCounter(t)
+	addr, _ := agenttest.ByteCountingBackend(t)
 	pool := newTestPool()
 	dial := pool.DialContext
 	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -86,12 +86,12 @@
 func runOn(conn *agenttest.ScriptedConn, method string) Result {
 	pool := newTestPool()
 	pool.DialContext = func(context.Context, string, string) (net.Conn, error) { return conn, nil }
-	return newTestAttempt(pool.NewConns(unusedAddr), method, agenttest.Never).Run()
+	return newTestAttempt(pool.NewConns(unusedAddr), method, agenttest.LongTimeout).Run()
 }
 
 // A short write without an error has not sent the whole request.
 func TestAttemptStatusOfShortWrite(t *testing.T) {
-	conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKAnswer), WriteEnd: 10, ReadEnd: -1}
+	conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKResponse), WriteEnd: 10, ReadEnd: -1}
 	if got := runOn(conn, http.MethodPost); got.Status != policy.StatusConnectFailed || !conn.Closed {
 		t.Errorf("got status %d, closed %v, want %d and true", got.Status, conn.Closed, policy.StatusConnectFailed)
 	}
@@ -106,7 +106,7 @@
 // the smallest reads is complete. A connection that broke is closed.
 func TestAttemptStatusOfConnectionBrokenAtEachByte(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		whole := agenttest.NewScriptedConn(agenttest.OKAnswer)
+		whole := agenttest.NewScriptedConn(agenttest.OKResponse)
 		if got := runOn(whole, method); got.Status != policy.StatusOK || string(got.Body) != "done" || whole.Closed {
 			t.Fatalf("%s: got status %d, body %q, closed %v, want %d, \"done\" and false",
 				method, got.Status, got.Body, whole.Closed, policy.StatusOK)
@@ -115,7 +115,7 @@
 			checkBrokenWrites(t, method, errno, whole.Written.Len())
 			// A response without a length needs one more read, which finds the end of the
 			// connection.
-			checkBrokenReads(t, method, errno, agenttest.OKAnswer, len(agenttest.OKAnswer))
+			checkBrokenReads(t, method, errno, agenttest.OKResponse, len(agenttest.OKResponse))
 			checkBrokenReads(t, method, errno, responseWithoutLength, len(responseWithoutLength)+1)
 		}
 	}
@@ -126,7 +126,7 @@
 func checkBrokenWrites(t *testing.T, method string, errno syscall.Errno, length int) {
 	t.Helper()
 	for at := range length + 1 {
-		conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKAnswer), Errno: errno, WriteEnd: at, ReadEnd: -1}
+		conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKResponse), Errno: errno, WriteEnd: at, ReadEnd: -1}
 		got := runOn(conn, method)
 		switch {
 		case at < length && !got.Status.NeverRan():
--- a/internal/backend/pool_test.go
+++ b/internal/backend/pool_test.go
@@ -46,7 +46,7 @@
 	var requests atomic.Int32
 	closed := make(chan struct{}, 10)
 	addr := agenttest.RawBackend(t, func(conn net.Conn, reader *bufio.Reader) {
-		answerOne(agenttest.OKAnswer)(conn, reader)
+		answerOne(agenttest.OKResponse)(conn, reader)
 		requests.Add(1)
 		conn.Close()
 		closed <- struct{}{}
--- a/internal/backend/request_test.go
+++ b/internal/backend/request_test.go
@@ -24,9 +24,9 @@
 		body, _ := io.ReadAll(request.Body)
 		request.Body = io.NopCloser(strings.NewReader(string(body)))
 		received <- request
-		io.WriteString(conn, agenttest.OKAnswer)
+		io.WriteString(conn, agenttest.OKResponse)
 	})
-	attempt := newTestAttempt(newTestPool().NewConns(addr), http.MethodPost, agenttest.Never)
+	attempt := newTestAttempt(newTestPool().NewConns(addr), http.MethodPost, agenttest.LongTimeout)
 	attempt.request.Target = target
 	attempt.request.IdempotencyKey = "k1"
 	if result := attempt.Run(); result.Status != policy.StatusOK {
--- a/internal/backend/response_test.go
+++ b/internal/backend/response_test.go
@@ -25,7 +25,7 @@
 		name, response string
 		want           policy.Status
 	}{
-		{"whole", agenttest.OKAnswer, policy.StatusOK},
+		{"whole", agenttest.OKResponse, policy.StatusOK},
 		{"missing", "", policy.StatusReset},
 		{"half the body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndone", policy.StatusReset},
 		{"half the chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n", policy.StatusReset},
@@ -37,9 +37,9 @@
 		{"no HTTP", "\x00\xff\x17noise\r\n\r\n", policy.StatusReset},
 		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 40), policy.StatusReset},
 		{"half a 503", "HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 9\r\n\r\nx", policy.StatusReset},
-		{"behind 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + agenttest.OKAnswer, policy.StatusOK},
-		{"behind too many 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 100) + agenttest.OKAnswer, policy.StatusReset},
-		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n" + agenttest.OKAnswer, policy.StatusReset},
+		{"behind 1xx", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + agenttest.OKResponse, policy.StatusOK},
+		{"behind too many 1xx", strings.Repeat("HTTP/1.1 102 Wait\r\n\r\n", 100) + agenttest.OKResponse, policy.StatusReset},
+		{"another protocol", "HTTP/1.1 101 Switching\r\n\r\n" + agenttest.OKResponse, policy.StatusReset},
 		{"500", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
 		{"204", "HTTP/1.1 204 No\r\n\r\n", policy.StatusServerError},
 		{"503 that may have run", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.StatusServerError},
@@ -115,7 +115,7 @@
 				conn, err := dial(ctx, network, addr)
 				return &readCounter{Conn: conn, left: len(c.response), done: read}, err
 			}
-			got := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout).Run()
+			got := newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout).Run()
 			if got.Status != c.want || string(got.Body) != c.body {
 				t.Fatalf("got status %d with %d bytes, want %d with %d", got.Status, len(got.Body), c.want, len(c.body))
 			}
@@ -136,8 +136,8 @@
 	}{
 		// Concurrent attempts wait for each other's connections. If the surplus is written
 		// separately, an attempt begins only after the surplus of the previous one was written.
-		{"second response", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), false, 8},
-		{"second response behind", strings.Replace(agenttest.OKAnswer, "done", "gone", 1), true, 1},
+		{"second response", strings.Replace(agenttest.OKResponse, "done", "gone", 1), false, 8},
+		{"second response behind", strings.Replace(agenttest.OKResponse, "done", "gone", 1), true, 1},
 		{"noise", "\x00noise", false, 8},
 		{"noise behind", "\x00noise", true, 1},
 	} {
@@ -149,10 +149,10 @@
 						return
 					}
 					if c.separate {
-						io.WriteString(conn, agenttest.OKAnswer)
+						io.WriteString(conn, agenttest.OKResponse)
 						io.WriteString(conn, c.surplus)
 					} else {
-						io.WriteString(conn, agenttest.OKAnswer+c.surplus)
+						io.WriteString(conn, agenttest.OKResponse+c.surplus)
 					}
 					written <- struct{}{}
 				}
--- a/internal/backend/settle_test.go
+++ b/internal/backend/settle_test.go
@@ -47,7 +47,7 @@
 	s.conns.keepSettling()
 	s.conn = s.conns.idle[0]
 	<-s.requests
-	s.attempt = newTestAttempt(s.conns, http.MethodPost, agenttest.Never)
+	s.attempt = newTestAttempt(s.conns, http.MethodPost, agenttest.LongTimeout)
 	s.attempt.request.RequestID = "next"
 	s.result = startAttempt(s.attempt)
 	<-waiting
@@ -63,7 +63,7 @@
 			return
 		}
 		s.requests <- request.Header.Get("Request-Id")
-		io.WriteString(conn, agenttest.OKAnswer)
+		io.WriteString(conn, agenttest.OKResponse)
 		go func() {
 			for text := range s.surplus {
 				io.WriteString(conn, text)
@@ -76,7 +76,7 @@
 // response to the next request.
 func TestLateSecondResponseIsNotUsedForNextRequest(t *testing.T) {
 	s := newSettlingConn(t)
-	s.surplus <- strings.Replace(agenttest.OKAnswer, "done", "gone", 1)
+	s.surplus <- strings.Replace(agenttest.OKResponse, "done", "gone", 1)
 	agenttest.Eventually(t, "the second response arrived", func() bool { return socket.Peek(s.conn.Conn) == socket.PeekUnread })
 	close(s.settled)
 	if got := <-s.result; got.Status != policy.StatusOK || string(got.Body) != "done" {
@@ -138,7 +138,7 @@
 					disconnect(remote)
 					agenttest.Eventually(t, "the client's close arrived", client.Disconnected)
 				})
-				attempt := newTestAttempt(conns, http.MethodPost, agenttest.NoAnswerTimeout)
+				attempt := newTestAttempt(conns, http.MethodPost, agenttest.WaitTimeout)
 				attempt.request.Client = client
 				if got := attempt.Run(); got.Status != policy.StatusNotSent || !attempt.withdraw() {
 					t.Fatalf("got status %d (%v), want %d of an attempt that never began", got.Status, got.Err, policy.StatusNotSent)
@@ -156,7 +156,7 @@
 // disconnectDuringConnect returns the connections to a backend. Each connect calls disconnect
 // first. The number of bytes that the backend received is sent on read.
 func disconnectDuringConnect(t *testing.T, disconnect func()) (conns *Conns, read <-chan int64) {
-	addr, read := agenttest.ByteCounter(t)
+	addr, read := agenttest.ByteCountingBackend(t)
 	pool := newTestPool()
 	dial := pool.DialContext
 	pool.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/clientconn/head_test.go
+++ b/internal/clientconn/head_test.go
@@ -52,7 +52,7 @@
 // seen.
 func TestConnReceivedAtIsWhenBytesWereSeenBeforeSlot(t *testing.T) {
 	table, ln := NewTable(1, 1), listen(t)
-	table.SetTimeouts(defaultSilentGrace, agenttest.NoAnswerTimeout)
+	table.SetTimeouts(defaultSilentGrace, agenttest.WaitTimeout)
 	server, _ := net.Pipe()
 	var kept *Conn
 	// It is closed shortly after it was evicted, so that the first acquire fails.
@@ -108,7 +108,7 @@
 	table := NewTable(10, 10)
 	server := serve(t, table)
 	conn := agenttest.Dial(t, server.addr)
-	_ = conn.SetReadDeadline(time.Now().Add(agenttest.NoAnswerTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout))
 	reader := bufio.NewReader(conn)
 	for _, id := range []string{"first", "second"} {
 		text := agenttest.RequestText("order", id)
@@ -121,7 +121,7 @@
 		})
 		table.CloseIdle(true)
 		table.Resize(10, 0) // so that too many connections are kept alive
-		table.reapIdle(time.Now().Add(agenttest.Never))
+		table.reapIdle(time.Now().Add(agenttest.LongTimeout))
 		table.Resize(10, 10)
 		io.WriteString(conn, text[half:])
 		if resp := readOK(t, reader); resp.Close {
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -83,7 +83,7 @@
 		if !errors.Is(err, net.ErrClosed) {
 			t.Fatalf("got %v, want %v", err, net.ErrClosed)
 		}
-	case <-time.After(agenttest.NoAnswerTimeout):
+	case <-time.After(agenttest.WaitTimeout):
 		t.Fatal("got no end of Accept after Close, want one at once")
 	}
 }
--- a/internal/clientconn/server_test.go
+++ b/internal/clientconn/server_test.go
@@ -38,7 +38,7 @@
 	s := &testServer{table: table, addr: ln.Addr().String(), received: make(chan string, 100), ended: make(chan error, 1)}
 	server := &http.Server{
 		Handler: s, ReadHeaderTimeout: HeadTimeout, ConnState: table.OnConnState,
-		IdleTimeout: agenttest.Never, // the table alone ends idle connections
+		IdleTimeout: agenttest.LongTimeout, // the table alone ends idle connections
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -98,7 +98,7 @@
 // requestOn does the same as request on a connection that is open already.
 func (s *testServer) requestOn(t *testing.T, conn net.Conn, id string) (net.Conn, *http.Response) {
 	t.Helper()
-	_ = conn.SetReadDeadline(time.Now().Add(agenttest.NoAnswerTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(agenttest.WaitTimeout))
 	io.WriteString(conn, agenttest.RequestText("order", id))
 	return conn, readOK(t, bufio.NewReader(conn))
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -102,8 +102,8 @@
 	}{
 		{"a list, open for long", agenttest.EndpointChange + "\n", time.Nanosecond, true},
 		{"no list, open for long", "\n", time.Nanosecond, true},
-		{"a list, ended at once", agenttest.EndpointChange + "\n", agenttest.Never, true},
-		{"no list, ended at once", "\n", agenttest.Never, false},
+		{"a list, ended at once", agenttest.EndpointChange + "\n", agenttest.LongTimeout, true},
+		{"no list, ended at once", "\n", agenttest.LongTimeout, false},
 		{"nothing", "", time.Nanosecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
