--- a/internal/agent/client_faults_test.go
+++ b/internal/agent/client_faults_test.go
@@ -46,7 +46,7 @@
 	c := &faultyClient{received: received, attempts: map[string]int{}, want: map[string]attemptBounds{}}
 	c.next.Store(&agenttest.NoFault)
 	c.agent, c.base, _, _ = startAgentOn(t, agenttest.Config(refusingAddr, addr), func(ln net.Listener) net.Listener {
-		return agenttest.FaultyListener{Listener: ln, Next: &c.next}
+		return agenttest.FaultyListener{Listener: ln, NextFault: &c.next}
 	})
 	return c
 }
@@ -98,12 +98,12 @@
 	t.Helper()
 	length := len(c.requestText("f000000"))
 	for at := 0; at < length; at += step {
-		fault := agenttest.Fault{Errno: errno, ReadAt: int64(at), WriteAt: -1}
+		fault := agenttest.Fault{Errno: errno, ReadFailsAt: int64(at), WriteFailsAt: -1}
 		if got := c.send(t, fault, noAttempt); strings.Contains(got, " 200 ") || strings.Count(got, "HTTP/1.1") > 1 {
 			t.Fatalf("%+v: got %q, want one error at most", fault, got)
 		}
 	}
-	fault := agenttest.Fault{Errno: errno, ReadAt: int64(length), WriteAt: -1}
+	fault := agenttest.Fault{Errno: errno, ReadFailsAt: int64(length), WriteFailsAt: -1}
 	got := c.send(t, fault, atMostOne)
 	if strings.Count(got, "HTTP/1.1") > 1 || strings.Contains(got, " 200 ") && got != whole {
 		t.Fatalf("%+v: got %q, want one error at most, or %q", fault, got, whole)
@@ -114,7 +114,7 @@
 func (c *faultyClient) checkWriteFaults(t *testing.T, errno syscall.Errno, step int, whole string) {
 	t.Helper()
 	for at := 0; at < len(whole); at += step {
-		fault := agenttest.Fault{Errno: errno, ReadAt: -1, WriteAt: int64(at)}
+		fault := agenttest.Fault{Errno: errno, ReadFailsAt: -1, WriteFailsAt: int64(at)}
 		if got := c.send(t, fault, exactlyOne); got != whole[:min(at, len(got))] {
 			t.Fatalf("%+v: got %q, want a prefix of %q", fault, got, whole[:at])
 		}
@@ -161,7 +161,7 @@
 			left := &atomic.Int32{}
 			left.Store(8)
 			_, base, _, ended := startAgentOn(t, agenttest.Config(refusingAddr, addr), func(ln net.Listener) net.Listener {
-				return agenttest.FailingListener{Listener: ln, Errno: errno, Failures: left}
+				return agenttest.FailingListener{Listener: ln, Errno: errno, RemainingFailures: left}
 			})
 			conn := agenttest.Dial(t, base)
 			io.WriteString(conn, agenttest.RequestText("order", fmt.Sprint("accepted", lastID.Add(1))))
--- a/internal/agent/listed_backend_test.go
+++ b/internal/agent/listed_backend_test.go
@@ -29,7 +29,7 @@
 					target.withdraw()
 				}
 			}
-			conn.OnWrite = func() { withdrawAt("write") }
+			conn.BeforeWrite = func() { withdrawAt("write") }
 			dial := func(context.Context, string, string) (net.Conn, error) {
 				withdrawAt("connect")
 				return conn, nil
--- a/internal/agenttest/faultconn.go
+++ b/internal/agenttest/faultconn.go
@@ -10,13 +10,13 @@
 // FailingListener is a listener of which a number of accepts fail before one succeeds.
 type FailingListener struct {
 	net.Listener
-	Errno    syscall.Errno // of the accepts that fail
-	Failures *atomic.Int32 // how many accepts are still to fail
+	Errno             syscall.Errno // of the accepts that fail
+	RemainingFailures *atomic.Int32 // how many accepts are still to fail
 }
 
 // Accept fails, or accepts from the listener beneath.
 func (l FailingListener) Accept() (net.Conn, error) {
-	if l.Failures.Add(-1) >= 0 {
+	if l.RemainingFailures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.Errno)}
 	}
 	return l.Listener.Accept()
@@ -25,18 +25,18 @@
 // Fault describes how a connection fails: from a number of bytes on, each read or write returns an
 // error.
 type Fault struct {
-	Errno           syscall.Errno
-	ReadAt, WriteAt int64 // the bytes that are read or written before; -1: no failure
+	Errno                     syscall.Errno
+	ReadFailsAt, WriteFailsAt int64 // the bytes that are read or written before; -1: no failure
 }
 
 // NoFault is the Fault of a connection that doesn't fail.
-var NoFault = Fault{ReadAt: -1, WriteAt: -1}
+var NoFault = Fault{ReadFailsAt: -1, WriteFailsAt: -1}
 
-// FaultyListener accepts connections that read and write one byte at a time, and fail as Next says
+// FaultyListener accepts connections that read and write one byte at a time, and fail as NextFault says
 // at their accept.
 type FaultyListener struct {
 	net.Listener
-	Next *atomic.Pointer[Fault]
+	NextFault *atomic.Pointer[Fault]
 }
 
 // Accept accepts a connection with the next fault.
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &faultyConn{Conn: conn, fault: *l.Next.Load()}, nil
+	return &faultyConn{Conn: conn, fault: *l.NextFault.Load()}, nil
 }
 
 // faultyConn is a connection of a FaultyListener.
@@ -56,7 +56,7 @@
 }
 
 func (c *faultyConn) Read(buffer []byte) (int, error) {
-	if c.fault.ReadAt >= 0 && c.read.Load() >= c.fault.ReadAt {
+	if c.fault.ReadFailsAt >= 0 && c.read.Load() >= c.fault.ReadFailsAt {
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.fault.Errno)}
 	}
 	n, err := c.Conn.Read(buffer[:min(len(buffer), 1)])
@@ -66,7 +66,7 @@
 
 func (c *faultyConn) Write(data []byte) (int, error) {
 	for i := range data {
-		if c.fault.WriteAt >= 0 && c.written.Load() >= c.fault.WriteAt {
+		if c.fault.WriteFailsAt >= 0 && c.written.Load() >= c.fault.WriteFailsAt {
 			return i, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.fault.Errno)}
 		}
 		if n, err := c.Conn.Write(data[i : i+1]); err != nil {
--- a/internal/backend/outcome_test.go
+++ b/internal/backend/outcome_test.go
@@ -91,7 +91,7 @@
 
 // A short write without an error has not sent the whole request.
 func TestAttemptStatusOfShortWrite(t *testing.T) {
-	conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKResponse), WriteEnd: 10, ReadEnd: -1}
+	conn := &agenttest.ScriptedConn{Response: []byte(agenttest.OKResponse), WriteLimit: 10, ReadLimit: -1}
 	if got := runOn(conn, http.MethodPost); got.Status != policy.StatusConnectFailed || !conn.Closed {
 		t.Errorf("got status %d, closed %v, want %d and true", got.Status, conn.Closed, policy.StatusConnectFailed)
 	}
@@ -126,7 +126,7 @@
 func checkBrokenWrites(t *testing.T, method string, errno syscall.Errno, length int) {
 	t.Helper()
 	for at := range length + 1 {
-		conn := &agenttest.ScriptedConn{Answer: []byte(agenttest.OKResponse), Errno: errno, WriteEnd: at, ReadEnd: -1}
+		conn := &agenttest.ScriptedConn{Response: []byte(agenttest.OKResponse), Errno: errno, WriteLimit: at, ReadLimit: -1}
 		got := runOn(conn, method)
 		switch {
 		case at < length && !got.Status.NeverRan():
@@ -146,7 +146,7 @@
 func checkBrokenReads(t *testing.T, method string, errno syscall.Errno, response string, reads int) {
 	t.Helper()
 	for at := range reads {
-		conn := &agenttest.ScriptedConn{Answer: []byte(response), Errno: errno, WriteEnd: -1, ReadEnd: at}
+		conn := &agenttest.ScriptedConn{Response: []byte(response), Errno: errno, WriteLimit: -1, ReadLimit: at}
 		if got := runOn(conn, method); got.Status != policy.StatusReset || !conn.Closed {
 			t.Errorf("%s: %v at byte %d read of %q: got status %d, closed %v, want %d and true",
 				method, errno, at, response, got.Status, conn.Closed, policy.StatusReset)
--- a/internal/clientconn/listener_test.go
+++ b/internal/clientconn/listener_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	left := &atomic.Int32{}
 	left.Store(failures)
-	return agenttest.FailingListener{Listener: listen(t), Errno: errno, Failures: left}
+	return agenttest.FailingListener{Listener: listen(t), Errno: errno, RemainingFailures: left}
 }
 
 // The delay after a failed accept is 5 to 20 ms, however often accept fails. Many failures in a row
