--- a/internal/agent/disconnect_unread_test.go
+++ b/internal/agent/disconnect_unread_test.go
@@ -135,7 +135,7 @@
 	base := "http://" + ln.Addr().String()
 	for i, text := range []string{whole[:20], whole[:len(whole)-4], whole, whole + whole} {
 		for how, disconnect := range agenttest.Disconnects {
-			if how == "end of its sending" && len(text) < len(whole) {
+			if how == "half-close" && len(text) < len(whole) {
 				continue // the client still reads the response to its incomplete request
 			}
 			conn := agenttest.Dial(t, base)
@@ -165,7 +165,7 @@
 	addr, received := agenttest.IDBackend(t, 200, false)
 	agent, base, clients := startTracked(t, agenttest.Config(refusingAddr, addr))
 	for part, text := range map[string]string{"head": whole[:20], "body": whole[:len(whole)-4]} {
-		for _, how := range []string{"close", "reset", "end of its sending"} { // the other ones send bytes, which might complete the request
+		for _, how := range []string{"close", "reset", "half-close"} { // the other ones send bytes, which might complete the request
 			t.Run(part+" "+how, func(t *testing.T) {
 				conn := agenttest.Dial(t, base)
 				io.WriteString(conn, text)
