--- a/internal/agenttest/backend.go
+++ b/internal/agenttest/backend.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// OKResponse is a backend's whole answer with status 200 and the body "done".
+// OKResponse is a complete response of a backend, with status 200 and the body "done".
 const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-// RawBackend starts a stand-in backend and returns its address. It hands each connection to serve,
-// in a goroutine of its own, and closes it when serve returns. No connection is accepted after the
-// end of the test.
+// RawBackend starts a test backend and returns its address. For each connection it runs serve in a
+// goroutine of its own, and it closes the connection when serve returns. It accepts no connection
+// after the end of the test.
 func RawBackend(t testing.TB, serve func(conn net.Conn, reader *bufio.Reader)) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	return listener.Addr().String()
 }
 
-// ReadRequest reads one whole request, of which it drops the body.
+// ReadRequest reads one whole request and discards the body.
 func ReadRequest(reader *bufio.Reader) (*http.Request, error) {
 	request, err := http.ReadRequest(reader)
 	if err == nil {
@@ -47,8 +47,8 @@
 	return request, err
 }
 
-// ByteCountingBackend starts a stand-in backend that answers nothing. It sends on read how many bytes each
-// connection brought, once that has ended.
+// ByteCountingBackend starts a test backend that never responds. When a connection has ended, the
+// backend sends on read the number of bytes that it received there.
 func ByteCountingBackend(t testing.TB) (addr string, read <-chan int64) {
 	t.Helper()
 	counts := make(chan int64, 1)
@@ -59,8 +59,8 @@
 	return addr, counts
 }
 
-// IDBackend starts a stand-in backend that answers each request with a status, and with Not-Started if
-// that is set. It sends the ids of the requests on ids.
+// IDBackend starts a test backend that responds to each request with the status, and with the header
+// Not-Started if notStarted is set. It sends the id of each request on ids.
 func IDBackend(t testing.TB, status int, notStarted bool) (addr string, ids chan string) {
 	t.Helper()
 	ids = make(chan string, 100)
--- a/internal/agenttest/client.go
+++ b/internal/agenttest/client.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// readTimeout is how long a raw client waits for what it reads.
+// readTimeout bounds the time in which ReadToEnd reads a connection to its end.
 const readTimeout = 20 * time.Second
 
-// Dial opens a raw client's connection to a server, given by its address or its URL. The
-// connection is closed at the end of the test.
+// Dial opens a raw TCP connection to a server, given by its address or its URL. The connection is
+// closed at the end of the test.
 func Dial(t testing.TB, server string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(server, "http://"))
@@ -27,8 +27,8 @@
 	return conn
 }
 
-// RequestText returns the text of a complete request without a body. Requests of the class "look"
-// are GETs, all others POSTs.
+// RequestText returns the text of a complete request without a body. Its method is GET for the class
+// "look" and POST for every other class.
 func RequestText(class, id string) string {
 	method := http.MethodPost
 	if class == "look" {
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("%s /%s/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: %s\r\nRequest-Timeout: 30000m\r\n\r\n", method, class, id)
 }
 
-// ReadToEnd returns all that arrives on a connection until it ends, in order or by an error. It
-// fails the test if the connection doesn't end within readTimeout.
+// ReadToEnd returns all bytes that arrive on a connection until it ends, with EOF or with an error.
+// It fails the test if the connection doesn't end within readTimeout.
 func ReadToEnd(t testing.TB, conn net.Conn) string {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
--- a/internal/agenttest/config.go
+++ b/internal/agenttest/config.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Config returns the JSON object of a complete configuration of an agent, with this discovery and an
-// endpoint list that has the backends as s-0, s-1, and so on. The caller may change it.
+// Config returns a complete configuration of an agent as a JSON object. Its discovery address is
+// discovery, and its endpoint list names the backends s-0, s-1, and so on. Each call returns a new
+// object, which the caller may change.
 func Config(discovery string, backends ...string) map[string]any {
 	hosts := []any{}
 	for i, dial := range backends {
@@ -29,14 +30,14 @@
 	}
 }
 
-// Host returns the JSON object of the backend s-i in an endpoint list.
+// Host returns the entry of the backend s-i in an endpoint list, as a JSON object.
 func Host(i int, dial, health string) map[string]any {
 	return map[string]any{"host": fmt.Sprint("s-", i), "dial": dial, "site": "a", "class": "k",
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
-// Set sets the value at a path of keys in a JSON object, or deletes its last key where the value is
-// nil. A number in a path is the index in a list.
+// Set sets the value at a path in a JSON object, or deletes the last key of the path if the value is
+// nil. A string in the path is a key of an object, and an int is an index into a list.
 func Set(object map[string]any, value any, path ...any) {
 	var node any = object
 	for _, key := range path[:len(path)-1] {
--- a/internal/agenttest/dialer.go
+++ b/internal/agenttest/dialer.go
@@ -8,14 +8,14 @@
 	"syscall"
 )
 
-// FailingDialer opens connections, of which the first Failures fail with Errno.
+// FailingDialer opens connections. Its first Failures calls fail with Errno.
 type FailingDialer struct {
 	Errno    syscall.Errno
 	Failures int32
-	Calls    atomic.Int32 // so far
+	Calls    atomic.Int32 // number of calls so far
 }
 
-// DialContext fails, or opens a connection as a net.Dialer does.
+// DialContext fails for the first Failures calls and then opens connections with a net.Dialer.
 func (d *FailingDialer) DialContext(ctx context.Context, network, addr string) (net.Conn, error) {
 	if d.Calls.Add(1) <= d.Failures {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", d.Errno)}
--- a/internal/agenttest/doc.go
+++ b/internal/agenttest/doc.go
@@ -1,5 +1,5 @@
-// Package agenttest has what the tests of several packages need alike, in the manner of
-// net/http/httptest: stand-in servers, a raw client, and waiting for a condition. It is imported by
-// tests alone. Its functions fail the test that they are given and may be called from the goroutine
-// of that test.
+// Package agenttest provides helpers that the tests of several packages share, similar to
+// net/http/httptest: test servers, a client on a raw connection, connections with faults, and waiting
+// for a condition. Only tests import it. Its functions fail the test that they are given and must be
+// called from the goroutine of that test.
 package agenttest
--- a/internal/agenttest/faultconn.go
+++ b/internal/agenttest/faultconn.go
@@ -7,14 +7,15 @@
 	"syscall"
 )
 
-// FailingListener is a listener of which a number of accepts fail before one succeeds.
+// FailingListener is a listener whose next RemainingFailures accepts fail. After them it accepts as
+// the embedded listener does.
 type FailingListener struct {
 	net.Listener
-	Errno             syscall.Errno // of the accepts that fail
-	RemainingFailures *atomic.Int32 // how many accepts are still to fail
+	Errno             syscall.Errno // error of the failing accepts
+	RemainingFailures *atomic.Int32 // number of accepts that are still to fail
 }
 
-// Accept fails, or accepts from the listener beneath.
+// Accept fails while RemainingFailures is above 0. Otherwise it accepts from the embedded listener.
 func (l FailingListener) Accept() (net.Conn, error) {
 	if l.RemainingFailures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.Errno)}
@@ -22,24 +23,24 @@
 	return l.Listener.Accept()
 }
 
-// Fault describes how a connection fails: from a number of bytes on, each read or write returns an
-// error.
+// Fault describes how a connection fails. Once the given number of bytes has been read or written,
+// each further read or write returns Errno.
 type Fault struct {
 	Errno                     syscall.Errno
-	ReadFailsAt, WriteFailsAt int64 // the bytes that are read or written before; -1: no failure
+	ReadFailsAt, WriteFailsAt int64 // number of bytes before the failure; -1: no failure
 }
 
 // NoFault is the Fault of a connection that doesn't fail.
 var NoFault = Fault{ReadFailsAt: -1, WriteFailsAt: -1}
 
-// FaultyListener accepts connections that read and write one byte at a time, and fail as NextFault says
-// at their accept.
+// FaultyListener accepts connections that read and write one byte at a time. Each connection has the
+// fault that NextFault holds when it is accepted.
 type FaultyListener struct {
 	net.Listener
 	NextFault *atomic.Pointer[Fault]
 }
 
-// Accept accepts a connection with the next fault.
+// Accept accepts a connection and gives it the current NextFault.
 func (l FaultyListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -48,7 +49,7 @@
 	return &faultyConn{Conn: conn, fault: *l.NextFault.Load()}, nil
 }
 
-// faultyConn is a connection of a FaultyListener.
+// faultyConn is a connection that a FaultyListener accepted.
 type faultyConn struct {
 	net.Conn
 	fault         Fault
--- a/internal/agenttest/receive.go
+++ b/internal/agenttest/receive.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Receive returns the next value of a channel, and fails the test if none comes within
-// WaitTimeout. The test's message names the value by what.
+// Receive returns the next value of a channel. It fails the test if no value arrives within
+// WaitTimeout; what names the value in the failure message.
 func Receive[T any](t testing.TB, from <-chan T, what string) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
 	case <-time.After(WaitTimeout):
-		t.Fatal("never came: ", what)
+		t.Fatal("not received: ", what)
 	}
 	return value
 }
--- a/internal/agenttest/scriptedconn.go
+++ b/internal/agenttest/scriptedconn.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// ScriptedConn is a connection to a backend that delivers a response in reads of one byte, and fails
-// at one byte of the request or of the response. It is for one goroutine.
+// ScriptedConn is a connection to a backend that delivers a response one byte per read. It can fail at
+// a chosen byte of the request or of the response. Only one goroutine may use it.
 type ScriptedConn struct {
 	net.Conn
-	Response    []byte        // what is still to be read; behind it comes an io.EOF
-	Errno       syscall.Errno // of the read or the write that fails; 0: a write is short without an error
-	WriteLimit  int           // bytes that are written before a write fails; below 0: none fails
-	ReadLimit   int           // the same of reads
-	BeforeWrite func()        // called ahead of each write; may be nil
-	Written     bytes.Buffer
+	Response    []byte        // bytes that are still to be read; io.EOF follows
+	Errno       syscall.Errno // error of the failing read or write; 0: the write is short without an error
+	WriteLimit  int           // bytes that a write takes before it fails; negative: no write fails
+	ReadLimit   int           // bytes that can still be read before reads fail; negative: no read fails
+	BeforeWrite func()        // called before each write; may be nil
+	Written     bytes.Buffer  // bytes that have been written
 	Closed      bool
 }
 
-// NewScriptedConn returns a connection that delivers the response and doesn't fail.
+// NewScriptedConn returns a connection that delivers the response and never fails.
 func NewScriptedConn(response string) *ScriptedConn {
 	return &ScriptedConn{Response: []byte(response), WriteLimit: -1, ReadLimit: -1}
 }
 
-// Write takes all bytes, or those up to WriteLimit.
+// Write records the data in Written. If WriteLimit isn't negative, it records at most that many bytes
+// and then fails with Errno, or returns a short count without an error if Errno is 0.
 func (c *ScriptedConn) Write(data []byte) (int, error) {
 	if c.BeforeWrite != nil {
 		c.BeforeWrite()
@@ -43,7 +44,7 @@
 	return n, nil
 }
 
-// Read delivers one byte of the response.
+// Read returns the next byte of the response. It fails with Errno once ReadLimit is 0.
 func (c *ScriptedConn) Read(buffer []byte) (int, error) {
 	if c.ReadLimit == 0 {
 		return 0, &net.OpError{Op: "read", Err: os.NewSyscallError("read", c.Errno)}
@@ -56,7 +57,7 @@
 	return 1, nil
 }
 
-// Close notes that the connection is closed.
+// Close sets Closed.
 func (c *ScriptedConn) Close() error { c.Closed = true; return nil }
 
 // SetDeadline does nothing.
