--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -4,8 +4,8 @@
 
 import "slices"
 
-// maxAbandonedDeadlines bounds the time for which an abandoned attempt counts, in multiples of the
-// longest time after which clients give up.
+// maxAbandonedDeadlines bounds the sojourn estimate, and so the time for which an abandoned attempt
+// counts as in flight. It is a multiple of the longest deadline of all classes.
 const maxAbandonedDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose endpoints may
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// maxQueued bounds the queued requests, and so the work of a decision.
+// maxQueued is the maximum number of queued requests, and of unserved requests that are remembered.
+// It bounds the work of a decision.
 const maxQueued = 512
 
 // admissionQueue holds the open requests and those of them that wait for capacity.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,12 +6,13 @@
 	"math/rand/v2"
 )
 
-// Tokens of the timers that the Balancer sets.
+// Tokens of the Balancer's timers. timerTick runs the periodic check of queued requests and of
+// attempts in flight, timerWatch starts the next watch or fetch of the endpoint list.
 const (
 	timerTick, timerWatch = 1, 2
 )
 
-// minTickMs is the shortest time between two checks of what waits, in ms.
+// minTickMs is the minimum delay of timerTick, in ms.
 const minTickMs = 5.0
 
 // environment holds what all components share: the settings, the source of randomness, and the time
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// tiers is the number of tiers.
+// tiers is the number of tiers that eligibility.tierOf distinguishes.
 const tiers = 3
 
 // eligibility decides which endpoints may take a request of this agent, and how good they are.
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -4,10 +4,11 @@
 
 import "math"
 
-// maxFinite is the largest number taken from outside: sums and squares of such numbers stay finite.
+// maxFinite is the upper bound of numbers from events. Sums and squares of numbers up to this bound
+// stay finite.
 const maxFinite = 1e15
 
-// never is a time before all others, in ms.
+// never is a time in ms that is earlier than any event.
 var never = math.Inf(-1)
 
 // ewma moves an exponentially weighted moving average towards a sample; the first sample is taken
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -4,10 +4,13 @@
 package policy
 
 const (
-	// infeasibleFraction is the least part of its expected time that a hinted request needs.
+	// infeasibleFraction is multiplied by the expected answer time of a request with a work hint. If
+	// the result exceeds the time left until the latency objective, the request is infeasible. It
+	// is the smallest fraction of the expected time that an answer is assumed to take.
 	infeasibleFraction = 0.7
-	// maxPlacementFailures is how many requests that would go to any endpoint find none before a
-	// dispatch stops: a few tell of all.
+	// maxPlacementFailures bounds the requests, among those not waiting for the endpoints of their
+	// key, for which a dispatch finds no endpoint. At this number the dispatch stops: the other
+	// queued requests would most likely find none either.
 	maxPlacementFailures = 4
 )
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,12 +3,14 @@
 package policy
 
 const (
-	// retryRatio is how many attempts after the first each answer in time pays for, retryBurst
-	// what is saved up: enough for a moment in which half the endpoints vanish.
+	// retryRatio is the number of tokens that each answer in time adds to the retry budget, a token
+	// bucket. A retry costs one token. retryBurst is the capacity of the bucket, in tokens: enough
+	// for a moment in which half the endpoints disappear.
 	retryRatio, retryBurst = 0.5, 20.0
-	// writeDelayMarginMs is how long an agent may be delayed between reading its clock and
-	// writing: it shares its processors. What must not go out after a time is not begun in the
-	// last part of that time.
+	// writeDelayMarginMs is the longest delay, in ms, that is expected between an agent's reading of
+	// its clock and its write to the network: agents share their processors with other
+	// programs. An attempt that must not be sent after a given time is not started within this
+	// margin before it.
 	writeDelayMarginMs = 150.0
 )
 
