--- a/policy/admission.go
+++ b/policy/admission.go
@@ -60,18 +60,18 @@
 // weights: its class's priority weight counts as a part of the whole, and in full of the worst
 // class if it is of it.
 func (q *admissionQueue) priorityOf(request *request) float64 {
-	class, objective := request.class, &q.set.Objective
+	class, objective := request.class, &q.settings.Objective
 	priority := class.PriorityWeight * (objective.Whole + objective.WorstWindow)
 	if class == q.classes.worst {
 		priority += objective.WorstClass * q.classes.meanPriority / class.requestShare
 	}
 	if q.now+q.latency.expectedMs(request) > request.timing.objectiveAt {
-		priority *= class.LateWeight + q.set.Prices.LateFail
+		priority *= class.LateWeight + q.settings.Prices.LateFail
 	}
 	if q.quotas.over(request.tenant) {
-		priority *= q.set.OverQuotaWeight
+		priority *= q.settings.OverQuotaWeight
 	}
-	if q.set.WeightBy != "work" {
+	if q.settings.WeightBy != "work" {
 		priority /= class.expectedMs(q.now)
 	}
 	return priority
@@ -93,7 +93,7 @@
 // full reports whether more requests are queued than the agent can bear beside those in flight:
 // past the requests it may have open, clients would wait for a connection with nobody to answer.
 func (q *admissionQueue) full(inFlight int) bool {
-	most := q.set.Limits.MaxOpenRequests
+	most := q.settings.Limits.MaxOpenRequests
 	return len(q.queued) > maxQueued ||
 		len(q.queued) > 0 && most > 0 && len(q.queued)+inFlight > most
 }
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -138,7 +138,7 @@
 	endpoint, request := attempt.endpoint, attempt.request
 	b.limiter.abandoned.unanswered(rttMs, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
 	request.class.unanswered(b.now, rttMs)
-	if !b.set.Limits.Cancellation && rttMs > 0 {
+	if !b.settings.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
 	if endpoint.traffic.heardSince(attempt) {
@@ -175,11 +175,11 @@
 // requests are taken for this one's times their number: where a thousand agents each meet every
 // endpoint, they would keep hundreds of connections an endpoint open.
 func (b *Balancer) closeIdle(endpoint *endpoint) {
-	prices, gapMs := &b.set.Prices, endpoint.traffic.meanGapMs
+	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanGapMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
-	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.set.Replicas)
+	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
 		b.do(CloseIdleConnections(endpoint.id))
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -18,11 +18,11 @@
 // environment holds what all components share: the settings, the source of randomness, and the time
 // and the actions of the event in hand. Each component embeds a pointer to the Balancer's.
 type environment struct {
-	set     Settings
-	rng     *rand.Rand // the only randomness; the order of its draws is part of the behaviour
-	now     float64    // time of the event in hand, in ms
-	actions []Action   // decided on for that event
-	work    uint64     // see Balancer.Work
+	settings Settings
+	rng      *rand.Rand // the only randomness; the order of its draws is part of the behaviour
+	now      float64    // time of the event in hand, in ms
+	actions  []Action   // decided on for that event
+	work     uint64     // see Balancer.Work
 }
 
 // do decides on an action.
@@ -59,7 +59,7 @@
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{environment: environment{set: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
+	b := &Balancer{environment: environment{settings: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
 	b.connect()
 	return b, nil
 }
@@ -130,7 +130,7 @@
 func (b *Balancer) setTick() {
 	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.ticking = true
-		b.do(SetTimer(max(2*b.set.RoundMs, minTickMs), timerTick))
+		b.do(SetTimer(max(2*b.settings.RoundMs, minTickMs), timerTick))
 	}
 }
 
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -94,8 +94,8 @@
 // harm as long as all agents may have one.
 func (l *concurrencyLimiter) floor() float64 {
 	all := attemptsPerEndpoint * l.slowStart.fleetCapacity()
-	even := all / float64(max(l.set.Replicas, 1))
-	foreseen := foreseenPerMs(l.set.Tenants)
+	even := all / float64(max(l.settings.Replicas, 1))
+	foreseen := foreseenPerMs(l.settings.Tenants)
 	if foreseen == 0 {
 		return max(even, all*l.traffic.perMs()/l.feasiblePerMs(math.Inf(1)))
 	}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -19,10 +19,10 @@
 		warming[i] = startedAt(ready(4+i), h.now)
 	}
 	h.updateEndpoints(ListDelta, warming...)
-	if got, want := h.b.limiter.floor(), whole*(1+h.b.set.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
+	if got, want := h.b.limiter.floor(), whole*(1+h.b.settings.Contract.SlowStartFrom); math.Abs(got-want) > 1e-9 {
 		t.Errorf("with as many warming endpoints got a floor of %v, want %v", got, want)
 	}
-	h.b.now += h.b.set.Contract.SlowStartMs
+	h.b.now += h.b.settings.Contract.SlowStartMs
 	if got := h.b.limiter.floor(); got != 2*whole {
 		t.Errorf("when they are warm got a floor of %v, want %v", got, 2*whole)
 	}
@@ -43,7 +43,7 @@
 // A longer list does not take back what late answers took of the limit.
 func TestLimiterKeepsALoweredLimitOnALongerList(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 3)
-	h.b.set.Replicas = 100
+	h.b.settings.Replicas = 100
 	lowered := minAttemptsPerEndpoint / attemptsPerEndpoint
 	h.b.limiter.scale = lowered
 	var more []Entry
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -37,7 +37,7 @@
 	case StateUnhealthyPending:
 		// What must not run twice does not validate an endpoint while others are healthy.
 		once := request.class.Effect == EffectNonIdempotent
-		checked := e.set.Limits.HealthChecks && e.now-endpoint.health.since < e.classes.shortestObjectiveMs
+		checked := e.settings.Limits.HealthChecks && e.now-endpoint.health.since < e.classes.shortestObjectiveMs
 		if once || checked {
 			return 1
 		}
@@ -82,12 +82,12 @@
 // first request, before anything tells what the endpoints bear.
 func (e *eligibility) hasFirstTurn(endpoint *endpoint) bool {
 	alone := e.classes.shortestObjectiveMs // a turn of one that is alone
-	if multiple := e.set.Contract.OverloadMultiple; multiple > 0 {
+	if multiple := e.settings.Contract.OverloadMultiple; multiple > 0 {
 		alone /= min(e.capacityFraction(endpoint)*multiple, 1)
 	}
-	turn := alone * max(float64(e.set.Replicas)/(attemptsPerEndpoint*e.slowStart.fleetCapacity()), 1)
+	turn := alone * max(float64(e.settings.Replicas)/(attemptsPerEndpoint*e.slowStart.fleetCapacity()), 1)
 	// The fractions of the golden ratio's multiples by successive numbers are spread evenly,
 	// however many agents there are.
-	_, part := math.Modf(math.Phi * float64(e.set.Index))
+	_, part := math.Modf(math.Phi * float64(e.settings.Index))
 	return e.now-e.limiter.lastAttemptAt >= turn && e.now-endpoint.health.since >= part*(turn-alone)
 }
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -109,7 +109,7 @@
 	case request.class.LateWeight == 0 && b.now >= objectiveAt:
 		attempt.cancelled = true
 		b.finishUnserved(request)
-	case b.set.Limits.Cancellation && b.retries.mayRetryNow(request) &&
+	case b.settings.Limits.Cancellation && b.retries.mayRetryNow(request) &&
 		b.now+b.latency.expectedMs(request) < objectiveAt:
 		attempt.cancelled = true
 		b.do(CancelAttempt(request.id, attempt.index))
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -34,7 +34,7 @@
 		health:    endpointHealth{state: StateUnknown, since: s.now},
 		window:    endpointWindow{size: initialWindow},
 		slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt, allowance: s.rng.Float64()}}
-	endpoint.order = mix(endpoint.hash ^ mix(uint64(s.set.Index)+1))
+	endpoint.order = mix(endpoint.hash ^ mix(uint64(s.settings.Index)+1))
 	s.byAddr[addr] = endpoint
 	s.all.insert(endpoint)
 	return endpoint
--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -25,9 +25,9 @@
 // keys find theirs within. Where connections have no price, more endpoints keep more keys warm.
 func (s *endpointSubset) size() int {
 	size := s.traffic.recent
-	if s.set.Limits.KeepaliveMs <= 0 {
+	if s.settings.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
-	} else if s.set.Prices.Handshake > 0 {
+	} else if s.settings.Prices.Handshake > 0 {
 		size /= 4
 	}
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
@@ -35,5 +35,5 @@
 
 // meetMs returns the time in which the agent comes by each endpoint of the subset, in ms.
 func (s *endpointSubset) meetMs() float64 {
-	return s.set.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recent, 1)
+	return s.settings.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recent, 1)
 }
--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -86,7 +86,7 @@
 		{"more requests than endpoints", 10000, 0, 1000, 100, 1000},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{set: Settings{Limits: Limits{KeepaliveMs: test.keepaliveMs},
+			env := &environment{settings: Settings{Limits: Limits{KeepaliveMs: test.keepaliveMs},
 				Prices: Prices{Handshake: test.handshake}}}
 			subset := newEndpointSubset(env, &endpointSet{all: make(orderedEndpoints, 100)}, &requestRate{recent: test.requests})
 			if got := subset.size(); got != test.wantSize {
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -47,12 +47,12 @@
 // misses may count as notified already: all turns are within the grace of draining.
 func (w *watchScheduler) start() {
 	w.startedAt = w.now
-	switch w.set.Membership {
+	switch w.settings.Membership {
 	case MembershipWatched:
 		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
-		turn := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
-		most := min(w.set.Contract.DrainGraceMs, notifyWithinMs-watchCallMaxMs-watchCallMarginMs)
+		turn := (float64(w.settings.Index) + w.rng.Float64()) / float64(max(w.settings.Replicas, w.settings.Index+1))
+		most := min(w.settings.Contract.DrainGraceMs, notifyWithinMs-watchCallMaxMs-watchCallMarginMs)
 		w.watchAfter(turn * w.spreadMs(most))
 	}
 }
@@ -84,7 +84,7 @@
 	switch {
 	case w.shortWatches > 1:
 		w.retry(w.shortWatches-1, watchEndedBackoffMs)
-	case w.set.Membership == MembershipWatched:
+	case w.settings.Membership == MembershipWatched:
 		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
 	default:
 		w.watchAfter(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
@@ -95,7 +95,7 @@
 // doubles from spanMs. The last call may have failed at the very moment in which discovery came
 // back, so what it took, the wait and the next call are together less than notifyWithinMs.
 func (w *watchScheduler) retry(failures int, spanMs float64) {
-	if w.set.Membership == MembershipWatched {
+	if w.settings.Membership == MembershipWatched {
 		most := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
 		w.watchAfter(w.rng.Float64() * most)
 		return
@@ -107,7 +107,7 @@
 
 // spreadMs returns the time over which all agents' calls are spread, at most mostMs.
 func (w *watchScheduler) spreadMs(mostMs float64) float64 {
-	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
+	return min(watchStaggerMs*float64(w.settings.Replicas), mostMs)
 }
 
 // watchAfter sets the time of the next call that watches the list.
@@ -118,10 +118,10 @@
 // fetch fetches the whole list, seldom: every call loads discovery. An agent that watches the
 // list has it as new as can be, or waits for its turn to call.
 func (w *watchScheduler) fetch() {
-	if w.set.Membership != MembershipPushed {
+	if w.settings.Membership != MembershipPushed {
 		return
 	}
-	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchGapMs) {
+	if w.now-w.fetchedAt >= max(w.settings.Contract.PollWithinMs, minFetchGapMs) {
 		w.fetchedAt = w.now
 		w.do(FetchEndpoints())
 	}
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -97,7 +97,7 @@
 // idle.
 func (l *latencyTracker) uncontendedRise(alone bool) float64 {
 	if alone {
-		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedInertia)
+		return fleetSmoothing / min(2*math.Pow(float64(max(l.settings.Replicas, 1)), 3), uncontendedInertia)
 	}
 	return fleetSmoothing / uncontendedInertia
 }
@@ -145,7 +145,7 @@
 // counts as crowded. A few agents see most of the load and need not fear to crowd an endpoint that
 // answers well within the objective. One that is warming up is slow before it is crowded.
 func (l *latencyTracker) crowdedThreshold(endpoint *endpoint) float64 {
-	least := 2 * crowdedFraction / (2 + float64(l.set.Replicas))
+	least := 2 * crowdedFraction / (2 + float64(l.settings.Replicas))
 	return min(crowdedFraction, max(crowdedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -147,7 +147,7 @@
 
 // expireReach forgets the results that are older than a connect may take.
 func (l *localFailure) expireReach() {
-	span := l.set.Limits.ConnectTimeoutMs
+	span := l.settings.Limits.ConnectTimeoutMs
 	if span <= 0 {
 		span = defaultReachMs
 	}
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -121,9 +121,9 @@
 					case ActionFailRequest:
 						t.Error("got a failure, want a rejection")
 					case ActionRejectRequest:
-						if action.RetryAfterMs <= 0 || attempts <= h.b.set.Limits.MaxAttempts {
+						if action.RetryAfterMs <= 0 || attempts <= h.b.settings.Limits.MaxAttempts {
 							t.Errorf("got a rejection for %v ms after %d attempts, want a time and more than %d attempts",
-								action.RetryAfterMs, attempts, h.b.set.Limits.MaxAttempts)
+								action.RetryAfterMs, attempts, h.b.settings.Limits.MaxAttempts)
 						}
 						rejected = true
 					}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -87,7 +87,7 @@
 	unreachableAt := endpoint.health.unreachableAt
 	endpoint.traffic.heard(d.now)
 	endpoint.health.unreachableAt = 0
-	return unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs
+	return unreachableAt > 0 && d.now-unreachableAt > d.settings.Contract.OverloadWindowMs
 }
 
 // onServed takes a request that an endpoint has served: it is healthy, and after enough of them
@@ -223,7 +223,7 @@
 			d.list.fetch()
 		}
 		pending := health.state == StateUnhealthyPending && endpoint.usable
-		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
+		if pending && d.settings.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
 			health.checking = true
 			d.checking++
 			d.do(CheckHealth(endpoint.id))
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -13,7 +13,7 @@
 
 // newQuotaTracker returns a tracker of the tenants that the settings name, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
-	return quotaTracker{environment: env, usage: make([]float64, len(env.set.Tenants))}
+	return quotaTracker{environment: env, usage: make([]float64, len(env.settings.Tenants))}
 }
 
 // over reports whether a tenant sends more than its quota of what comes. A tenant that the settings
@@ -22,7 +22,7 @@
 	if tenant < 0 || tenant >= len(q.usage) {
 		return false
 	}
-	return q.usage[tenant] > quotaTolerance*q.set.Tenants[tenant].QuotaShare
+	return q.usage[tenant] > quotaTolerance*q.settings.Tenants[tenant].QuotaShare
 }
 
 // count notes a request of a tenant.
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{set: Settings{Tenants: []Tenant{{QuotaShare: test.quota}, {QuotaShare: 1}}}}
+			env := &environment{settings: Settings{Tenants: []Tenant{{QuotaShare: test.quota}, {QuotaShare: 1}}}}
 			quotas := newQuotaTracker(env)
 			for i := range 10000 {
 				tenant := 1
@@ -37,7 +37,7 @@
 
 // A tenant that the settings don't name changes nothing and is never over its quota.
 func TestQuotaTrackerLeavesOutUnknownTenants(t *testing.T) {
-	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
+	quotas := newQuotaTracker(&environment{settings: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
 	before := quotas.usage[0]
 	for _, tenant := range []int{-1, 1, 1 << 30} {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -19,18 +19,18 @@
 		key      string
 		old, new any
 	}{
-		{"membershipMode", b.set.Membership, set.Membership},
-		{"index", b.set.Index, set.Index},
-		{"zone", b.set.Zone, set.Zone},
+		{"membershipMode", b.settings.Membership, set.Membership},
+		{"index", b.settings.Index, set.Index},
+		{"zone", b.settings.Zone, set.Zone},
 	} {
 		if fixed.old != fixed.new {
 			return fmt.Errorf("settings: %s: can't change without a restart, is %v and would be %v",
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.set.Contract.SlowStartMs
+	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.settings.Contract.SlowStartMs
 	b.moveTenants(set.Tenants)
-	b.set = set
+	b.settings = set
 	b.queue.keepUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
 		b.slowStart.begin(endpoint)
@@ -49,8 +49,8 @@
 		byName[tenant.Name] = i
 	}
 	index := func(old int) int {
-		if old >= 0 && old < len(b.set.Tenants) {
-			if i, ok := byName[b.set.Tenants[old].Name]; ok {
+		if old >= 0 && old < len(b.settings.Tenants) {
+			if i, ok := byName[b.settings.Tenants[old].Name]; ok {
 				return i
 			}
 		}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -31,7 +31,7 @@
 			if err := h.b.Reconfigure(set); err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("got error %v, want one that names %s", err, key)
 			}
-			if h.b.set.Limits.MaxRetryAfterMs == 88 || h.b.classes.all[0].LatencyObjectiveMs == 77 {
+			if h.b.settings.Limits.MaxRetryAfterMs == 88 || h.b.classes.all[0].LatencyObjectiveMs == 77 {
 				t.Fatal("got a part of the settings in force, want none")
 			}
 		})
@@ -97,7 +97,7 @@
 		before[listed.id] = *listed
 	}
 	limit, budget, rate := h.b.limiter.scale, h.b.retries.tokens, h.b.traffic.perMs()
-	h.mustReconfigure(otherNames(h.b.set))
+	h.mustReconfigure(otherNames(h.b.settings))
 	for _, got := range h.b.endpoints.all {
 		want := before[got.id]
 		if got.health.state != want.health.state || got.health.consecutiveEjections != want.health.consecutiveEjections ||
@@ -116,7 +116,7 @@
 func TestReconfigureKeepsWhatWasLearntByName(t *testing.T) {
 	h := newLearntHarness(t)
 	meanMs := h.b.classes.all[idempotentClass].meanMs
-	h.mustReconfigure(otherNames(h.b.set))
+	h.mustReconfigure(otherNames(h.b.settings))
 	if got := h.b.classes.all[1].meanMs; got != meanMs {
 		t.Errorf("got a mean answer time of %v ms for the class, want %v as before", got, meanMs)
 	}
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -41,7 +41,7 @@
 	class := b.classes.all[event.Class]
 	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
 		timing: requestTiming{arrived: b.now, firstArrived: b.now},
-		tries:  requestTries{limit: b.set.Limits.MaxAttempts}}
+		tries:  requestTries{limit: b.settings.Limits.MaxAttempts}}
 	if event.HasWorkHint {
 		created.hint = finite(event.WorkHintMs)
 	}
@@ -50,7 +50,7 @@
 	}
 	leftMs := finite(event.TimeLeftMs)
 	timing := &created.timing
-	timing.deadline = b.now + leftMs - min(b.set.RoundMs, leftMs/4)
+	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
 	retry = b.queue.isRetry(created, event.Retry)
 	objectiveAt := timing.firstArrived + class.LatencyObjectiveMs + class.ObjectiveStretch*created.hint
 	timing.objectiveAt = min(objectiveAt, timing.deadline)
@@ -143,7 +143,7 @@
 // endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
 // could tell whether it has run.
 func (b *Balancer) cancelLate() {
-	if !b.set.Limits.Cancellation || len(b.queue.queued) == 0 || b.limiter.allows() && !b.queue.scarce {
+	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 || b.limiter.allows() && !b.queue.scarce {
 		return
 	}
 	b.countWork(b.endpoints.busy)
@@ -180,7 +180,7 @@
 	b.close(request)
 	request.class.countUnserved(harmless)
 	if harmless {
-		b.do(RejectRequest(request.id, b.set.Limits.MaxRetryAfterMs))
+		b.do(RejectRequest(request.id, b.settings.Limits.MaxRetryAfterMs))
 	} else {
 		b.do(FailRequest(request.id))
 	}
@@ -191,7 +191,7 @@
 	request.closed = true
 	b.queue.remove(request)
 	for _, attempt := range request.tries.counted {
-		if !attempt.done && b.set.Limits.Cancellation {
+		if !attempt.done && b.settings.Limits.Cancellation {
 			b.do(CancelAttempt(request.id, attempt.index))
 		}
 	}
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -26,7 +26,7 @@
 // spanMs returns the time over which requests are counted: that for which a connection is kept, and
 // where none is, that in which an endpoint may be overloaded.
 func (r *requestRate) spanMs() float64 {
-	return max(r.set.Limits.KeepaliveMs, r.set.Contract.OverloadWindowMs, 1)
+	return max(r.settings.Limits.KeepaliveMs, r.settings.Contract.OverloadWindowMs, 1)
 }
 
 // count notes a request. Retries don't count towards the recent rate: they swell with failures,
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -38,7 +38,7 @@
 // Requests that come evenly are measured at their rate, from soon after the start on; retries
 // count for the lifetime alone.
 func TestRequestRateMeasuresAnEvenRate(t *testing.T) {
-	env := &environment{now: 1000, set: Settings{Limits: Limits{KeepaliveMs: 10000}}}
+	env := &environment{now: 1000, settings: Settings{Limits: Limits{KeepaliveMs: 10000}}}
 	rate := newRequestRate(env)
 	rate.start()
 	for i := range 60000 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -71,7 +71,7 @@
 // retry may be delayed just before its first byte, so a window shorter than that allows none.
 func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
 	return request.idempotency.earliestRunAt + request.class.IdempotencyWindowMs -
-		writeDelayMarginMs - 2*p.set.RoundMs - p.now
+		writeDelayMarginMs - 2*p.settings.RoundMs - p.now
 }
 
 // beginWithinMs returns how soon the next attempt of a request must begin, in ms; 0: at any time.
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -72,7 +72,7 @@
 		t.Fatalf("got %+v, want a retry in the cell of the first attempt", actions)
 	}
 	// A connection that comes up late must not carry it past that time.
-	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.set.Classes[keyedClass].IdempotencyWindowMs
+	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.settings.Classes[keyedClass].IdempotencyWindowMs
 	if retry.BeginWithinMs <= 0 || h.now+retry.BeginWithinMs > windowEnd {
 		t.Errorf("got %v ms to begin within, want some, and %v at most", retry.BeginWithinMs, windowEnd-h.now)
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -143,7 +143,7 @@
 	warmth := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.of(endpoint) * warmth
 	weight *= s.recentWeight(endpoint)
-	if endpoint.zone == s.set.Zone {
+	if endpoint.zone == s.settings.Zone {
 		weight *= s.zones.weight
 	}
 	return -math.Log(uniform+1e-18) / weight
@@ -174,7 +174,7 @@
 	}
 	share := s.recentKeys.add(key) - 1.0/keyHistory
 	endpoints := float64(s.subset.size())
-	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
+	unseen := min(float64(s.settings.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
 	parts := max(share*popularKeyParts*endpoints*unseen, 1)
 	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15 // part 0 keeps the key's own order
 }
@@ -182,8 +182,8 @@
 // observe takes an answer time, as a part of the objective, into the weights of zones and machine
 // kinds.
 func (s *selector) observe(endpoint *endpoint, fraction float64) {
-	s.zones.observe(endpoint.zone == s.set.Zone, fraction, s.set.Prices.CrossZone)
-	if s.set.Weights == "off" {
+	s.zones.observe(endpoint.zone == s.settings.Zone, fraction, s.settings.Prices.CrossZone)
+	if s.settings.Weights == "off" {
 		s.kinds.observe(endpoint, fraction)
 	}
 }
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -100,8 +100,8 @@
 // reset takes the classes from the settings; nothing is known of them yet.
 func (c *classStats) reset() {
 	c.all, c.shortestObjectiveMs, c.longestDeadlineMs = nil, math.Inf(1), 0
-	for _, settings := range c.set.Classes {
-		class := &class{Class: settings, requestShare: 1 / float64(len(c.set.Classes)), servedInTime: 1}
+	for _, settings := range c.settings.Classes {
+		class := &class{Class: settings, requestShare: 1 / float64(len(c.settings.Classes)), servedInTime: 1}
 		class.meanMs = class.uncontendedMs()
 		c.all = append(c.all, class)
 		c.shortestObjectiveMs = min(c.shortestObjectiveMs, settings.LatencyObjectiveMs)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -33,7 +33,7 @@
 // capacityFraction returns the part of its capacity that an endpoint has by the contract: it grows
 // evenly with the age of its process, from SlowStartFrom to 1.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
-	contract, start := &env.set.Contract, &endpoint.slowStart
+	contract, start := &env.settings.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
 		start.startedAt != start.listedAt && age > contract.PollWithinMs {
@@ -72,7 +72,7 @@
 // from oldSlowStartMs: it stands for as much as before.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
-		w.flow *= w.set.Contract.SlowStartMs / oldSlowStartMs
+		w.flow *= w.settings.Contract.SlowStartMs / oldSlowStartMs
 	}
 }
 
@@ -178,7 +178,7 @@
 // move to it as it warms up.
 func (w *slowStart) share(fraction float64) float64 {
 	if fraction < 1 {
-		return fraction * w.set.Contract.OverloadMultiple / slowStartMargin
+		return fraction * w.settings.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
 }
@@ -194,7 +194,7 @@
 	}
 	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // of its subset
 	if warm > 0 {
-		w.flow = w.flow*math.Exp((w.flowAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
+		w.flow = w.flow*math.Exp((w.flowAt-w.now)/w.settings.Contract.SlowStartMs) + cost/warm
 		w.flowAt = w.now
 	}
 	w.countWork(w.warming)
@@ -212,5 +212,5 @@
 func (w *slowStart) pauseOver(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
 	earned := (w.now - endpoint.traffic.sentAt) * w.flow * endpoint.weight * share
-	return earned >= cost*w.set.Contract.SlowStartMs
+	return earned >= cost*w.settings.Contract.SlowStartMs
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -141,7 +141,7 @@
 	h := newHarness(t, testSettings(), 3)
 	id, server := h.mustSend(idempotentClass, 9)
 	h.endAttempt(id, 0, server, StatusConnectFailed, 100)
-	h.now += h.b.set.Contract.OverloadWindowMs + 500
+	h.now += h.b.settings.Contract.OverloadWindowMs + 500
 	requests := 1
 	for ; h.serve(idempotentClass, 9, 20) != server; requests++ {
 		if requests > 42 {
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -41,7 +41,7 @@
 // unserved one is taken to be its retry: of the few requests that an agent did not serve within
 // the time that clients wait, hardly another has the same key.
 func (q *admissionQueue) isRetry(request *request, marked bool) bool {
-	if !marked && (q.set.Clients.MarksRetry || request.key == 0) {
+	if !marked && (q.settings.Clients.MarksRetry || request.key == 0) {
 		return false
 	}
 	firstArrived, found := q.recall(request)
