--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -18,7 +18,7 @@
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
-	b.do(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
+	b.emit(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
 	return true
 }
 
@@ -182,6 +182,6 @@
 	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
-		b.do(CloseIdleConnections(endpoint.id))
+		b.emit(CloseIdleConnections(endpoint.id))
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -26,7 +26,7 @@
 }
 
 // do decides on an action.
-func (env *environment) do(action Action) { env.actions = append(env.actions, action) }
+func (env *environment) emit(action Action) { env.actions = append(env.actions, action) }
 
 // countWork counts a walk over endpoints as work.
 func (env *environment) countWork(endpoints []*endpoint) { env.work += uint64(len(endpoints)) }
@@ -130,7 +130,7 @@
 func (b *Balancer) setTick() {
 	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.ticking = true
-		b.do(SetTimer(max(2*b.settings.RoundMs, minTickMs), timerTick))
+		b.emit(SetTimer(max(2*b.settings.RoundMs, minTickMs), timerTick))
 	}
 }
 
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -112,6 +112,6 @@
 	case b.settings.Limits.Cancellation && b.retries.mayRetryNow(request) &&
 		b.now+b.latency.expectedMs(request) < objectiveAt:
 		attempt.cancelled = true
-		b.do(CancelAttempt(request.id, attempt.index))
+		b.emit(CancelAttempt(request.id, attempt.index))
 	}
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -60,7 +60,7 @@
 // begin starts the call that was due.
 func (w *watchScheduler) begin() {
 	w.startedAt = w.now
-	w.do(OpenWatch())
+	w.emit(OpenWatch())
 }
 
 // onDelivered notes that discovery has delivered a list.
@@ -112,7 +112,7 @@
 
 // watchAfter sets the time of the next call that watches the list.
 func (w *watchScheduler) watchAfter(delayMs float64) {
-	w.do(SetTimer(delayMs, timerWatch))
+	w.emit(SetTimer(delayMs, timerWatch))
 }
 
 // fetch fetches the whole list, seldom: every call loads discovery. An agent that watches the
@@ -123,6 +123,6 @@
 	}
 	if w.now-w.fetchedAt >= max(w.settings.Contract.PollWithinMs, minFetchGapMs) {
 		w.fetchedAt = w.now
-		w.do(FetchEndpoints())
+		w.emit(FetchEndpoints())
 	}
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -226,7 +226,7 @@
 		if pending && d.settings.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
 			health.checking = true
 			d.checking++
-			d.do(CheckHealth(endpoint.id))
+			d.emit(CheckHealth(endpoint.id))
 		}
 	}
 }
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -180,9 +180,9 @@
 	b.close(request)
 	request.class.countUnserved(harmless)
 	if harmless {
-		b.do(RejectRequest(request.id, b.settings.Limits.MaxRetryAfterMs))
+		b.emit(RejectRequest(request.id, b.settings.Limits.MaxRetryAfterMs))
 	} else {
-		b.do(FailRequest(request.id))
+		b.emit(FailRequest(request.id))
 	}
 }
 
@@ -192,7 +192,7 @@
 	b.queue.remove(request)
 	for _, attempt := range request.tries.counted {
 		if !attempt.done && b.settings.Limits.Cancellation {
-			b.do(CancelAttempt(request.id, attempt.index))
+			b.emit(CancelAttempt(request.id, attempt.index))
 		}
 	}
 	if request.tries.inFlight == 0 {
