--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -37,7 +37,8 @@
 	case StateUnhealthyPending:
 		// What must not run twice does not validate an endpoint while others are healthy.
 		once := request.class.Effect == EffectNonIdempotent
-		checked := e.settings.Limits.HealthChecks && e.now-endpoint.health.since < e.classes.shortestObjectiveMs
+		checked := e.settings.Limits.HealthChecks &&
+			e.now-endpoint.health.since < e.classes.shortestObjectiveMs
 		if once || checked {
 			return 1
 		}
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -51,7 +51,8 @@
 	case MembershipWatched:
 		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
-		turn := (float64(w.settings.Index) + w.rng.Float64()) / float64(max(w.settings.Replicas, w.settings.Index+1))
+		turn := (float64(w.settings.Index) + w.rng.Float64()) /
+			float64(max(w.settings.Replicas, w.settings.Index+1))
 		most := min(w.settings.Contract.DrainGraceMs, notifyWithinMs-watchCallMaxMs-watchCallMarginMs)
 		w.watchAfter(turn * w.spreadMs(most))
 	}
