--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -14,7 +14,7 @@
 	request.tries.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
-	b.local.sent(sent)
+	b.localFailure.sent(sent)
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
@@ -45,12 +45,12 @@
 		return
 	}
 	b.outcomes.add(event.Status)
-	status := b.local.attribute(attempt, event.Status)
+	status := b.localFailure.attribute(attempt, event.Status)
 	b.settleAttempt(attempt, event.Status)
 	if status == StatusLocalFailure {
 		b.takeBackAttempt(attempt)
 	} else {
-		b.local.succeeded(attempt)
+		b.localFailure.succeeded(attempt)
 		b.learn(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
@@ -78,7 +78,7 @@
 // takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
 // anything of it.
 func (b *Balancer) takeBackAttempt(attempt *attempt) {
-	b.local.failed(attempt)
+	b.localFailure.failed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.tries.uncount(attempt)
 }
@@ -179,7 +179,7 @@
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
-	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.settings.Replicas)
+	requestsPerMs := b.requestRate.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
 		b.emit(CloseIdleConnections(endpoint.id))
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -34,23 +34,23 @@
 // Balancer makes the decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	environment
-	endpoints endpointSet
-	queue     admissionQueue
-	selector  selector
-	retries   retryPolicy
-	limiter   concurrencyLimiter
-	subset    endpointSubset
-	eligible  eligibility
-	slowStart slowStart
-	outliers  outlierDetector
-	latency   latencyTracker
-	classes   classStats
-	quotas    quotaTracker
-	watch     watchScheduler
-	traffic   requestRate
-	local     localFailure
-	outcomes  OutcomeCounts
-	ticking   bool // the timer of timerTick is set
+	endpoints    endpointSet
+	queue        admissionQueue
+	selector     selector
+	retries      retryPolicy
+	limiter      concurrencyLimiter
+	subset       endpointSubset
+	eligibility  eligibility
+	slowStart    slowStart
+	outliers     outlierDetector
+	latency      latencyTracker
+	classes      classStats
+	quotas       quotaTracker
+	watch        watchScheduler
+	requestRate  requestRate
+	localFailure localFailure
+	outcomes     OutcomeCounts
+	tickPending  bool // the timer of timerTick is set
 }
 
 // New returns the Balancer of one agent, or an error that names the setting that makes no sense.
@@ -60,34 +60,34 @@
 		return nil, err
 	}
 	b := &Balancer{environment: environment{settings: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
-	b.connect()
+	b.initComponents()
 	return b, nil
 }
 
 // connect makes the components, each after those that it asks.
-func (b *Balancer) connect() {
+func (b *Balancer) initComponents() {
 	env := &b.environment
 	b.endpoints = newEndpointSet(env)
 	b.classes = newClassStats(env)
 	b.quotas = newQuotaTracker(env)
-	b.traffic = newRequestRate(env)
+	b.requestRate = newRequestRate(env)
 	b.latency = newLatencyTracker(env)
 	b.watch = newWatchScheduler(env)
 	b.slowStart = newSlowStart(env, &b.endpoints)
-	b.limiter = newConcurrencyLimiter(env, &b.endpoints, &b.slowStart, &b.traffic, &b.latency, &b.classes)
+	b.limiter = newConcurrencyLimiter(env, &b.endpoints, &b.slowStart, &b.requestRate, &b.latency, &b.classes)
 	b.retries = newRetryPolicy(env, &b.endpoints)
 	b.queue = newAdmissionQueue(env, &b.classes, &b.quotas, &b.latency)
-	b.subset = newEndpointSubset(env, &b.endpoints, &b.traffic)
-	b.eligible = newEligibility(env, &b.classes, &b.slowStart, &b.limiter, &b.latency, &b.retries)
-	b.selector = newSelector(env, &b.endpoints, &b.subset, &b.eligible, &b.slowStart, &b.latency)
+	b.subset = newEndpointSubset(env, &b.endpoints, &b.requestRate)
+	b.eligibility = newEligibility(env, &b.classes, &b.slowStart, &b.limiter, &b.latency, &b.retries)
+	b.selector = newSelector(env, &b.endpoints, &b.subset, &b.eligibility, &b.slowStart, &b.latency)
 	b.outliers = newOutlierDetector(env, &b.endpoints, &b.subset, &b.classes, &b.watch)
-	b.local = newLocalFailure(env, &b.endpoints, &b.outliers)
+	b.localFailure = newLocalFailure(env, &b.endpoints, &b.outliers)
 }
 
 // Start returns the first actions of a new agent at the time nowMs, appended to out.
 func (b *Balancer) Start(nowMs float64, out []Action) []Action {
 	b.now, b.actions = nowMs, out
-	b.traffic.start()
+	b.requestRate.start()
 	b.slowStart.start()
 	b.watch.start()
 	return b.actions
@@ -118,7 +118,7 @@
 		b.onTimerFired(event)
 	}
 	b.dispatch()
-	b.setTick()
+	b.scheduleTick()
 	return b.actions
 }
 
@@ -127,9 +127,9 @@
 func (b *Balancer) Decided() []Action { return b.actions }
 
 // setTick keeps one timer running while requests wait or attempts are in flight.
-func (b *Balancer) setTick() {
-	if !b.ticking && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
-		b.ticking = true
+func (b *Balancer) scheduleTick() {
+	if !b.tickPending && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
+		b.tickPending = true
 		b.emit(SetTimer(max(2*b.settings.RoundMs, minTickMs), timerTick))
 	}
 }
@@ -140,7 +140,7 @@
 	case timerWatch:
 		b.watch.begin()
 	case timerTick:
-		b.ticking = false
+		b.tickPending = false
 		b.ejectSilent()
 		b.cancelLate()
 		b.expire()
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -192,7 +192,7 @@
 		h.now += 10
 		h.endAttempt(id, 0, server, StatusOK, 3.5*workMs)
 	}
-	want := attemptsPerEndpoint * servers * h.b.traffic.perMs() / (set.Tenants[0].QuotaPerS / 1000)
+	want := attemptsPerEndpoint * servers * h.b.requestRate.perMs() / (set.Tenants[0].QuotaPerS / 1000)
 	if got := h.b.limiter.floor(); !near(got, max(want, 1)) {
 		t.Errorf("got a floor of %v, want %v", got, max(want, 1))
 	}
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -45,15 +45,15 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			target.health.state, target.health.since = test.state, h.b.now-test.sinceMs
-			if got := h.b.eligible.tierOf(target, test.request); got != test.want {
+			if got := h.b.eligibility.tierOf(target, test.request); got != test.want {
 				t.Errorf("got tier %d, want %d", got, test.want)
 			}
 			sendable := h.sendableRequest(test.request.class)
-			if !h.b.eligible.maySend(sendable, target) {
+			if !h.b.eligibility.maySend(sendable, target) {
 				t.Error("got a request that may not be sent to the endpoint, want it allowed in any tier")
 			}
 			sendable.closed = true
-			if h.b.eligible.maySend(sendable, target) {
+			if h.b.eligibility.maySend(sendable, target) {
 				t.Error("closed request: got it allowed to be sent, want it not")
 			}
 		})
@@ -69,20 +69,20 @@
 	h := newHarness(t, testSettings(), 1)
 	target, request := h.endpoint(0), h.sendableRequest(h.b.classes.all[idempotentClass])
 	h.b.now = h.now
-	if !h.b.eligible.hasCapacity(target, request) {
+	if !h.b.eligibility.hasCapacity(target, request) {
 		t.Error("nothing in flight: got no capacity, want some")
 	}
 	target.traffic.inFlight = []*attempt{{}}
-	if !h.b.eligible.hasCapacity(target, request) {
+	if !h.b.eligibility.hasCapacity(target, request) {
 		t.Errorf("one in flight of a window of %v: got no capacity, want some", target.window.size)
 	}
 	target.health.state = StateUnhealthyPending
-	if h.b.eligible.hasCapacity(target, request) {
+	if h.b.eligibility.hasCapacity(target, request) {
 		t.Error("one in flight while it is validated: got capacity, want none")
 	}
 	target.health.state = StateConnected
 	target.traffic.inFlight = []*attempt{{}, {}}
-	if h.b.eligible.hasCapacity(target, request) {
+	if h.b.eligibility.hasCapacity(target, request) {
 		t.Errorf("two in flight of a window of %v: got capacity, want none", target.window.size)
 	}
 }
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -15,7 +15,7 @@
 	target.window.size = 0.5
 	hasCapacityAfter := func(ms float64) bool {
 		h.b.now = target.traffic.sentAt + ms
-		return h.b.eligible.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
+		return h.b.eligibility.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
 	}
 	if hasCapacityAfter(59) {
 		t.Error("before two answer times got capacity, want a pause")
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -95,9 +95,9 @@
 						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
 					}
 				}
-				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.row != 0 || len(m.b.local.trials) != 0 {
+				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.localFailure.row != 0 || len(m.b.localFailure.trials) != 0 {
 					t.Errorf("got %d open requests, %d in flight and %+v, want nothing left", len(m.b.queue.open),
-						m.b.limiter.inFlight, m.b.local)
+						m.b.limiter.inFlight, m.b.localFailure)
 				}
 			})
 		}
@@ -240,7 +240,7 @@
 			t.Fatalf("before the backoff is over got %+v, want nothing sent", actions)
 		}
 	}
-	m.now = m.b.local.until
+	m.now = m.b.localFailure.until
 	return m, last, m.tick(0)
 }
 
@@ -259,7 +259,7 @@
 				last = action.Request
 			}
 		}
-		if sent += round; m.b.local.row > 0 && round > allowed {
+		if sent += round; m.b.localFailure.row > 0 && round > allowed {
 			t.Fatalf("after %d successes got %d sent at once, want %d at most", successes, round, allowed)
 		}
 		allowed = next(allowed)
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -174,7 +174,7 @@
 				t.Errorf("two requests a second over 20 endpoints: got %.0f ms, want 1000 at least", got)
 			}
 			target.health.consecutiveEjections = maxConsecutiveEjections
-			h.b.traffic.recent = 0.1
+			h.b.requestRate.recent = 0.1
 			if got := h.ejectionTime(target); got > maxEjectionMs {
 				t.Errorf("after many ejections: got %.0f ms, want %.0f at most", got, maxEjectionMs)
 			}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -28,7 +28,7 @@
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.traffic.spanMs(), b.settings.Contract.SlowStartMs
+	oldSpanMs, oldSlowStartMs := b.requestRate.spanMs(), b.settings.Contract.SlowStartMs
 	b.moveTenants(set.Tenants)
 	b.settings = set
 	b.queue.keepUnserved(b.classes.reload())
@@ -36,7 +36,7 @@
 		b.slowStart.begin(endpoint)
 	}
 	// Counts that fade over a time stand for as much as before.
-	b.traffic.rescale(oldSpanMs)
+	b.requestRate.rescale(oldSpanMs)
 	b.slowStart.rescale(oldSlowStartMs)
 	return nil
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -96,7 +96,7 @@
 	for _, listed := range h.b.endpoints.all {
 		before[listed.id] = *listed
 	}
-	limit, budget, rate := h.b.limiter.scale, h.b.retries.tokens, h.b.traffic.perMs()
+	limit, budget, rate := h.b.limiter.scale, h.b.retries.tokens, h.b.requestRate.perMs()
 	h.mustReconfigure(otherNames(h.b.settings))
 	for _, got := range h.b.endpoints.all {
 		want := before[got.id]
@@ -106,9 +106,9 @@
 			t.Errorf("got endpoint %+v, want it as before: %+v", *got, want)
 		}
 	}
-	if h.b.limiter.scale != limit || h.b.retries.tokens != budget || !near(h.b.traffic.perMs(), rate) {
+	if h.b.limiter.scale != limit || h.b.retries.tokens != budget || !near(h.b.requestRate.perMs(), rate) {
 		t.Errorf("got a limit of %v, a budget of %v and a rate of %v, want %v, %v and %v", h.b.limiter.scale, h.b.retries.tokens,
-			h.b.traffic.perMs(), limit, budget, rate)
+			h.b.requestRate.perMs(), limit, budget, rate)
 	}
 }
 
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -26,7 +26,7 @@
 	}
 	request, retry := b.newRequest(event)
 	b.queue.add(request)
-	b.traffic.count(retry)
+	b.requestRate.count(retry)
 	b.quotas.count(request.tenant)
 	b.classes.count(request.class)
 	b.outliers.revalidate(b.queue.scarce)
@@ -81,7 +81,7 @@
 func (b *Balancer) sendQueued() {
 	failures := 0
 	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
-		b.limiter.allows() && b.local.mayTry(); {
+		b.limiter.allows() && b.localFailure.mayTry(); {
 		request, inFlight := b.queue.queued[i], b.limiter.inFlight
 		if b.selector.keyEndpointsFull(request, inFlight) {
 			i++
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -24,10 +24,10 @@
 				key  uint64
 				want float64
 			}{{"first", 7, 1}, {"same key", 7, again}, {"another key", 8, 1}, {"no key", 0, 1}, {"no key again", 0, 1}} {
-				before := h.b.traffic.recent
+				before := h.b.requestRate.recent
 				id, _ := h.arrive(idempotentClass, test.key)
 				h.handle(&ClientDisconnected{Request: id})
-				if got := h.b.traffic.recent - before; got != test.want {
+				if got := h.b.requestRate.recent - before; got != test.want {
 					t.Fatalf("%s: got %v counted, want %v", test.name, got, test.want)
 				}
 			}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -59,12 +59,12 @@
 		if !endpoint.usable {
 			continue
 		}
-		tier := &snapshot.Tiers[b.eligible.tierOf(endpoint, probe)]
+		tier := &snapshot.Tiers[b.eligibility.tierOf(endpoint, probe)]
 		tier.Endpoints++
 		if b.capacityFraction(endpoint) < 1 {
 			tier.WarmingUp++
 		}
-		if b.eligible.hasCapacity(endpoint, probe) {
+		if b.eligibility.hasCapacity(endpoint, probe) {
 			tier.WithCapacity++
 		}
 	}
