--- a/policy/admission.go
+++ b/policy/admission.go
@@ -86,7 +86,7 @@
 	}
 	slices.SortFunc(q.queued, func(x, y *request) int {
 		return cmp.Or(cmp.Compare(y.priority, x.priority),
-			cmp.Compare(y.timing.arrived, x.timing.arrived), cmp.Compare(x.id, y.id))
+			cmp.Compare(y.timing.arrivedAt, x.timing.arrivedAt), cmp.Compare(x.id, y.id))
 	})
 }
 
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -8,10 +8,10 @@
 	if !b.retries.maySend(request, endpoint) {
 		return false
 	}
-	sent := &attempt{request: request, endpoint: endpoint, index: request.tries.sent,
+	sent := &attempt{request: request, endpoint: endpoint, index: request.attempts.sent,
 		alone: len(endpoint.traffic.inFlight) == 0, sentAt: b.now, cost: b.latency.hints.cost(request)}
 	beginWithinMs := b.retries.beginWithinMs(request)
-	request.tries.add(sent)
+	request.attempts.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
 	b.localFailure.sent(sent)
@@ -28,7 +28,7 @@
 	if request == nil || request.closed {
 		return
 	}
-	request.started = true
+	request.responseStarted = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
 		attempt.endpoint.traffic.heard(b.now)
 	}
@@ -54,7 +54,7 @@
 		b.learn(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
-	case request.closed || request.started || event.Final || status == StatusOK:
+	case request.closed || request.responseStarted || event.Final || status == StatusOK:
 		b.close(request)
 	case status == StatusLocalFailure:
 		b.retryLocally(request)
@@ -67,7 +67,7 @@
 func (b *Balancer) settleAttempt(attempt *attempt, status Status) {
 	request := attempt.request
 	attempt.done = true
-	request.tries.attemptEnded()
+	request.attempts.attemptEnded()
 	b.limiter.attemptEnded(attempt)
 	b.endpoints.attemptEnded(attempt)
 	if status.NeverRan() {
@@ -80,7 +80,7 @@
 func (b *Balancer) takeBackAttempt(attempt *attempt) {
 	b.localFailure.failed(attempt)
 	b.slowStart.refund(attempt)
-	attempt.request.tries.uncount(attempt)
+	attempt.request.attempts.uncount(attempt)
 }
 
 // learn takes what an attempt's end after rttMs says into all that learns from attempts.
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -11,8 +11,8 @@
 func TestBalancerDecidedReturnsActionsBeforeAPanic(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.b.queue.push(&request{id: 99, class: h.b.classes.all[idempotentClass],
-		timing: requestTiming{arrived: -1e9, deadline: 1e9},
-		tries:  requestTries{limit: 3, counted: []*attempt{nil}}}) // looking for an endpoint for it panics
+		timing:   requestTiming{arrivedAt: -1e9, deadline: 1e9},
+		attempts: requestAttempts{limit: 3, counted: []*attempt{nil}}}) // looking for an endpoint for it panics
 	func() {
 		defer func() {
 			if recover() == nil {
@@ -93,8 +93,8 @@
 	for range 300 {
 		p.count(p.tick(10))
 		for id := RequestID(1); id <= p.id; id++ {
-			if open := p.b.queue.open[id]; open != nil && open.tries.inFlight > 0 {
-				last := open.tries.counted[len(open.tries.counted)-1]
+			if open := p.b.queue.open[id]; open != nil && open.attempts.inFlight > 0 {
+				last := open.attempts.counted[len(open.attempts.counted)-1]
 				p.count(p.endAttempt(id, last.index, last.endpoint.id, StatusTimeout, 10))
 			}
 		}
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -62,7 +62,7 @@
 
 // sendableRequest returns a request that nothing keeps from being sent.
 func (h *harness) sendableRequest(class *class) *request {
-	return &request{class: class, timing: requestTiming{deadline: h.now + 600}, tries: requestTries{limit: 1}}
+	return &request{class: class, timing: requestTiming{deadline: h.now + 600}, attempts: requestAttempts{limit: 1}}
 }
 
 func TestEligibilityBoundsWhatAnEndpointHolds(t *testing.T) {
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -105,7 +105,7 @@
 	}
 	objectiveAt := request.timing.objectiveAt
 	switch {
-	case attempt.cancelled || request.closed || request.started:
+	case attempt.cancelled || request.closed || request.responseStarted:
 	case request.class.LateWeight == 0 && b.now >= objectiveAt:
 		attempt.cancelled = true
 		b.finishUnserved(request)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -60,8 +60,8 @@
 // work a costly request counts as one of mean work; a small one's time is mostly the network's.
 func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
 	fraction := rttMs / request.class.LatencyObjectiveMs
-	if request.hint > 0 {
-		fraction *= min(l.hints.mean/request.hint, 1)
+	if request.workHintMs > 0 {
+		fraction *= min(l.hints.mean/request.workHintMs, 1)
 	}
 	return min(fraction, maxObjectiveFraction)
 }
@@ -181,12 +181,12 @@
 
 // learn takes the answer time of a request.
 func (h *hintRegression) learn(request *request, rttMs float64) {
-	if request.hint <= 0 {
+	if request.workHintMs <= 0 {
 		return
 	}
 	h.answers++
 	weight := max(fleetSmoothing, 1/h.answers)
-	hintDelta, timeDelta := request.hint-h.answeredMean, rttMs-h.meanTimeMs
+	hintDelta, timeDelta := request.workHintMs-h.answeredMean, rttMs-h.meanTimeMs
 	h.answeredMean += weight * hintDelta
 	h.meanTimeMs += weight * timeDelta
 	h.variance += weight * (hintDelta*hintDelta*(1-weight) - h.variance)
@@ -195,17 +195,17 @@
 
 // expectedMs returns the answer time of the request by the line; 0 while little is known.
 func (h *hintRegression) expectedMs(request *request) float64 {
-	if request.hint <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
+	if request.workHintMs <= 0 || h.answers < minHintAnswers || h.variance <= 0 {
 		return 0
 	}
-	return max(h.meanTimeMs+h.covariance/h.variance*(request.hint-h.answeredMean), 0)
+	return max(h.meanTimeMs+h.covariance/h.variance*(request.workHintMs-h.answeredMean), 0)
 }
 
 // cost returns the work of a request in units of the mean one, and never less: hints are rough, and
 // an endpoint that is warming up would be sent the small ones that are not.
 func (h *hintRegression) cost(request *request) float64 {
-	if request.hint > h.mean {
-		return request.hint / h.mean
+	if request.workHintMs > h.mean {
+		return request.workHintMs / h.mean
 	}
 	return 1
 }
--- a/policy/latency_test.go
+++ b/policy/latency_test.go
@@ -123,14 +123,14 @@
 	for i := range 400 {
 		hint := float64(10 + i%7*10)
 		if i == minHintAnswers-1 {
-			if got := hints.expectedMs(&request{hint: hint}); got != 0 {
+			if got := hints.expectedMs(&request{workHintMs: hint}); got != 0 {
 				t.Errorf("after %d answers got %v ms, want 0", i, got)
 			}
 		}
-		hints.learn(&request{hint: hint}, 5+2*hint)
+		hints.learn(&request{workHintMs: hint}, 5+2*hint)
 	}
 	for _, hint := range []float64{10, 40, 100} {
-		if got := hints.expectedMs(&request{hint: hint}); math.Abs(got-5-2*hint) > 0.5 {
+		if got := hints.expectedMs(&request{workHintMs: hint}); math.Abs(got-5-2*hint) > 0.5 {
 			t.Errorf("hint %v: got %.2f ms, want %v", hint, got, 5+2*hint)
 		}
 	}
@@ -144,7 +144,7 @@
 func TestHintRegressionCostFollowsTheHint(t *testing.T) {
 	hints := hintRegression{mean: 50}
 	for _, test := range []struct{ hint, want float64 }{{1, 1}, {200, 4}} {
-		if got := hints.cost(&request{hint: test.hint}); got != test.want {
+		if got := hints.cost(&request{workHintMs: test.hint}); got != test.want {
 			t.Errorf("hint %v with a mean of 50: got a cost of %.2f, want %v", test.hint, got, test.want)
 		}
 	}
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -44,7 +44,7 @@
 		switch action.Kind {
 		case ActionSendAttempt:
 			m.sent++
-			number := m.b.queue.open[action.Request].tries.sent - 1
+			number := m.b.queue.open[action.Request].attempts.sent - 1
 			if m.now < m.until {
 				m.failed++
 				actions = append(actions, m.endAttempt(action.Request, number, action.Server, m.status, 0.1)...)
@@ -214,7 +214,7 @@
 		double := func(allowed int) int { return 2 * allowed }
 		playTrials(t, m, last, actions, double, func(id RequestID) []Action {
 			request := m.b.queue.open[id]
-			return m.endAttempt(id, request.tries.sent-1, request.tries.counted[0].endpoint.id, StatusOK, 1)
+			return m.endAttempt(id, request.attempts.sent-1, request.attempts.counted[0].endpoint.id, StatusOK, 1)
 		})
 	})
 	t.Run("in flight", func(t *testing.T) {
--- a/policy/request.go
+++ b/policy/request.go
@@ -7,24 +7,24 @@
 // request is one try of a client, kept until it is answered and none of its attempts is in
 // flight.
 type request struct {
-	id          RequestID
-	class       *class
-	tenant      int
-	key         uint64  // 0: none
-	hash        uint64  // orders the endpoints for it
-	hint        float64 // hinted work; 0: none
-	timing      requestTiming
-	tries       requestTries
-	idempotency requestIdempotency
-	placement   requestPlacement
-	priority    float64 // as of the last dispatch
-	closed      bool    // answered or given up
-	started     bool    // a streamed answer has begun and belongs to the client
+	id              RequestID
+	class           *class
+	tenant          int
+	key             uint64  // 0: none
+	hash            uint64  // orders the endpoints for it
+	workHintMs      float64 // hinted work; 0: none
+	timing          requestTiming
+	attempts        requestAttempts
+	idempotency     requestIdempotency
+	placement       requestPlacement
+	priority        float64 // as of the last dispatch
+	closed          bool    // answered or given up
+	responseStarted bool    // a streamed answer has begun and belongs to the client
 }
 
 // attempt returns the request's attempt of that number, or nil.
 func (r *request) attempt(index int) *attempt {
-	for _, attempt := range r.tries.counted {
+	for _, attempt := range r.attempts.counted {
 		if attempt.index == index {
 			return attempt
 		}
@@ -34,14 +34,14 @@
 
 // requestTiming holds the times of a request, in ms of the agent's clock.
 type requestTiming struct {
-	firstArrived float64 // when the client's first try came, as far as known
-	arrived      float64
-	objectiveAt  float64 // end of its latency objective
-	deadline     float64 // less a margin for the way back
+	firstArrivedAt float64 // when the client's first try came, as far as known
+	arrivedAt      float64
+	objectiveAt    float64 // end of its latency objective
+	deadline       float64 // less a margin for the way back
 }
 
 // requestTries counts the attempts of a request.
-type requestTries struct {
+type requestAttempts struct {
 	counted  []*attempt // those that count against the limit
 	sent     int        // all, with those that this machine could not make
 	limit    int
@@ -49,18 +49,18 @@
 }
 
 // add notes an attempt that is sent.
-func (t *requestTries) add(sent *attempt) {
+func (t *requestAttempts) add(sent *attempt) {
 	t.counted = append(t.counted, sent)
 	t.sent++
 	t.inFlight++
 }
 
 // attemptEnded notes that an attempt is no longer in flight.
-func (t *requestTries) attemptEnded() { t.inFlight-- }
+func (t *requestAttempts) attemptEnded() { t.inFlight-- }
 
 // uncount takes out an attempt that this machine could not make, and those whose endpoints were
 // held responsible before that was seen.
-func (t *requestTries) uncount(failed *attempt) {
+func (t *requestAttempts) uncount(failed *attempt) {
 	t.counted = slices.DeleteFunc(t.counted, func(attempt *attempt) bool {
 		return attempt == failed || attempt.unreachable
 	})
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -40,19 +40,20 @@
 func (b *Balancer) newRequest(event *RequestArrived) (created *request, retry bool) {
 	class := b.classes.all[event.Class]
 	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
-		timing: requestTiming{arrived: b.now, firstArrived: b.now},
-		tries:  requestTries{limit: b.settings.Limits.MaxAttempts}}
+		timing:   requestTiming{arrivedAt: b.now, firstArrivedAt: b.now},
+		attempts: requestAttempts{limit: b.settings.Limits.MaxAttempts}}
 	if event.HasWorkHint {
-		created.hint = finite(event.WorkHintMs)
+		created.workHintMs = finite(event.WorkHintMs)
 	}
-	if created.hint > 0 {
-		b.latency.hints.note(created.hint)
+	if created.workHintMs > 0 {
+		b.latency.hints.note(created.workHintMs)
 	}
 	leftMs := finite(event.TimeLeftMs)
 	timing := &created.timing
 	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
 	retry = b.queue.isRetry(created, event.Retry)
-	objectiveAt := timing.firstArrived + class.LatencyObjectiveMs + class.ObjectiveStretch*created.hint
+	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
+		class.ObjectiveStretch*created.workHintMs
 	timing.objectiveAt = min(objectiveAt, timing.deadline)
 	created.hash = b.selector.hashOf(created.key)
 	return created, retry
@@ -61,7 +62,7 @@
 // isInfeasible reports whether a request's hinted work cannot fit its objective anywhere: the costly
 // few of a heavy tail would only keep others waiting.
 func (b *Balancer) isInfeasible(request *request) bool {
-	return request.hint > 0 && request.class.LateWeight == 0 &&
+	return request.workHintMs > 0 && request.class.LateWeight == 0 &&
 		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
 }
 
@@ -172,7 +173,7 @@
 // finishUnserved answers a request that is not served. It is the one place that decides how: a
 // rejection where the class allows the claim that a retry is harmless, else a failure.
 func (b *Balancer) finishUnserved(request *request) {
-	if request.closed || request.started {
+	if request.closed || request.responseStarted {
 		return
 	}
 	b.queue.remember(request)
@@ -190,12 +191,12 @@
 func (b *Balancer) close(request *request) {
 	request.closed = true
 	b.queue.remove(request)
-	for _, attempt := range request.tries.counted {
+	for _, attempt := range request.attempts.counted {
 		if !attempt.done && b.settings.Limits.Cancellation {
 			b.emit(CancelAttempt(request.id, attempt.index))
 		}
 	}
-	if request.tries.inFlight == 0 {
+	if request.attempts.inFlight == 0 {
 		b.queue.forget(request)
 	}
 }
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestRequestTriesCountAttempts(t *testing.T) {
-	var tries requestTries
+	var tries requestAttempts
 	first, second := &attempt{index: 0, unreachable: true}, &attempt{index: 1}
 	tries.add(first)
 	tries.attemptEnded()
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -31,8 +31,8 @@
 // where that is not safe. The allowance of an endpoint that is warming up is not its concern: see
 // eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
-	tries := &request.tries
-	if !endpoint.usable || request.closed || request.started || tries.inFlight > 0 ||
+	tries := &request.attempts
+	if !endpoint.usable || request.closed || request.responseStarted || tries.inFlight > 0 ||
 		p.now >= request.timing.deadline || len(tries.counted) >= tries.limit {
 		return false
 	}
@@ -85,7 +85,7 @@
 // mayRetryNow reports whether class, attempts and the retry budget allow another attempt somewhere of
 // a request that may have run.
 func (p *retryPolicy) mayRetryNow(request *request) bool {
-	return p.mayRepeatNow(request) && len(request.tries.counted) < request.tries.limit && p.tokens >= 1
+	return p.mayRepeatNow(request) && len(request.attempts.counted) < request.attempts.limit && p.tokens >= 1
 }
 
 // mayRepeatNow reports whether a request that may have run may still be sent again somewhere.
@@ -112,7 +112,7 @@
 	if reason == StatusConnectFailed {
 		price = 0
 	}
-	spent := p.tokens < price || len(request.tries.counted) >= request.tries.limit
+	spent := p.tokens < price || len(request.attempts.counted) >= request.attempts.limit
 	if !repeatable || spent || reason == StatusNotSent || p.now >= request.timing.deadline {
 		return false
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -160,7 +160,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			retries := newRetryPolicy(&environment{now: 10000 + test.afterMs}, &endpointSet{})
 			request := &request{class: &class{Class: test.class},
-				timing: requestTiming{deadline: 1e6}, tries: requestTries{limit: 2},
+				timing: requestTiming{deadline: 1e6}, attempts: requestAttempts{limit: 2},
 				idempotency: requestIdempotency{mayHaveRun: test.mayHaveRun, earliestRunAt: 10000, firstEndpoint: first}}
 			for i, endpoint := range []*endpoint{sameCell, sameZone, elsewhere} {
 				if got := retries.maySend(request, endpoint); got != test.want[i] {
@@ -177,7 +177,7 @@
 	retries := newRetryPolicy(&environment{}, nil)
 	retries.tokens = 1
 	request := &request{class: &class{Class: Class{Effect: EffectIdempotent}},
-		timing: requestTiming{deadline: 1000}, tries: requestTries{limit: 3}}
+		timing: requestTiming{deadline: 1000}, attempts: requestAttempts{limit: 3}}
 	if !retries.charge(request, StatusServerError) || retries.tokens != 0 {
 		t.Fatalf("got %v tokens after a retry with the last one, want it allowed and 0", retries.tokens)
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -122,8 +122,8 @@
 // waitsForKey reports whether the request still waits for the endpoints nearest its key.
 func (s *selector) waitsForKey(request *request) bool {
 	timing := &request.timing
-	return request.key != 0 && len(request.tries.counted) == 0 &&
-		s.now-timing.arrived < keyAffinityWait*(timing.objectiveAt-timing.arrived)
+	return request.key != 0 && len(request.attempts.counted) == 0 &&
+		s.now-timing.arrivedAt < keyAffinityWait*(timing.objectiveAt-timing.arrivedAt)
 }
 
 // keyEndpointsFull reports whether the request waits for the endpoints nearest its key and none of
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -54,7 +54,7 @@
 		Latency:            b.latency.recent,
 		Classes:            b.classSnapshots(),
 	}
-	probe := &request{class: b.classes.all[0], timing: requestTiming{arrived: now, objectiveAt: now}}
+	probe := &request{class: b.classes.all[0], timing: requestTiming{arrivedAt: now, objectiveAt: now}}
 	for _, endpoint := range b.endpoints.all {
 		if !endpoint.usable {
 			continue
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -6,20 +6,20 @@
 
 // unservedRequest holds what is remembered of an unserved request, to know its retry.
 type unservedRequest struct {
-	class        *class
-	key          uint64
-	firstArrived float64 // ms
+	class          *class
+	key            uint64
+	firstArrivedAt float64 // ms
 }
 
 // remember keeps when an unserved request first came, so that its retry is judged by the time that
 // has passed for the client.
 func (q *admissionQueue) remember(request *request) {
 	q.unserved = slices.DeleteFunc(q.unserved, func(kept unservedRequest) bool {
-		return q.now-kept.firstArrived > kept.class.DeadlineMs
+		return q.now-kept.firstArrivedAt > kept.class.DeadlineMs
 	})
 	if len(q.unserved) < maxQueued {
 		q.unserved = append(q.unserved,
-			unservedRequest{request.class, request.key, request.timing.firstArrived})
+			unservedRequest{request.class, request.key, request.timing.firstArrivedAt})
 	}
 }
 
@@ -31,7 +31,7 @@
 	if i < 0 {
 		return 0, false
 	}
-	firstArrived = q.unserved[i].firstArrived
+	firstArrived = q.unserved[i].firstArrivedAt
 	q.unserved = slices.Delete(q.unserved, i, i+1)
 	return firstArrived, true
 }
@@ -46,7 +46,7 @@
 	}
 	firstArrived, found := q.recall(request)
 	if found {
-		request.timing.firstArrived = firstArrived
+		request.timing.firstArrivedAt = firstArrived
 	}
 	return marked || found
 }
