--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -10,7 +10,7 @@
 	sentAt      float64 // ms
 	cost        float64 // work in mean requests
 	alone       bool    // no other attempt of this agent was in flight at its endpoint
-	done        bool
+	ended       bool
 	stalled     bool // in flight at an endpoint that fell silent under it
 	cancelled   bool // cancelled by the agent, to be sent elsewhere
 	charged     bool // taken from its endpoint's slow start allowance
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -41,32 +41,32 @@
 		return
 	}
 	attempt := request.attempt(event.Attempt)
-	if attempt == nil || attempt.done {
+	if attempt == nil || attempt.ended {
 		return
 	}
 	b.outcomes.add(event.Status)
 	status := b.localFailure.attribute(attempt, event.Status)
-	b.settleAttempt(attempt, event.Status)
+	b.releaseAttempt(attempt, event.Status)
 	if status == StatusLocalFailure {
-		b.takeBackAttempt(attempt)
+		b.revertAttempt(attempt)
 	} else {
 		b.localFailure.succeeded(attempt)
-		b.learn(attempt, status, finite(event.LatencyMs))
+		b.applyOutcome(attempt, status, finite(event.LatencyMs))
 	}
 	switch {
 	case request.closed || request.responseStarted || event.Final || status == StatusOK:
-		b.close(request)
+		b.closeRequest(request)
 	case status == StatusLocalFailure:
-		b.retryLocally(request)
+		b.retryAfterLocalFailure(request)
 	default:
 		b.retry(request, status)
 	}
 }
 
 // settleAttempt takes an attempt that has ended from all that counts it as in flight.
-func (b *Balancer) settleAttempt(attempt *attempt, status Status) {
+func (b *Balancer) releaseAttempt(attempt *attempt, status Status) {
 	request := attempt.request
-	attempt.done = true
+	attempt.ended = true
 	request.attempts.attemptEnded()
 	b.limiter.attemptEnded(attempt)
 	b.endpoints.attemptEnded(attempt)
@@ -77,16 +77,16 @@
 
 // takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
 // anything of it.
-func (b *Balancer) takeBackAttempt(attempt *attempt) {
+func (b *Balancer) revertAttempt(attempt *attempt) {
 	b.localFailure.failed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.attempts.uncount(attempt)
 }
 
 // learn takes what an attempt's end after rttMs says into all that learns from attempts.
-func (b *Balancer) learn(attempt *attempt, status Status, rttMs float64) {
+func (b *Balancer) applyOutcome(attempt *attempt, status Status, rttMs float64) {
 	b.outliers.countUnanswered(attempt, status)
-	b.closeIdle(attempt.endpoint)
+	b.closeIdleConnections(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
 		b.retries.earn()
 	}
@@ -174,7 +174,7 @@
 // again, when this agent comes back to the endpoint as seldom as its last sends say. All agents'
 // requests are taken for this one's times their number: where a thousand agents each meet every
 // endpoint, they would keep hundreds of connections an endpoint open.
-func (b *Balancer) closeIdle(endpoint *endpoint) {
+func (b *Balancer) closeIdleConnections(endpoint *endpoint) {
 	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanGapMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -143,7 +143,7 @@
 		b.tickPending = false
 		b.ejectSilent()
 		b.cancelLate()
-		b.expire()
+		b.expireQueued()
 	}
 }
 
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -29,7 +29,7 @@
 		}
 	}
 	oldSpanMs, oldSlowStartMs := b.requestRate.spanMs(), b.settings.Contract.SlowStartMs
-	b.moveTenants(set.Tenants)
+	b.remapTenants(set.Tenants)
 	b.settings = set
 	b.queue.keepUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
@@ -43,7 +43,7 @@
 
 // moveTenants moves the tenants' shares, and the open requests, to the indexes that the names
 // have in the new settings; -1 stands for who is named there no more.
-func (b *Balancer) moveTenants(tenants []Tenant) {
+func (b *Balancer) remapTenants(tenants []Tenant) {
 	byName := map[string]int{}
 	for i, tenant := range tenants {
 		byName[tenant.Name] = i
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -114,7 +114,7 @@
 }
 
 // retryLocally queues a request again of which an attempt failed on this machine.
-func (b *Balancer) retryLocally(request *request) {
+func (b *Balancer) retryAfterLocalFailure(request *request) {
 	if b.now >= request.timing.deadline {
 		b.finishUnserved(request)
 		return
@@ -123,7 +123,7 @@
 }
 
 // expire ends queued requests that can no longer earn anything, before they cost work.
-func (b *Balancer) expire() {
+func (b *Balancer) expireQueued() {
 	b.work += uint64(len(b.queue.queued))
 	for i := 0; i < len(b.queue.queued); {
 		request := b.queue.queued[i]
@@ -166,7 +166,7 @@
 func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
 	if request := b.queue.open[event.Request]; request != nil && !request.closed {
 		b.queue.remember(request)
-		b.close(request)
+		b.closeRequest(request)
 	}
 }
 
@@ -178,7 +178,7 @@
 	}
 	b.queue.remember(request)
 	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(request.class)
-	b.close(request)
+	b.closeRequest(request)
 	request.class.countUnserved(harmless)
 	if harmless {
 		b.emit(RejectRequest(request.id, b.settings.Limits.MaxRetryAfterMs))
@@ -188,11 +188,11 @@
 }
 
 // close cancels what is in flight of a finished request, and forgets it as soon as nothing is.
-func (b *Balancer) close(request *request) {
+func (b *Balancer) closeRequest(request *request) {
 	request.closed = true
 	b.queue.remove(request)
 	for _, attempt := range request.attempts.counted {
-		if !attempt.done && b.settings.Limits.Cancellation {
+		if !attempt.ended && b.settings.Limits.Cancellation {
 			b.emit(CancelAttempt(request.id, attempt.index))
 		}
 	}
