--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -6,7 +6,7 @@
 
 // maxAbandonedDeadlines bounds the sojourn estimate, and so the time for which an abandoned attempt
 // counts as in flight. It is a multiple of the longest deadline of all classes.
-const maxAbandonedDeadlines = 2.0
+const maxSojournDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose endpoints may
 // still work on them: where the settings allow no cancellation, an attempt that timed out still
@@ -19,18 +19,18 @@
 	// was never answered counts as twice the longer of its age and the mean so far: the mean
 	// doubles again and again while most go unanswered, and falls back to the answer times as soon
 	// as most are answered.
-	sojourn float64
+	sojournMs float64
 }
 
 // answered takes an answer time into the estimate.
-func (l *abandonedAttempts) answered(rttMs float64) {
-	l.sojourn = ewma(l.sojourn, rttMs, endpointSmoothing)
+func (l *abandonedAttempts) observeAnswered(rttMs float64) {
+	l.sojournMs = ewma(l.sojournMs, rttMs, endpointSmoothing)
 }
 
 // unanswered takes an attempt that was given up on after its age into the estimate, which stays
 // under mostMs.
-func (l *abandonedAttempts) unanswered(ageMs, mostMs float64) {
-	l.sojourn = ewma(l.sojourn, min(2*max(ageMs, l.sojourn), mostMs), endpointSmoothing)
+func (l *abandonedAttempts) observeUnanswered(ageMs, mostMs float64) {
+	l.sojournMs = ewma(l.sojournMs, min(2*max(ageMs, l.sojournMs), mostMs), endpointSmoothing)
 }
 
 // add notes an abandoned attempt.
@@ -40,11 +40,11 @@
 }
 
 // settle drops those that are over at the time now.
-func (l *abandonedAttempts) settle(now float64) {
+func (l *abandonedAttempts) removeFinished(now float64) {
 	l.all = slices.DeleteFunc(l.all, func(attempt *attempt) bool {
 		endpoint := attempt.endpoint
 		passedAt := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
-		over := !endpoint.usable || attempt.sentAt < passedAt || now-attempt.sentAt >= l.sojourn
+		over := !endpoint.usable || attempt.sentAt < passedAt || now-attempt.sentAt >= l.sojournMs
 		if over {
 			endpoint.traffic.settleAbandoned()
 		}
--- a/policy/abandoned_test.go
+++ b/policy/abandoned_test.go
@@ -12,7 +12,7 @@
 	set := testSettings()
 	set.Limits.Cancellation = cancellation
 	h := newTrainedHarness(t, set, 3)
-	h.b.limiter.abandoned.sojourn = 2000
+	h.b.limiter.abandoned.sojournMs = 2000
 	id, server := h.mustSend(nonIdempotentClass, 5)
 	h.now += 600
 	h.endAttempt(id, 0, server, StatusTimeout, 600)
@@ -51,11 +51,11 @@
 func TestAbandonedAttemptEndsByALaterAnswer(t *testing.T) {
 	h, target := newAbandonedHarness(t, false)
 	target.traffic.answeredSentAt = h.now - 601
-	if h.b.limiter.abandoned.settle(h.now); target.traffic.abandoned != 1 {
+	if h.b.limiter.abandoned.removeFinished(h.now); target.traffic.abandoned != 1 {
 		t.Errorf("after an answer to an earlier attempt got %d abandoned, want 1", target.traffic.abandoned)
 	}
 	target.traffic.answeredSentAt = h.now - 599
-	if h.b.limiter.abandoned.settle(h.now); target.traffic.abandoned != 0 || len(h.b.limiter.abandoned.all) != 0 {
+	if h.b.limiter.abandoned.removeFinished(h.now); target.traffic.abandoned != 0 || len(h.b.limiter.abandoned.all) != 0 {
 		t.Errorf("after an answer to a later attempt got %d abandoned at the endpoint and %d in all, want none",
 			target.traffic.abandoned, len(h.b.limiter.abandoned.all))
 	}
@@ -67,17 +67,17 @@
 	h := newTrainedHarness(t, testSettings(), 1)
 	target, abandoned := h.endpoint(0), &h.b.limiter.abandoned
 	add := func() { abandoned.add(&attempt{endpoint: target, sentAt: h.now - 600}) }
-	abandoned.sojourn, target.traffic.answeredSentAt = 1000, 0
+	abandoned.sojournMs, target.traffic.answeredSentAt = 1000, 0
 	add()
-	if abandoned.settle(h.now); target.traffic.abandoned != 1 {
+	if abandoned.removeFinished(h.now); target.traffic.abandoned != 1 {
 		t.Errorf("at 0.6 of the sojourn got %d abandoned, want 1", target.traffic.abandoned)
 	}
-	if abandoned.settle(h.now + 401); target.traffic.abandoned != 0 {
+	if abandoned.removeFinished(h.now + 401); target.traffic.abandoned != 0 {
 		t.Errorf("past the sojourn got %d abandoned, want 0", target.traffic.abandoned)
 	}
 	add()
 	target.usable = false
-	if abandoned.settle(h.now); target.traffic.abandoned != 0 {
+	if abandoned.removeFinished(h.now); target.traffic.abandoned != 0 {
 		t.Errorf("at an endpoint that is gone got %d abandoned, want 0", target.traffic.abandoned)
 	}
 }
@@ -98,12 +98,12 @@
 			var abandoned abandonedAttempts
 			for i := range 200 {
 				if test.answered(i) {
-					abandoned.answered(30)
+					abandoned.observeAnswered(30)
 				} else {
-					abandoned.unanswered(300, 3000)
+					abandoned.observeUnanswered(300, 3000)
 				}
 			}
-			if got := abandoned.sojourn; got < test.least || got > test.most {
+			if got := abandoned.sojournMs; got < test.least || got > test.most {
 				t.Errorf("got %v ms, want %v to %v", got, test.least, test.most)
 			}
 		})
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -18,10 +18,10 @@
 	quotas  *quotaTracker
 	latency *latencyTracker
 
-	open     map[RequestID]*request
-	queued   []*request // in order of priority after each dispatch
-	scarce   bool       // requests that would go to any endpoint find no capacity
-	unserved []unservedRequest
+	open          map[RequestID]*request
+	queued        []*request // in order of priority after each dispatch
+	outOfCapacity bool       // requests that would go to any endpoint find no capacity
+	unserved      []unservedRequest
 }
 
 // newAdmissionQueue returns an empty queue that asks the components given.
@@ -38,7 +38,7 @@
 func (q *admissionQueue) forget(closed *request) { delete(q.open, closed.id) }
 
 // push queues a request.
-func (q *admissionQueue) push(request *request) { q.queued = append(q.queued, request) }
+func (q *admissionQueue) enqueue(request *request) { q.queued = append(q.queued, request) }
 
 // remove takes a request from the queue.
 func (q *admissionQueue) remove(request *request) {
@@ -51,10 +51,10 @@
 func (q *admissionQueue) removeAt(index int) { q.queued = slices.Delete(q.queued, index, index+1) }
 
 // last returns the queued request with the least priority as of the last sort.
-func (q *admissionQueue) last() *request { return q.queued[len(q.queued)-1] }
+func (q *admissionQueue) lowestPriority() *request { return q.queued[len(q.queued)-1] }
 
 // setScarce notes whether requests that would go to any endpoint find no capacity.
-func (q *admissionQueue) setScarce(scarce bool) { q.scarce = scarce }
+func (q *admissionQueue) setOutOfCapacity(scarce bool) { q.outOfCapacity = scarce }
 
 // priorityOf returns what a unit of an endpoint's time spent on the request earns, by the objective's
 // weights: its class's priority weight counts as a part of the whole, and in full of the worst
@@ -92,7 +92,7 @@
 
 // full reports whether more requests are queued than the agent can bear beside those in flight:
 // past the requests it may have open, clients would wait for a connection with nobody to answer.
-func (q *admissionQueue) full(inFlight int) bool {
+func (q *admissionQueue) overLimit(inFlight int) bool {
 	most := q.settings.Limits.MaxOpenRequests
 	return len(q.queued) > maxQueued ||
 		len(q.queued) > 0 && most > 0 && len(q.queued)+inFlight > most
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -51,7 +51,7 @@
 		b.revertAttempt(attempt)
 	} else {
 		b.localFailure.succeeded(attempt)
-		b.applyOutcome(attempt, status, finite(event.LatencyMs))
+		b.applyOutcome(attempt, status, clampFinite(event.LatencyMs))
 	}
 	switch {
 	case request.closed || request.responseStarted || event.Final || status == StatusOK:
@@ -88,7 +88,7 @@
 	b.outliers.countUnanswered(attempt, status)
 	b.closeIdleConnections(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
-		b.retries.earn()
+		b.retries.refill()
 	}
 	b.recordOutcome(attempt, status, rttMs)
 }
@@ -120,7 +120,7 @@
 	endpoint.health.countServed()
 	b.latency.hints.learn(request, rttMs)
 	b.endpointAnswered(endpoint)
-	b.limiter.abandoned.answered(rttMs)
+	b.limiter.abandoned.observeAnswered(rttMs)
 	endpoint.traffic.answered(attempt)
 	endpoint.latency.answered(rttMs)
 	request.class.served(b.now, rttMs, request.timing.objectiveAt)
@@ -136,7 +136,7 @@
 // others meanwhile is not to blame for a costly request; it counts as slow.
 func (b *Balancer) recordTimeout(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	b.limiter.abandoned.unanswered(rttMs, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
+	b.limiter.abandoned.observeUnanswered(rttMs, maxSojournDeadlines*b.classes.longestDeadlineMs)
 	request.class.unanswered(b.now, rttMs)
 	if !b.settings.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -59,7 +59,8 @@
 	if err := set.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{environment: environment{settings: set, rng: rand.New(rand.NewPCG(seed, mix(seed)))}}
+	b := &Balancer{environment: environment{settings: set,
+		rng: rand.New(rand.NewPCG(seed, splitmix64(seed)))}}
 	b.initComponents()
 	return b, nil
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -10,7 +10,7 @@
 // be waited for without end.
 func TestBalancerDecidedReturnsActionsBeforeAPanic(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
-	h.b.queue.push(&request{id: 99, class: h.b.classes.all[idempotentClass],
+	h.b.queue.enqueue(&request{id: 99, class: h.b.classes.all[idempotentClass],
 		timing:   requestTiming{arrivedAt: -1e9, deadline: 1e9},
 		attempts: requestAttempts{limit: 3, counted: []*attempt{nil}}}) // looking for an endpoint for it panics
 	func() {
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -5,7 +5,7 @@
 import "math"
 
 // tiers is the number of tiers that eligibility.tierOf distinguishes.
-const tiers = 3
+const tierCount = 3
 
 // eligibility decides which endpoints may take a request of this agent, and how good they are.
 type eligibility struct {
@@ -71,7 +71,7 @@
 	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
 	// more than it answers, as one attempt of this agent at a time waits there and the limit
 	// bounds them all.
-	return len(endpoint.traffic.inFlight) == 0 && (e.latency.answers > 0 || e.hasFirstTurn(endpoint))
+	return len(endpoint.traffic.inFlight) == 0 && (e.latency.answers > 0 || e.firstAttemptDue(endpoint))
 }
 
 // hasFirstTurn paces an agent that no endpoint has answered yet: agents take turns by the latency
@@ -81,7 +81,7 @@
 // of what it does warm. The first turn comes at a part of that time after the agent was notified of
 // the start, which differs from agent to agent. Else each would make its first attempt with its
 // first request, before anything tells what the endpoints bear.
-func (e *eligibility) hasFirstTurn(endpoint *endpoint) bool {
+func (e *eligibility) firstAttemptDue(endpoint *endpoint) bool {
 	alone := e.classes.shortestObjectiveMs // a turn of one that is alone
 	if multiple := e.settings.Contract.OverloadMultiple; multiple > 0 {
 		alone /= min(e.capacityFraction(endpoint)*multiple, 1)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -30,7 +30,7 @@
 	e.zone, e.cell, e.machineKind = entry.Zone, entry.Cell, entry.MachineKind
 	e.usable = entry.Health == HealthReady
 	e.weight = 1
-	if weight := finite(entry.Weight); weight > 0 {
+	if weight := clampFinite(entry.Weight); weight > 0 {
 		e.weight = weight
 	}
 }
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -28,7 +28,7 @@
 // updateEndpoint applies one entry of the list.
 func (b *Balancer) updateEndpoint(entry *Entry) {
 	b.work++
-	endpoint, startedAt := b.endpoints.byAddr[entry.Server], finite(entry.StartedMs)
+	endpoint, startedAt := b.endpoints.byAddr[entry.Server], clampFinite(entry.StartedMs)
 	if endpoint == nil {
 		endpoint = b.endpoints.add(entry.Server, startedAt)
 		b.slowStart.begin(endpoint)
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -30,11 +30,11 @@
 // add takes an endpoint into the list of which nothing is known but when its process started, in
 // ms.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
-	endpoint := &endpoint{id: addr, hash: mix(hashAddr(addr)),
+	endpoint := &endpoint{id: addr, hash: splitmix64(packAddr(addr)),
 		health:    endpointHealth{state: StateUnknown, since: s.now},
 		window:    endpointWindow{size: initialWindow},
 		slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt, allowance: s.rng.Float64()}}
-	endpoint.order = mix(endpoint.hash ^ mix(uint64(s.settings.Index)+1))
+	endpoint.order = splitmix64(endpoint.hash ^ splitmix64(uint64(s.settings.Index)+1))
 	s.byAddr[addr] = endpoint
 	s.all.insert(endpoint)
 	return endpoint
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -22,7 +22,7 @@
 
 // finite makes a number from outside safe to calculate with: not a number and negative become 0,
 // infinite and huge maxFinite.
-func finite(x float64) float64 {
+func clampFinite(x float64) float64 {
 	if !(x > 0) {
 		return 0
 	}
@@ -30,7 +30,7 @@
 }
 
 // hashAddr returns a number that differs from address to address.
-func hashAddr(addr Addr) uint64 {
+func packAddr(addr Addr) uint64 {
 	hash := uint64(0)
 	for _, octet := range addr {
 		hash = hash<<8 | uint64(octet)
@@ -39,7 +39,7 @@
 }
 
 // mix returns x after the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/policy/numbers_test.go
+++ b/policy/numbers_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if got := finite(test.in); got != test.want {
+			if got := clampFinite(test.in); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -7,7 +7,7 @@
 
 // ejectionTime returns how long an endpoint stays ejected now, in ms.
 func (h *harness) ejectionTime(endpoint *endpoint) float64 {
-	return h.b.outliers.ejectionTime(endpoint, h.b.queue.scarce)
+	return h.b.outliers.ejectionTime(endpoint, h.b.queue.outOfCapacity)
 }
 
 func TestOutlierDetectorStateTransitions(t *testing.T) {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -31,7 +31,7 @@
 	oldSpanMs, oldSlowStartMs := b.requestRate.spanMs(), b.settings.Contract.SlowStartMs
 	b.remapTenants(set.Tenants)
 	b.settings = set
-	b.queue.keepUnserved(b.classes.reload())
+	b.queue.remapUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
 		b.slowStart.begin(endpoint)
 	}
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -29,8 +29,8 @@
 	b.requestRate.count(retry)
 	b.quotas.count(request.tenant)
 	b.classes.count(request.class)
-	b.outliers.revalidate(b.queue.scarce)
-	b.queue.push(request)
+	b.outliers.revalidate(b.queue.outOfCapacity)
+	b.queue.enqueue(request)
 	if b.isInfeasible(request) {
 		b.finishUnserved(request)
 	}
@@ -43,15 +43,15 @@
 		timing:   requestTiming{arrivedAt: b.now, firstArrivedAt: b.now},
 		attempts: requestAttempts{limit: b.settings.Limits.MaxAttempts}}
 	if event.HasWorkHint {
-		created.workHintMs = finite(event.WorkHintMs)
+		created.workHintMs = clampFinite(event.WorkHintMs)
 	}
 	if created.workHintMs > 0 {
 		b.latency.hints.note(created.workHintMs)
 	}
-	leftMs := finite(event.TimeLeftMs)
+	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
 	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
-	retry = b.queue.isRetry(created, event.Retry)
+	retry = b.queue.detectRetry(created, event.Retry)
 	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
 		class.ObjectiveStretch*created.workHintMs
 	timing.objectiveAt = min(objectiveAt, timing.deadline)
@@ -69,11 +69,11 @@
 // dispatch sends what is queued as far as there is capacity, in order of priority, and sheds what
 // is too much.
 func (b *Balancer) dispatch() {
-	b.limiter.abandoned.settle(b.now)
+	b.limiter.abandoned.removeFinished(b.now)
 	b.queue.sort()
 	b.sendQueued()
-	for b.queue.full(b.limiter.inFlight) {
-		b.finishUnserved(b.queue.last())
+	for b.queue.overLimit(b.limiter.inFlight) {
+		b.finishUnserved(b.queue.lowestPriority())
 	}
 }
 
@@ -98,7 +98,7 @@
 			failures++
 		}
 	}
-	b.queue.setScarce(failures > 0)
+	b.queue.setOutOfCapacity(failures > 0)
 }
 
 // retry queues an unanswered request for another endpoint where class, time and the retry budget
@@ -106,11 +106,11 @@
 // with a request or two in flight at each of a thousand agents no window holds back what all send
 // on together.
 func (b *Balancer) retry(request *request, reason Status) {
-	if !b.retries.charge(request, reason) {
+	if !b.retries.tryCharge(request, reason) {
 		b.finishUnserved(request)
 		return
 	}
-	b.queue.push(request)
+	b.queue.enqueue(request)
 }
 
 // retryLocally queues a request again of which an attempt failed on this machine.
@@ -119,7 +119,7 @@
 		b.finishUnserved(request)
 		return
 	}
-	b.queue.push(request)
+	b.queue.enqueue(request)
 }
 
 // expire ends queued requests that can no longer earn anything, before they cost work.
@@ -144,7 +144,8 @@
 // endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
 // could tell whether it has run.
 func (b *Balancer) cancelLate() {
-	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 || b.limiter.allows() && !b.queue.scarce {
+	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 ||
+		b.limiter.allows() && !b.queue.outOfCapacity {
 		return
 	}
 	b.countWork(b.endpoints.busy)
@@ -165,7 +166,7 @@
 // onClientDisconnected ends a request whose client has disconnected.
 func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
 	if request := b.queue.open[event.Request]; request != nil && !request.closed {
-		b.queue.remember(request)
+		b.queue.rememberUnserved(request)
 		b.closeRequest(request)
 	}
 }
@@ -176,7 +177,7 @@
 	if request.closed || request.responseStarted {
 		return
 	}
-	b.queue.remember(request)
+	b.queue.rememberUnserved(request)
 	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(request.class)
 	b.closeRequest(request)
 	request.class.countUnserved(harmless)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -100,11 +100,11 @@
 }
 
 // earn saves up for an answer that came in time.
-func (p *retryPolicy) earn() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
+func (p *retryPolicy) refill() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
 
 // charge decides whether a request that was not answered, for the reason given, may be sent again,
 // and charges the budget if so. An attempt that reached no endpoint is free.
-func (p *retryPolicy) charge(request *request, reason Status) bool {
+func (p *retryPolicy) tryCharge(request *request, reason Status) bool {
 	effect := request.class.Effect
 	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
 		effect == EffectIdempotentWithKey
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -178,17 +178,17 @@
 	retries.tokens = 1
 	request := &request{class: &class{Class: Class{Effect: EffectIdempotent}},
 		timing: requestTiming{deadline: 1000}, attempts: requestAttempts{limit: 3}}
-	if !retries.charge(request, StatusServerError) || retries.tokens != 0 {
+	if !retries.tryCharge(request, StatusServerError) || retries.tokens != 0 {
 		t.Fatalf("got %v tokens after a retry with the last one, want it allowed and 0", retries.tokens)
 	}
-	if retries.charge(request, StatusServerError) {
+	if retries.tryCharge(request, StatusServerError) {
 		t.Error("got a retry without a token, want none")
 	}
-	if !retries.charge(request, StatusConnectFailed) || retries.tokens != 0 {
+	if !retries.tryCharge(request, StatusConnectFailed) || retries.tokens != 0 {
 		t.Errorf("got %v tokens after an attempt that reached no endpoint, want a retry allowed and 0", retries.tokens)
 	}
 	for range 100 {
-		retries.earn()
+		retries.refill()
 	}
 	if retries.tokens != retryBurst {
 		t.Errorf("got %v tokens saved up, want %v", retries.tokens, retryBurst)
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -53,7 +53,7 @@
 // many attempts the agent has in flight.
 func (s *selector) selectEndpoint(request *request, inFlight int) *endpoint {
 	waits, subset := s.waitsForKey(request), s.subset.size()
-	for tier := range tiers {
+	for tier := range tierCount {
 		candidates, nearest := s.candidates(request, tier, subset, waits)
 		if request.placement.tierWeight == 0 {
 			continue // an empty tier passes down
@@ -138,7 +138,7 @@
 // score returns what orders endpoints by weighted rendezvous hashing: every agent of a zone finds
 // the same order for a key, and an endpoint's share of keys is that of its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
-	hash := mix(request.hash ^ endpoint.hash)
+	hash := splitmix64(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
 	warmth := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.of(endpoint) * warmth
--- a/policy/selection_test.go
+++ b/policy/selection_test.go
@@ -42,7 +42,7 @@
 	h := newHarness(t, testSettings(), 6) // zones 0 and 1 in turn; this agent is in 0
 	local, used := 0, map[Addr]bool{}
 	for key := range uint64(keys) {
-		server := h.serveAtOnce(idempotentClass, mix(key+1), 20)
+		server := h.serveAtOnce(idempotentClass, splitmix64(key+1), 20)
 		used[server] = true
 		if h.endpointAt(server).zone == 0 {
 			local++
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -46,7 +46,7 @@
 		Inflight:           b.limiter.inFlight,
 		Stalled:            b.limiter.stalled,
 		Abandoned:          len(b.limiter.abandoned.all),
-		Sojourn:            b.limiter.abandoned.sojourn,
+		Sojourn:            b.limiter.abandoned.sojournMs,
 		Queued:             len(b.queue.queued),
 		RetryBudget:        b.retries.tokens,
 		Outcomes:           b.outcomes,
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -13,7 +13,7 @@
 
 // remember keeps when an unserved request first came, so that its retry is judged by the time that
 // has passed for the client.
-func (q *admissionQueue) remember(request *request) {
+func (q *admissionQueue) rememberUnserved(request *request) {
 	q.unserved = slices.DeleteFunc(q.unserved, func(kept unservedRequest) bool {
 		return q.now-kept.firstArrivedAt > kept.class.DeadlineMs
 	})
@@ -24,7 +24,7 @@
 }
 
 // recall finds and forgets the unserved request that this one repeats.
-func (q *admissionQueue) recall(request *request) (firstArrived float64, found bool) {
+func (q *admissionQueue) takeUnserved(request *request) (firstArrived float64, found bool) {
 	i := slices.IndexFunc(q.unserved, func(kept unservedRequest) bool {
 		return kept.class == request.class && kept.key == request.key
 	})
@@ -40,11 +40,11 @@
 // came. Where clients don't mark their retries, a request with the class and the key of an
 // unserved one is taken to be its retry: of the few requests that an agent did not serve within
 // the time that clients wait, hardly another has the same key.
-func (q *admissionQueue) isRetry(request *request, marked bool) bool {
+func (q *admissionQueue) detectRetry(request *request, marked bool) bool {
 	if !marked && (q.settings.Clients.MarksRetry || request.key == 0) {
 		return false
 	}
-	firstArrived, found := q.recall(request)
+	firstArrived, found := q.takeUnserved(request)
 	if found {
 		request.timing.firstArrivedAt = firstArrived
 	}
@@ -53,7 +53,7 @@
 
 // keepUnserved moves the unserved requests to the classes of new settings, and forgets those whose
 // class is named no more.
-func (q *admissionQueue) keepUnserved(successor map[*class]*class) {
+func (q *admissionQueue) remapUnserved(successor map[*class]*class) {
 	kept := q.unserved[:0]
 	for _, unserved := range q.unserved {
 		if unserved.class = successor[unserved.class]; unserved.class != nil {
