--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -23,7 +23,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			l.log.Error("panic in decision module", "event", eventName(event), "panic", p, "stack", string(debug.Stack()))
-			actions = l.balancer.Decided()
+			actions = l.balancer.Actions()
 		}
 	}()
 	return l.balancer.Handle(nowMs, event, l.actions[:0])
--- a/internal/agent/loop_panic_test.go
+++ b/internal/agent/loop_panic_test.go
@@ -48,8 +48,8 @@
 			t.Errorf("request %d: got %d more responses and %d attempts in flight, want none", i, len(r.answers), r.inFlight)
 		}
 	}
-	if got := l.balancer.Snapshot(l.nowMs()); got.Inflight != 0 || got.Queued != 0 {
-		t.Errorf("got %d requests in flight and %d queued in the module, want none", got.Inflight, got.Queued)
+	if got := l.balancer.Snapshot(l.nowMs()); got.InFlight != 0 || got.Queued != 0 {
+		t.Errorf("got %d requests in flight and %d queued in the module, want none", got.InFlight, got.Queued)
 	}
 	if len(l.requests) != 0 {
 		t.Errorf("got %d open requests, want 0", len(l.requests))
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -64,7 +64,7 @@
 // attributes returns the attributes of one line. Counts are those since the last line.
 func (t *tracer) attributes(state policy.Snapshot) []any {
 	all := []any{"limit", rounded(state.Limit), "floor", rounded(state.Floor),
-		"inFlight", state.Inflight, "stalled", state.Stalled, "queued", state.Queued,
+		"inFlight", state.InFlight, "stalled", state.Stalled, "queued", state.Queued,
 		"retryBudget", rounded(state.RetryBudget), "uncontendedLatency", rounded(state.UncontendedLatency),
 		"latency", rounded(state.Latency), t.outcomeAttr(state.Outcomes)}
 	for rank, tier := range state.Tiers {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -123,9 +123,9 @@
 	return b.actions
 }
 
-// Decided returns the actions that the latest call of Handle has decided on so far: after a panic
-// in it they have to be carried out, as the Balancer counts on them.
-func (b *Balancer) Decided() []Action { return b.actions }
+// Actions returns the actions that the latest call of Handle has decided on so far. After a panic in
+// that call the caller must carry them out: the Balancer's state already includes them.
+func (b *Balancer) Actions() []Action { return b.actions }
 
 // setTick keeps one timer running while requests wait or attempts are in flight.
 func (b *Balancer) scheduleTick() {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -8,7 +8,7 @@
 
 // What was decided before a panic can still be carried out: an attempt that nobody makes would
 // be waited for without end.
-func TestBalancerDecidedReturnsActionsBeforeAPanic(t *testing.T) {
+func TestBalancerActionsReturnsThoseDecidedBeforeAPanic(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.b.queue.enqueue(&request{id: 99, class: h.b.classes.all[idempotentClass],
 		timing:   requestTiming{arrivedAt: -1e9, deadline: 1e9},
@@ -21,9 +21,9 @@
 		}()
 		h.arrive(nonIdempotentClass, 0)
 	}()
-	action := findAction(h.b.Decided(), ActionSendAttempt)
+	action := findAction(h.b.Actions(), ActionSendAttempt)
 	if action == nil || action.Request != h.id || h.b.limiter.inFlight != 1 {
-		t.Fatalf("got %+v with %d in flight, want request %d sent", h.b.Decided(), h.b.limiter.inFlight, h.id)
+		t.Fatalf("got %+v with %d in flight, want request %d sent", h.b.Actions(), h.b.limiter.inFlight, h.id)
 	}
 	h.b.queue.queued = nil
 	h.endAttempt(action.Request, 0, action.Server, StatusOK, 20)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -63,7 +63,7 @@
 func TestRetryPolicyKeepsKeyedRetriesInGroupAndWindow(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	id, server := h.mustSend(keyedClass, 5)
-	if first := findAction(h.b.Decided(), ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
+	if first := findAction(h.b.Actions(), ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
 		t.Fatalf("got %+v, want a first attempt that may begin at any time", first)
 	}
 	actions := h.endAttempt(id, 0, server, StatusServerError, 20)
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -22,10 +22,10 @@
 type Snapshot struct {
 	Limit       float64 // attempts that may be in flight
 	Floor       float64 // the agent's part of the fleet's attempts, of which Limit is a multiple
-	Inflight    int     // attempts in flight
+	InFlight    int     // attempts in flight
 	Stalled     int     // of these, at endpoints that fell silent
 	Abandoned   int     // attempts that are not waited for and may still run
-	Sojourn     float64 // how long work is taken to stay with the endpoints, in ms
+	SojournMs   float64 // how long work is taken to stay with the endpoints, in ms
 	Queued      int     // requests that wait for capacity
 	RetryBudget float64 // attempts after a first that may still be made
 	// Latency is the mean of the last answer times, UncontendedLatency the mean while nothing is
@@ -43,10 +43,10 @@
 	snapshot := Snapshot{
 		Limit:              b.limiter.limit(),
 		Floor:              b.limiter.floor(),
-		Inflight:           b.limiter.inFlight,
+		InFlight:           b.limiter.inFlight,
 		Stalled:            b.limiter.stalled,
 		Abandoned:          len(b.limiter.abandoned.all),
-		Sojourn:            b.limiter.abandoned.sojournMs,
+		SojournMs:          b.limiter.abandoned.sojournMs,
 		Queued:             len(b.queue.queued),
 		RetryBudget:        b.retries.tokens,
 		Outcomes:           b.outcomes,
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -21,7 +21,7 @@
 // A snapshot says what is in flight and queued, how attempts ended and where there is capacity.
 func TestSnapshotDescribesTheState(t *testing.T) {
 	got, _ := playForSnapshot(t, true)
-	if got.Inflight != 3 || got.Outcomes != (OutcomeCounts{ServerError: 1}) || got.Tiers[0].Endpoints != 3 ||
+	if got.InFlight != 3 || got.Outcomes != (OutcomeCounts{ServerError: 1}) || got.Tiers[0].Endpoints != 3 ||
 		got.Tiers[2].Endpoints != 1 {
 		t.Errorf("got %+v, want 3 in flight, a server error, and 3 endpoints in the first and 1 in the last tier", got)
 	}
