--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -1,4 +1,4 @@
-// This file holds the Balancer: its components and what each event leads to.
+// This file holds the Balancer: it creates the components and dispatches events to them.
 
 package policy
 
@@ -16,22 +16,23 @@
 const minTickMs = 5.0
 
 // environment holds what all components share: the settings, the source of randomness, and the time
-// and the actions of the event in hand. Each component embeds a pointer to the Balancer's.
+// and the actions of the current event. Each component embeds a pointer to the Balancer's
+// environment.
 type environment struct {
 	settings Settings
-	rng      *rand.Rand // the only randomness; the order of its draws is part of the behaviour
-	now      float64    // time of the event in hand, in ms
-	actions  []Action   // decided on for that event
+	rng      *rand.Rand // the only source of randomness; another order of draws changes decisions
+	now      float64    // time of the current event, in ms
+	actions  []Action   // decided on for the current event
 	work     uint64     // see Balancer.Work
 }
 
-// do decides on an action.
+// emit appends an action to those of the current event.
 func (env *environment) emit(action Action) { env.actions = append(env.actions, action) }
 
-// countWork counts a walk over endpoints as work.
+// countWork adds an iteration over the endpoints to the work counter.
 func (env *environment) countWork(endpoints []*endpoint) { env.work += uint64(len(endpoints)) }
 
-// Balancer makes the decisions of one agent. It is not safe for concurrent use.
+// Balancer makes the load-balancing decisions of one agent. It is not safe for concurrent use.
 type Balancer struct {
 	environment
 	endpoints    endpointSet
@@ -50,11 +51,11 @@
 	requestRate  requestRate
 	localFailure localFailure
 	outcomes     OutcomeCounts
-	tickPending  bool // the timer of timerTick is set
+	tickPending  bool // a timer with the token timerTick is running
 }
 
-// New returns the Balancer of one agent, or an error that names the setting that makes no sense.
-// All its randomness comes from the seed.
+// New returns the Balancer of one agent, or an error that names the first invalid setting. The seed
+// determines all random decisions.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.validate(); err != nil {
 		return nil, err
@@ -65,7 +66,7 @@
 	return b, nil
 }
 
-// connect makes the components, each after those that it asks.
+// initComponents creates the components, each after the components that it depends on.
 func (b *Balancer) initComponents() {
 	env := &b.environment
 	b.endpoints = newEndpointSet(env)
@@ -85,7 +86,8 @@
 	b.localFailure = newLocalFailure(env, &b.endpoints, &b.outliers)
 }
 
-// Start returns the first actions of a new agent at the time nowMs, appended to out.
+// Start starts the agent at the time nowMs and appends its first actions to out. It is called once,
+// before Handle.
 func (b *Balancer) Start(nowMs float64, out []Action) []Action {
 	b.now, b.actions = nowMs, out
 	b.requestRate.start()
@@ -94,8 +96,8 @@
 	return b.actions
 }
 
-// Handle takes one event at the time nowMs and appends the actions it calls for to out.
-// Events for what is finished or unknown are ignored.
+// Handle processes one event at the time nowMs and appends the resulting actions to out. It ignores
+// events about finished or unknown requests, attempts and endpoints.
 func (b *Balancer) Handle(nowMs float64, event Event, out []Action) []Action {
 	b.now, b.actions = nowMs, out
 	switch event := event.(type) {
@@ -127,7 +129,8 @@
 // that call the caller must carry them out: the Balancer's state already includes them.
 func (b *Balancer) Actions() []Action { return b.actions }
 
-// setTick keeps one timer running while requests wait or attempts are in flight.
+// scheduleTick keeps one timer with the token timerTick running while requests are queued or attempts
+// are in flight.
 func (b *Balancer) scheduleTick() {
 	if !b.tickPending && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.tickPending = true
@@ -135,7 +138,7 @@
 	}
 }
 
-// onTimerFired does what a timer of the token was set for.
+// onTimerFired runs the task of the timer that fired.
 func (b *Balancer) onTimerFired(event *TimerFired) {
 	switch event.Token {
 	case timerWatch:
@@ -148,7 +151,7 @@
 	}
 }
 
-// Work returns how many listed endpoints, entries of lists and queued requests the decisions have
-// looked at so far: what a decision costs, without a clock. Its growth with the size of the
-// list can be tested where times can't.
+// Work returns how many endpoints, endpoint list entries and queued requests the decisions have
+// visited so far. It measures the cost of decisions without a clock: a test can check how it grows
+// with the size of the list, which measured times are too noisy for.
 func (b *Balancer) Work() uint64 { return b.work }
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,28 +1,29 @@
-// This file holds what is known of one request.
+// This file holds the state of one request.
 
 package policy
 
 import "slices"
 
-// request is one try of a client, kept until it is answered and none of its attempts is in
-// flight.
+// request is one request of the client. A client's retry is a request of its own. It is kept until it
+// is finished and none of its attempts is in flight.
 type request struct {
 	id              RequestID
 	class           *class
 	tenant          int
-	key             uint64  // 0: none
-	hash            uint64  // orders the endpoints for it
-	workHintMs      float64 // hinted work; 0: none
+	key             uint64  // shared by requests for the same data; 0: none
+	hash            uint64  // input of rendezvous hashing, see selector.score
+	workHintMs      float64 // the client's hint of its work; 0: none
 	timing          requestTiming
 	attempts        requestAttempts
 	idempotency     requestIdempotency
 	placement       requestPlacement
-	priority        float64 // as of the last dispatch
-	closed          bool    // answered or given up
-	responseStarted bool    // a streamed answer has begun and belongs to the client
+	priority        float64 // as of the latest sort of the queue
+	closed          bool    // answered, or abandoned by its client
+	responseStarted bool    // a part of a streamed response has been passed to the client
 }
 
-// attempt returns the request's attempt of that number, or nil.
+// attempt returns the request's attempt with the given number, or nil if no such attempt counts
+// against the limit.
 func (r *request) attempt(index int) *attempt {
 	for _, attempt := range r.attempts.counted {
 		if attempt.index == index {
@@ -32,48 +33,49 @@
 	return nil
 }
 
-// requestTiming holds the times of a request, in ms of the agent's clock.
+// requestTiming holds the timestamps of a request, in ms of the agent's clock.
 type requestTiming struct {
-	firstArrivedAt float64 // when the client's first try came, as far as known
+	firstArrivedAt float64 // arrival of the client's first try, if known, else arrivedAt
 	arrivedAt      float64
-	objectiveAt    float64 // end of its latency objective
-	deadline       float64 // less a margin for the way back
+	objectiveAt    float64 // end of the latency objective, at most the deadline
+	deadline       float64 // the client's, less a margin for the delivery of the answer
 }
 
-// requestTries counts the attempts of a request.
+// requestAttempts tracks the attempts of a request.
 type requestAttempts struct {
 	counted  []*attempt // those that count against the limit
-	sent     int        // all, with those that this machine could not make
-	limit    int
+	sent     int        // all, including those that failed on the agent's own machine
+	limit    int        // maximum length of counted
 	inFlight int
 }
 
-// add notes an attempt that is sent.
-func (t *requestAttempts) add(sent *attempt) {
-	t.counted = append(t.counted, sent)
-	t.sent++
-	t.inFlight++
+// add records an attempt that is being sent.
+func (a *requestAttempts) add(sent *attempt) {
+	a.counted = append(a.counted, sent)
+	a.sent++
+	a.inFlight++
 }
 
-// attemptEnded notes that an attempt is no longer in flight.
-func (t *requestAttempts) attemptEnded() { t.inFlight-- }
+// attemptEnded records that an attempt is no longer in flight.
+func (a *requestAttempts) attemptEnded() { a.inFlight-- }
 
-// uncount takes out an attempt that this machine could not make, and those whose endpoints were
-// held responsible before that was seen.
-func (t *requestAttempts) uncount(failed *attempt) {
-	t.counted = slices.DeleteFunc(t.counted, func(attempt *attempt) bool {
+// uncount removes an attempt that failed on the agent's own machine from those that count against the
+// limit. It also removes earlier attempts whose endpoints were unreachable and were blamed for it
+// before this machine's failure was detected.
+func (a *requestAttempts) uncount(failed *attempt) {
+	a.counted = slices.DeleteFunc(a.counted, func(attempt *attempt) bool {
 		return attempt == failed || attempt.unreachable
 	})
 }
 
-// requestIdempotency holds what decides whether a request may be sent again.
+// requestIdempotency holds the state that decides whether a request may be sent again.
 type requestIdempotency struct {
-	mayHaveRun    int       // attempts that may have run
-	earliestRunAt float64   // earliest time at which one may have run, in ms
-	firstEndpoint *endpoint // where that one was sent
+	mayHaveRun    int       // number of attempts that may have run
+	earliestRunAt float64   // earliest time at which one of them may have run, in ms
+	firstEndpoint *endpoint // endpoint of the attempt sent at earliestRunAt
 }
 
-// attemptSent notes an attempt that is sent.
+// attemptSent records an attempt that is being sent: it may run from now on.
 func (i *requestIdempotency) attemptSent(sent *attempt) {
 	if i.mayHaveRun == 0 {
 		i.earliestRunAt, i.firstEndpoint = sent.sentAt, sent.endpoint
@@ -81,12 +83,12 @@
 	i.mayHaveRun++
 }
 
-// attemptNeverRan notes that an attempt ended in a way that proves that it never ran.
+// attemptNeverRan records that an attempt ended with a status that proves that it never ran.
 func (i *requestIdempotency) attemptNeverRan() { i.mayHaveRun-- }
 
-// requestPlacement holds what the last selection for a request found.
+// requestPlacement holds the result of the latest endpoint selection for a request.
 type requestPlacement struct {
-	nearest    [keyEndpoints]*endpoint // endpoints nearest its key, as of epoch
-	epoch      uint64                  // of the endpoint set
-	tierWeight float64                 // weight of the tier chosen
+	nearest    [keyEndpoints]*endpoint // the first endpoints in the order of its hash, as of epoch
+	epoch      uint64                  // epoch of the endpoint set at the selection
+	tierWeight float64                 // total weight of the selected tier, scaled by slow start
 }
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -1,5 +1,5 @@
-// This file holds the way of a request: it arrives, waits in the queue, is sent, is retried and ends.
-// What each attempt of it goes through is in attempt_lifecycle.go.
+// This file holds the lifecycle of a request: arrival, queueing, dispatch, retries and end. The
+// lifecycle of its attempts is in attempt_lifecycle.go.
 
 package policy
 
@@ -14,13 +14,13 @@
 	maxPlacementFailures = 4
 )
 
-// onRequestArrived queues a new request, or rejects it at once if nothing can serve it in time.
+// onRequestArrived queues a new request, or rejects it at once if no endpoint can serve it in time.
 func (b *Balancer) onRequestArrived(event *RequestArrived) {
 	if b.queue.open[event.Request] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(b.classes.all) {
-		// It is still owed an answer, and nothing of it ran.
+		// The client still needs an answer. No attempt was made, so it gets a rejection.
 		b.finishUnserved(&request{id: event.Request, class: &class{}})
 		return
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-// newRequest returns the request that an event brings, and whether it is a client's retry.
+// newRequest returns the request of an event, and whether it is a client's retry.
 func (b *Balancer) newRequest(event *RequestArrived) (created *request, retry bool) {
 	class := b.classes.all[event.Class]
 	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
@@ -50,6 +50,7 @@
 	}
 	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
+	// The margin is for the delivery of the answer: events are gathered for up to RoundMs.
 	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
 	retry = b.queue.detectRetry(created, event.Retry)
 	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
@@ -59,15 +60,16 @@
 	return created, retry
 }
 
-// isInfeasible reports whether a request's hinted work cannot fit its objective anywhere: the costly
-// few of a heavy tail would only keep others waiting.
+// isInfeasible reports whether a request with a work hint can't meet its latency objective at any
+// endpoint. Where the distribution of work has a heavy tail, the few most expensive requests would
+// only delay the others.
 func (b *Balancer) isInfeasible(request *request) bool {
 	return request.workHintMs > 0 && request.class.LateWeight == 0 &&
 		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
 }
 
-// dispatch sends what is queued as far as there is capacity, in order of priority, and sheds what
-// is too much.
+// dispatch sends queued requests in order of priority while there is capacity. Then it sheds the
+// requests of lowest priority that exceed the bounds of the queue.
 func (b *Balancer) dispatch() {
 	b.limiter.abandoned.removeFinished(b.now)
 	b.queue.sort()
@@ -77,8 +79,8 @@
 	}
 }
 
-// sendQueued sends queued requests while the limits allow it. A request that waits for its key's
-// endpoints is passed over.
+// sendQueued sends queued requests while the concurrency limit and localFailure allow it. It skips
+// requests that still wait for the endpoints of their key.
 func (b *Balancer) sendQueued() {
 	failures := 0
 	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
@@ -101,10 +103,10 @@
 	b.queue.setOutOfCapacity(failures > 0)
 }
 
-// retry queues an unanswered request for another endpoint where class, time and the retry budget
-// allow, or ends it. It competes with first attempts, so that failures do not multiply the load:
-// with a request or two in flight at each of a thousand agents no window holds back what all send
-// on together.
+// retry queues a request for another endpoint after a failed attempt if its class, its deadline and
+// the retry budget allow that, and ends it otherwise. The retry competes with first attempts in the
+// queue, so that failures don't multiply the load. The windows of the endpoints can't prevent that
+// where each of a thousand agents has one or two requests in flight and all of them retry at once.
 func (b *Balancer) retry(request *request, reason Status) {
 	if !b.retries.tryCharge(request, reason) {
 		b.finishUnserved(request)
@@ -113,7 +115,8 @@
 	b.queue.enqueue(request)
 }
 
-// retryLocally queues a request again of which an attempt failed on this machine.
+// retryAfterLocalFailure queues a request again after an attempt that failed on the agent's own
+// machine. It ends the request if its deadline has passed.
 func (b *Balancer) retryAfterLocalFailure(request *request) {
 	if b.now >= request.timing.deadline {
 		b.finishUnserved(request)
@@ -122,7 +125,9 @@
 	b.queue.enqueue(request)
 }
 
-// expire ends queued requests that can no longer earn anything, before they cost work.
+// expireQueued ends queued requests whose answers would come too late to be worth anything, before
+// an endpoint spends work on them. That time is the deadline for classes with a LateWeight, and the
+// latency objective for others.
 func (b *Balancer) expireQueued() {
 	b.work += uint64(len(b.queue.queued))
 	for i := 0; i < len(b.queue.queued); {
@@ -139,10 +144,10 @@
 	}
 }
 
-// cancelLate ends requests that are in flight and can earn nothing any more while others are
-// queued: past their objective their answers are worth nothing, and they would wait for slow
-// endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
-// could tell whether it has run.
+// cancelLate ends requests in flight that are past their latency objective while other requests wait
+// for capacity. Their answers are worth nothing any more, and they could wait for slow endpoints up
+// to their clients' deadlines. It leaves requests of a class with a LateWeight, whose late answers
+// are worth something, and requests that are not repeatable: nobody could tell whether they ran.
 func (b *Balancer) cancelLate() {
 	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 ||
 		b.limiter.allows() && !b.queue.outOfCapacity {
@@ -151,7 +156,7 @@
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		if b.capacityFraction(endpoint) < 1 {
-			continue // slow because it is warming up: each further attempt would count against it
+			continue // slow because it is warming up; further attempts would count as overload of it
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			request := attempt.request
@@ -163,7 +168,7 @@
 	}
 }
 
-// onClientDisconnected ends a request whose client has disconnected.
+// onClientDisconnected ends the request of a client that has disconnected.
 func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
 	if request := b.queue.open[event.Request]; request != nil && !request.closed {
 		b.queue.rememberUnserved(request)
@@ -171,8 +176,9 @@
 	}
 }
 
-// finishUnserved answers a request that is not served. It is the one place that decides how: a
-// rejection where the class allows the claim that a retry is harmless, else a failure.
+// finishUnserved ends a request without a response from an endpoint. Only this function decides what
+// the client gets: a rejection if a retry is harmless, because no attempt may have run or the class
+// is repeatable, and a failure otherwise.
 func (b *Balancer) finishUnserved(request *request) {
 	if request.closed || request.responseStarted {
 		return
@@ -188,7 +194,8 @@
 	}
 }
 
-// close cancels what is in flight of a finished request, and forgets it as soon as nothing is.
+// closeRequest marks a request as finished and cancels its attempts in flight. It removes the request
+// once no attempt is in flight.
 func (b *Balancer) closeRequest(request *request) {
 	request.closed = true
 	b.queue.remove(request)
