--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -1,9 +1,9 @@
-// This file holds the way of an attempt: it is sent, its response may start, and it ends, after which
-// what its end says is learnt.
+// This file holds the lifecycle of an attempt: it is sent, its response may start, and it ends. The
+// outcome then updates the statistics of its endpoint and its class.
 
 package policy
 
-// send sends a request to an endpoint, and reports whether that is allowed.
+// send sends a request to an endpoint if the retry policy allows it, and reports whether it did.
 func (b *Balancer) send(request *request, endpoint *endpoint) bool {
 	if !b.retries.maySend(request, endpoint) {
 		return false
@@ -22,7 +22,7 @@
 	return true
 }
 
-// onResponseStarted notes that a streamed response has begun: its request is not sent again.
+// onResponseStarted records that a streamed response has begun. Its request is not sent again.
 func (b *Balancer) onResponseStarted(event *ResponseStarted) {
 	request := b.queue.open[event.Request]
 	if request == nil || request.closed {
@@ -34,7 +34,7 @@
 	}
 }
 
-// onAttemptEnded learns from the end of an attempt, and closes its request or sends it again.
+// onAttemptEnded applies the outcome of an attempt and closes or retries its request.
 func (b *Balancer) onAttemptEnded(event *AttemptEnded) {
 	request := b.queue.open[event.Request]
 	if request == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// settleAttempt takes an attempt that has ended from all that counts it as in flight.
+// releaseAttempt removes an ended attempt from all counts of attempts in flight.
 func (b *Balancer) releaseAttempt(attempt *attempt, status Status) {
 	request := attempt.request
 	attempt.ended = true
@@ -75,15 +75,16 @@
 	}
 }
 
-// takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
-// anything of it.
+// revertAttempt reverts the accounting of an attempt that failed on the agent's own machine. No
+// endpoint has received any of it.
 func (b *Balancer) revertAttempt(attempt *attempt) {
 	b.localFailure.failed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.attempts.uncount(attempt)
 }
 
-// learn takes what an attempt's end after rttMs says into all that learns from attempts.
+// applyOutcome updates the outlier detector, the concurrency limit, the retry budget and the
+// statistics with the end of an attempt after rttMs.
 func (b *Balancer) applyOutcome(attempt *attempt, status Status, rttMs float64) {
 	b.outliers.countUnanswered(attempt, status)
 	b.closeIdleConnections(attempt.endpoint)
@@ -93,7 +94,7 @@
 	b.recordOutcome(attempt, status, rttMs)
 }
 
-// recordOutcome takes what an attempt's end after rttMs says about its endpoint and class.
+// recordOutcome updates the state of an attempt's endpoint and class with its end after rttMs.
 func (b *Balancer) recordOutcome(attempt *attempt, status Status, rttMs float64) {
 	endpoint := attempt.endpoint
 	switch status {
@@ -114,7 +115,7 @@
 	}
 }
 
-// recordServed learns from an answer that came after rttMs.
+// recordServed updates the statistics with an answer that arrived after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	endpoint.health.countServed()
@@ -132,8 +133,9 @@
 	}
 }
 
-// recordTimeout learns from an attempt that was given up on after rttMs. An endpoint that answered
-// others meanwhile is not to blame for a costly request; it counts as slow.
+// recordTimeout updates the statistics with an attempt that timed out after rttMs. If the endpoint
+// has answered anything since the attempt was sent, the request may just be expensive: rttMs is then
+// recorded as its answer time, so that the endpoint appears slow. Otherwise the endpoint is ejected.
 func (b *Balancer) recordTimeout(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	b.limiter.abandoned.observeUnanswered(rttMs, maxSojournDeadlines*b.classes.longestDeadlineMs)
@@ -149,8 +151,8 @@
 	}
 }
 
-// recordCancelled learns from an attempt that was cancelled after rttMs, as its client disconnected
-// or it was late: so long at least it would have taken.
+// recordCancelled updates the statistics with an attempt that was cancelled after rttMs because its
+// client disconnected or it was late. rttMs is a lower bound of its answer time.
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.unanswered(b.now, rttMs)
@@ -163,22 +165,25 @@
 	}
 }
 
-// observeEndpoint takes an answer time, as a part of the objective, into the means of its
+// observeEndpoint adds an answer time, as a fraction of the latency objective, to the averages of its
 // endpoint, zone and machine kind.
 func (b *Balancer) observeEndpoint(endpoint *endpoint, fraction float64) {
 	b.latency.observeEndpoint(endpoint, fraction)
 	b.selector.observe(endpoint, fraction)
 }
 
-// closeIdle closes an endpoint's idle connections where keeping them costs more than opening one
-// again, when this agent comes back to the endpoint as seldom as its last sends say. All agents'
-// requests are taken for this one's times their number: where a thousand agents each meet every
-// endpoint, they would keep hundreds of connections an endpoint open.
+// closeIdleConnections closes an endpoint's idle connections if keeping them costs more than a new
+// handshake. The expected idle time is the mean gap between this agent's attempts at the endpoint.
+// The request rate of all agents is estimated as this agent's rate times their number. Without
+// this, a thousand agents that each use every endpoint would keep hundreds of connections open
+// to each.
 func (b *Balancer) closeIdleConnections(endpoint *endpoint) {
 	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanGapMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
+	// Prices.Connection applies to open connections per 100 endpoints, Prices.Handshake to new
+	// connections per request.
 	requestsPerMs := b.requestRate.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
