--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,4 +1,4 @@
-// This file holds the queue: which requests wait, and in which order.
+// This file holds the admission queue: requests that wait for capacity, ordered by priority.
 
 package policy
 
@@ -11,7 +11,8 @@
 // It bounds the work of a decision.
 const maxQueued = 512
 
-// admissionQueue holds the open requests and those of them that wait for capacity.
+// admissionQueue holds the open requests, those of them that wait for capacity, and recent requests
+// that were not served.
 type admissionQueue struct {
 	*environment
 	classes *classStats
@@ -20,45 +21,47 @@
 
 	open          map[RequestID]*request
 	queued        []*request // in order of priority after each dispatch
-	outOfCapacity bool       // requests that would go to any endpoint find no capacity
+	outOfCapacity bool       // see setOutOfCapacity
 	unserved      []unservedRequest
 }
 
-// newAdmissionQueue returns an empty queue that asks the components given.
+// newAdmissionQueue returns an empty queue. It uses the given components to compute priorities.
 func newAdmissionQueue(env *environment, classes *classStats, quotas *quotaTracker,
 	latency *latencyTracker) admissionQueue {
 	return admissionQueue{environment: env, classes: classes, quotas: quotas, latency: latency,
 		open: map[RequestID]*request{}}
 }
 
-// add takes in a request that is not open yet.
+// add adds a new open request.
 func (q *admissionQueue) add(added *request) { q.open[added.id] = added }
 
-// forget drops a request that is closed and has no attempt in flight.
+// forget removes a request that is closed and has no attempt in flight.
 func (q *admissionQueue) forget(closed *request) { delete(q.open, closed.id) }
 
-// push queues a request.
+// enqueue appends a request to the queue.
 func (q *admissionQueue) enqueue(request *request) { q.queued = append(q.queued, request) }
 
-// remove takes a request from the queue.
+// remove removes a request from the queue, if it is queued.
 func (q *admissionQueue) remove(request *request) {
 	if i := slices.Index(q.queued, request); i >= 0 {
 		q.queued = slices.Delete(q.queued, i, i+1)
 	}
 }
 
-// removeAt takes the request at the index from the queue.
+// removeAt removes the request at the index from the queue.
 func (q *admissionQueue) removeAt(index int) { q.queued = slices.Delete(q.queued, index, index+1) }
 
-// last returns the queued request with the least priority as of the last sort.
+// lowestPriority returns the queued request with the lowest priority as of the latest sort.
 func (q *admissionQueue) lowestPriority() *request { return q.queued[len(q.queued)-1] }
 
-// setScarce notes whether requests that would go to any endpoint find no capacity.
-func (q *admissionQueue) setOutOfCapacity(scarce bool) { q.outOfCapacity = scarce }
+// setOutOfCapacity records whether the latest dispatch found no endpoint with capacity for a request
+// that may go to any.
+func (q *admissionQueue) setOutOfCapacity(out bool) { q.outOfCapacity = out }
 
-// priorityOf returns what a unit of an endpoint's time spent on the request earns, by the objective's
-// weights: its class's priority weight counts as a part of the whole, and in full of the worst
-// class if it is of it.
+// priorityOf returns how much a unit of endpoint time spent on the request adds to the weighted
+// objective. The class's priority weight contributes to Objective.Whole and WorstWindow as a part of
+// the weight of all classes. A request of the worst class adds its part of that class alone to
+// Objective.WorstClass. With Settings.WeightBy "work" the weights are already per unit of time.
 func (q *admissionQueue) priorityOf(request *request) float64 {
 	class, objective := request.class, &q.settings.Objective
 	priority := class.PriorityWeight * (objective.Whole + objective.WorstWindow)
@@ -77,8 +80,8 @@
 	return priority
 }
 
-// sort orders the queue by priority; of equals the newest goes first, as under overload the
-// oldest would only end late.
+// sort orders the queue by descending priority. Requests of equal priority are ordered newest first,
+// because under overload the oldest ones would miss their objectives anyway.
 func (q *admissionQueue) sort() {
 	q.work += uint64(len(q.queued))
 	for _, request := range q.queued {
@@ -90,8 +93,9 @@
 	})
 }
 
-// full reports whether more requests are queued than the agent can bear beside those in flight:
-// past the requests it may have open, clients would wait for a connection with nobody to answer.
+// overLimit reports whether more requests are queued than allowed, by maxQueued or, with those in
+// flight, by Limits.MaxOpenRequests. Beyond the latter clients would wait for a connection to the
+// agent and get no answer.
 func (q *admissionQueue) overLimit(inFlight int) bool {
 	most := q.settings.Limits.MaxOpenRequests
 	return len(q.queued) > maxQueued ||
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -1,18 +1,18 @@
-// This file holds how a client's retry is known.
+// This file holds the detection of clients' retries of unserved requests.
 
 package policy
 
 import "slices"
 
-// unservedRequest holds what is remembered of an unserved request, to know its retry.
+// unservedRequest is the part of an unserved request that is kept to detect its retry.
 type unservedRequest struct {
 	class          *class
 	key            uint64
 	firstArrivedAt float64 // ms
 }
 
-// remember keeps when an unserved request first came, so that its retry is judged by the time that
-// has passed for the client.
+// rememberUnserved stores the first arrival time of an unserved request, so that the latency objective
+// of its retry starts at the client's first try. It drops entries older than their class's deadline.
 func (q *admissionQueue) rememberUnserved(request *request) {
 	q.unserved = slices.DeleteFunc(q.unserved, func(kept unservedRequest) bool {
 		return q.now-kept.firstArrivedAt > kept.class.DeadlineMs
@@ -23,7 +23,8 @@
 	}
 }
 
-// recall finds and forgets the unserved request that this one repeats.
+// takeUnserved removes the unserved request with the same class and key, and returns when its first
+// try arrived.
 func (q *admissionQueue) takeUnserved(request *request) (firstArrived float64, found bool) {
 	i := slices.IndexFunc(q.unserved, func(kept unservedRequest) bool {
 		return kept.class == request.class && kept.key == request.key
@@ -36,10 +37,10 @@
 	return firstArrived, true
 }
 
-// isRetry reports whether the request seems to be a client's retry, and notes when its first try
-// came. Where clients don't mark their retries, a request with the class and the key of an
-// unserved one is taken to be its retry: of the few requests that an agent did not serve within
-// the time that clients wait, hardly another has the same key.
+// detectRetry reports whether the request seems to be a client's retry, and sets the arrival of its
+// first try if that is known. If clients don't mark their retries, a request with the class and key
+// of an unserved one is assumed to be its retry. That is rarely wrong: an agent leaves few requests
+// unserved within the time that clients wait, and hardly two of them have the same key.
 func (q *admissionQueue) detectRetry(request *request, marked bool) bool {
 	if !marked && (q.settings.Clients.MarksRetry || request.key == 0) {
 		return false
@@ -51,8 +52,8 @@
 	return marked || found
 }
 
-// keepUnserved moves the unserved requests to the classes of new settings, and forgets those whose
-// class is named no more.
+// remapUnserved moves the unserved requests to the classes of new settings. It drops those whose
+// class no longer exists.
 func (q *admissionQueue) remapUnserved(successor map[*class]*class) {
 	kept := q.unserved[:0]
 	for _, unserved := range q.unserved {
