--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,4 +1,5 @@
-// This file holds what may be sent where, and what may be sent again.
+// This file holds the retry policy: which endpoints a request may be sent to, whether it may be sent
+// again, and the retry budget.
 
 package policy
 
@@ -14,22 +15,22 @@
 	writeDelayMarginMs = 150.0
 )
 
-// retryPolicy decides what may be sent where, and holds the retry budget.
+// retryPolicy decides whether a request may be sent to an endpoint, and holds the retry budget.
 type retryPolicy struct {
 	*environment
 	endpoints *endpointSet
-	tokens    float64 // attempts after a first that may still be made
+	tokens    float64 // retry budget: retries that may still be made, up to retryBurst
 }
 
-// newRetryPolicy returns a policy with the whole retry budget.
+// newRetryPolicy returns a policy with a full retry budget.
 func newRetryPolicy(env *environment, endpoints *endpointSet) retryPolicy {
 	return retryPolicy{environment: env, endpoints: endpoints, tokens: retryBurst}
 }
 
-// maySend reports whether a request may be sent to an endpoint. Every attempt passes it: no attempt
-// beyond the limits, none after the deadline or beside another one, and none of what may have run
-// where that is not safe. The allowance of an endpoint that is warming up is not its concern: see
-// eligibility.hasCapacity.
+// maySend reports whether a request may be sent to an endpoint. It is checked before every attempt. It
+// allows no attempt beyond the request's limit, after its deadline or while another one is in
+// flight, and no second run of a request where that is not safe. The slow start allowance is
+// checked by eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
 	tries := &request.attempts
 	if !endpoint.usable || request.closed || request.responseStarted || tries.inFlight > 0 ||
@@ -38,13 +39,13 @@
 	}
 	for _, attempt := range tries.counted {
 		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(tries.counted) {
-			return false // further attempts go elsewhere
+			return false // while there are untried endpoints, a retry goes to one of them
 		}
 	}
 	return request.idempotency.mayHaveRun == 0 || p.mayRepeatAt(request, endpoint)
 }
 
-// mayRepeatAt reports whether a request that may have run may be sent to the endpoint.
+// mayRepeatAt reports whether a request that may have run may be sent again, to the endpoint.
 func (p *retryPolicy) mayRepeatAt(request *request, endpoint *endpoint) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -66,15 +67,17 @@
 	return false
 }
 
-// idempotencyWindowLeftMs returns for how long a request with an idempotency key that may have run may
-// still be sent again. The window counts from the earliest time at which it may have run, and a
-// retry may be delayed just before its first byte, so a window shorter than that allows none.
+// idempotencyWindowLeftMs returns for how long, in ms, a request with an idempotency key that may have
+// run may still be sent again. The window starts at the earliest time at which it may have run. A
+// retry may be delayed by writeDelayMarginMs and two event rounds before its first byte is written,
+// so a shorter window allows no retry.
 func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
 	return request.idempotency.earliestRunAt + request.class.IdempotencyWindowMs -
 		writeDelayMarginMs - 2*p.settings.RoundMs - p.now
 }
 
-// beginWithinMs returns how soon the next attempt of a request must begin, in ms; 0: at any time.
+// beginWithinMs returns the time in ms within which the next attempt of a request must begin; 0: any
+// time.
 func (p *retryPolicy) beginWithinMs(request *request) float64 {
 	if request.idempotency.mayHaveRun > 0 && request.class.Effect == EffectIdempotentWithKey {
 		return p.idempotencyWindowLeftMs(request)
@@ -82,13 +85,13 @@
 	return 0
 }
 
-// mayRetryNow reports whether class, attempts and the retry budget allow another attempt somewhere of
-// a request that may have run.
+// mayRetryNow reports whether the class, the limit on attempts and the retry budget allow another
+// attempt, at some endpoint, of a request that may have run.
 func (p *retryPolicy) mayRetryNow(request *request) bool {
 	return p.mayRepeatNow(request) && len(request.attempts.counted) < request.attempts.limit && p.tokens >= 1
 }
 
-// mayRepeatNow reports whether a request that may have run may still be sent again somewhere.
+// mayRepeatNow reports whether a request that may have run may still be sent again, to some endpoint.
 func (p *retryPolicy) mayRepeatNow(request *request) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -99,11 +102,12 @@
 	return false
 }
 
-// earn saves up for an answer that came in time.
+// refill adds the tokens for one answer in time to the retry budget.
 func (p *retryPolicy) refill() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
 
-// charge decides whether a request that was not answered, for the reason given, may be sent again,
-// and charges the budget if so. An attempt that reached no endpoint is free.
+// tryCharge reports whether a request that was not answered may be sent again, and takes a token from
+// the retry budget if so. reason is the status of the last attempt. A retry after an attempt that
+// reached no endpoint is free.
 func (p *retryPolicy) tryCharge(request *request, reason Status) bool {
 	effect := request.class.Effect
 	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
@@ -120,7 +124,7 @@
 	return true
 }
 
-// isRepeatable reports whether a client may repeat a request of the class that may have run.
+// isRepeatable reports whether a client may send a request of the class again that may have run.
 func isRepeatable(class *class) bool {
 	return class.Effect == EffectIdempotent ||
 		class.Effect == EffectIdempotentWithKey && class.Group == GroupAll
