--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -1,4 +1,4 @@
-// This file holds which endpoints may take a request: tiers by health, and capacity.
+// This file decides which endpoints may take a request, by health tier and by capacity.
 
 package policy
 
@@ -7,7 +7,7 @@
 // tiers is the number of tiers that eligibility.tierOf distinguishes.
 const tierCount = 3
 
-// eligibility decides which endpoints may take a request of this agent, and how good they are.
+// eligibility decides which endpoints may take a request of this agent, and ranks them in tiers.
 type eligibility struct {
 	*environment
 	classes   *classStats
@@ -17,7 +17,7 @@
 	retries   *retryPolicy
 }
 
-// newEligibility returns an eligibility that asks the components given.
+// newEligibility returns an eligibility that decides by the state of the given components.
 func newEligibility(env *environment, classes *classStats, slowStart *slowStart,
 	limiter *concurrencyLimiter, latency *latencyTracker, retries *retryPolicy) eligibility {
 	return eligibility{environment: env, classes: classes, slowStart: slowStart, limiter: limiter,
@@ -29,25 +29,27 @@
 	return e.retries.maySend(request, endpoint)
 }
 
-// tierOf returns the endpoint's tier for the request, from 0, the best.
+// tierOf returns the endpoint's tier for the request. Tier 0 is the best.
 func (e *eligibility) tierOf(endpoint *endpoint, request *request) int {
 	switch endpoint.health.state {
 	case StateUnhealthy:
 		return 2
 	case StateUnhealthyPending:
-		// What must not run twice does not validate an endpoint while others are healthy.
-		once := request.class.Effect == EffectNonIdempotent
-		checked := e.settings.Limits.HealthChecks &&
+		// A non-idempotent request can't be retried if the endpoint fails it, so it does not
+		// validate an endpoint while others are healthy.
+		nonIdempotent := request.class.Effect == EffectNonIdempotent
+		beingChecked := e.settings.Limits.HealthChecks &&
 			e.now-endpoint.health.since < e.classes.shortestObjectiveMs
-		if once || checked {
+		if nonIdempotent || beingChecked {
 			return 1
 		}
 	}
 	return 0
 }
 
-// hasCapacity reports whether an endpoint may hold one more attempt of this agent: by its window, one
-// at a time until it is validated, and by its allowance while it is warming up.
+// hasCapacity reports whether an endpoint may take one more attempt of this agent. An ejected endpoint,
+// or one to be validated, takes one attempt at a time. Others are bounded by their window and, while
+// they are warming up, by their slow start allowance.
 func (e *eligibility) hasCapacity(endpoint *endpoint, request *request) bool {
 	if endpoint.health.state >= StateUnhealthyPending {
 		return endpoint.load() == 0
@@ -68,27 +70,33 @@
 	if e.slowStart.flow > 0 {
 		return e.slowStart.pauseOver(endpoint, cost)
 	}
-	// It never met a warm endpoint, so nothing tells what one that is warming up may be sent: no
-	// more than it answers, as one attempt of this agent at a time waits there and the limit
-	// bounds them all.
+	// This agent has never used a warm endpoint, so it can't tell what one that is warming up may
+	// be sent. It keeps one attempt at a time in flight at each, so it never sends more than the
+	// endpoint answers. The concurrency limit bounds the attempts at all of them.
 	return len(endpoint.traffic.inFlight) == 0 && (e.latency.answers > 0 || e.firstAttemptDue(endpoint))
 }
 
-// hasFirstTurn paces an agent that no endpoint has answered yet: agents take turns by the latency
-// objective, or all would go on calling what can't answer. All together make attemptsPerEndpoint
-// attempts at each endpoint in that time, whatever they are offered: an agent's rate is not known in
-// its first moments. Of an endpoint that is warming up that is as many as the contract allows it
-// of what it does warm. The first turn comes at a part of that time after the agent was notified of
-// the start, which differs from agent to agent. Else each would make its first attempt with its
-// first request, before anything tells what the endpoints bear.
+// firstAttemptDue paces the attempts of an agent that no endpoint has answered yet. Without pacing, all
+// agents would keep sending to endpoints that can't answer.
+//
+// An agent waits for one interval between attempts. All agents together make attemptsPerEndpoint
+// attempts at each endpoint per latency objective. The interval does not depend on the request rate,
+// which an agent does not know in its first moments. For an endpoint that is warming up, the number
+// is multiplied by the part of its warm capacity that the contract allows it to be sent, up to 1.
+//
+// The first attempt waits for a fraction of the interval after the agent was notified of the
+// endpoint's start. The fraction differs from agent to agent. Otherwise each agent would make its
+// first attempt with its first request, before the capacity of the endpoints is known.
 func (e *eligibility) firstAttemptDue(endpoint *endpoint) bool {
-	alone := e.classes.shortestObjectiveMs // a turn of one that is alone
+	loneIntervalMs := e.classes.shortestObjectiveMs // interval if there were only this agent
 	if multiple := e.settings.Contract.OverloadMultiple; multiple > 0 {
-		alone /= min(e.capacityFraction(endpoint)*multiple, 1)
+		loneIntervalMs /= min(e.capacityFraction(endpoint)*multiple, 1)
 	}
-	turn := alone * max(float64(e.settings.Replicas)/(attemptsPerEndpoint*e.slowStart.fleetCapacity()), 1)
-	// The fractions of the golden ratio's multiples by successive numbers are spread evenly,
-	// however many agents there are.
-	_, part := math.Modf(math.Phi * float64(e.settings.Index))
-	return e.now-e.limiter.lastAttemptAt >= turn && e.now-endpoint.health.since >= part*(turn-alone)
+	intervalMs := loneIntervalMs * max(
+		float64(e.settings.Replicas)/(attemptsPerEndpoint*e.slowStart.fleetCapacity()), 1)
+	// The fractional parts of successive multiples of the golden ratio are spread evenly between 0
+	// and 1, for any number of agents.
+	_, fraction := math.Modf(math.Phi * float64(e.settings.Index))
+	return e.now-e.limiter.lastAttemptAt >= intervalMs &&
+		e.now-endpoint.health.since >= fraction*(intervalMs-loneIntervalMs)
 }
