--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -1,4 +1,4 @@
-// This file holds the attempts that nobody waits for and that may still run.
+// This file tracks abandoned attempts: the agent no longer waits for them, but they may still run.
 
 package policy
 
@@ -9,45 +9,45 @@
 const maxSojournDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose endpoints may
-// still work on them: where the settings allow no cancellation, an attempt that timed out still
-// stands in its endpoint's queue. They count like attempts in flight until an answer to a later
-// attempt shows that their endpoint has passed them, or until the estimate of how long work stays
-// with the endpoints says so.
+// still process them. If the settings allow no cancellation, an attempt that timed out remains in
+// its endpoint's queue. The concurrency limit includes abandoned attempts until the endpoint
+// answers an attempt that was sent later, or until their age reaches the sojourn estimate.
 type abandonedAttempts struct {
 	all []*attempt
-	// sojourn is the recent mean time that work stayed with the endpoints, in ms. An attempt that
-	// was never answered counts as twice the longer of its age and the mean so far: the mean
-	// doubles again and again while most go unanswered, and falls back to the answer times as soon
-	// as most are answered.
+	// sojournMs is a moving average of the time that attempts stay at an endpoint, queueing and
+	// processing included. The sample of an attempt that was never answered is twice the
+	// longer of its age and the average. So the average keeps doubling while most attempts go
+	// unanswered, and returns to the answer times as soon as most are answered.
 	sojournMs float64
 }
 
-// answered takes an answer time into the estimate.
-func (l *abandonedAttempts) observeAnswered(rttMs float64) {
-	l.sojournMs = ewma(l.sojournMs, rttMs, endpointSmoothing)
+// observeAnswered updates the sojourn estimate with an answer time.
+func (a *abandonedAttempts) observeAnswered(rttMs float64) {
+	a.sojournMs = ewma(a.sojournMs, rttMs, endpointSmoothing)
 }
 
-// unanswered takes an attempt that was given up on after its age into the estimate, which stays
-// under mostMs.
-func (l *abandonedAttempts) observeUnanswered(ageMs, mostMs float64) {
-	l.sojournMs = ewma(l.sojournMs, min(2*max(ageMs, l.sojournMs), mostMs), endpointSmoothing)
+// observeUnanswered updates the sojourn estimate with an attempt that timed out at the age ageMs. The
+// sample is at most mostMs.
+func (a *abandonedAttempts) observeUnanswered(ageMs, mostMs float64) {
+	a.sojournMs = ewma(a.sojournMs, min(2*max(ageMs, a.sojournMs), mostMs), endpointSmoothing)
 }
 
-// add notes an abandoned attempt.
-func (l *abandonedAttempts) add(attempt *attempt) {
-	l.all = append(l.all, attempt)
+// add records an attempt that the agent has stopped waiting for.
+func (a *abandonedAttempts) add(attempt *attempt) {
+	a.all = append(a.all, attempt)
 	attempt.endpoint.traffic.abandon()
 }
 
-// settle drops those that are over at the time now.
-func (l *abandonedAttempts) removeFinished(now float64) {
-	l.all = slices.DeleteFunc(l.all, func(attempt *attempt) bool {
+// removeFinished removes the attempts that have finished by the time now, as far as the agent can tell.
+func (a *abandonedAttempts) removeFinished(now float64) {
+	a.all = slices.DeleteFunc(a.all, func(attempt *attempt) bool {
 		endpoint := attempt.endpoint
-		passedAt := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
-		over := !endpoint.usable || attempt.sentAt < passedAt || now-attempt.sentAt >= l.sojournMs
-		if over {
+		// Attempts sent before the endpoint's restart, or before one that it has answered, are finished.
+		finishedBefore := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
+		finished := !endpoint.usable || attempt.sentAt < finishedBefore || now-attempt.sentAt >= a.sojournMs
+		if finished {
 			endpoint.traffic.settleAbandoned()
 		}
-		return over
+		return finished
 	})
 }
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -8,7 +8,7 @@
 type unservedRequest struct {
 	class          *class
 	key            uint64
-	firstArrivedAt float64 // ms
+	firstArrivedAt float64 // arrival of the client's first try, in ms
 }
 
 // rememberUnserved stores the first arrival time of an unserved request, so that the latency objective
