--- a/policy/counts.go
+++ b/policy/counts.go
@@ -1,18 +1,18 @@
-// This file holds the counts since the start that a Snapshot shows.
+// This file holds the counters of a Snapshot. They start at 0 when the agent starts.
 
 package policy
 
 // ClassCounts counts the requests of a class since the start.
 type ClassCounts struct {
-	Requests        uint64 // requests that came in
+	Requests        uint64 // requests that arrived
 	Attempts        uint64 // attempts sent
 	Served          uint64 // requests answered by an endpoint
 	WithinObjective uint64 // of those, within the latency objective
-	Rejected        uint64 // final answers that a retry is harmless after
-	Failed          uint64 // final answers of failure
+	Rejected        uint64 // requests rejected: their clients may safely retry
+	Failed          uint64 // requests failed: they may have run
 }
 
-// OutcomeCounts counts how attempts ended since the start.
+// OutcomeCounts counts the attempts that ended since the start, by status.
 type OutcomeCounts struct {
 	OK, ServerError, Rejected, Timeout, ConnectFailed, Reset uint64
 	Cancelled, NotSent, LocalFailure, Unreachable            uint64
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -1,4 +1,4 @@
-// This file holds plain arithmetic.
+// This file holds numeric helper functions.
 
 package policy
 
@@ -11,8 +11,8 @@
 // never is a time in ms that is earlier than any event.
 var never = math.Inf(-1)
 
-// ewma moves an exponentially weighted moving average towards a sample; the first sample is taken
-// whole. 0 stands for no sample yet.
+// ewma returns an exponentially weighted moving average after a sample. weight is the smoothing
+// factor. An average of 0 means that there was no sample yet: the result is then the sample.
 func ewma(average, sample, weight float64) float64 {
 	if average == 0 {
 		return sample
@@ -20,8 +20,8 @@
 	return average + weight*(sample-average)
 }
 
-// finite makes a number from outside safe to calculate with: not a number and negative become 0,
-// infinite and huge maxFinite.
+// clampFinite makes a number of an event safe to calculate with. NaN and negative numbers become 0,
+// infinity and numbers above maxFinite become maxFinite.
 func clampFinite(x float64) float64 {
 	if !(x > 0) {
 		return 0
@@ -29,7 +29,7 @@
 	return min(x, maxFinite)
 }
 
-// hashAddr returns a number that differs from address to address.
+// packAddr returns the bytes of an address as a number.
 func packAddr(addr Addr) uint64 {
 	hash := uint64(0)
 	for _, octet := range addr {
@@ -38,7 +38,7 @@
 	return hash
 }
 
-// mix returns x after the finalizer of splitmix64.
+// splitmix64 returns the output of the splitmix64 generator for the state x, a hash of x.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -1,20 +1,20 @@
-// This file holds how settings change while an agent runs.
+// This file applies changed settings to a running agent.
 
 package policy
 
 import "fmt"
 
-// Reconfigure puts other settings in force between two events, or changes nothing and
-// returns an error that names the setting that makes no sense or can't change without a
-// restart. What is open goes on under the terms it was taken with: its class, its deadline
-// and its attempts. What was learnt of endpoints stays, with their states, ejections and slow
-// start, and so do the limit on attempts and the retry budget; what was learnt of classes and
-// tenants stays with their names.
+// Reconfigure applies new settings between two events. If a setting is invalid, or can't change
+// without a restart, it changes nothing and returns an error that names the setting.
+//
+// Open requests keep the class, the deadline and the limit on attempts that they arrived with. The
+// state of the endpoints stays, with their health, ejections and slow start, and so do the concurrency
+// limit and the retry budget. The statistics of classes and tenants stay with those of the same name.
 func (b *Balancer) Reconfigure(set Settings) error {
 	if err := set.validate(); err != nil {
 		return err
 	}
-	// The watch, the order of the endpoints and the zone weights depend on these.
+	// The endpoint list watch, the order of the endpoints and the zone weights depend on these.
 	for _, fixed := range []struct {
 		key      string
 		old, new any
@@ -32,17 +32,17 @@
 	b.remapTenants(set.Tenants)
 	b.settings = set
 	b.queue.remapUnserved(b.classes.reload())
-	for _, endpoint := range b.endpoints.all { // another slow start time may have begun anew for them
+	for _, endpoint := range b.endpoints.all { // with a longer SlowStartMs they may be warming up again
 		b.slowStart.begin(endpoint)
 	}
-	// Counts that fade over a time stand for as much as before.
+	// These counts decay over a time that may have changed. Rescaling keeps the rates they stand for.
 	b.requestRate.rescale(oldSpanMs)
 	b.slowStart.rescale(oldSlowStartMs)
 	return nil
 }
 
-// moveTenants moves the tenants' shares, and the open requests, to the indexes that the names
-// have in the new settings; -1 stands for who is named there no more.
+// remapTenants moves the tenants' shares and the open requests to the tenants of the same name in the
+// new settings. The index of a tenant that no longer exists becomes -1.
 func (b *Balancer) remapTenants(tenants []Tenant) {
 	byName := map[string]int{}
 	for i, tenant := range tenants {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -1,4 +1,4 @@
-// This file holds what diagnostics may read of the Balancer.
+// This file holds snapshots of the Balancer's state for diagnostics.
 
 package policy
 
@@ -7,29 +7,29 @@
 	Name       string
 	Counts     ClassCounts
 	Queued     int     // requests that wait for capacity
-	ExpectedMs float64 // how long an answer is expected to take, in ms
+	ExpectedMs float64 // expected answer time, in ms
 }
 
 // TierSnapshot counts the usable endpoints of one tier.
 type TierSnapshot struct {
 	Endpoints    int
-	WarmingUp    int // of those, below their full capacity by the contract
+	WarmingUp    int // of those, still in slow start: below their full capacity by the contract
 	WithCapacity int // of those, with capacity for one more attempt of this agent
 }
 
-// Snapshot is the state of a Balancer that decides what is sent and what is rejected. It is
-// read by diagnostics alone.
+// Snapshot is the part of a Balancer's state that determines which requests are sent and which are
+// rejected. Only diagnostics read it.
 type Snapshot struct {
-	Limit       float64 // attempts that may be in flight
-	Floor       float64 // the agent's part of the fleet's attempts, of which Limit is a multiple
+	Limit       float64 // concurrency limit: attempts that may be in flight
+	Floor       float64 // the agent's share of the attempts of all agents; Limit is a multiple of it
 	InFlight    int     // attempts in flight
-	Stalled     int     // of these, at endpoints that fell silent
-	Abandoned   int     // attempts that are not waited for and may still run
-	SojournMs   float64 // how long work is taken to stay with the endpoints, in ms
+	Stalled     int     // of these, at endpoints that stopped answering
+	Abandoned   int     // attempts that the agent no longer waits for and that may still run
+	SojournMs   float64 // estimated time that an attempt stays at its endpoint, in ms
 	Queued      int     // requests that wait for capacity
-	RetryBudget float64 // attempts after a first that may still be made
-	// Latency is the mean of the last answer times, UncontendedLatency the mean while nothing is
-	// crowded, as parts of the latency objective.
+	RetryBudget float64 // retries that may still be made
+	// Latency is the moving average of recent answer times, UncontendedLatency the average without
+	// contention at the endpoints. Both are fractions of the latency objective.
 	UncontendedLatency float64
 	Latency            float64
 	Outcomes           OutcomeCounts
@@ -37,7 +37,7 @@
 	Classes            []ClassSnapshot
 }
 
-// Snapshot describes the Balancer at the time now, in ms. It changes no decision.
+// Snapshot returns the state of the Balancer at the time now, in ms. It does not affect decisions.
 func (b *Balancer) Snapshot(now float64) Snapshot {
 	b.now = now
 	snapshot := Snapshot{
@@ -71,7 +71,7 @@
 	return snapshot
 }
 
-// classSnapshots describes the classes, in the order of the settings.
+// classSnapshots returns the states of the classes, in the order of the settings.
 func (b *Balancer) classSnapshots() []ClassSnapshot {
 	queued := map[*class]int{}
 	for _, request := range b.queue.queued {
