--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -56,11 +56,11 @@
 
 // New returns the Balancer of one agent, or an error that names the first invalid setting. The seed
 // determines all random decisions.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{environment: environment{settings: set,
+	b := &Balancer{environment: environment{settings: settings,
 		rng: rand.New(rand.NewPCG(seed, splitmix64(seed)))}}
 	b.initComponents()
 	return b, nil
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -10,8 +10,8 @@
 // Open requests keep the class, the deadline and the limit on attempts that they arrived with. The
 // state of the endpoints stays, with their health, ejections and slow start, and so do the concurrency
 // limit and the retry budget. The statistics of classes and tenants stay with those of the same name.
-func (b *Balancer) Reconfigure(set Settings) error {
-	if err := set.validate(); err != nil {
+func (b *Balancer) Reconfigure(settings Settings) error {
+	if err := settings.validate(); err != nil {
 		return err
 	}
 	// The endpoint list watch, the order of the endpoints and the zone weights depend on these.
@@ -19,9 +19,9 @@
 		key      string
 		old, new any
 	}{
-		{"membershipMode", b.settings.Membership, set.Membership},
-		{"index", b.settings.Index, set.Index},
-		{"zone", b.settings.Zone, set.Zone},
+		{"membershipMode", b.settings.Membership, settings.Membership},
+		{"index", b.settings.Index, settings.Index},
+		{"zone", b.settings.Zone, settings.Zone},
 	} {
 		if fixed.old != fixed.new {
 			return fmt.Errorf("settings: %s: can't change without a restart, is %v and would be %v",
@@ -29,8 +29,8 @@
 		}
 	}
 	oldSpanMs, oldSlowStartMs := b.requestRate.spanMs(), b.settings.Contract.SlowStartMs
-	b.remapTenants(set.Tenants)
-	b.settings = set
+	b.remapTenants(settings.Tenants)
+	b.settings = settings
 	b.queue.remapUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all { // with a longer SlowStartMs they may be warming up again
 		b.slowStart.begin(endpoint)
