--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -57,12 +57,12 @@
 }
 
 // oddValuesPlay hands in events of legal but odd values, and counts the final answers of the requests.
-type oddValuesPlay struct {
+type oddValuesRun struct {
 	*harness
 	finals map[RequestID]int
 }
 
-func (p *oddValuesPlay) count(actions []Action) {
+func (p *oddValuesRun) count(actions []Action) {
 	for _, action := range actions {
 		if action.Kind == ActionRejectRequest || action.Kind == ActionFailRequest {
 			p.finals[action.Request]++
@@ -72,7 +72,7 @@
 
 // arriveAndEnd hands in a request, and the end of its attempt, if any, three times over, with the
 // value x wherever one fits.
-func (p *oddValuesPlay) arriveAndEnd(class, tenant int, x float64, status Status) {
+func (p *oddValuesRun) arriveAndEnd(class, tenant int, x float64, status Status) {
 	p.id++
 	actions := p.handle(&RequestArrived{Request: p.id, Class: class, Tenant: tenant, Key: 5, TimeLeftMs: x,
 		WorkHintMs: x, HasWorkHint: true})
@@ -89,7 +89,7 @@
 }
 
 // settle ends what is in flight, again and again, until nothing is.
-func (p *oddValuesPlay) settle() {
+func (p *oddValuesRun) settle() {
 	for range 300 {
 		p.count(p.tick(10))
 		for id := RequestID(1); id <= p.id; id++ {
@@ -103,7 +103,7 @@
 
 // Legal but odd values must not poison what is learnt, and each request is answered once.
 func TestBalancerSurvivesOddValues(t *testing.T) {
-	p := oddValuesPlay{newHarness(t, testSettings(), 3), map[RequestID]int{}}
+	p := oddValuesRun{newHarness(t, testSettings(), 3), map[RequestID]int{}}
 	p.updateEndpoints(ListDelta, Entry{Server: addr(9), Health: HealthGone}, Entry{Server: addr(1), Health: HealthDraining})
 	for i, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300} {
 		p.updateEndpoints(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: x, StartedMs: x})
--- a/policy/numbers_test.go
+++ b/policy/numbers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFiniteMakesOutsideNumbersSafe(t *testing.T) {
+func TestClampFiniteMakesEventNumbersSafe(t *testing.T) {
 	cases := []struct {
 		name     string
 		in, want float64
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestEWMATakesTheFirstSampleWhole(t *testing.T) {
+func TestEWMAStartsAtTheFirstSample(t *testing.T) {
 	if got := ewma(0, 8, 0.25); got != 8 {
 		t.Errorf("the first sample 8: got %v, want 8", got)
 	}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// mustReconfigure puts other settings in force.
+// mustReconfigure applies new settings, which must be valid.
 func (h *harness) mustReconfigure(set Settings) {
 	h.t.Helper()
 	if err := h.b.Reconfigure(set); err != nil {
@@ -13,8 +13,8 @@
 	}
 }
 
-// Other settings take all or nothing: what makes no sense, or can't change without a
-// restart, is named, and the settings in force stay.
+// New settings apply as a whole or not at all. If one is invalid, or can't change without a restart,
+// the error names it and the current settings stay.
 func TestReconfigureAppliesAllOrNothing(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	for key, spoil := range map[string]func(*Settings){
@@ -38,10 +38,10 @@
 	}
 }
 
-// What is open when other settings come goes on under its own terms: a request that could be
-// repeated still is, though its class may not any more, and one that could not is not, though
-// its class now may. What comes after goes by the new ones, under the classes' new numbers.
-func TestReconfigureKeepsTheTermsOfOpenRequests(t *testing.T) {
+// An open request keeps the class that it arrived with when the settings change: it is retried only if
+// its old class allows that, whatever the new class of that name says. A request that arrives later
+// uses the new settings, with the new indexes of the classes.
+func TestReconfigureKeepsTheClassOfOpenRequests(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	repeatable, server := h.mustSend(idempotentClass, 1)
 	nonRepeatable, other := h.mustSend(nonIdempotentClass, 2)
@@ -51,11 +51,11 @@
 	set.Classes[0].Effect, set.Classes[1].Effect = EffectIdempotent, EffectNonIdempotent // each by the other's name
 	h.mustReconfigure(set)
 	if send := findAction(h.endAttempt(repeatable, 0, server, StatusReset, 5), ActionSendAttempt); send == nil || send.Request != repeatable {
-		t.Errorf("what could be repeated: got %+v, want request %d sent again", send, repeatable)
+		t.Errorf("repeatable request: got %+v, want request %d sent again", send, repeatable)
 	}
 	actions := h.endAttempt(nonRepeatable, 0, other, StatusReset, 5)
 	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionFailRequest) == nil {
-		t.Errorf("what could not be repeated: got %+v, want a failure", actions)
+		t.Errorf("non-repeatable request: got %+v, want a failure", actions)
 	}
 	next, server := h.mustSend(0, 3) // may be repeated now, but for its one attempt
 	actions = h.endAttempt(next, 0, server, StatusReset, 5)
@@ -64,9 +64,9 @@
 	}
 }
 
-// newLearntHarness returns a harness of two tenants whose agent has learnt of endpoints, among them a
-// warming and a failed one, of classes and of tenants.
-func newLearntHarness(t *testing.T) *harness {
+// newHarnessWithHistory returns a harness with two tenants whose agent has statistics of endpoints, of
+// classes and of tenants. One endpoint is warming up and one has failed.
+func newHarnessWithHistory(t *testing.T) *harness {
 	t.Helper()
 	set := testSettings()
 	set.Tenants = []Tenant{{Name: "a", QuotaShare: 0.5}, {Name: "b", QuotaShare: 0.5}}
@@ -81,23 +81,23 @@
 	return h
 }
 
-// otherNames are the settings with other tenants and fewer classes, in another order.
-func otherNames(set Settings) Settings {
+// withOtherNames returns the settings with other tenants and fewer classes, in another order.
+func withOtherNames(set Settings) Settings {
 	set.Tenants = []Tenant{{Name: "c", QuotaShare: 0.2}, {Name: "b", QuotaShare: 0.2}, {Name: "a", QuotaShare: 0.6}}
 	set.Classes = []Class{set.Classes[keyedClass], set.Classes[idempotentClass]}
 	set.Limits.KeepaliveMs *= 2
 	return set
 }
 
-// States, ejections, slow start, the limit and the retry budget stay.
-func TestReconfigureKeepsWhatWasLearntOfEndpoints(t *testing.T) {
-	h := newLearntHarness(t)
+// Health states, ejections, slow start, the concurrency limit and the retry budget stay.
+func TestReconfigureKeepsEndpointState(t *testing.T) {
+	h := newHarnessWithHistory(t)
 	before := map[Addr]endpoint{}
 	for _, listed := range h.b.endpoints.all {
 		before[listed.id] = *listed
 	}
 	limit, budget, rate := h.b.limiter.scale, h.b.retries.tokens, h.b.requestRate.perMs()
-	h.mustReconfigure(otherNames(h.b.settings))
+	h.mustReconfigure(withOtherNames(h.b.settings))
 	for _, got := range h.b.endpoints.all {
 		want := before[got.id]
 		if got.health.state != want.health.state || got.health.consecutiveEjections != want.health.consecutiveEjections ||
@@ -112,11 +112,11 @@
 	}
 }
 
-// What was learnt of classes and tenants stays with their names.
-func TestReconfigureKeepsWhatWasLearntByName(t *testing.T) {
-	h := newLearntHarness(t)
+// The statistics of classes and tenants stay with those of the same name.
+func TestReconfigureKeepsStatisticsByName(t *testing.T) {
+	h := newHarnessWithHistory(t)
 	meanMs := h.b.classes.all[idempotentClass].meanMs
-	h.mustReconfigure(otherNames(h.b.settings))
+	h.mustReconfigure(withOtherNames(h.b.settings))
 	if got := h.b.classes.all[1].meanMs; got != meanMs {
 		t.Errorf("got a mean answer time of %v ms for the class, want %v as before", got, meanMs)
 	}
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -98,7 +98,7 @@
 		{"connect failed", StatusConnectFailed, any, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			first, retries := playRetries(t, test.status)
+			first, retries := countAttempts(t, test.status)
 			if first != test.wantFirst && test.wantFirst != any {
 				t.Errorf("got %d first attempts, want %d", first, test.wantFirst)
 			}
@@ -111,7 +111,7 @@
 
 // playRetries has 200 requests arrive over 4 s, all attempts of which end with the status, and returns
 // the number of first attempts and of others.
-func playRetries(t *testing.T, status Status) (first, retries int) {
+func countAttempts(t *testing.T, status Status) (first, retries int) {
 	t.Helper()
 	h := newHarness(t, testSettings(), 20)
 	for range 200 {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// playForSnapshot plays a few requests, with an extra snapshot between them or without, and returns the
-// snapshot at the end and the actions of the last event.
-func playForSnapshot(t *testing.T, extra bool) (Snapshot, []Action) {
+// snapshotAfterFailure simulates a few requests, one of which fails, with or without an extra snapshot
+// between them. It returns the snapshot at the end and the actions of the last event.
+func snapshotAfterFailure(t *testing.T, extra bool) (Snapshot, []Action) {
 	t.Helper()
 	h := newHarness(t, testSettings(), 4)
 	id, server := h.mustSend(idempotentClass, 7)
@@ -18,9 +18,9 @@
 	return h.b.Snapshot(h.now), last
 }
 
-// A snapshot says what is in flight and queued, how attempts ended and where there is capacity.
+// A snapshot shows the attempts in flight, how attempts ended, the tiers and the counts of the classes.
 func TestSnapshotDescribesTheState(t *testing.T) {
-	got, _ := playForSnapshot(t, true)
+	got, _ := snapshotAfterFailure(t, true)
 	if got.InFlight != 3 || got.Outcomes != (OutcomeCounts{ServerError: 1}) || got.Tiers[0].Endpoints != 3 ||
 		got.Tiers[2].Endpoints != 1 {
 		t.Errorf("got %+v, want 3 in flight, a server error, and 3 endpoints in the first and 1 in the last tier", got)
@@ -31,8 +31,8 @@
 }
 
 func TestSnapshotChangesNoDecision(t *testing.T) {
-	_, with := playForSnapshot(t, true)
-	if _, without := playForSnapshot(t, false); len(without) != len(with) || without[0] != with[0] {
+	_, with := snapshotAfterFailure(t, true)
+	if _, without := snapshotAfterFailure(t, false); len(without) != len(with) || without[0] != with[0] {
 		t.Errorf("got %+v with a snapshot before, want %+v as without", with, without)
 	}
 }
--- a/policy/unserved_test.go
+++ b/policy/unserved_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A client's retry is judged by the client's time, also where retries are not marked; a request with
-// another key has its whole latency objective.
-func TestAdmissionQueueKeepsTheFirstArrivalOfRetries(t *testing.T) {
+// The latency objective of a client's retry starts at the client's first try, even if retries are not
+// marked. A request with another key has its whole latency objective.
+func TestAdmissionQueueKeepsFirstArrivalOfRetries(t *testing.T) {
 	for _, marks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("clients mark retries %v", marks), func(t *testing.T) {
 			set := testSettings()
