--- a/policy/abandoned_test.go
+++ b/policy/abandoned_test.go
@@ -19,8 +19,8 @@
 	return h, h.endpointAt(server)
 }
 
-// Where the settings allow no cancellation, an attempt that timed out still stands in its endpoint's
-// queue, and counts in the limit.
+// If the settings allow no cancellation, an attempt that timed out remains in its endpoint's queue, and
+// the concurrency limit must include it.
 func TestLimiterCountsAbandonedAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -47,7 +47,7 @@
 	}
 }
 
-// An abandoned attempt is over as soon as its endpoint answers what was sent after it.
+// An abandoned attempt has finished when its endpoint answers an attempt that was sent later.
 func TestAbandonedAttemptEndsByALaterAnswer(t *testing.T) {
 	h, target := newAbandonedHarness(t, false)
 	target.traffic.answeredSentAt = h.now - 601
@@ -61,8 +61,8 @@
 	}
 }
 
-// Without an answer it is over when work does not stay with the endpoints for so long, or when its
-// endpoint is gone.
+// Without such an answer it has finished when its age reaches the sojourn estimate, or when its
+// endpoint is removed.
 func TestAbandonedAttemptEndsWithoutAnAnswer(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 1)
 	target, abandoned := h.endpoint(0), &h.b.limiter.abandoned
@@ -82,8 +82,8 @@
 	}
 }
 
-// The estimate of how long work stays with the endpoints runs up to its bound while most goes
-// unanswered, and is that of the answers while most is answered.
+// The sojourn estimate rises to its bound while most attempts go unanswered, and stays near the answer
+// times while most are answered.
 func TestAbandonedAttemptsEstimateTheSojourn(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The worst class counts in the order of the queue, so that a class of low weight is not starved.
+// Requests of the worst class get a higher priority, so that a class of low weight is not starved.
 func TestAdmissionQueuePrefersTheWorstClass(t *testing.T) {
 	set := testSettings()
 	set.Objective = Objective{Whole: 0.5, WorstClass: 0.5}
--- a/policy/attempt_lifecycle_test.go
+++ b/policy/attempt_lifecycle_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Where connections cost more than they save, as with many agents that each meet every endpoint, idle
-// ones are closed.
+// Idle connections are closed if keeping them costs more than new handshakes, as with many agents that
+// each use every endpoint.
 func TestBalancerClosesIdleConnectionsThatCostMoreThanNewOnes(t *testing.T) {
 	for _, test := range []struct {
 		name                  string
@@ -39,7 +39,8 @@
 	}
 }
 
-// A response that has started belongs to the client: nothing more is sent or answered for its request.
+// After a response has started to reach the client, its request is neither sent again nor answered by
+// the agent.
 func TestBalancerLeavesAStartedResponseAlone(t *testing.T) {
 	set := testSettings()
 	set.Classes[idempotentClass].Streamed = true
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// What was decided before a panic can still be carried out: an attempt that nobody makes would
-// be waited for without end.
+// The actions decided before a panic must still be available. Otherwise the Balancer would wait forever
+// for the end of an attempt that was never made.
 func TestBalancerActionsReturnsThoseDecidedBeforeAPanic(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.b.queue.enqueue(&request{id: 99, class: h.b.classes.all[idempotentClass],
 		timing:   requestTiming{arrivedAt: -1e9, deadline: 1e9},
-		attempts: requestAttempts{limit: 3, counted: []*attempt{nil}}}) // looking for an endpoint for it panics
+		attempts: requestAttempts{limit: 3, counted: []*attempt{nil}}}) // selecting an endpoint for it panics
 	func() {
 		defer func() {
 			if recover() == nil {
@@ -56,77 +56,78 @@
 	// Output: send request 1 to [10 0 0 1 31 144]
 }
 
-// oddValuesPlay hands in events of legal but odd values, and counts the final answers of the requests.
+// oddValuesRun sends events with legal but unusual values, and counts the final answers of each request.
 type oddValuesRun struct {
 	*harness
 	finals map[RequestID]int
 }
 
-func (p *oddValuesRun) count(actions []Action) {
+func (r *oddValuesRun) count(actions []Action) {
 	for _, action := range actions {
 		if action.Kind == ActionRejectRequest || action.Kind == ActionFailRequest {
-			p.finals[action.Request]++
+			r.finals[action.Request]++
 		}
 	}
 }
 
-// arriveAndEnd hands in a request, and the end of its attempt, if any, three times over, with the
-// value x wherever one fits.
-func (p *oddValuesRun) arriveAndEnd(class, tenant int, x float64, status Status) {
-	p.id++
-	actions := p.handle(&RequestArrived{Request: p.id, Class: class, Tenant: tenant, Key: 5, TimeLeftMs: x,
+// arriveAndEnd sends a request, and the end of its attempt, if any, three times. All times and hints
+// have the value x.
+func (r *oddValuesRun) arriveAndEnd(class, tenant int, x float64, status Status) {
+	r.id++
+	actions := r.handle(&RequestArrived{Request: r.id, Class: class, Tenant: tenant, Key: 5, TimeLeftMs: x,
 		WorkHintMs: x, HasWorkHint: true})
-	p.count(actions)
+	r.count(actions)
 	if action := findAction(actions, ActionSendAttempt); action != nil {
-		p.now++
+		r.now++
 		if status == StatusOK {
-			p.finals[p.id]++
+			r.finals[r.id]++
 		}
 		for _, attempt := range []int{0, 0, -1} {
-			p.count(p.endAttempt(p.id, attempt, action.Server, status, x))
+			r.count(r.endAttempt(r.id, attempt, action.Server, status, x))
 		}
 	}
 }
 
-// settle ends what is in flight, again and again, until nothing is.
-func (p *oddValuesRun) settle() {
+// settle ends attempts in flight for long enough that none is left.
+func (r *oddValuesRun) settle() {
 	for range 300 {
-		p.count(p.tick(10))
-		for id := RequestID(1); id <= p.id; id++ {
-			if open := p.b.queue.open[id]; open != nil && open.attempts.inFlight > 0 {
+		r.count(r.tick(10))
+		for id := RequestID(1); id <= r.id; id++ {
+			if open := r.b.queue.open[id]; open != nil && open.attempts.inFlight > 0 {
 				last := open.attempts.counted[len(open.attempts.counted)-1]
-				p.count(p.endAttempt(id, last.index, last.endpoint.id, StatusTimeout, 10))
+				r.count(r.endAttempt(id, last.index, last.endpoint.id, StatusTimeout, 10))
 			}
 		}
 	}
 }
 
-// Legal but odd values must not poison what is learnt, and each request is answered once.
-func TestBalancerSurvivesOddValues(t *testing.T) {
-	p := oddValuesRun{newHarness(t, testSettings(), 3), map[RequestID]int{}}
-	p.updateEndpoints(ListDelta, Entry{Server: addr(9), Health: HealthGone}, Entry{Server: addr(1), Health: HealthDraining})
+// Legal but unusual values must not make the averages NaN or infinite, and each request is answered
+// once.
+func TestBalancerHandlesOddValues(t *testing.T) {
+	r := oddValuesRun{newHarness(t, testSettings(), 3), map[RequestID]int{}}
+	r.updateEndpoints(ListDelta, Entry{Server: addr(9), Health: HealthGone}, Entry{Server: addr(1), Health: HealthDraining})
 	for i, x := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1, 0, 1e300} {
-		p.updateEndpoints(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: x, StartedMs: x})
+		r.updateEndpoints(ListDelta, Entry{Server: addr(2), Health: HealthReady, Weight: x, StartedMs: x})
 		status := []Status{StatusOK, StatusServerError, StatusTimeout}[i%3]
 		for _, class := range []int{-1, 0, 1, 2, 3, 1 << 16} {
-			p.arriveAndEnd(class, -i, x, status)
+			r.arriveAndEnd(class, -i, x, status)
 		}
 	}
-	p.settle()
-	for id := RequestID(1); id <= p.id; id++ {
-		if n := p.finals[id]; n > 1 || n == 0 && p.b.queue.open[id] == nil {
+	r.settle()
+	for id := RequestID(1); id <= r.id; id++ {
+		if n := r.finals[id]; n > 1 || n == 0 && r.b.queue.open[id] == nil {
 			t.Errorf("request %d: got %d final answers, want 1", id, n)
 		}
 	}
-	latency := &p.b.latency
+	latency := &r.b.latency
 	if sum := latency.fleet + latency.hints.mean + latency.hints.answeredMean + latency.uncontended +
-		p.b.classes.all[idempotentClass].meanMs; math.IsNaN(sum) || math.IsInf(sum, 0) {
+		r.b.classes.all[idempotentClass].meanMs; math.IsNaN(sum) || math.IsInf(sum, 0) {
 		t.Errorf("got means that add up to %v, want a number", sum)
 	}
 }
 
-// The clock may start anywhere, and a request may come with no time left: it is still
-// answered, once, and ordinary ones are served as ever.
+// The clock may start at any time. A request that arrives with no time left is still answered, once,
+// and other requests are served as usual.
 func TestBalancerAnswersOnceAtAnyClockAndTimeLeft(t *testing.T) {
 	for _, start := range []float64{-1e7, 0, 1e13} {
 		h := &harness{t: t, b: newBalancer(t, testSettings(), 1), now: start}
@@ -142,8 +143,8 @@
 	}
 }
 
-// answersOfRequest hands in a request, serves its attempt, which it must have if time is left, and
-// returns the number of its final answers within 30 ms more.
+// answersOfRequest sends a request, which must be sent to an endpoint if it has time left, and answers
+// its attempt. It returns the number of its final answers until 30 ms later.
 func answersOfRequest(t *testing.T, h *harness, leftMs float64) (finals int) {
 	t.Helper()
 	h.id++
@@ -168,8 +169,9 @@
 	return finals
 }
 
-// Callers hand in events without an allocation, so Handle must not let them escape.
-func TestBalancerHandleKeepsNoEvent(t *testing.T) {
+// Callers rely on passing events without an allocation, so Handle must not let events escape to the
+// heap.
+func TestBalancerHandleLetsNoEventEscape(t *testing.T) {
 	h := newHarness(t, testSettings(), 2)
 	out := make([]Action, 0, 8)
 	for name, handle := range map[string]func() []Action{
--- a/policy/eligibility_test.go
+++ b/policy/eligibility_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// What must not run twice would be lost on an endpoint that is only being validated.
+// A non-idempotent request can't be retried, so it would be lost if an endpoint that is being validated
+// failed it.
 func TestEligibilityKeepsNonIdempotentRequestsFromPendingEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	pending := h.endpoint(0)
@@ -60,12 +61,12 @@
 	}
 }
 
-// sendableRequest returns a request that nothing keeps from being sent.
+// sendableRequest returns a request that may be sent to any usable endpoint.
 func (h *harness) sendableRequest(class *class) *request {
 	return &request{class: class, timing: requestTiming{deadline: h.now + 600}, attempts: requestAttempts{limit: 1}}
 }
 
-func TestEligibilityBoundsWhatAnEndpointHolds(t *testing.T) {
+func TestEligibilityBoundsAttemptsAtAnEndpoint(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	target, request := h.endpoint(0), h.sendableRequest(h.b.classes.all[idempotentClass])
 	h.b.now = h.now
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestFilesStayReadable bounds every file of the module that is not a test: its length, so that
-// it keeps to one concern, and the width of its lines.
+// TestFilesStayReadable bounds the number of lines of every non-test file of the package, so that each
+// file covers one concern, and the width of the lines.
 func TestFilesStayReadable(t *testing.T) {
 	const mostLines, mostColumns = 320, 110
 	files, err := filepath.Glob("*.go")
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -48,7 +48,7 @@
 	set := testSettings()
 	set.Limits.MaxAttempts = 1
 	set.Classes[0], set.Classes[1] = set.Classes[1], set.Classes[0]
-	set.Classes[0].Effect, set.Classes[1].Effect = EffectIdempotent, EffectNonIdempotent // each by the other's name
+	set.Classes[0].Effect, set.Classes[1].Effect = EffectIdempotent, EffectNonIdempotent // effects swapped
 	h.mustReconfigure(set)
 	if send := findAction(h.endAttempt(repeatable, 0, server, StatusReset, 5), ActionSendAttempt); send == nil || send.Request != repeatable {
 		t.Errorf("repeatable request: got %+v, want request %d sent again", send, repeatable)
@@ -57,7 +57,7 @@
 	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionFailRequest) == nil {
 		t.Errorf("non-repeatable request: got %+v, want a failure", actions)
 	}
-	next, server := h.mustSend(0, 3) // may be repeated now, but for its one attempt
+	next, server := h.mustSend(0, 3) // its class is repeatable now, but only one attempt is allowed
 	actions = h.endAttempt(next, 0, server, StatusReset, 5)
 	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionRejectRequest) == nil {
 		t.Errorf("a new request: got %+v, want a rejection", actions)
--- a/policy/request_lifecycle_test.go
+++ b/policy/request_lifecycle_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An agent that may have few requests open rejects what it can't queue at once, the least valuable
-// first, and never what is already in flight.
+// An agent with a low limit on open requests immediately rejects those that it can't queue. It rejects
+// the lowest priority first, and never a request in flight.
 func TestBalancerRejectsBeyondMaxOpenRequests(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxOpenRequests = 4
@@ -27,8 +27,8 @@
 	}
 }
 
-// newLateHarness returns a harness whose agent is at its limit of one attempt in flight, which is
-// about to be past its latency objective, with another request queued.
+// newLateHarness returns a harness whose agent is at its limit of one attempt in flight, with another
+// request queued. The attempt is about to miss its latency objective.
 func newLateHarness(t *testing.T, set Settings, class int) (h *harness, inFlight, queued RequestID) {
 	t.Helper()
 	set.Replicas = 2
@@ -36,7 +36,7 @@
 	h = newTrainedHarness(t, set, 1)
 	inFlight, _ = h.mustSend(class, 5)
 	h.now += 290
-	h.endpoint(0).traffic.heardAt = h.now // else it seems silent
+	h.endpoint(0).traffic.heardAt = h.now // otherwise the endpoint would be ejected as silent
 	queued, actions := h.arrive(idempotentClass, 6)
 	if findAction(actions, ActionSendAttempt) != nil {
 		t.Fatal("got a second attempt sent, want the agent at its limit")
@@ -44,9 +44,9 @@
 	return h, inFlight, queued
 }
 
-// In a shortage an attempt that can earn nothing any more is cancelled and its request answered, so
-// that one that is queued is sent in its stead.
-func TestBalancerCancelsLateAttemptsInAShortage(t *testing.T) {
+// If the agent is at its concurrency limit, a late attempt whose answer is worth nothing any more is
+// cancelled and its request rejected. A queued request is sent in its place.
+func TestBalancerCancelsLateAttemptsAtTheLimit(t *testing.T) {
 	h, inFlight, queued := newLateHarness(t, testSettings(), idempotentClass)
 	actions := h.tick(20)
 	if action := findAction(actions, ActionRejectRequest); action == nil || action.Request != inFlight {
@@ -61,7 +61,8 @@
 	}
 }
 
-// What may not be repeated is waited for, and so is what is worth something when it is late.
+// The agent waits for late attempts of requests that must not be repeated, and of requests whose late
+// answers are worth something.
 func TestBalancerWaitsForLateAttemptsItMayNotCancel(t *testing.T) {
 	worthLate := testSettings()
 	worthLate.Classes[idempotentClass].LateWeight = 0.5
@@ -88,7 +89,7 @@
 	}
 }
 
-func TestBalancerKeepsLateAttemptsWithoutAShortage(t *testing.T) {
+func TestBalancerKeepsLateAttemptsWithNothingQueued(t *testing.T) {
 	h, _, queued := newLateHarness(t, testSettings(), idempotentClass)
 	h.handle(&ClientDisconnected{Request: queued})
 	if action := findAction(h.tick(20), ActionCancelAttempt); action != nil {
@@ -111,7 +112,7 @@
 	t.Error("got no answer within 1.3 s, want a rejection")
 }
 
-// A request with a key may arrive before the first list.
+// A request with a key may arrive before the first endpoint list.
 func TestBalancerSendsOnceTheFirstListArrives(t *testing.T) {
 	b := newBalancer(t, testSettings(), 1)
 	b.Start(0, nil)
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -11,13 +11,13 @@
 	if tries.sent != 2 || len(tries.counted) != 2 || tries.inFlight != 1 {
 		t.Errorf("got %d sent, %d counted and %d in flight, want 2, 2 and 1", tries.sent, len(tries.counted), tries.inFlight)
 	}
-	// The second is this machine's failure, and the endpoint of the first was held responsible for it.
+	// The second attempt failed on this machine. The endpoint of the first was blamed for that failure.
 	if tries.uncount(second); tries.sent != 2 || len(tries.counted) != 0 {
 		t.Errorf("uncounted: got %d sent and %d counted, want 2 and none", tries.sent, len(tries.counted))
 	}
 }
 
-func TestRequestIdempotencyKeepsTheFirstThatMayHaveRun(t *testing.T) {
+func TestRequestIdempotencyKeepsTheFirstAttemptThatMayHaveRun(t *testing.T) {
 	var idempotency requestIdempotency
 	first, second := &attempt{endpoint: &endpoint{}, sentAt: 10}, &attempt{endpoint: &endpoint{}, sentAt: 20}
 	idempotency.attemptSent(first)
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A retry that is delayed for 0.15 s between its decision and its first byte, or as long as it
-// may begin and then so, still goes out within the window in which repeats are dropped. Where the
-// window is shorter than that, none goes out.
+// A retry may be delayed for as long as it may begin, and then for 0.15 s until its first byte is
+// written. It must still be written within the window in which servers drop repeats. If the window
+// is shorter than that delay, there is no retry.
 func TestRetryPolicyLeavesTimeForADelayedWrite(t *testing.T) {
 	const delayMs = 150
 	for _, windowMs := range []float64{100, 150, 160, 200, 400, 4000} {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRetryPolicyRetriesWhatNeverRan(t *testing.T) {
+func TestRetryPolicyRetriesRequestsThatNeverRan(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	id, server := h.mustSend(nonIdempotentClass, 5)
 	if actions := h.endAttempt(id, 0, server, StatusConnectFailed, 50); findAction(actions, ActionSendAttempt) == nil {
@@ -71,21 +71,21 @@
 	if retry == nil || h.endpointAt(retry.Server).cell != h.endpointAt(server).cell {
 		t.Fatalf("got %+v, want a retry in the cell of the first attempt", actions)
 	}
-	// A connection that comes up late must not carry it past that time.
+	// A connection that is established late must not delay the retry past the end of the window.
 	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.settings.Classes[keyedClass].IdempotencyWindowMs
 	if retry.BeginWithinMs <= 0 || h.now+retry.BeginWithinMs > windowEnd {
 		t.Errorf("got %v ms to begin within, want some, and %v at most", retry.BeginWithinMs, windowEnd-h.now)
 	}
-	h.now += 496 // just inside the 500 ms less the margin
+	h.now += 496 // inside the window of 500 ms, but within the margin before its end
 	actions = h.endAttempt(id, 1, retry.Server, StatusServerError, 20)
 	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionFailRequest) == nil && len(h.b.queue.queued) == 0 {
 		t.Errorf("past the window got %+v, want no attempt", actions)
 	}
 }
 
-// Where each of many agents sends every rejected attempt to the next endpoint, all together keep
-// the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
-// but for those after one that reached no endpoint.
+// If each of many agents sent every rejected attempt to the next endpoint, together they would keep all
+// endpoints overloaded. So the retry budget bounds retries by the number of answers in time. A retry
+// after an attempt that reached no endpoint is free.
 func TestRetryPolicyBoundsRetriesByItsBudget(t *testing.T) {
 	const any = -1
 	for _, test := range []struct {
@@ -109,8 +109,8 @@
 	}
 }
 
-// playRetries has 200 requests arrive over 4 s, all attempts of which end with the status, and returns
-// the number of first attempts and of others.
+// countAttempts simulates 200 requests over 4 s, all attempts of which end with the status. It returns
+// the number of first attempts and of retries.
 func countAttempts(t *testing.T, status Status) (first, retries int) {
 	t.Helper()
 	h := newHarness(t, testSettings(), 20)
@@ -133,8 +133,8 @@
 	return first, retries
 }
 
-// What may have run is sent again only where its class allows it.
-func TestRetryPolicyKeepsToTheEffect(t *testing.T) {
+// A request that may have run is sent again only to endpoints that the effect of its class allows.
+func TestRetryPolicyFollowsTheEffect(t *testing.T) {
 	first := &endpoint{zone: 1, cell: 1, usable: true}
 	sameCell, sameZone := &endpoint{zone: 1, cell: 1, usable: true}, &endpoint{zone: 1, cell: 2, usable: true}
 	elsewhere := &endpoint{zone: 2, cell: 3, usable: true}
@@ -171,8 +171,8 @@
 	}
 }
 
-// The budget bounds retries to what answers have earned, up to retryBurst; an attempt that reached
-// no endpoint is free.
+// The retry budget bounds retries to the tokens that answers have added, up to retryBurst. A retry
+// after an attempt that reached no endpoint is free.
 func TestRetryPolicyChargesItsBudget(t *testing.T) {
 	retries := newRetryPolicy(&environment{}, nil)
 	retries.tokens = 1
