--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -4,14 +4,15 @@
 
 import "slices"
 
-// maxAbandonedDeadlines bounds the sojourn estimate, and so the time for which an abandoned attempt
-// counts as in flight. It is a multiple of the longest deadline of all classes.
+// maxSojournDeadlines bounds the sojourn estimate, and so the time for which the concurrency limit
+// includes an abandoned attempt. It is a multiple of the longest deadline of all classes.
 const maxSojournDeadlines = 2.0
 
 // abandonedAttempts are the attempts that the agent no longer waits for but whose endpoints may
 // still process them. If the settings allow no cancellation, an attempt that timed out remains in
 // its endpoint's queue. The concurrency limit includes abandoned attempts until the endpoint
-// answers an attempt that was sent later, or until their age reaches the sojourn estimate.
+// answers an attempt that was sent later, restarts or is removed, or until their age reaches the
+// sojourn estimate.
 type abandonedAttempts struct {
 	all []*attempt
 	// sojournMs is a moving average of the time that attempts stay at an endpoint, queueing and
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// tiers is the number of tiers that eligibility.tierOf distinguishes.
+// tierCount is the number of tiers that eligibility.tierOf distinguishes.
 const tierCount = 3
 
 // eligibility decides which endpoints may take a request of this agent, and ranks them in tiers.
@@ -67,6 +67,7 @@
 	if e.slowStart.warmWeight() > 0 {
 		return false
 	}
+	// No endpoint is warm. If this agent has used warm ones before, their load sets the pace.
 	if e.slowStart.flow > 0 {
 		return e.slowStart.pauseOver(endpoint, cost)
 	}
--- a/policy/numbers.go
+++ b/policy/numbers.go
@@ -31,11 +31,11 @@
 
 // packAddr returns the bytes of an address as a number.
 func packAddr(addr Addr) uint64 {
-	hash := uint64(0)
+	packed := uint64(0)
 	for _, octet := range addr {
-		hash = hash<<8 | uint64(octet)
+		packed = packed<<8 | uint64(octet)
 	}
-	return hash
+	return packed
 }
 
 // splitmix64 returns the output of the splitmix64 generator for the state x, a hash of x.
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -32,8 +32,8 @@
 	b.remapTenants(settings.Tenants)
 	b.settings = settings
 	b.queue.remapUnserved(b.classes.reload())
-	for _, endpoint := range b.endpoints.all { // with a longer SlowStartMs they may be warming up again
-		b.slowStart.begin(endpoint)
+	for _, endpoint := range b.endpoints.all {
+		b.slowStart.begin(endpoint) // with a longer SlowStartMs it may be warming up again
 	}
 	// These counts decay over a time that may have changed. Rescaling keeps the rates they stand for.
 	b.requestRate.rescale(oldSpanMs)
--- a/policy/request.go
+++ b/policy/request.go
@@ -4,8 +4,8 @@
 
 import "slices"
 
-// request is one request of the client. A client's retry is a request of its own. It is kept until it
-// is finished and none of its attempts is in flight.
+// request is one request of the client. A client's retry is a request of its own. A request is kept
+// until it is finished and none of its attempts is in flight.
 type request struct {
 	id              RequestID
 	class           *class
--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -2,18 +2,18 @@
 
 import "testing"
 
-func TestRequestTriesCountAttempts(t *testing.T) {
-	var tries requestAttempts
+func TestRequestAttemptsCountsAttempts(t *testing.T) {
+	var attempts requestAttempts
 	first, second := &attempt{index: 0, unreachable: true}, &attempt{index: 1}
-	tries.add(first)
-	tries.attemptEnded()
-	tries.add(second)
-	if tries.sent != 2 || len(tries.counted) != 2 || tries.inFlight != 1 {
-		t.Errorf("got %d sent, %d counted and %d in flight, want 2, 2 and 1", tries.sent, len(tries.counted), tries.inFlight)
+	attempts.add(first)
+	attempts.attemptEnded()
+	attempts.add(second)
+	if attempts.sent != 2 || len(attempts.counted) != 2 || attempts.inFlight != 1 {
+		t.Errorf("got %d sent, %d counted and %d in flight, want 2, 2 and 1", attempts.sent, len(attempts.counted), attempts.inFlight)
 	}
 	// The second attempt failed on this machine. The endpoint of the first was blamed for that failure.
-	if tries.uncount(second); tries.sent != 2 || len(tries.counted) != 0 {
-		t.Errorf("uncounted: got %d sent and %d counted, want 2 and none", tries.sent, len(tries.counted))
+	if attempts.uncount(second); attempts.sent != 2 || len(attempts.counted) != 0 {
+		t.Errorf("uncounted: got %d sent and %d counted, want 2 and none", attempts.sent, len(attempts.counted))
 	}
 }
 
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -9,9 +9,9 @@
 	// for a moment in which half the endpoints disappear.
 	retryRatio, retryBurst = 0.5, 20.0
 	// writeDelayMarginMs is the longest delay, in ms, that is expected between an agent's reading of
-	// its clock and its write to the network: agents share their processors with other
-	// programs. An attempt that must not be sent after a given time is not started within this
-	// margin before it.
+	// its clock and its write to the network: agents share their processors with other programs.
+	// An attempt that must not be sent after a given time is not started within this margin
+	// before it.
 	writeDelayMarginMs = 150.0
 )
 
@@ -32,13 +32,13 @@
 // flight, and no second run of a request where that is not safe. The slow start allowance is
 // checked by eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
-	tries := &request.attempts
-	if !endpoint.usable || request.closed || request.responseStarted || tries.inFlight > 0 ||
-		p.now >= request.timing.deadline || len(tries.counted) >= tries.limit {
+	attempts := &request.attempts
+	if !endpoint.usable || request.closed || request.responseStarted || attempts.inFlight > 0 ||
+		p.now >= request.timing.deadline || len(attempts.counted) >= attempts.limit {
 		return false
 	}
-	for _, attempt := range tries.counted {
-		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(tries.counted) {
+	for _, attempt := range attempts.counted {
+		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(attempts.counted) {
 			return false // while there are untried endpoints, a retry goes to one of them
 		}
 	}
@@ -112,15 +112,15 @@
 	effect := request.class.Effect
 	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
 		effect == EffectIdempotentWithKey
-	price := 1.0
+	cost := 1.0
 	if reason == StatusConnectFailed {
-		price = 0
+		cost = 0
 	}
-	spent := p.tokens < price || len(request.attempts.counted) >= request.attempts.limit
-	if !repeatable || spent || reason == StatusNotSent || p.now >= request.timing.deadline {
+	exhausted := p.tokens < cost || len(request.attempts.counted) >= request.attempts.limit
+	if !repeatable || exhausted || reason == StatusNotSent || p.now >= request.timing.deadline {
 		return false
 	}
-	p.tokens -= price
+	p.tokens -= cost
 	return true
 }
 
--- a/policy/unserved.go
+++ b/policy/unserved.go
@@ -25,16 +25,16 @@
 
 // takeUnserved removes the unserved request with the same class and key, and returns when its first
 // try arrived.
-func (q *admissionQueue) takeUnserved(request *request) (firstArrived float64, found bool) {
+func (q *admissionQueue) takeUnserved(request *request) (firstArrivedAt float64, found bool) {
 	i := slices.IndexFunc(q.unserved, func(kept unservedRequest) bool {
 		return kept.class == request.class && kept.key == request.key
 	})
 	if i < 0 {
 		return 0, false
 	}
-	firstArrived = q.unserved[i].firstArrivedAt
+	firstArrivedAt = q.unserved[i].firstArrivedAt
 	q.unserved = slices.Delete(q.unserved, i, i+1)
-	return firstArrived, true
+	return firstArrivedAt, true
 }
 
 // detectRetry reports whether the request seems to be a client's retry, and sets the arrival of its
@@ -45,9 +45,9 @@
 	if !marked && (q.settings.Clients.MarksRetry || request.key == 0) {
 		return false
 	}
-	firstArrived, found := q.takeUnserved(request)
+	firstArrivedAt, found := q.takeUnserved(request)
 	if found {
-		request.timing.firstArrivedAt = firstArrived
+		request.timing.firstArrivedAt = firstArrivedAt
 	}
 	return marked || found
 }
