--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// settle ends attempts in flight for long enough that none is left.
-func (r *oddValuesRun) settle() {
+// endAll ends attempts in flight, and those that follow from that, until none is left.
+func (r *oddValuesRun) endAll() {
 	for range 300 {
 		r.count(r.tick(10))
 		for id := RequestID(1); id <= r.id; id++ {
@@ -113,7 +113,7 @@
 			r.arriveAndEnd(class, -i, x, status)
 		}
 	}
-	r.settle()
+	r.endAll()
 	for id := RequestID(1); id <= r.id; id++ {
 		if n := r.finals[id]; n > 1 || n == 0 && r.b.queue.open[id] == nil {
 			t.Errorf("request %d: got %d final answers, want 1", id, n)
