--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -120,7 +120,7 @@
 		}
 	}
 	latency := &r.b.latency
-	if sum := latency.fleet + latency.hints.mean + latency.hints.answeredMean + latency.uncontended +
+	if sum := latency.fleetMean + latency.hints.meanHint + latency.hints.meanAnsweredHint + latency.uncontended +
 		r.b.classes.all[idempotentClass].meanMs; math.IsNaN(sum) || math.IsInf(sum, 0) {
 		t.Errorf("got means that add up to %v, want a number", sum)
 	}
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -68,13 +68,13 @@
 		return false
 	}
 	// No endpoint is warm. If this agent has used warm ones before, their load sets the pace.
-	if e.slowStart.flow > 0 {
-		return e.slowStart.pauseOver(endpoint, cost)
+	if e.slowStart.workPerWeight > 0 {
+		return e.slowStart.pauseElapsed(endpoint, cost)
 	}
 	// This agent has never used a warm endpoint, so it can't tell what one that is warming up may
 	// be sent. It keeps one attempt at a time in flight at each, so it never sends more than the
 	// endpoint answers. The concurrency limit bounds the attempts at all of them.
-	return len(endpoint.traffic.inFlight) == 0 && (e.latency.answers > 0 || e.firstAttemptDue(endpoint))
+	return len(endpoint.traffic.inFlight) == 0 && (e.latency.samples > 0 || e.firstAttemptDue(endpoint))
 }
 
 // firstAttemptDue paces the attempts of an agent that no endpoint has answered yet. Without pacing, all
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -20,7 +20,7 @@
 		b.endpoints.keepListed(listed)
 	}
 	floor, limit := b.limiter.floor(), b.limiter.limit()
-	b.endpoints.removeGone(b.slowStart.forget)
+	b.endpoints.removeGone(b.slowStart.remove)
 	b.slowStart.listChanged()
 	b.limiter.rebase(floor, limit)
 }
@@ -31,7 +31,7 @@
 	endpoint, startedAt := b.endpoints.byAddr[entry.Server], clampFinite(entry.StartedMs)
 	if endpoint == nil {
 		endpoint = b.endpoints.add(entry.Server, startedAt)
-		b.slowStart.begin(endpoint)
+		b.slowStart.markWarming(endpoint)
 	}
 	if startedAt > endpoint.slowStart.listedAt {
 		b.restartEndpoint(endpoint, startedAt)
@@ -64,7 +64,7 @@
 		b.slowStart.assumeRestart(endpoint)
 		endpoint.window.restart()
 	}
-	b.limiter.restoreStalled(endpoint)
+	b.limiter.clearStalled(endpoint)
 }
 
 // ejectSilent ejects endpoints that took attempts and have answered nothing for several answer
@@ -101,7 +101,7 @@
 func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
 	request := attempt.request
 	if sure {
-		b.limiter.releaseStalled(attempt)
+		b.limiter.markStalled(attempt)
 	}
 	objectiveAt := request.timing.objectiveAt
 	switch {
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A tenant is over its quota when its share of the requests is more than quotaTolerance times it.
+// A tenant is over its quota when its share of the requests is above quotaTolerance times the quota.
 func TestQuotaTrackerComparesSharesWithQuotas(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -29,33 +29,33 @@
 				quotas.count(tenant)
 			}
 			if got := quotas.over(0); got != test.over {
-				t.Errorf("share of %.3f: got over its quota %v, want %v", quotas.usage[0], got, test.over)
+				t.Errorf("share of %.3f: got over its quota %v, want %v", quotas.shares[0], got, test.over)
 			}
 		})
 	}
 }
 
-// A tenant that the settings don't name changes nothing and is never over its quota.
-func TestQuotaTrackerLeavesOutUnknownTenants(t *testing.T) {
+// Requests of a tenant that is not in the settings change nothing, and it is never over a quota.
+func TestQuotaTrackerIgnoresUnknownTenants(t *testing.T) {
 	quotas := newQuotaTracker(&environment{settings: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
-	before := quotas.usage[0]
+	before := quotas.shares[0]
 	for _, tenant := range []int{-1, 1, 1 << 30} {
 		quotas.count(tenant)
 		if quotas.over(tenant) {
 			t.Errorf("tenant %d: got it over a quota, want it never over", tenant)
 		}
 	}
-	if quotas.usage[0] != before {
-		t.Errorf("got a share of %v, want %v as before", quotas.usage[0], before)
+	if quotas.shares[0] != before {
+		t.Errorf("got a share of %v, want %v as before", quotas.shares[0], before)
 	}
 }
 
-// Shares go with the tenants' names to their new indexes.
-func TestQuotaTrackerMovesShares(t *testing.T) {
-	quotas := quotaTracker{environment: &environment{}, usage: []float64{0.1, 0.2, 0.7}}
-	quotas.move(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
-	if len(quotas.usage) != 2 || quotas.usage[0] != 0.7 || quotas.usage[1] != 0.1 {
-		t.Errorf("got shares %v, want 0.7 and 0.1", quotas.usage)
+// A reload moves each tenant's share to the tenant's new index.
+func TestQuotaTrackerRemapsShares(t *testing.T) {
+	quotas := quotaTracker{environment: &environment{}, shares: []float64{0.1, 0.2, 0.7}}
+	quotas.remap(make([]Tenant, 2), func(old int) int { return []int{1, -1, 0}[old] })
+	if len(quotas.shares) != 2 || quotas.shares[0] != 0.7 || quotas.shares[1] != 0.1 {
+		t.Errorf("got shares %v, want 0.7 and 0.1", quotas.shares)
 	}
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -28,12 +28,12 @@
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.requestRate.spanMs(), b.settings.Contract.SlowStartMs
+	oldSpanMs, oldSlowStartMs := b.requestRate.decayMs(), b.settings.Contract.SlowStartMs
 	b.remapTenants(settings.Tenants)
 	b.settings = settings
 	b.queue.remapUnserved(b.classes.reload())
 	for _, endpoint := range b.endpoints.all {
-		b.slowStart.begin(endpoint) // with a longer SlowStartMs it may be warming up again
+		b.slowStart.markWarming(endpoint) // with a longer SlowStartMs it may be warming up again
 	}
 	// These counts decay over a time that may have changed. Rescaling keeps the rates they stand for.
 	b.requestRate.rescale(oldSpanMs)
@@ -56,7 +56,7 @@
 		}
 		return -1
 	}
-	b.quotas.move(tenants, index)
+	b.quotas.remap(tenants, index)
 	for _, request := range b.queue.open {
 		request.tenant = index(request.tenant)
 	}
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -28,7 +28,7 @@
 	b.queue.add(request)
 	b.requestRate.count(retry)
 	b.quotas.count(request.tenant)
-	b.classes.count(request.class)
+	b.classes.countRequest(request.class)
 	b.outliers.revalidate(b.queue.outOfCapacity)
 	b.queue.enqueue(request)
 	if b.isInfeasible(request) {
@@ -46,7 +46,7 @@
 		created.workHintMs = clampFinite(event.WorkHintMs)
 	}
 	if created.workHintMs > 0 {
-		b.latency.hints.note(created.workHintMs)
+		b.latency.hints.observeHint(created.workHintMs)
 	}
 	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
