--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -36,7 +36,7 @@
 // add records an attempt that the agent has stopped waiting for.
 func (a *abandonedAttempts) add(attempt *attempt) {
 	a.all = append(a.all, attempt)
-	attempt.endpoint.traffic.abandon()
+	attempt.endpoint.traffic.attemptAbandoned()
 }
 
 // removeFinished removes the attempts that have finished by the time now, as far as the agent can tell.
@@ -44,10 +44,10 @@
 	a.all = slices.DeleteFunc(a.all, func(attempt *attempt) bool {
 		endpoint := attempt.endpoint
 		// Attempts sent before the endpoint's restart, or before one that it has answered, are finished.
-		finishedBefore := max(endpoint.slowStart.listedAt, endpoint.traffic.answeredSentAt)
+		finishedBefore := max(endpoint.slowStart.listedStartAt, endpoint.traffic.answeredSentAt)
 		finished := !endpoint.usable || attempt.sentAt < finishedBefore || now-attempt.sentAt >= a.sojournMs
 		if finished {
-			endpoint.traffic.settleAbandoned()
+			endpoint.traffic.abandonedEnded()
 		}
 		return finished
 	})
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -61,7 +61,7 @@
 // priorityOf returns how much a unit of endpoint time spent on the request adds to the weighted
 // objective. The class's priority weight contributes to Objective.Whole and WorstWindow as a part of
 // the weight of all classes. A request of the worst class adds its part of that class alone to
-// Objective.WorstClass. With Settings.WeightBy "work" the weights are already per unit of time.
+// Objective.WorstClass. With Settings.PriorityUnit "work" the weights are already per unit of work.
 func (q *admissionQueue) priorityOf(request *request) float64 {
 	class, objective := request.class, &q.settings.Objective
 	priority := class.PriorityWeight * (objective.Whole + objective.WorstWindow)
@@ -69,12 +69,12 @@
 		priority += objective.WorstClass * q.classes.meanPriority / class.requestShare
 	}
 	if q.now+q.latency.expectedMs(request) > request.timing.objectiveAt {
-		priority *= class.LateWeight + q.settings.Prices.LateFail
+		priority *= class.LateShare + q.settings.Prices.LateFailure
 	}
 	if q.quotas.over(request.tenant) {
-		priority *= q.settings.OverQuotaWeight
+		priority *= q.settings.OverQuotaFactor
 	}
-	if q.settings.WeightBy != "work" {
+	if q.settings.PriorityUnit != "work" {
 		priority /= class.expectedMs(q.now)
 	}
 	return priority
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -14,7 +14,7 @@
 	request.attempts.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
-	b.localFailure.sent(sent)
+	b.localFailure.attemptSent(sent)
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
@@ -30,7 +30,7 @@
 	}
 	request.responseStarted = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
-		attempt.endpoint.traffic.heard(b.now)
+		attempt.endpoint.traffic.recordResponse(b.now)
 	}
 }
 
@@ -50,7 +50,7 @@
 	if status == StatusLocalFailure {
 		b.revertAttempt(attempt)
 	} else {
-		b.localFailure.succeeded(attempt)
+		b.localFailure.attemptSucceeded(attempt)
 		b.applyOutcome(attempt, status, clampFinite(event.LatencyMs))
 	}
 	switch {
@@ -78,7 +78,7 @@
 // revertAttempt reverts the accounting of an attempt that failed on the agent's own machine. No
 // endpoint has received any of it.
 func (b *Balancer) revertAttempt(attempt *attempt) {
-	b.localFailure.failed(attempt)
+	b.localFailure.attemptFailed(attempt)
 	b.slowStart.refund(attempt)
 	attempt.request.attempts.uncount(attempt)
 }
@@ -86,7 +86,7 @@
 // applyOutcome updates the outlier detector, the concurrency limit, the retry budget and the
 // statistics with the end of an attempt after rttMs.
 func (b *Balancer) applyOutcome(attempt *attempt, status Status, rttMs float64) {
-	b.outliers.countUnanswered(attempt, status)
+	b.outliers.recordUnanswered(attempt, status)
 	b.closeIdleConnections(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
 		b.retries.refill()
@@ -110,20 +110,20 @@
 	case StatusCancelled:
 		b.recordCancelled(attempt, rttMs)
 	case StatusRejected:
-		endpoint.traffic.heard(b.now)
-		endpoint.window.cut(b.now, rejectedWindowCut, 1)
+		endpoint.traffic.recordResponse(b.now)
+		endpoint.window.decrease(b.now, rejectedWindowFactor, 1)
 	}
 }
 
 // recordServed updates the statistics with an answer that arrived after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	endpoint.health.countServed()
+	endpoint.health.recordSuccess()
 	b.latency.hints.observeAnswer(request, rttMs)
 	b.endpointAnswered(endpoint)
 	b.limiter.abandoned.observeAnswered(rttMs)
-	endpoint.traffic.answered(attempt)
-	endpoint.latency.answered(rttMs)
+	endpoint.traffic.attemptAnswered(attempt)
+	endpoint.latency.recordLast(rttMs)
 	request.class.observeServed(b.now, rttMs, request.timing.objectiveAt)
 	fraction := b.latency.objectiveFraction(request, rttMs)
 	b.latency.observe(fraction, attempt.alone)
@@ -143,7 +143,7 @@
 	if !b.settings.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
-	if endpoint.traffic.heardSince(attempt) {
+	if endpoint.traffic.respondedSince(attempt) {
 		b.latency.hints.observeAnswer(request, rttMs)
 		b.observeEndpoint(endpoint, b.latency.objectiveFraction(request, rttMs))
 	} else {
@@ -156,7 +156,7 @@
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.observeUnanswered(b.now, rttMs)
-	if b.now >= request.timing.objectiveAt && !endpoint.traffic.heardSince(attempt) &&
+	if b.now >= request.timing.objectiveAt && !endpoint.traffic.respondedSince(attempt) &&
 		!b.outliers.mostUnanswered() {
 		b.outliers.eject(endpoint, true)
 	}
@@ -178,7 +178,7 @@
 // this, a thousand agents that each use every endpoint would keep hundreds of connections open
 // to each.
 func (b *Balancer) closeIdleConnections(endpoint *endpoint) {
-	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanGapMs
+	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanIntervalMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -49,7 +49,7 @@
 	quotas       quotaTracker
 	watch        watchScheduler
 	requestRate  requestRate
-	localFailure localFailure
+	localFailure localFailureLimiter
 	outcomes     OutcomeCounts
 	tickPending  bool // a timer with the token timerTick is running
 }
@@ -83,7 +83,7 @@
 	b.eligibility = newEligibility(env, &b.classes, &b.slowStart, &b.limiter, &b.latency, &b.retries)
 	b.selector = newSelector(env, &b.endpoints, &b.subset, &b.eligibility, &b.slowStart, &b.latency)
 	b.outliers = newOutlierDetector(env, &b.endpoints, &b.subset, &b.classes, &b.watch)
-	b.localFailure = newLocalFailure(env, &b.endpoints, &b.outliers)
+	b.localFailure = newLocalFailureLimiter(env, &b.endpoints, &b.outliers)
 }
 
 // Start starts the agent at the time nowMs and appends its first actions to out. It is called once,
@@ -142,7 +142,7 @@
 func (b *Balancer) onTimerFired(event *TimerFired) {
 	switch event.Token {
 	case timerWatch:
-		b.watch.begin()
+		b.watch.openWatch()
 	case timerTick:
 		b.tickPending = false
 		b.ejectSilent()
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -1,4 +1,4 @@
-// This file holds the set of listed endpoints.
+// This file implements the set of listed endpoints.
 
 package policy
 
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// endpointSet holds the listed endpoints and those of them that need attention.
+// endpointSet holds the listed endpoints, and the subsets of them that are ejected or busy.
 type endpointSet struct {
 	*environment
 	all     orderedEndpoints
-	ejected orderedEndpoints // in a state after StateUnknown
-	busy    orderedEndpoints // with attempts in flight
+	ejected orderedEndpoints // endpoints whose state is worse than StateUnknown
+	busy    orderedEndpoints // endpoints with attempts in flight
 	byAddr  map[Addr]*endpoint
-	epoch   uint64 // counts changes of tiers and of the list
-	ready   int    // endpoints listed as ready
+	epoch   uint64 // incremented when a tier or the list changes
+	ready   int    // number of endpoints listed as ready
 }
 
 // newEndpointSet returns an empty set.
@@ -23,101 +23,102 @@
 	return endpointSet{environment: env, byAddr: map[Addr]*endpoint{}}
 }
 
-// contains reports whether the endpoint is listed; a process that was listed again under its address
-// is another one.
+// contains reports whether the endpoint is listed. It is false for an endpoint that was removed and
+// whose address was listed again.
 func (s *endpointSet) contains(endpoint *endpoint) bool { return s.byAddr[endpoint.id] == endpoint }
 
-// add takes an endpoint into the list of which nothing is known but when its process started, in
-// ms.
+// add adds an endpoint to the list. Only the start of its process, in ms, is known.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
 	endpoint := &endpoint{id: addr, hash: splitmix64(packAddr(addr)),
-		health:    endpointHealth{state: StateUnknown, since: s.now},
-		window:    endpointWindow{size: initialWindow},
-		slowStart: endpointSlowStart{startedAt: startedAt, listedAt: startedAt, allowance: s.rng.Float64()}}
-	endpoint.order = splitmix64(endpoint.hash ^ splitmix64(uint64(s.settings.Index)+1))
+		health: endpointHealth{state: StateUnknown, since: s.now},
+		window: endpointWindow{size: initialWindow},
+		slowStart: endpointSlowStart{startedAt: startedAt, listedStartAt: startedAt,
+			allowance: s.rng.Float64()}}
+	endpoint.sortKey = splitmix64(endpoint.hash ^ splitmix64(uint64(s.settings.Index)+1))
 	s.byAddr[addr] = endpoint
 	s.all.insert(endpoint)
 	return endpoint
 }
 
-// listChanged notes that the list is about to change.
-func (s *endpointSet) listChanged() { s.epoch++ }
+// startEpoch starts a new epoch, because the list is about to change.
+func (s *endpointSet) startEpoch() { s.epoch++ }
 
-// keepListed takes all endpoints that a whole list doesn't name for not usable.
-func (s *endpointSet) keepListed(listed map[Addr]bool) {
+// markUnlisted marks all endpoints as unusable that a whole list does not name.
+func (s *endpointSet) markUnlisted(listed map[Addr]bool) {
 	s.countWork(s.all)
 	for _, endpoint := range s.all {
 		endpoint.usable = endpoint.usable && listed[endpoint.id]
 	}
 }
 
-// removeGone counts the ready endpoints and drops those that are no longer listed and have
-// nothing in flight; forgotten is called for each.
-func (s *endpointSet) removeGone(forgotten func(*endpoint)) {
+// removeUnusable counts the ready endpoints. It removes the endpoints that are not usable, have no
+// attempts in flight and no health check in progress, and calls onRemove for each of them.
+func (s *endpointSet) removeUnusable(onRemove func(*endpoint)) {
 	s.ready = 0
 	s.countWork(s.all)
 	s.all = slices.DeleteFunc(s.all, func(endpoint *endpoint) bool {
 		if endpoint.usable {
 			s.ready++
 		}
-		gone := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 && !endpoint.health.checking
-		if gone {
+		removable := !endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
+			!endpoint.health.checkInProgress
+		if removable {
 			delete(s.byAddr, endpoint.id)
 			s.ejected.remove(endpoint)
 			s.busy.remove(endpoint)
-			forgotten(endpoint)
+			onRemove(endpoint)
 		}
-		return gone
+		return removable
 	})
 }
 
-// attemptSent notes an attempt that is sent to its endpoint.
+// attemptSent records an attempt that is sent to its endpoint.
 func (s *endpointSet) attemptSent(sent *attempt) {
-	sent.endpoint.traffic.send(sent)
+	sent.endpoint.traffic.attemptSent(sent)
 	s.busy.insert(sent.endpoint)
 }
 
-// attemptEnded notes that an attempt is no longer in flight.
+// attemptEnded records that an attempt is no longer in flight.
 func (s *endpointSet) attemptEnded(ended *attempt) {
-	ended.endpoint.traffic.remove(ended)
+	ended.endpoint.traffic.attemptEnded(ended)
 	if len(ended.endpoint.traffic.inFlight) == 0 {
 		s.busy.remove(ended.endpoint)
 	}
 }
 
-// setEjected moves an endpoint among the ejected ones or from them; tiers change with that, and from
-// one state of an ejected endpoint to another.
+// setEjected adds an endpoint to the ejected ones or removes it from them. Either changes the tiers.
+// So does a change from one ejected state to another.
 func (s *endpointSet) setEjected(endpoint *endpoint, ejected bool) {
-	_, was := s.ejected.find(endpoint)
-	if was || ejected {
+	_, wasEjected := s.ejected.find(endpoint)
+	if wasEjected || ejected {
 		s.epoch++
 	}
 	switch {
-	case ejected && !was:
+	case ejected && !wasEjected:
 		s.ejected.insert(endpoint)
-	case was && !ejected:
+	case wasEjected && !ejected:
 		s.ejected.remove(endpoint)
 	}
 }
 
-// orderedEndpoints is a set of endpoints in the agent's own order.
+// orderedEndpoints is a set of endpoints, sorted by endpoint.sortKey.
 type orderedEndpoints []*endpoint
 
-// find returns the index at which an endpoint is or belongs, and whether it is there.
+// find returns the index at which an endpoint is or would be inserted, and whether it is there.
 func (o orderedEndpoints) find(searched *endpoint) (index int, found bool) {
 	return slices.BinarySearchFunc(o, searched, func(x, y *endpoint) int {
-		return cmp.Compare(x.order, y.order)
+		return cmp.Compare(x.sortKey, y.sortKey)
 	})
 }
 
-// insert adds an endpoint that is not in the set yet.
+// insert adds an endpoint, unless the set contains it.
 func (o *orderedEndpoints) insert(endpoint *endpoint) {
 	if i, found := o.find(endpoint); !found {
 		*o = slices.Insert(*o, i, endpoint)
 	}
 }
 
-// remove takes out an endpoint that is in the set.
+// remove removes an endpoint, if the set contains it.
 func (o *orderedEndpoints) remove(endpoint *endpoint) {
 	if i, found := o.find(endpoint); found {
 		*o = slices.Delete(*o, i, i+1)
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -116,7 +116,7 @@
 // restart discards the answer times of an endpoint's former process. Its recent one becomes that of
 // the fleet.
 func (l *latencyTracker) restart(endpoint *endpoint) {
-	endpoint.latency.forgetMean()
+	endpoint.latency.resetMean()
 	endpoint.latency.recent, endpoint.latency.recentAt = l.fleetRecent, l.now
 }
 
@@ -171,15 +171,15 @@
 func (l *latencyTracker) adjustWindow(endpoint *endpoint, rttMs float64) {
 	threshold, mean, window := l.congestionThreshold(endpoint), endpoint.latency.mean, &endpoint.window
 	switch {
-	case mean > threshold && l.now-window.cutAt > rttMs:
+	case mean > threshold && l.now-window.decreasedAt > rttMs:
 		least := 1.0
 		if mean > overloadFactor*threshold {
 			least = minWindow
 		}
-		window.cut(l.now, windowDecreaseFactor, least)
+		window.decrease(l.now, windowDecreaseFactor, least)
 	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
 		l.samples > minUncontendedSamples:
-		window.grow()
+		window.increase()
 	}
 }
 
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -50,7 +50,7 @@
 	}
 	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
-	// The margin is for the delivery of the answer: events are gathered for up to RoundMs.
+	// The margin is for the delivery of the answer: events are batched for up to RoundMs.
 	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
 	retry = b.queue.detectRetry(created, event.Retry)
 	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
@@ -64,7 +64,7 @@
 // endpoint. Where the distribution of work has a heavy tail, the few most expensive requests would
 // only delay the others.
 func (b *Balancer) isInfeasible(request *request) bool {
-	return request.workHintMs > 0 && request.class.LateWeight == 0 &&
+	return request.workHintMs > 0 && request.class.LateShare == 0 &&
 		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
 }
 
@@ -84,7 +84,7 @@
 func (b *Balancer) sendQueued() {
 	failures := 0
 	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
-		b.limiter.allows() && b.localFailure.mayTry(); {
+		b.limiter.allows() && b.localFailure.allows(); {
 		request, inFlight := b.queue.queued[i], b.limiter.inFlight
 		if b.selector.keyEndpointsFull(request, inFlight) {
 			i++
@@ -126,14 +126,14 @@
 }
 
 // expireQueued ends queued requests whose answers would come too late to be worth anything, before
-// an endpoint spends work on them. That time is the deadline for classes with a LateWeight, and the
+// an endpoint spends work on them. That time is the deadline for classes with a LateShare, and the
 // latency objective for others.
 func (b *Balancer) expireQueued() {
 	b.work += uint64(len(b.queue.queued))
 	for i := 0; i < len(b.queue.queued); {
 		request := b.queue.queued[i]
 		last := request.timing.objectiveAt
-		if request.class.LateWeight > 0 {
+		if request.class.LateShare > 0 {
 			last = request.timing.deadline
 		}
 		if b.now+b.latency.expectedMs(request) > last || b.now >= request.timing.deadline {
@@ -146,7 +146,7 @@
 
 // cancelLate ends requests in flight that are past their latency objective while other requests wait
 // for capacity. Their answers are worth nothing any more, and they could wait for slow endpoints up
-// to their clients' deadlines. It leaves requests of a class with a LateWeight, whose late answers
+// to their clients' deadlines. It leaves requests of a class with a LateShare, whose late answers
 // are worth something, and requests that are not repeatable: nobody could tell whether they ran.
 func (b *Balancer) cancelLate() {
 	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 ||
@@ -160,7 +160,7 @@
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			request := attempt.request
-			late := b.now >= request.timing.objectiveAt && request.class.LateWeight == 0
+			late := b.now >= request.timing.objectiveAt && request.class.LateShare == 0
 			if late && isRepeatable(request.class) {
 				b.finishUnserved(request)
 			}
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func TestNewNamesInvalidSettings(t *testing.T) {
-	for key, spoil := range map[string]func(*Settings){
+func TestNewRejectsInvalidSettings(t *testing.T) {
+	for key, invalidate := range map[string]func(*Settings){
 		"classes":             func(s *Settings) { s.Classes = nil },
 		"classes[0].aimMs":    func(s *Settings) { s.Classes[0].LatencyObjectiveMs = math.NaN() },
 		"classes[1].giveUpMs": func(s *Settings) { s.Classes[1].DeadlineMs = -1 },
@@ -17,18 +17,18 @@
 		"prices.handshake":    func(s *Settings) { s.Prices.Handshake = math.NaN() },
 		"limits.keepaliveMs":  func(s *Settings) { s.Limits.KeepaliveMs = math.Inf(1) },
 		"membershipMode":      func(s *Settings) { s.Membership = "" },
-		// What overflows as a duration would come out negative.
+		// Larger values overflow when they are converted to a duration, which is then negative.
 		"classes[0].giveUpMs":     func(s *Settings) { s.Classes[0].DeadlineMs = 1e300 },
 		"limits.connectTimeoutMs": func(s *Settings) { s.Limits.ConnectTimeoutMs = 1e18 },
-		"classes[0].lateShare":    func(s *Settings) { s.Classes[0].LateWeight = -1 },
+		"classes[0].lateShare":    func(s *Settings) { s.Classes[0].LateShare = -1 },
 		"classes[1].aimStretch":   func(s *Settings) { s.Classes[1].ObjectiveStretch = math.NaN() },
 		"tenants[0].quotaPerS":    func(s *Settings) { s.Tenants = []Tenant{{QuotaPerS: -1}} },
 		"tenants[1].portion":      func(s *Settings) { s.Tenants = []Tenant{{}, {QuotaShare: -0.5}} },
-		"limits.maxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 }, // would send nothing, ever
+		"limits.maxAttempts":      func(s *Settings) { s.Limits.MaxAttempts = 0 }, // no request would ever be sent
 	} {
 		t.Run(key, func(t *testing.T) {
 			set := testSettings()
-			spoil(&set)
+			invalidate(&set)
 			if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), key) {
 				t.Errorf("got error %v, want one that names %s", err, key)
 			}
