--- a/policy/retry.go
+++ b/policy/retry.go
@@ -1,48 +1,51 @@
-// This file holds what may be sent where, and what may be sent again.
+// This file holds the retry policy: which endpoints a request may be sent to, whether it may be sent
+// again, and the retry budget.
 
 package policy
 
 const (
-	// retryRatio is how many attempts after the first each answer in time pays for, retryBurst
-	// what is saved up: enough for a moment in which half the endpoints vanish.
+	// retryRatio is the number of tokens that each answer in time adds to the retry budget, a token
+	// bucket. A retry costs one token. retryBurst is the capacity of the bucket, in tokens: enough
+	// for a moment in which half the endpoints disappear.
 	retryRatio, retryBurst = 0.5, 20.0
-	// writeDelayMarginMs is how long an agent may be delayed between reading its clock and
-	// writing: it shares its processors. What must not go out after a time is not begun in the
-	// last part of that time.
+	// writeDelayMarginMs is the longest delay, in ms, that is expected between an agent's reading of
+	// its clock and its write to the network: agents share their processors with other programs.
+	// An attempt that must not be sent after a given time is not started within this margin
+	// before it.
 	writeDelayMarginMs = 150.0
 )
 
-// retryPolicy decides what may be sent where, and holds the retry budget.
+// retryPolicy decides whether a request may be sent to an endpoint, and holds the retry budget.
 type retryPolicy struct {
 	*environment
 	endpoints *endpointSet
-	tokens    float64 // attempts after a first that may still be made
+	tokens    float64 // retry budget: retries that may still be made, up to retryBurst
 }
 
-// newRetryPolicy returns a policy with the whole retry budget.
+// newRetryPolicy returns a policy with a full retry budget.
 func newRetryPolicy(env *environment, endpoints *endpointSet) retryPolicy {
 	return retryPolicy{environment: env, endpoints: endpoints, tokens: retryBurst}
 }
 
-// maySend reports whether a request may be sent to an endpoint. Every attempt passes it: no attempt
-// beyond the limits, none after the deadline or beside another one, and none of what may have run
-// where that is not safe. The allowance of an endpoint that is warming up is not its concern: see
-// eligibility.hasCapacity.
+// maySend reports whether a request may be sent to an endpoint. It is checked before every attempt. It
+// allows no attempt beyond the request's limit, after its deadline or while another one is in
+// flight, and no second run of a request where that is not safe. The slow start allowance is
+// checked by eligibility.hasCapacity.
 func (p *retryPolicy) maySend(request *request, endpoint *endpoint) bool {
-	tries := &request.tries
-	if !endpoint.usable || request.closed || request.started || tries.inFlight > 0 ||
-		p.now >= request.timing.deadline || len(tries.counted) >= tries.limit {
+	attempts := &request.attempts
+	if !endpoint.usable || request.closed || request.responseStarted || attempts.inFlight > 0 ||
+		p.now >= request.timing.deadline || len(attempts.counted) >= attempts.limit {
 		return false
 	}
-	for _, attempt := range tries.counted {
-		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(tries.counted) {
-			return false // further attempts go elsewhere
+	for _, attempt := range attempts.counted {
+		if attempt.endpoint == endpoint && len(p.endpoints.all) > len(attempts.counted) {
+			return false // while there are untried endpoints, a retry goes to one of them
 		}
 	}
 	return request.idempotency.mayHaveRun == 0 || p.mayRepeatAt(request, endpoint)
 }
 
-// mayRepeatAt reports whether a request that may have run may be sent to the endpoint.
+// mayRepeatAt reports whether a request that may have run may be sent again, to the endpoint.
 func (p *retryPolicy) mayRepeatAt(request *request, endpoint *endpoint) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -64,15 +67,17 @@
 	return false
 }
 
-// idempotencyWindowLeftMs returns for how long a request with an idempotency key that may have run may
-// still be sent again. The window counts from the earliest time at which it may have run, and a
-// retry may be delayed just before its first byte, so a window shorter than that allows none.
+// idempotencyWindowLeftMs returns for how long, in ms, a request with an idempotency key that may have
+// run may still be sent again. The window starts at the earliest time at which it may have run. A
+// retry may be delayed by writeDelayMarginMs and two event rounds before its first byte is written,
+// so a shorter window allows no retry.
 func (p *retryPolicy) idempotencyWindowLeftMs(request *request) float64 {
 	return request.idempotency.earliestRunAt + request.class.IdempotencyWindowMs -
-		writeDelayMarginMs - 2*p.set.RoundMs - p.now
+		writeDelayMarginMs - 2*p.settings.RoundMs - p.now
 }
 
-// beginWithinMs returns how soon the next attempt of a request must begin, in ms; 0: at any time.
+// beginWithinMs returns the time in ms within which the next attempt of a request must begin; 0: any
+// time.
 func (p *retryPolicy) beginWithinMs(request *request) float64 {
 	if request.idempotency.mayHaveRun > 0 && request.class.Effect == EffectIdempotentWithKey {
 		return p.idempotencyWindowLeftMs(request)
@@ -80,13 +85,13 @@
 	return 0
 }
 
-// mayRetryNow reports whether class, attempts and the retry budget allow another attempt somewhere of
-// a request that may have run.
+// mayRetryNow reports whether the class, the limit on attempts and the retry budget allow another
+// attempt, at some endpoint, of a request that may have run.
 func (p *retryPolicy) mayRetryNow(request *request) bool {
-	return p.mayRepeatNow(request) && len(request.tries.counted) < request.tries.limit && p.tokens >= 1
+	return p.mayRepeatNow(request) && len(request.attempts.counted) < request.attempts.limit && p.tokens >= 1
 }
 
-// mayRepeatNow reports whether a request that may have run may still be sent again somewhere.
+// mayRepeatNow reports whether a request that may have run may still be sent again, to some endpoint.
 func (p *retryPolicy) mayRepeatNow(request *request) bool {
 	switch request.class.Effect {
 	case EffectIdempotent:
@@ -97,28 +102,29 @@
 	return false
 }
 
-// earn saves up for an answer that came in time.
-func (p *retryPolicy) earn() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
+// refill adds the tokens for one answer in time to the retry budget.
+func (p *retryPolicy) refill() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
 
-// charge decides whether a request that was not answered, for the reason given, may be sent again,
-// and charges the budget if so. An attempt that reached no endpoint is free.
-func (p *retryPolicy) charge(request *request, reason Status) bool {
+// tryCharge reports whether a request that was not answered may be sent again, and takes a token from
+// the retry budget if so. reason is the status of the last attempt. A retry after an attempt that
+// reached no endpoint is free.
+func (p *retryPolicy) tryCharge(request *request, reason Status) bool {
 	effect := request.class.Effect
 	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
 		effect == EffectIdempotentWithKey
-	price := 1.0
+	cost := 1.0
 	if reason == StatusConnectFailed {
-		price = 0
+		cost = 0
 	}
-	spent := p.tokens < price || len(request.tries.counted) >= request.tries.limit
-	if !repeatable || spent || reason == StatusNotSent || p.now >= request.timing.deadline {
+	exhausted := p.tokens < cost || len(request.attempts.counted) >= request.attempts.limit
+	if !repeatable || exhausted || reason == StatusNotSent || p.now >= request.timing.deadline {
 		return false
 	}
-	p.tokens -= price
+	p.tokens -= cost
 	return true
 }
 
-// isRepeatable reports whether a client may repeat a request of the class that may have run.
+// isRepeatable reports whether a client may send a request of the class again that may have run.
 func isRepeatable(class *class) bool {
 	return class.Effect == EffectIdempotent ||
 		class.Effect == EffectIdempotentWithKey && class.Group == GroupAll
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A retry that is delayed for 0.15 s between its decision and its first byte, or as long as it
-// may begin and then so, still goes out within the window in which repeats are dropped. Where the
-// window is shorter than that, none goes out.
+// A retry may be delayed for as long as it may begin, and then for 0.15 s until its first byte is
+// written. It must still be written within the window in which servers drop repeats. If the window
+// is shorter than that delay, there is no retry.
 func TestRetryPolicyLeavesTimeForADelayedWrite(t *testing.T) {
 	const delayMs = 150
 	for _, windowMs := range []float64{100, 150, 160, 200, 400, 4000} {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRetryPolicyRetriesWhatNeverRan(t *testing.T) {
+func TestRetryPolicyRetriesRequestsThatNeverRan(t *testing.T) {
 	h := newHarness(t, testSettings(), 3)
 	id, server := h.mustSend(nonIdempotentClass, 5)
 	if actions := h.endAttempt(id, 0, server, StatusConnectFailed, 50); findAction(actions, ActionSendAttempt) == nil {
@@ -63,7 +63,7 @@
 func TestRetryPolicyKeepsKeyedRetriesInGroupAndWindow(t *testing.T) {
 	h := newHarness(t, testSettings(), 6)
 	id, server := h.mustSend(keyedClass, 5)
-	if first := findAction(h.b.Decided(), ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
+	if first := findAction(h.b.Actions(), ActionSendAttempt); first == nil || first.BeginWithinMs != 0 {
 		t.Fatalf("got %+v, want a first attempt that may begin at any time", first)
 	}
 	actions := h.endAttempt(id, 0, server, StatusServerError, 20)
@@ -71,21 +71,21 @@
 	if retry == nil || h.endpointAt(retry.Server).cell != h.endpointAt(server).cell {
 		t.Fatalf("got %+v, want a retry in the cell of the first attempt", actions)
 	}
-	// A connection that comes up late must not carry it past that time.
-	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.set.Classes[keyedClass].IdempotencyWindowMs
+	// A connection that is established late must not delay the retry past the end of the window.
+	windowEnd := h.b.queue.open[id].idempotency.earliestRunAt + h.b.settings.Classes[keyedClass].IdempotencyWindowMs
 	if retry.BeginWithinMs <= 0 || h.now+retry.BeginWithinMs > windowEnd {
 		t.Errorf("got %v ms to begin within, want some, and %v at most", retry.BeginWithinMs, windowEnd-h.now)
 	}
-	h.now += 496 // just inside the 500 ms less the margin
+	h.now += 496 // inside the window of 500 ms, but within the margin before its end
 	actions = h.endAttempt(id, 1, retry.Server, StatusServerError, 20)
 	if findAction(actions, ActionSendAttempt) != nil || findAction(actions, ActionFailRequest) == nil && len(h.b.queue.queued) == 0 {
 		t.Errorf("past the window got %+v, want no attempt", actions)
 	}
 }
 
-// Where each of many agents sends every rejected attempt to the next endpoint, all together keep
-// the endpoints too full to serve any. So attempts after the first are paid for by answers in time,
-// but for those after one that reached no endpoint.
+// If each of many agents sent every rejected attempt to the next endpoint, together they would keep all
+// endpoints overloaded. So the retry budget bounds retries by the number of answers in time. A retry
+// after an attempt that reached no endpoint is free.
 func TestRetryPolicyBoundsRetriesByItsBudget(t *testing.T) {
 	const any = -1
 	for _, test := range []struct {
@@ -98,7 +98,7 @@
 		{"connect failed", StatusConnectFailed, any, 400},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			first, retries := playRetries(t, test.status)
+			first, retries := countAttempts(t, test.status)
 			if first != test.wantFirst && test.wantFirst != any {
 				t.Errorf("got %d first attempts, want %d", first, test.wantFirst)
 			}
@@ -109,9 +109,9 @@
 	}
 }
 
-// playRetries has 200 requests arrive over 4 s, all attempts of which end with the status, and returns
-// the number of first attempts and of others.
-func playRetries(t *testing.T, status Status) (first, retries int) {
+// countAttempts simulates 200 requests over 4 s, all attempts of which end with the status. It returns
+// the number of first attempts and of retries.
+func countAttempts(t *testing.T, status Status) (first, retries int) {
 	t.Helper()
 	h := newHarness(t, testSettings(), 20)
 	for range 200 {
@@ -133,8 +133,8 @@
 	return first, retries
 }
 
-// What may have run is sent again only where its class allows it.
-func TestRetryPolicyKeepsToTheEffect(t *testing.T) {
+// A request that may have run is sent again only to endpoints that the effect of its class allows.
+func TestRetryPolicyFollowsTheEffect(t *testing.T) {
 	first := &endpoint{zone: 1, cell: 1, usable: true}
 	sameCell, sameZone := &endpoint{zone: 1, cell: 1, usable: true}, &endpoint{zone: 1, cell: 2, usable: true}
 	elsewhere := &endpoint{zone: 2, cell: 3, usable: true}
@@ -160,7 +160,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			retries := newRetryPolicy(&environment{now: 10000 + test.afterMs}, &endpointSet{})
 			request := &request{class: &class{Class: test.class},
-				timing: requestTiming{deadline: 1e6}, tries: requestTries{limit: 2},
+				timing: requestTiming{deadline: 1e6}, attempts: requestAttempts{limit: 2},
 				idempotency: requestIdempotency{mayHaveRun: test.mayHaveRun, earliestRunAt: 10000, firstEndpoint: first}}
 			for i, endpoint := range []*endpoint{sameCell, sameZone, elsewhere} {
 				if got := retries.maySend(request, endpoint); got != test.want[i] {
@@ -171,24 +171,24 @@
 	}
 }
 
-// The budget bounds retries to what answers have earned, up to retryBurst; an attempt that reached
-// no endpoint is free.
+// The retry budget bounds retries to the tokens that answers have added, up to retryBurst. A retry
+// after an attempt that reached no endpoint is free.
 func TestRetryPolicyChargesItsBudget(t *testing.T) {
 	retries := newRetryPolicy(&environment{}, nil)
 	retries.tokens = 1
 	request := &request{class: &class{Class: Class{Effect: EffectIdempotent}},
-		timing: requestTiming{deadline: 1000}, tries: requestTries{limit: 3}}
-	if !retries.charge(request, StatusServerError) || retries.tokens != 0 {
+		timing: requestTiming{deadline: 1000}, attempts: requestAttempts{limit: 3}}
+	if !retries.tryCharge(request, StatusServerError) || retries.tokens != 0 {
 		t.Fatalf("got %v tokens after a retry with the last one, want it allowed and 0", retries.tokens)
 	}
-	if retries.charge(request, StatusServerError) {
+	if retries.tryCharge(request, StatusServerError) {
 		t.Error("got a retry without a token, want none")
 	}
-	if !retries.charge(request, StatusConnectFailed) || retries.tokens != 0 {
+	if !retries.tryCharge(request, StatusConnectFailed) || retries.tokens != 0 {
 		t.Errorf("got %v tokens after an attempt that reached no endpoint, want a retry allowed and 0", retries.tokens)
 	}
 	for range 100 {
-		retries.earn()
+		retries.refill()
 	}
 	if retries.tokens != retryBurst {
 		t.Errorf("got %v tokens saved up, want %v", retries.tokens, retryBurst)
