--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -103,8 +103,8 @@
 // that is less: one attempt in flight does no harm as long as every agent may have one.
 func (l *concurrencyLimiter) floor() float64 {
 	fleetFloor := attemptsPerEndpoint * l.slowStart.fleetCapacity()
-	evenPart := fleetFloor / float64(max(l.set.Replicas, 1))
-	quota := totalQuotaPerMs(l.set.Tenants)
+	evenPart := fleetFloor / float64(max(l.settings.Replicas, 1))
+	quota := totalQuotaPerMs(l.settings.Tenants)
 	if quota == 0 {
 		return max(evenPart, fleetFloor*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
 	}
--- a/policy/endpoint_set.go
+++ b/policy/endpoint_set.go
@@ -29,12 +29,12 @@
 
 // add adds an endpoint to the list. Only the start of its process, in ms, is known.
 func (s *endpointSet) add(addr Addr, startedAt float64) *endpoint {
-	endpoint := &endpoint{id: addr, hash: mix(hashAddr(addr)),
+	endpoint := &endpoint{id: addr, hash: splitmix64(packAddr(addr)),
 		health: endpointHealth{state: StateUnknown, since: s.now},
 		window: endpointWindow{size: initialWindow},
 		slowStart: endpointSlowStart{startedAt: startedAt, listedStartAt: startedAt,
 			allowance: s.rng.Float64()}}
-	endpoint.sortKey = mix(endpoint.hash ^ mix(uint64(s.set.Index)+1))
+	endpoint.sortKey = splitmix64(endpoint.hash ^ splitmix64(uint64(s.settings.Index)+1))
 	s.byAddr[addr] = endpoint
 	s.all.insert(endpoint)
 	return endpoint
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -45,7 +45,7 @@
 		switch action.Kind {
 		case ActionSendAttempt:
 			m.sent++
-			number := m.b.queue.open[action.Request].tries.sent - 1
+			number := m.b.queue.open[action.Request].attempts.sent - 1
 			if m.now < m.until {
 				m.failed++
 				actions = append(actions, m.endAttempt(action.Request, number, action.Server, m.status, 0.1)...)
@@ -98,9 +98,9 @@
 						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
 					}
 				}
-				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.local.failures != 0 || len(m.b.local.trials) != 0 {
+				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.localFailure.failures != 0 || len(m.b.localFailure.trials) != 0 {
 					t.Errorf("got %d open requests, %d in flight and %+v, want none and no limit", len(m.b.queue.open),
-						m.b.limiter.inFlight, m.b.local)
+						m.b.limiter.inFlight, m.b.localFailure)
 				}
 			})
 		}
@@ -125,9 +125,9 @@
 					case ActionFailRequest:
 						t.Error("got a failure, want a rejection")
 					case ActionRejectRequest:
-						if action.RetryAfterMs <= 0 || attempts <= h.b.set.Limits.MaxAttempts {
+						if action.RetryAfterMs <= 0 || attempts <= h.b.settings.Limits.MaxAttempts {
 							t.Errorf("got a rejection with a Retry-After of %v ms after %d attempts, want a positive Retry-After and more than %d attempts",
-								action.RetryAfterMs, attempts, h.b.set.Limits.MaxAttempts)
+								action.RetryAfterMs, attempts, h.b.settings.Limits.MaxAttempts)
 						}
 						rejected = true
 					}
@@ -220,7 +220,7 @@
 		double := func(allowed int) int { return 2 * allowed }
 		playTrials(t, m, last, actions, double, func(id RequestID) []Action {
 			request := m.b.queue.open[id]
-			return m.endAttempt(id, request.tries.sent-1, request.tries.counted[0].endpoint.id, StatusOK, 1)
+			return m.endAttempt(id, request.attempts.sent-1, request.attempts.counted[0].endpoint.id, StatusOK, 1)
 		})
 	})
 	t.Run("in flight", func(t *testing.T) {
@@ -246,7 +246,7 @@
 			t.Fatalf("before the backoff is over got %+v, want nothing sent", actions)
 		}
 	}
-	m.now = m.b.local.backoffUntil
+	m.now = m.b.localFailure.backoffUntil
 	return m, last, m.tick(0)
 }
 
@@ -265,7 +265,7 @@
 				last = action.Request
 			}
 		}
-		if sent += round; m.b.local.failures > 0 && round > allowed {
+		if sent += round; m.b.localFailure.failures > 0 && round > allowed {
 			t.Fatalf("after %d successes got %d sent at once, want %d at most", successes, round, allowed)
 		}
 		allowed = next(allowed)
--- a/policy/quota.go
+++ b/policy/quota.go
@@ -13,7 +13,7 @@
 
 // newQuotaTracker returns a tracker of the tenants in the settings, without any request.
 func newQuotaTracker(env *environment) quotaTracker {
-	return quotaTracker{environment: env, shares: make([]float64, len(env.set.Tenants))}
+	return quotaTracker{environment: env, shares: make([]float64, len(env.settings.Tenants))}
 }
 
 // over reports whether a tenant's share of the requests is above its quota by more than the
@@ -22,7 +22,7 @@
 	if tenant < 0 || tenant >= len(q.shares) {
 		return false
 	}
-	return q.shares[tenant] > quotaTolerance*q.set.Tenants[tenant].QuotaShare
+	return q.shares[tenant] > quotaTolerance*q.settings.Tenants[tenant].QuotaShare
 }
 
 // count counts a request of a tenant. Requests of tenants that are not in the settings are ignored.
