--- a/internal/docs/imports_test.go
+++ b/internal/docs/imports_test.go
@@ -35,13 +35,13 @@
 
 // Imports run downwards only, and the decision module imports neither clock nor network.
 func TestImportsRunDownwards(t *testing.T) {
-	all := readTree(t)
-	for _, name := range slices.Sorted(maps.Keys(all.sources)) {
+	repo := readRepository(t)
+	for _, name := range slices.Sorted(maps.Keys(repo.goFiles)) {
 		from, within := layerOf(path.Dir(name))
 		if isTest(name) || from < 0 {
 			continue
 		}
-		for _, imported := range importsOf(all.sources[name]) {
+		for _, imported := range importPaths(repo.goFiles[name]) {
 			folder, ours := strings.CutPrefix(imported, module+"/")
 			to, target := layerOf(folder)
 			switch {
--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -9,9 +9,9 @@
 
 // Links of README.md and the pages lead to files of the tree, and to headings that are there.
 func TestLinksLeadSomewhere(t *testing.T) {
-	all := readTree(t)
-	for _, name := range all.pages(t) {
-		for _, link := range linksOf(all.read(t, name)) {
+	repo := readRepository(t)
+	for _, name := range repo.pages(t) {
+		for _, link := range linksOf(repo.read(t, name)) {
 			file, anchor, _ := strings.Cut(link, "#")
 			target := path.Join(path.Dir(name), file)
 			if file == "" {
@@ -19,9 +19,9 @@
 			}
 			switch {
 			case strings.Contains(link, "://"):
-			case !all.paths[target]:
+			case !repo.paths[target]:
 				t.Errorf("%s: link %s: no such file", name, link)
-			case anchor != "" && !anchorsOf(all.read(t, target))[anchor]:
+			case anchor != "" && !anchorsOf(repo.read(t, target))[anchor]:
 				t.Errorf("%s: link %s: no such heading", name, link)
 			}
 		}
--- a/internal/docs/log_lines_test.go
+++ b/internal/docs/log_lines_test.go
@@ -23,9 +23,9 @@
 // The page for who is on call lists each line that the agent may log, with its level and its
 // attributes, and no other.
 func TestOperationsPageListsEveryLogLine(t *testing.T) {
-	all := readTree(t)
-	code, common, problems := all.logLines(all.packagesOf("cmd/ploverreel"))
-	page := readLogPage(t, all.read(t, "docs/OPERATIONS.md"))
+	repo := readRepository(t)
+	code, common, problems := repo.logLines(repo.packagesOf("cmd/ploverreel"))
+	page := readLogPage(t, repo.read(t, "docs/OPERATIONS.md"))
 	for _, problem := range problems {
 		t.Error(problem)
 	}
@@ -70,9 +70,9 @@
 		{"method for attributes", `log.LogAttrs(ctx, level, "begun")`, "use Debug, Info, Warn or Error"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			all := treeOf(t, map[string]string{"p/p.go": "package p\nconst message = \"ended\"\n" +
+			repo := repositoryOf(t, map[string]string{"p/p.go": "package p\nconst message = \"ended\"\n" +
 				"func f(log logger, text string, err error, many []any) { " + c.call + " }\n"})
-			lines, _, problems := all.logLines([]string{"p"})
+			lines, _, problems := repo.logLines([]string{"p"})
 			switch {
 			case c.problem == "" && (len(problems) > 0 || len(lines) != 1):
 				t.Errorf("got problems %q and %d lines, want none and 1", problems, len(lines))
@@ -85,7 +85,7 @@
 
 // Levels, attributes, groups and keys that a caller gives are read from the code.
 func TestLogLinesAreReadFromTheCode(t *testing.T) {
-	all := treeOf(t, map[string]string{"p/p.go": `package p
+	repo := repositoryOf(t, map[string]string{"p/p.go": `package p
 import ("log/slog"; "net/http"; "fmt")
 func (l *loop) f(w http.ResponseWriter, err error) {
 	l.log = l.log.With("agent", l.name)
@@ -107,7 +107,7 @@
 `, "p/p_test.go": `package p
 func h() { log.Info("in a test") }
 `})
-	got, common, problems := all.logLines([]string{"p"})
+	got, common, problems := repo.logLines([]string{"p"})
 	want := map[string]logLine{
 		"stopped": {level: "WARN", attributes: []string{"err", "lines"}},
 		"state":   {level: "INFO", attributes: []string{"CLASS.served", "ended.full", "ended.ok", "limit", "tierN.size"}},
--- a/internal/docs/log_reader_test.go
+++ b/internal/docs/log_reader_test.go
@@ -13,7 +13,7 @@
 
 // logReader collects the log lines of one package.
 type logReader struct {
-	all       *tree
+	repo      *repository
 	constants map[string]string          // of the package, by name
 	functions map[string][]*ast.FuncDecl // of the package, methods too, by name
 	imports   map[string]bool            // names of packages that the file imports, but for log/slog
@@ -25,10 +25,10 @@
 
 // logLines returns the lines that the packages in the folders may log, by message, the keys that are
 // on every line, and what is wrong with calls.
-func (all *tree) logLines(folders []string) (lines map[string]logLine, common, problems []string) {
-	reader := &logReader{all: all, lines: map[string]logLine{}, common: map[string]bool{}}
+func (repo *repository) logLines(folders []string) (lines map[string]logLine, common, problems []string) {
+	reader := &logReader{repo: repo, lines: map[string]logLine{}, common: map[string]bool{}}
 	for _, folder := range folders {
-		files := all.folder(folder)
+		files := repo.folder(folder)
 		reader.constants, reader.functions = map[string]string{}, map[string][]*ast.FuncDecl{}
 		for _, file := range files {
 			reader.declare(file)
@@ -41,11 +41,11 @@
 }
 
 // packagesOf returns the folders of the module's packages that a program is made of, its own first.
-func (all *tree) packagesOf(program string) []string {
+func (repo *repository) packagesOf(program string) []string {
 	folders, seen := []string{program}, map[string]bool{program: true}
 	for i := 0; i < len(folders); i++ {
-		for _, file := range all.folder(folders[i]) {
-			for _, imported := range importsOf(file) {
+		for _, file := range repo.folder(folders[i]) {
+			for _, imported := range importPaths(file) {
 				folder, ours := strings.CutPrefix(imported, module+"/")
 				if ours && !seen[folder] {
 					seen[folder] = true
@@ -58,9 +58,9 @@
 }
 
 // folder returns the files of one folder that are no tests, by name.
-func (all *tree) folder(folder string) map[string]*ast.File {
+func (repo *repository) folder(folder string) map[string]*ast.File {
 	files := map[string]*ast.File{}
-	for name, file := range all.sources {
+	for name, file := range repo.goFiles {
 		if path.Dir(name) == folder && !isTest(name) {
 			files[name] = file
 		}
@@ -93,7 +93,7 @@
 // readFile reads the log calls of a file.
 func (r *logReader) readFile(file *ast.File) {
 	r.imports = map[string]bool{}
-	for _, imported := range importsOf(file) {
+	for _, imported := range importPaths(file) {
 		if imported != "log/slog" {
 			r.imports[path.Base(imported)] = true
 		}
@@ -140,7 +140,7 @@
 		return
 	}
 	line := logLine{level: level, attributes: r.attributes(call.Args[1:], call.Ellipsis.IsValid()),
-		at: r.all.fset.Position(call.Pos()).String()}
+		at: r.repo.fset.Position(call.Pos()).String()}
 	if other, again := r.lines[message]; again {
 		if other.level != level {
 			r.problem(call, fmt.Sprintf("%q has another level at %s", message, other.at))
@@ -163,7 +163,7 @@
 
 // problem notes what is wrong at a place in the code.
 func (r *logReader) problem(at ast.Node, text string) {
-	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.all.fset.Position(at.Pos()), text))
+	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.repo.fset.Position(at.Pos()), text))
 }
 
 // textOf returns the text of a literal.
--- a/internal/docs/name_index_test.go
+++ b/internal/docs/name_index_test.go
@@ -23,19 +23,19 @@
 }
 
 // names collects the names of the tree.
-func (all *tree) names() *names {
-	known := &names{paths: all.paths, files: map[string]bool{}, endings: map[string]bool{}, imports: map[string]bool{},
+func (repo *repository) names() *names {
+	known := &names{paths: repo.paths, files: map[string]bool{}, endings: map[string]bool{}, imports: map[string]bool{},
 		members: map[string]map[string]bool{}, words: map[string]bool{}, texts: map[string]bool{}}
 	for _, name := range types.Universe.Names() {
 		known.words[name] = true
 	}
-	for name := range all.paths {
+	for name := range repo.paths {
 		known.files[path.Base(name)] = true
 		known.endings[path.Ext(name)] = true
 	}
 	embedded := map[string][]string{}
-	for name, file := range all.sources {
-		for _, imported := range importsOf(file) {
+	for name, file := range repo.goFiles {
+		for _, imported := range importPaths(file) {
 			if !strings.HasPrefix(imported, module+"/") {
 				known.imports[imported] = true
 			}
--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -43,14 +43,14 @@
 // diagrams, the same is asked of files, tests, words with a capital inside or behind
 // a point, and members of types and packages.
 func TestPagesNameWhatExists(t *testing.T) {
-	all := readTree(t)
-	known := all.names()
+	repo := readRepository(t)
+	known := repo.names()
 	used := map[string]bool{}
-	for _, name := range all.pages(t) {
+	for _, name := range repo.pages(t) {
 		if name == recordPage {
 			continue
 		}
-		for _, word := range wordsOf(all.read(t, name)) {
+		for _, word := range wordsOf(repo.read(t, name)) {
 			if foreign[word.text] != "" && !word.inBlock {
 				used[word.text] = true
 				continue
@@ -72,7 +72,7 @@
 
 // A name that is no more is found, in each of the forms that count as names.
 func TestMissingNamesAreFound(t *testing.T) {
-	all := treeOf(t, map[string]string{"p/queue.go": `package p
+	repo := repositoryOf(t, map[string]string{"p/queue.go": `package p
 import "net/http"
 type Queue struct { inner; items []int ` + "`json:\"items\"`" + ` }
 type inner struct { limit int ` + "`json:\"limits\"`" + ` }
@@ -82,8 +82,8 @@
 func TestQueuePushes(t *testing.T) {}
 var inTest = "inTestText"
 `})
-	all.paths["p"] = true
-	known := all.names()
+	repo.paths["p"] = true
+	known := repo.names()
 	for _, c := range []struct {
 		text  string
 		found bool
