--- a/internal/docs/imports_test.go
+++ b/internal/docs/imports_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// layers are the folders of the tree from the top down, as docs/ARCHITECTURE.md has them. A folder
-// stands for those below it as well.
+// layers lists the directories of each layer from the top down, as docs/ARCHITECTURE.md does. A
+// directory includes its subdirectories.
 var layers = [][]string{
 	{"cmd"},
 	{"internal/fleet"},
@@ -20,35 +20,36 @@
 	{"policy"},
 }
 
-// layerOf returns the index of a folder's layer, and the folder of the layer that it belongs to; -1
-// if it is in none.
-func layerOf(folder string) (index int, within string) {
+// layerOf returns the index of the layer that a directory belongs to, and the directory in layers that
+// is or contains it. The index is -1 if the directory is in no layer.
+func layerOf(dir string) (index int, member string) {
 	for index, layer := range layers {
-		for _, within := range layer {
-			if folder == within || strings.HasPrefix(folder, within+"/") {
-				return index, within
+		for _, member := range layer {
+			if dir == member || strings.HasPrefix(dir, member+"/") {
+				return index, member
 			}
 		}
 	}
 	return -1, ""
 }
 
-// Imports run downwards only, and the decision module imports neither clock nor network.
+// A package imports only packages of lower layers. The decision module, policy, imports no package of
+// this module and neither time, net nor os.
 func TestImportsRunDownwards(t *testing.T) {
 	repo := readRepository(t)
 	for _, name := range slices.Sorted(maps.Keys(repo.goFiles)) {
-		from, within := layerOf(path.Dir(name))
-		if isTest(name) || from < 0 {
+		layer, member := layerOf(path.Dir(name))
+		if isTest(name) || layer < 0 {
 			continue
 		}
 		for _, imported := range importPaths(repo.goFiles[name]) {
-			folder, ours := strings.CutPrefix(imported, module+"/")
-			to, target := layerOf(folder)
+			dir, inModule := strings.CutPrefix(imported, module+"/")
+			importedLayer, importedMember := layerOf(dir)
 			switch {
-			case within == "policy" && (ours || imported == "time" || imported == "net" || imported == "os"):
-				t.Errorf("%s imports %s, want policy without it", name, imported)
-			case ours && to <= from && target != within:
-				t.Errorf("%s imports %s, want imports of lower layers alone", name, imported)
+			case member == "policy" && (inModule || imported == "time" || imported == "net" || imported == "os"):
+				t.Errorf("%s imports %s, want no such import in policy", name, imported)
+			case inModule && importedLayer <= layer && importedMember != member:
+				t.Errorf("%s imports %s, want only imports of lower layers", name, imported)
 			}
 		}
 	}
--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Links of README.md and the pages lead to files of the tree, and to headings that are there.
+// Each link in README.md and the pages under docs points to an existing file and an existing heading.
 func TestLinksLeadSomewhere(t *testing.T) {
 	repo := readRepository(t)
 	for _, name := range repo.pages(t) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Links and anchors are read as the hosts of repositories render them.
+// Links and anchors are derived from Markdown as repository hosts render it.
 func TestLinksAndAnchorsOfPages(t *testing.T) {
 	links := linksOf("See [a](B.md#c) and [`d`](#e).\n")
 	if len(links) != 2 || links[0] != "B.md#c" || links[1] != "#e" {
@@ -41,24 +41,24 @@
 }
 
 var (
-	linkForm    = regexp.MustCompile(`\]\(([^() ]+)\)`)
-	headingForm = regexp.MustCompile(`(?m)^#+ (.+)$`)
-	anchorDrops = regexp.MustCompile("[^a-z0-9 _-]")
+	linkPattern    = regexp.MustCompile(`\]\(([^() ]+)\)`)
+	headingPattern = regexp.MustCompile(`(?m)^#+ (.+)$`)
+	notInAnchors   = regexp.MustCompile("[^a-z0-9 _-]")
 )
 
-// linksOf returns the targets of a page's links.
+// linksOf returns the targets of the links in a page.
 func linksOf(text string) (targets []string) {
-	for _, link := range linkForm.FindAllStringSubmatch(text, -1) {
+	for _, link := range linkPattern.FindAllStringSubmatch(text, -1) {
 		targets = append(targets, link[1])
 	}
 	return targets
 }
 
-// anchorsOf returns the anchors of a page's headings.
+// anchorsOf returns the set of anchors of the headings in a page.
 func anchorsOf(text string) map[string]bool {
 	anchors := map[string]bool{}
-	for _, heading := range headingForm.FindAllStringSubmatch(text, -1) {
-		plain := anchorDrops.ReplaceAllString(strings.ToLower(heading[1]), "")
+	for _, heading := range headingPattern.FindAllStringSubmatch(text, -1) {
+		plain := notInAnchors.ReplaceAllString(strings.ToLower(heading[1]), "")
 		anchors[strings.ReplaceAll(plain, " ", "-")] = true
 	}
 	return anchors
