--- a/internal/docs/log_lines_test.go
+++ b/internal/docs/log_lines_test.go
@@ -11,7 +11,7 @@
 type logLine struct {
 	level      string
 	attributes []string // sorted, each once; those of a group as "group.key"
-	at         string   // place in the code, or on the page
+	position   string   // place in the code, or on the page
 }
 
 // logLevels are the methods of a logger that write a line, with the levels of their lines.
@@ -24,7 +24,7 @@
 // attributes, and no other.
 func TestOperationsPageListsEveryLogLine(t *testing.T) {
 	repo := readRepository(t)
-	code, common, problems := repo.logLines(repo.packagesOf("cmd/ploverreel"))
+	code, commonKeys, problems := repo.logLines(repo.packageDirs("cmd/ploverreel"))
 	page := readLogPage(t, repo.read(t, "docs/OPERATIONS.md"))
 	for _, problem := range problems {
 		t.Error(problem)
@@ -37,21 +37,21 @@
 		got, listed := page.lines[message]
 		switch {
 		case !listed:
-			t.Errorf("%s: log line %q is not on the page", want.at, message)
+			t.Errorf("%s: log line %q is not on the page", want.position, message)
 		case got.level != want.level:
-			t.Errorf("%q: level on the page %s, in the code %s (%s)", message, got.level, want.level, want.at)
+			t.Errorf("%q: level on the page %s, in the code %s (%s)", message, got.level, want.level, want.position)
 		case !slices.Equal(got.attributes, want.attributes):
-			t.Errorf("%q: attributes on the page %q, in the code %q (%s)", message, got.attributes, want.attributes, want.at)
+			t.Errorf("%q: attributes on the page %q, in the code %q (%s)", message, got.attributes, want.attributes, want.position)
 		}
 	}
 	for _, message := range slices.Sorted(maps.Keys(page.lines)) {
 		if _, logged := code[message]; !logged {
-			t.Errorf("%s: log line %q is not in the code", page.lines[message].at, message)
+			t.Errorf("%s: log line %q is not in the code", page.lines[message].position, message)
 		}
 	}
-	for _, key := range common {
-		if !slices.Contains(page.common, key) {
-			t.Errorf("attribute %q of every line is not on the page, got %q", key, page.common)
+	for _, key := range commonKeys {
+		if !slices.Contains(page.commonKeys, key) {
+			t.Errorf("attribute %q of every line is not on the page, got %q", key, page.commonKeys)
 		}
 	}
 }
@@ -107,14 +107,14 @@
 `, "p/p_test.go": `package p
 func h() { log.Info("in a test") }
 `})
-	got, common, problems := repo.logLines([]string{"p"})
+	got, commonKeys, problems := repo.logLines([]string{"p"})
 	want := map[string]logLine{
 		"stopped": {level: "WARN", attributes: []string{"err", "lines"}},
 		"state":   {level: "INFO", attributes: []string{"CLASS.served", "ended.full", "ended.ok", "limit", "tierN.size"}},
 		"panic":   {level: "ERROR", attributes: []string{"action", "input"}},
 	}
-	if len(problems) > 0 || len(got) != len(want) || !slices.Equal(common, []string{"agent"}) {
-		t.Errorf("got %d lines, problems %q and common attributes %q, want %d, none and agent", len(got), problems, common, len(want))
+	if len(problems) > 0 || len(got) != len(want) || !slices.Equal(commonKeys, []string{"agent"}) {
+		t.Errorf("got %d lines, problems %q and common attributes %q, want %d, none and agent", len(got), problems, commonKeys, len(want))
 	}
 	for message, line := range want {
 		if got[message].level != line.level || !slices.Equal(got[message].attributes, line.attributes) {
--- a/internal/docs/log_page_test.go
+++ b/internal/docs/log_page_test.go
@@ -9,8 +9,8 @@
 
 // logPage holds the part of the operations page that is about the log.
 type logPage struct {
-	lines  map[string]logLine
-	common []string // keys of every line
+	lines      map[string]logLine
+	commonKeys []string // keys of every line
 }
 
 var (
@@ -27,7 +27,7 @@
 	page := logPage{lines: map[string]logLine{}}
 	entries := strings.Split(section(t, text, "Log lines"), "\n### ")
 	for _, span := range codeSpan.FindAllStringSubmatch(entries[0], -1) {
-		page.common = append(page.common, span[1])
+		page.commonKeys = append(page.commonKeys, span[1])
 	}
 	for _, entry := range entries[1:] {
 		rows := strings.Split("### "+strings.TrimSpace(entry), "\n")
@@ -44,7 +44,7 @@
 			continue
 		}
 		summary := lineSummary.FindStringSubmatch(rows[2])
-		line := logLine{level: summary[1], at: "docs/OPERATIONS.md"}
+		line := logLine{level: summary[1], position: "docs/OPERATIONS.md"}
 		if strings.HasSuffix(summary[2], traceSection) {
 			line.attributes = traceAttributes(t, text)
 		}
--- a/internal/docs/log_reader_test.go
+++ b/internal/docs/log_reader_test.go
@@ -13,63 +13,63 @@
 
 // logReader collects the log lines of one package.
 type logReader struct {
-	repo      *repository
-	constants map[string]string          // of the package, by name
-	functions map[string][]*ast.FuncDecl // of the package, methods too, by name
-	imports   map[string]bool            // names of packages that the file imports, but for log/slog
-	enclosing *ast.FuncDecl              // function whose body is read
-	lines     map[string]logLine
-	common    map[string]bool // keys that a logger adds to each line
-	problems  []string
+	repo       *repository
+	constants  map[string]string          // of the package, by name
+	functions  map[string][]*ast.FuncDecl // of the package, methods too, by name
+	imports    map[string]bool            // names of packages that the file imports, but for log/slog
+	enclosing  *ast.FuncDecl              // function whose body is read
+	lines      map[string]logLine
+	commonKeys map[string]bool // keys that a logger adds to each line
+	problems   []string
 }
 
-// logLines returns the lines that the packages in the folders may log, by message, the keys that are
+// logLines returns the lines that the packages in the dirs may log, by message, the keys that are
 // on every line, and what is wrong with calls.
-func (repo *repository) logLines(folders []string) (lines map[string]logLine, common, problems []string) {
-	reader := &logReader{repo: repo, lines: map[string]logLine{}, common: map[string]bool{}}
-	for _, folder := range folders {
-		files := repo.folder(folder)
+func (repo *repository) logLines(dirs []string) (lines map[string]logLine, commonKeys, problems []string) {
+	reader := &logReader{repo: repo, lines: map[string]logLine{}, commonKeys: map[string]bool{}}
+	for _, dir := range dirs {
+		files := repo.goFilesIn(dir)
 		reader.constants, reader.functions = map[string]string{}, map[string][]*ast.FuncDecl{}
 		for _, file := range files {
-			reader.declare(file)
+			reader.addDeclarations(file)
 		}
 		for _, name := range slices.Sorted(maps.Keys(files)) {
 			reader.readFile(files[name])
 		}
 	}
-	return reader.lines, slices.Sorted(maps.Keys(reader.common)), reader.problems
+	return reader.lines, slices.Sorted(maps.Keys(reader.commonKeys)), reader.problems
 }
 
-// packagesOf returns the folders of the module's packages that a program is made of, its own first.
-func (repo *repository) packagesOf(program string) []string {
-	folders, seen := []string{program}, map[string]bool{program: true}
-	for i := 0; i < len(folders); i++ {
-		for _, file := range repo.folder(folders[i]) {
+// packageDirs returns the dirs of the module's packages that a program is made of, its own first.
+func (repo *repository) packageDirs(program string) []string {
+	dirs, seen := []string{program}, map[string]bool{program: true}
+	for i := 0; i < len(dirs); i++ {
+		for _, file := range repo.goFilesIn(dirs[i]) {
 			for _, imported := range importPaths(file) {
-				folder, ours := strings.CutPrefix(imported, module+"/")
-				if ours && !seen[folder] {
-					seen[folder] = true
-					folders = append(folders, folder)
+				dir, inModule := strings.CutPrefix(imported, module+"/")
+				if inModule && !seen[dir] {
+					seen[dir] = true
+					dirs = append(dirs, dir)
 				}
 			}
 		}
 	}
-	return folders
+	return dirs
 }
 
-// folder returns the files of one folder that are no tests, by name.
-func (repo *repository) folder(folder string) map[string]*ast.File {
+// goFilesIn returns the files of one dir that are no tests, by name.
+func (repo *repository) goFilesIn(dir string) map[string]*ast.File {
 	files := map[string]*ast.File{}
 	for name, file := range repo.goFiles {
-		if path.Dir(name) == folder && !isTest(name) {
+		if path.Dir(name) == dir && !isTest(name) {
 			files[name] = file
 		}
 	}
 	return files
 }
 
-// declare notes a file's functions and the constants that are texts.
-func (r *logReader) declare(file *ast.File) {
+// addDeclarations notes a file's functions and the constants that are texts.
+func (r *logReader) addDeclarations(file *ast.File) {
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
@@ -81,7 +81,7 @@
 			for _, spec := range declaration.Specs {
 				spec := spec.(*ast.ValueSpec)
 				for i, value := range spec.Values {
-					if text, ok := textOf(value); ok {
+					if text, ok := stringLiteral(value); ok {
 						r.constants[spec.Names[i].Name] = text
 					}
 				}
@@ -122,10 +122,10 @@
 	level, writes := logLevels[method.Sel.Name]
 	switch {
 	case slices.Contains(otherLogMethods, method.Sel.Name):
-		r.problem(call, "use Debug, Info, Warn or Error, not "+method.Sel.Name)
+		r.addProblem(call, "use Debug, Info, Warn or Error, not "+method.Sel.Name)
 	case method.Sel.Name == "With":
-		for _, key := range r.attributes(call.Args, false) {
-			r.common[key] = true
+		for _, key := range r.attributeKeys(call.Args, false) {
+			r.commonKeys[key] = true
 		}
 	case writes:
 		r.readLine(call, level)
@@ -134,16 +134,16 @@
 
 // readLine reads a call that writes a line.
 func (r *logReader) readLine(call *ast.CallExpr, level string) {
-	message, ok := r.constant(call.Args[0])
+	message, ok := r.constantText(call.Args[0])
 	if !ok {
-		r.problem(call, "message is no constant")
+		r.addProblem(call, "message is no constant")
 		return
 	}
-	line := logLine{level: level, attributes: r.attributes(call.Args[1:], call.Ellipsis.IsValid()),
-		at: r.repo.fset.Position(call.Pos()).String()}
+	line := logLine{level: level, attributes: r.attributeKeys(call.Args[1:], call.Ellipsis.IsValid()),
+		position: r.repo.fset.Position(call.Pos()).String()}
 	if other, again := r.lines[message]; again {
 		if other.level != level {
-			r.problem(call, fmt.Sprintf("%q has another level at %s", message, other.at))
+			r.addProblem(call, fmt.Sprintf("%q has another level at %s", message, other.position))
 		}
 		line.attributes = append(line.attributes, other.attributes...)
 	}
@@ -152,22 +152,22 @@
 	r.lines[message] = line
 }
 
-// constant returns the text of an expression if that is constant.
-func (r *logReader) constant(expr ast.Expr) (text string, ok bool) {
+// constantText returns the text of an expression if that is constant.
+func (r *logReader) constantText(expr ast.Expr) (text string, ok bool) {
 	if name, isName := expr.(*ast.Ident); isName {
 		text, ok = r.constants[name.Name]
 		return text, ok
 	}
-	return textOf(expr)
+	return stringLiteral(expr)
 }
 
-// problem notes what is wrong at a place in the code.
-func (r *logReader) problem(at ast.Node, text string) {
+// addProblem notes what is wrong at a place in the code.
+func (r *logReader) addProblem(at ast.Node, text string) {
 	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.repo.fset.Position(at.Pos()), text))
 }
 
-// textOf returns the text of a literal.
-func textOf(expr ast.Expr) (text string, ok bool) {
+// stringLiteral returns the text of a literal.
+func stringLiteral(expr ast.Expr) (text string, ok bool) {
 	literal, ok := expr.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
