--- a/internal/docs/log_attributes_test.go
+++ b/internal/docs/log_attributes_test.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// attributeKeys returns the keys of a call's attributes; spread says that the last argument stands for
-// many.
+// attributeKeys returns the keys of the attributes in a call's arguments. With spread, the last
+// argument is a list of attributes that the call spreads with "...".
 func (r *logReader) attributeKeys(args []ast.Expr, spread bool) (keys []string) {
 	for i := 0; i < len(args); i++ {
 		call, isCall := args[i].(*ast.CallExpr)
@@ -16,21 +16,21 @@
 		case isCall:
 			keys = append(keys, r.keysOfAttribute(call)...)
 		default:
-			names := r.keyConstants(args[i])
-			if len(names) == 0 {
-				r.addProblem(args[i], "key is no constant")
+			constants := r.keyConstants(args[i])
+			if len(constants) == 0 {
+				r.addProblem(args[i], "key isn't a constant")
 			}
 			if i++; i == len(args) {
 				r.addProblem(args[i-1], "key without a value")
 			}
-			keys = append(keys, names...)
+			keys = append(keys, constants...)
 		}
 	}
 	return keys
 }
 
-// keyConstants returns the constant that a key is, or, where it is a parameter of the function, the constants
-// that the package's calls give for it.
+// keyConstants returns the constant value of a key. If the key is a parameter of the enclosing function,
+// keyConstants returns the constants that the calls in the package pass for it.
 func (r *logReader) keyConstants(expr ast.Expr) []string {
 	if text, ok := r.constantText(expr); ok {
 		return []string{text}
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// argumentConstants returns the constants that the package gives a function for a parameter; none if one of
-// them is no constant.
+// argumentConstants returns the constants that the calls of a function in the package pass as the
+// argument with the index. It returns none if one of the arguments isn't a constant.
 func (r *logReader) argumentConstants(function string, index int) (texts []string) {
-	constant := true
+	allConstant := true
 	for _, declarations := range r.functions {
 		for _, declaration := range declarations {
 			ast.Inspect(declaration, func(node ast.Node) bool {
@@ -63,20 +63,20 @@
 					return true
 				}
 				text, ok := r.constantText(call.Args[index])
-				constant = constant && ok
+				allConstant = allConstant && ok
 				texts = append(texts, text)
 				return true
 			})
 		}
 	}
-	if !constant {
+	if !allConstant {
 		return nil
 	}
 	return texts
 }
 
-// keysOfAttribute returns the keys of an attribute that a call makes: of package slog, or a function of
-// the package that returns one.
+// keysOfAttribute returns the keys of an attribute that a call returns. The callee is a function of
+// package slog, or a function of the package being read that returns an attribute.
 func (r *logReader) keysOfAttribute(call *ast.CallExpr) (keys []string) {
 	if owner, method, ok := selection(call.Fun); ok && owner == "slog" && len(call.Args) > 0 {
 		if method != "Group" {
@@ -101,8 +101,8 @@
 	return keys
 }
 
-// keysOfList returns the keys of a list of attributes that a function of the package returns: those of
-// all lists that it makes and of all that it appends.
+// keysOfList returns the keys of a list of attributes that a function of the package returns. These are
+// the keys of all list literals in the function and of all attributes that it appends.
 func (r *logReader) keysOfList(expr ast.Expr) (keys []string) {
 	if call, ok := expr.(*ast.CallExpr); ok {
 		for _, function := range r.functions[calleeOf(call)] {
@@ -127,7 +127,8 @@
 	return keys
 }
 
-// keysOfListLiteral returns the keys of a literal list of attributes; lists of another type have none.
+// keysOfListLiteral returns the keys of a literal []any of attributes. It returns none for a literal of
+// another list type.
 func (r *logReader) keysOfListLiteral(list *ast.CompositeLit) []string {
 	if element, ok := list.Type.(*ast.ArrayType).Elt.(*ast.Ident); !ok || element.Name != "any" {
 		return nil
@@ -135,8 +136,8 @@
 	return r.attributeKeys(list.Elts, false)
 }
 
-// groupName is a group's name, or how a page writes one that is made: "tierN" for a number behind a
-// constant, "CLASS" for the name of a class.
+// groupName returns the name of a group of attributes. A name that is built at run time is returned as
+// the page writes it: "tierN" for a constant followed by a number, "CLASS" for the name of a class.
 func (r *logReader) groupName(expr ast.Expr) string {
 	if text, ok := r.constantText(expr); ok {
 		return text
--- a/internal/docs/log_lines_test.go
+++ b/internal/docs/log_lines_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// logLine describes one message of the log, by the code or by the page.
+// logLine describes the log lines with one message, as read from the code or from the page.
 type logLine struct {
 	level      string
-	attributes []string // sorted, each once; those of a group as "group.key"
-	position   string   // place in the code, or on the page
+	attributes []string // keys, sorted and without duplicates; of a group as "group.key"
+	position   string   // position in the code, or name of the page
 }
 
-// logLevels are the methods of a logger that write a line, with the levels of their lines.
+// logLevels maps each method of a logger that writes a line to the level of that line.
 var logLevels = map[string]string{"Debug": "DEBUG", "Info": "INFO", "Warn": "WARN", "Error": "ERROR"}
 
-// otherLogMethods are the methods of a logger that write lines in forms that this test can't read.
+// otherLogMethods lists the methods of a logger that write lines but that the test can't read.
 var otherLogMethods = []string{"Log", "LogAttrs", "DebugContext", "InfoContext", "WarnContext", "ErrorContext"}
 
-// The page for who is on call lists each line that the agent may log, with its level and its
-// attributes, and no other.
+// The operations page lists each line that the agent can log, with its level and attributes, and no
+// other line.
 func TestOperationsPageListsEveryLogLine(t *testing.T) {
 	repo := readRepository(t)
 	code, commonKeys, problems := repo.logLines(repo.packageDirs("cmd/ploverreel"))
@@ -30,7 +30,7 @@
 		t.Error(problem)
 	}
 	if len(code) == 0 {
-		t.Error("no log line found in the code")
+		t.Error("no log lines found in the code")
 	}
 	for _, message := range slices.Sorted(maps.Keys(code)) {
 		want := code[message]
@@ -56,15 +56,15 @@
 	}
 }
 
-// A log call that the test could not read, or that would log another text each time, is an error.
+// A log call is reported if the test can't read it, or if its message or one of its keys can vary.
 func TestLogCallsHaveConstantMessagesAndKeys(t *testing.T) {
 	for _, c := range []struct{ name, call, problem string }{
 		{"constant", `log.Info("begun", "err", err)`, ""},
 		{"constant by name", `log.Warn(message)`, ""},
-		{"message of a variable", `log.Info(text)`, "message is no constant"},
-		{"message with a value", `log.Error("failed: " + text)`, "message is no constant"},
-		{"formatted message", `log.Error(fmt.Sprint("failed", text))`, "message is no constant"},
-		{"key of a variable", `log.Info("begun", text, 1)`, "key is no constant"},
+		{"message of a variable", `log.Info(text)`, "message isn't a constant"},
+		{"message with a value", `log.Error("failed: " + text)`, "message isn't a constant"},
+		{"formatted message", `log.Error(fmt.Sprint("failed", text))`, "message isn't a constant"},
+		{"key of a variable", `log.Info("begun", text, 1)`, "key isn't a constant"},
 		{"key without a value", `log.Info("begun", "err")`, "key without a value"},
 		{"attributes of a variable", `log.Info("begun", many...)`, "attributes can't be read"},
 		{"method for attributes", `log.LogAttrs(ctx, level, "begun")`, "use Debug, Info, Warn or Error"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// Levels, attributes, groups and keys that a caller gives are read from the code.
+// Levels, attributes, groups, and keys that a caller passes are read from the code.
 func TestLogLinesAreReadFromTheCode(t *testing.T) {
 	repo := repositoryOf(t, map[string]string{"p/p.go": `package p
 import ("log/slog"; "net/http"; "fmt")
--- a/internal/docs/log_page_test.go
+++ b/internal/docs/log_page_test.go
@@ -7,21 +7,21 @@
 	"testing"
 )
 
-// logPage holds the part of the operations page that is about the log.
+// logPage holds what the operations page says about the log.
 type logPage struct {
-	lines      map[string]logLine
-	commonKeys []string // keys of every line
+	lines      map[string]logLine // by message
+	commonKeys []string           // keys that every line has
 }
 
 var (
-	lineHeading  = regexp.MustCompile("^### `([^`]+)`$")
-	lineSummary  = regexp.MustCompile(`^(DEBUG|INFO|WARN|ERROR), (no attributes|attributes: .+)$`)
-	traceRow     = regexp.MustCompile("^\\| `([^`]+)` \\|")
-	traceSection = "see [the trace](#the-trace)"
+	lineHeading = regexp.MustCompile("^### `([^`]+)`$")
+	lineSummary = regexp.MustCompile(`^(DEBUG|INFO|WARN|ERROR), (no attributes|attributes: .+)$`)
+	traceRow    = regexp.MustCompile("^\\| `([^`]+)` \\|")
+	traceLink   = "see [the trace](#the-trace)"
 )
 
-// readLogPage reads the section "Log lines" of the operations page. Under the heading of a message
-// stand its level and attributes in one line, then its meaning, its impact and what to do.
+// readLogPage reads the section "Log lines" of the operations page. Each message has a heading. Below
+// it follow one line with the level and the attributes, the meaning, the impact and what to do.
 func readLogPage(t *testing.T, text string) logPage {
 	t.Helper()
 	page := logPage{lines: map[string]logLine{}}
@@ -33,19 +33,19 @@
 		rows := strings.Split("### "+strings.TrimSpace(entry), "\n")
 		heading := lineHeading.FindStringSubmatch(rows[0])
 		if heading == nil {
-			continue // an entry of lines that are not the agent's own
+			continue // this entry is about lines that the agent doesn't write itself
 		}
 		message := heading[1]
-		if _, again := page.lines[message]; again {
-			t.Errorf("page: %q stands there twice", message)
+		if _, duplicate := page.lines[message]; duplicate {
+			t.Errorf("page: %q is listed twice", message)
 		}
 		if len(rows) < 3 || !lineSummary.MatchString(rows[2]) {
-			t.Errorf("page: %q: no level and attributes under the heading", message)
+			t.Errorf("page: %q: no line with level and attributes below the heading", message)
 			continue
 		}
 		summary := lineSummary.FindStringSubmatch(rows[2])
 		line := logLine{level: summary[1], position: "docs/OPERATIONS.md"}
-		if strings.HasSuffix(summary[2], traceSection) {
+		if strings.HasSuffix(summary[2], traceLink) {
 			line.attributes = traceAttributes(t, text)
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(summary[2], -1) {
@@ -62,7 +62,7 @@
 	return page
 }
 
-// traceAttributes returns the attributes in the table of the section "The trace".
+// traceAttributes returns the keys in the table of the section "The trace".
 func traceAttributes(t *testing.T, text string) (attributes []string) {
 	t.Helper()
 	for _, row := range strings.Split(section(t, text, "The trace"), "\n") {
@@ -73,7 +73,7 @@
 	return attributes
 }
 
-// section returns the text under a heading of the second level.
+// section returns the text of the section with a second-level heading.
 func section(t *testing.T, text, heading string) string {
 	t.Helper()
 	_, rest, found := strings.Cut(text, "\n## "+heading+"\n")
--- a/internal/docs/log_reader_test.go
+++ b/internal/docs/log_reader_test.go
@@ -11,20 +11,20 @@
 	"strings"
 )
 
-// logReader collects the log lines of one package.
+// logReader collects the log lines of packages, one package after the other.
 type logReader struct {
 	repo       *repository
-	constants  map[string]string          // of the package, by name
-	functions  map[string][]*ast.FuncDecl // of the package, methods too, by name
-	imports    map[string]bool            // names of packages that the file imports, but for log/slog
-	enclosing  *ast.FuncDecl              // function whose body is read
-	lines      map[string]logLine
-	commonKeys map[string]bool // keys that a logger adds to each line
+	constants  map[string]string          // string constants of the package, by name
+	functions  map[string][]*ast.FuncDecl // functions and methods of the package, by name
+	imports    map[string]bool            // names of the packages that the file imports, except log/slog
+	enclosing  *ast.FuncDecl              // function that is being read
+	lines      map[string]logLine         // by message
+	commonKeys map[string]bool            // keys that the logger adds to each line
 	problems   []string
 }
 
-// logLines returns the lines that the packages in the dirs may log, by message, the keys that are
-// on every line, and what is wrong with calls.
+// logLines returns the lines that the packages in the directories can log, by message, the keys that
+// every line has, and the problems with log calls.
 func (repo *repository) logLines(dirs []string) (lines map[string]logLine, commonKeys, problems []string) {
 	reader := &logReader{repo: repo, lines: map[string]logLine{}, commonKeys: map[string]bool{}}
 	for _, dir := range dirs {
@@ -40,7 +40,8 @@
 	return reader.lines, slices.Sorted(maps.Keys(reader.commonKeys)), reader.problems
 }
 
-// packageDirs returns the dirs of the module's packages that a program is made of, its own first.
+// packageDirs returns the directories of the module's packages that a program consists of, starting
+// with the program's own.
 func (repo *repository) packageDirs(program string) []string {
 	dirs, seen := []string{program}, map[string]bool{program: true}
 	for i := 0; i < len(dirs); i++ {
@@ -57,7 +58,7 @@
 	return dirs
 }
 
-// goFilesIn returns the files of one dir that are no tests, by name.
+// goFilesIn returns the Go files of one directory except tests, by path.
 func (repo *repository) goFilesIn(dir string) map[string]*ast.File {
 	files := map[string]*ast.File{}
 	for name, file := range repo.goFiles {
@@ -68,7 +69,7 @@
 	return files
 }
 
-// addDeclarations notes a file's functions and the constants that are texts.
+// addDeclarations adds the functions and the string constants of a file.
 func (r *logReader) addDeclarations(file *ast.File) {
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
@@ -109,8 +110,8 @@
 	}
 }
 
-// readCall reads a call if it is one of a logger: a method of a logger's name that is given an
-// argument, and no function of an imported package.
+// readCall reads a call of a logger and ignores any other call. A call is one of a logger if it has an
+// argument and its method has the name of a logger's method. A function of an imported package isn't one.
 func (r *logReader) readCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -132,16 +133,16 @@
 	}
 }
 
-// readLine reads a call that writes a line.
+// readLine adds the line that a log call writes.
 func (r *logReader) readLine(call *ast.CallExpr, level string) {
 	message, ok := r.constantText(call.Args[0])
 	if !ok {
-		r.addProblem(call, "message is no constant")
+		r.addProblem(call, "message isn't a constant")
 		return
 	}
 	line := logLine{level: level, attributes: r.attributeKeys(call.Args[1:], call.Ellipsis.IsValid()),
 		position: r.repo.fset.Position(call.Pos()).String()}
-	if other, again := r.lines[message]; again {
+	if other, exists := r.lines[message]; exists {
 		if other.level != level {
 			r.addProblem(call, fmt.Sprintf("%q has another level at %s", message, other.position))
 		}
@@ -152,7 +153,7 @@
 	r.lines[message] = line
 }
 
-// constantText returns the text of an expression if that is constant.
+// constantText returns the value of an expression that is a string literal or constant.
 func (r *logReader) constantText(expr ast.Expr) (text string, ok bool) {
 	if name, isName := expr.(*ast.Ident); isName {
 		text, ok = r.constants[name.Name]
@@ -161,12 +162,12 @@
 	return stringLiteral(expr)
 }
 
-// addProblem notes what is wrong at a place in the code.
-func (r *logReader) addProblem(at ast.Node, text string) {
-	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.repo.fset.Position(at.Pos()), text))
+// addProblem adds a problem with the log call at a node.
+func (r *logReader) addProblem(node ast.Node, text string) {
+	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.repo.fset.Position(node.Pos()), text))
 }
 
-// stringLiteral returns the text of a literal.
+// stringLiteral returns the value of a string literal.
 func stringLiteral(expr ast.Expr) (text string, ok bool) {
 	literal, ok := expr.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
@@ -189,7 +190,7 @@
 	return x.Name, selector.Sel.Name, true
 }
 
-// calleeOf returns the name of the function or method that is called.
+// calleeOf returns the name of the function or method that a call calls.
 func calleeOf(call *ast.CallExpr) string {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
