--- a/deploy/example/example_test.go
+++ b/deploy/example/example_test.go
@@ -1,4 +1,4 @@
-// Package example_test keeps the example configuration one that the agent takes.
+// Package example_test checks that the agent accepts the example configuration.
 package example_test
 
 import (
@@ -14,8 +14,8 @@
 	"ploverreel/policy"
 )
 
-// The agent takes the example as it ships, and every address in it is on the loopback.
-func TestExampleConfigurationIsTaken(t *testing.T) {
+// The agent loads the example configuration as it ships, and every address in it is a loopback address.
+func TestExampleConfigurationLoads(t *testing.T) {
 	conf, err := config.Load("config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -35,17 +35,17 @@
 		effects[class.Effect] = true
 	}
 	if len(conf.Known.Hosts) == 0 || len(effects) != 3 {
-		t.Errorf("%d known servers, classes of %d effects, want some and 3", len(conf.Known.Hosts), len(effects))
+		t.Errorf("got %d known servers and classes with %d effects, want at least 1 and 3", len(conf.Known.Hosts), len(effects))
 	}
 }
 
-// The example has every key that the settings, the limits and the list read, and no other.
+// The example has every key that the settings, the limits and the endpoint list read, and no other.
 func TestExampleConfigurationHasEveryKey(t *testing.T) {
 	text, err := os.ReadFile("config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var shown struct {
+	var example struct {
 		Name      any            `json:"name"`
 		Listen    any            `json:"listen"`
 		Discovery any            `json:"discovery"`
@@ -56,59 +56,59 @@
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&shown); err != nil {
+	if err := decoder.Decode(&example); err != nil {
 		t.Fatal(err)
 	}
-	// The names of zones and machine kinds are read beside the module's settings.
+	// The names of zones and machine kinds are not part of policy.Settings; config reads them separately.
 	for _, key := range []string{"failureDomains", "shapes"} {
-		if shown.Settings[key] == nil {
+		if example.Settings[key] == nil {
 			t.Errorf("settings.%s: missing", key)
 		}
-		delete(shown.Settings, key)
+		delete(example.Settings, key)
 	}
-	sameKeys(t, "limits", shown.Limits, reflect.TypeFor[config.Limits]())
-	sameKeys(t, "known", shown.Known, reflect.TypeFor[endpointlist.List]())
-	sameKeys(t, "settings", shown.Settings, reflect.TypeFor[policy.Settings]())
+	checkKeys(t, "limits", example.Limits, reflect.TypeFor[config.Limits]())
+	checkKeys(t, "known", example.Known, reflect.TypeFor[endpointlist.List]())
+	checkKeys(t, "settings", example.Settings, reflect.TypeFor[policy.Settings]())
 }
 
-// optional keys belong to some classes only.
-var optional = map[string]bool{"settings.classes.group": true, "settings.classes.keyTtlMs": true}
+// optionalKeys lists the keys that only some classes have.
+var optionalKeys = map[string]bool{"settings.classes.group": true, "settings.classes.keyTtlMs": true}
 
-// sameKeys compares the keys of a JSON value at path with those that the type reads. Of the
-// elements of a list each is compared.
-func sameKeys(t *testing.T, path string, value any, of reflect.Type) {
+// checkKeys checks that the JSON value at path has exactly the keys that the type reads; optionalKeys may
+// be missing. Each element of a list is checked.
+func checkKeys(t *testing.T, path string, value any, typ reflect.Type) {
 	t.Helper()
 	switch {
-	case of.Kind() == reflect.Slice && of.Elem().Kind() == reflect.Struct:
+	case typ.Kind() == reflect.Slice && typ.Elem().Kind() == reflect.Struct:
 		elements, ok := value.([]any)
 		if !ok || len(elements) == 0 {
-			t.Errorf("%s: no list with an element", path)
+			t.Errorf("%s: not a list with at least one element", path)
 		}
 		for _, element := range elements {
-			sameKeys(t, path, element, of.Elem())
+			checkKeys(t, path, element, typ.Elem())
 		}
-	case of.Kind() == reflect.Struct:
+	case typ.Kind() == reflect.Struct:
 		object, ok := value.(map[string]any)
 		if !ok {
-			t.Errorf("%s: no object", path)
+			t.Errorf("%s: not an object", path)
 			return
 		}
-		known := map[string]bool{}
-		for i := range of.NumField() {
-			key, _, _ := strings.Cut(of.Field(i).Tag.Get("json"), ",")
-			known[key] = true
-			inner, has := object[key]
-			if !has {
-				if !optional[path+"."+key] {
+		readKeys := map[string]bool{}
+		for i := range typ.NumField() {
+			key, _, _ := strings.Cut(typ.Field(i).Tag.Get("json"), ",")
+			readKeys[key] = true
+			inner, exists := object[key]
+			if !exists {
+				if !optionalKeys[path+"."+key] {
 					t.Errorf("%s.%s: missing", path, key)
 				}
 				continue
 			}
-			sameKeys(t, path+"."+key, inner, of.Field(i).Type)
+			checkKeys(t, path+"."+key, inner, typ.Field(i).Type)
 		}
 		for key := range object {
-			if !known[key] {
-				t.Errorf("%s.%s: not read", path, key)
+			if !readKeys[key] {
+				t.Errorf("%s.%s: not read by the agent", path, key)
 			}
 		}
 	}
