--- a/internal/fleet/controlplane/directory_test.go
+++ b/internal/fleet/controlplane/endpoint_store_test.go
@@ -9,15 +9,16 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// A directory serves the changes since a version that it had, and else the whole list.
-func TestDirectoryServesChangesSinceKnownVersion(t *testing.T) {
+// A reader with a version that the store has had gets the changes since then. A reader with any other
+// version gets the whole list.
+func TestEndpointStoreServesChangesSinceKnownVersion(t *testing.T) {
 	host := func(i int, health string) endpointlist.Host {
 		return endpointlist.Host{Host: serverName(i), Health: health}
 	}
-	d := newDirectory(nil)
-	d.take(&endpointlist.List{Seq: 5, Whole: true, Hosts: []endpointlist.Host{host(0, "ready"), host(1, "ready")}})
-	d.take(&endpointlist.List{Seq: 6, Hosts: []endpointlist.Host{host(0, "gone")}})
-	d.take(&endpointlist.List{Seq: 7, Hosts: []endpointlist.Host{host(2, "ready")}})
+	store := newEndpointStore(nil)
+	store.apply(&endpointlist.List{Seq: 5, Whole: true, Hosts: []endpointlist.Host{host(0, "ready"), host(1, "ready")}})
+	store.apply(&endpointlist.List{Seq: 6, Hosts: []endpointlist.Host{host(0, "gone")}})
+	store.apply(&endpointlist.List{Seq: 7, Hosts: []endpointlist.Host{host(2, "ready")}})
 	for _, c := range []struct {
 		since int64
 		whole bool
@@ -25,8 +26,8 @@
 	}{
 		{0, true, "1 2"}, {4, true, "1 2"}, {5, false, "0 2"}, {6, false, "2"}, {7, false, ""}, {8, true, "1 2"},
 	} {
-		for range 2 { // the second list is the one that was kept
-			text, seq, err := d.text(0, c.since)
+		for range 2 { // the second call returns the cached list
+			text, seq, err := store.encodedList(0, c.since)
 			var l endpointlist.List
 			if err == nil {
 				err = json.Unmarshal(text, &l)
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -22,8 +22,8 @@
 	log      *slog.Logger
 	spawn    Spawn
 	rng      *rand.Rand
-	source   *directory    // of truth
-	ports    []reservation // of all stand-ins, a scope after the other
+	source   *endpointStore // of truth
+	ports    []reservation  // of all stand-ins, a scope after the other
 	standIns []*standInHost
 	workers  []*worker
 
@@ -58,8 +58,8 @@
 // start opens the stand-ins and then the agents, and begins the first phase. The fleet must be stopped also
 // where it returns an error.
 func (f *fleetRun) start(ctx context.Context) error {
-	f.source = newDirectory(nil)
-	f.source.take(&endpointlist.List{Seq: firstVersion, Whole: true, Hosts: f.plan.hosts()})
+	f.source = newEndpointStore(nil)
+	f.source.apply(&endpointlist.List{Seq: firstVersion, Whole: true, Hosts: f.plan.hosts()})
 	if err := f.startStandIns(ctx); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 
 // open starts a stand-in at a host's ports, with the list as it is.
 func (f *fleetRun) open(ctx context.Context, host *standInHost) error {
-	text, seq, err := f.source.text(0, 0)
+	text, seq, err := f.source.encodedList(0, 0)
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 func (f *fleetRun) change(ctx context.Context, hosts ...endpointlist.Host) (version, error) {
 	seq, _, _ := f.source.state()
 	made := version{seq: seq + 1, since: time.Now()}
-	f.source.take(&endpointlist.List{Seq: made.seq, Hosts: hosts})
+	f.source.apply(&endpointlist.List{Seq: made.seq, Hosts: hosts})
 	return made, f.send(ctx)
 }
 
@@ -171,7 +171,7 @@
 		if host.Process == nil || host.cutOff {
 			return nil
 		}
-		text, seq, err := f.source.text(0, host.sentSeq)
+		text, seq, err := f.source.encodedList(0, host.sentSeq)
 		if err != nil {
 			return err
 		}
@@ -186,7 +186,7 @@
 func (f *fleetRun) randomChange() endpointlist.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
-	host := f.source.hosts[f.source.names[f.rng.IntN(len(f.source.names))]].Host
+	host := f.source.hosts[f.source.hostNames[f.rng.IntN(len(f.source.hostNames))]].Host
 	if host.Health == "ready" {
 		host.Health = "draining"
 	} else {
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -25,7 +25,7 @@
 // standIn is a stand-in of discovery: it gets its endpoint list from the bench and serves it to
 // polls and watches, on a port for each scope.
 type standIn struct {
-	list   *directory
+	list   *endpointStore
 	server []*http.Server
 	count  counts
 	peak   callPeak
@@ -126,7 +126,7 @@
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	s.list.take(&l)
+	s.list.apply(&l)
 	return nil
 }
 
@@ -140,7 +140,7 @@
 		}
 		scope = func(host string) int { return of[host] }
 	}
-	s.list = newDirectory(scope)
+	s.list = newEndpointStore(scope)
 	if err := s.take(cmd.List); err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 
 // notify writes the scope's changes after a version, and returns the version that they lead to.
 func (s *standIn) notify(w http.ResponseWriter, scope int, since int64) (int64, error) {
-	text, seq, err := s.list.text(scope, since)
+	text, seq, err := s.list.encodedList(scope, since)
 	if err != nil {
 		return since, err
 	}
