--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -25,8 +25,8 @@
 // version is a version of the endpoint list. Agents count as having it from the moment since on: what
 // was in force at them before, as before a restart, is another process's.
 type version struct {
-	seq   int64
-	since time.Time
+	seq       int64
+	notBefore time.Time
 }
 
 // newCase returns a case without figures, with the parameters of the fleet.
@@ -38,70 +38,70 @@
 }
 
 // do runs a step unless one before it failed.
-func (c *caseRun) do(step func(context.Context) error) {
+func (c *caseRun) runStep(step func(context.Context) error) {
 	if c.err == nil {
 		c.err = step(c.ctx)
 	}
 }
 
 // beginPhase begins a phase, whose costs addCosts adds.
-func (c *caseRun) beginPhase() { c.do(c.fleet.beginPhase) }
+func (c *caseRun) startPhase() { c.runStep(c.fleet.startPhase) }
 
 // addCosts adds what the phase has cost so far; the figures' names begin with prefix.
 func (c *caseRun) addCosts(prefix string) {
-	c.do(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
+	c.runStep(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
 }
 
 // endPhase adds the costs of the phase and begins the next.
 func (c *caseRun) endPhase(prefix string) {
 	c.addCosts(prefix)
-	c.beginPhase()
+	c.startPhase()
 }
 
 // sleep waits for a fixed span.
 func (c *caseRun) sleep(d time.Duration) {
-	c.do(func(ctx context.Context) error { return sleep(ctx, d) })
+	c.runStep(func(ctx context.Context) error { return sleep(ctx, d) })
 }
 
 // change makes a version of the list with these hosts changed and sends it to the stand-ins that can be
 // reached.
-func (c *caseRun) change(hosts ...endpointlist.Host) (made version) {
-	c.do(func(ctx context.Context) (err error) {
-		made, err = c.fleet.change(ctx, hosts...)
+func (c *caseRun) publish(hosts ...endpointlist.Host) (published version) {
+	c.runStep(func(ctx context.Context) (err error) {
+		published, err = c.fleet.publish(ctx, hosts...)
 		return err
 	})
-	return made
+	return published
 }
 
 // await waits until a version is in force at the agents, for the plan's limit at most.
-func (c *caseRun) await(agents []int, v version) {
-	c.do(func(ctx context.Context) error { return c.fleet.await(ctx, agents, v) })
+func (c *caseRun) awaitVersion(agents []int, v version) {
+	c.runStep(func(ctx context.Context) error { return c.fleet.awaitVersion(ctx, agents, v) })
 }
 
 // record adds to the delays how long after begin the version was in force at each of the agents.
-func (c *caseRun) record(d *delays, agents []int, v version, begin func(agent int) time.Time) {
-	c.do(func(context.Context) error { return d.add(c.fleet, agents, v, begin) })
+func (c *caseRun) recordDelays(d *delayStats, agents []int, v version, startOf func(agent int) time.Time) {
+	c.runStep(func(context.Context) error { return d.addVersion(c.fleet, agents, v, startOf) })
 }
 
 // measureChange makes a change and adds to the delays how long it takes to be in force at the agents.
-func (c *caseRun) measureChange(d *delays, agents []int, hosts ...endpointlist.Host) {
-	v := c.change(hosts...)
-	c.await(agents, v)
-	c.record(d, agents, v, since(v.since))
+func (c *caseRun) measureChange(d *delayStats, agents []int, hosts ...endpointlist.Host) {
+	v := c.publish(hosts...)
+	c.awaitVersion(agents, v)
+	c.recordDelays(d, agents, v, sameStart(v.notBefore))
 }
 
 // measureRecovery ends a fault: it adds how long after end a version is in force at agents that could not
 // get it before, and what that cost.
-func (c *caseRun) measureRecovery(prefix string, agents []int, v version, end time.Time) {
-	took := newDelays()
-	c.await(agents, v)
-	c.record(took, agents, v, since(end))
-	took.addTo(&c.result, prefix)
+func (c *caseRun) measureRecovery(prefix string, agents []int, v version, faultEnd time.Time) {
+	delays := newDelayStats()
+	c.awaitVersion(agents, v)
+	c.recordDelays(delays, agents, v, sameStart(faultEnd))
+	delays.addFigures(&c.result, prefix)
 	c.addCosts(prefix)
 }
 
 // since returns the same moment for every agent.
-func since(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
+func sameStart(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
 
 // sleep waits for d, or until the context is done, whose cause it returns then.
 func sleep(ctx context.Context, d time.Duration) error {
--- a/internal/fleet/controlplane/case_test.go
+++ b/internal/fleet/controlplane/case_test.go
@@ -12,11 +12,11 @@
 	c := f.newCase(t.Context(), "failing")
 	cause := errors.New("a step failed")
 	ran := 0
-	step := func(err error) { c.do(func(context.Context) error { ran++; return err }) }
+	step := func(err error) { c.runStep(func(context.Context) error { ran++; return err }) }
 	step(nil)
 	step(cause)
 	step(errors.New("another step failed"))
-	if v := c.change(); v != (version{}) {
+	if v := c.publish(); v != (version{}) {
 		t.Errorf("got version %+v of a change after the error, want none", v)
 	}
 	if ran != 2 || !errors.Is(c.err, cause) {
--- a/internal/fleet/controlplane/delays.go
+++ b/internal/fleet/controlplane/delays.go
@@ -17,25 +17,25 @@
 )
 
 // delays are how long versions took to be in force, over agents and versions.
-type delays struct {
+type delayStats struct {
 	histogram *hdrhistogram.Histogram // in microseconds
-	without   int                     // agents, over all versions, that did not get the version
+	unreached int                     // agents, over all versions, that did not get the version
 }
 
 // newDelays returns delays without any.
-func newDelays() *delays {
-	return &delays{histogram: hdrhistogram.New(1, maxDelay.Microseconds(), delayDigits)}
+func newDelayStats() *delayStats {
+	return &delayStats{histogram: hdrhistogram.New(1, maxDelay.Microseconds(), delayDigits)}
 }
 
 // add takes in one version: for each of the agents the time from begin until it is in force there.
-func (d *delays) add(f *fleetRun, agents []int, v version, begin func(agent int) time.Time) error {
+func (d *delayStats) addVersion(f *fleetRun, agents []int, v version, startOf func(agent int) time.Time) error {
 	for _, a := range agents {
-		at, ok := f.inForceAt(a, v)
+		appliedAt, ok := f.appliedAt(a, v)
 		if !ok {
-			d.without++
+			d.unreached++
 			continue
 		}
-		if err := d.histogram.RecordValue(max(at.Sub(begin(a)).Microseconds(), 1)); err != nil {
+		if err := d.histogram.RecordValue(max(appliedAt.Sub(startOf(a)).Microseconds(), 1)); err != nil {
 			return fmt.Errorf("time of agent %d: %w", a, err)
 		}
 	}
@@ -44,11 +44,11 @@
 
 // addTo adds the figures to a case. Their names begin with prefix. A quantile that
 // takes in agents that were not reached is left out.
-func (d *delays) addTo(c *fleet.Case, prefix string) {
+func (d *delayStats) addFigures(c *fleet.Case, prefix string) {
 	reached := float64(d.histogram.TotalCount())
-	all := reached + float64(d.without)
+	all := reached + float64(d.unreached)
 	c.Add(prefix+"_agents", "count", all)
-	c.Add(prefix+"_without", "count", float64(d.without))
+	c.Add(prefix+"_without", "count", float64(d.unreached))
 	for _, part := range []struct {
 		name  string
 		share float64
--- a/internal/fleet/controlplane/delays_test.go
+++ b/internal/fleet/controlplane/delays_test.go
@@ -8,13 +8,13 @@
 )
 
 // An agent that was not reached has no delay, and a quantile that takes it in is left out.
-func TestDelaysLeaveOutQuantilesOfUnreachedAgents(t *testing.T) {
+func TestDelayStatsLeaveOutQuantilesOfUnreachedAgents(t *testing.T) {
 	f := &fleetRun{events: [][]event{{{Seq: 2, At: 2_000_000}}, {{Seq: 1, At: 1_000_000}}}}
-	took, c := newDelays(), fleet.Case{}
-	if err := took.add(f, []int{0, 1}, version{2, time.Unix(0, 0)}, since(time.Unix(1, 0))); err != nil {
+	delays, c := newDelayStats(), fleet.Case{}
+	if err := delays.addVersion(f, []int{0, 1}, version{2, time.Unix(0, 0)}, sameStart(time.Unix(1, 0))); err != nil {
 		t.Fatal(err)
 	}
-	took.addTo(&c, "x")
+	delays.addFigures(&c, "x")
 	if without, _ := c.Figure("x_without"); without != 1 {
 		t.Errorf("got %v agents without the version, want 1", without)
 	}
--- a/internal/fleet/controlplane/endpoint_store.go
+++ b/internal/fleet/controlplane/endpoint_store.go
@@ -117,8 +117,8 @@
 		since = 0
 	}
 	key := encodedListKey{scope, since}
-	if text := s.encoded[key]; text != nil {
-		return text, s.seq, nil
+	if encoded := s.encoded[key]; encoded != nil {
+		return encoded, s.seq, nil
 	}
 	l := endpointlist.List{Seq: s.seq, Whole: whole, Hosts: []endpointlist.Host{}}
 	for _, name := range s.hostNames {
@@ -128,14 +128,14 @@
 			l.Hosts = append(l.Hosts, entry.Host)
 		}
 	}
-	text, err := json.Marshal(l)
+	encoded, err := json.Marshal(l)
 	if err != nil {
 		return nil, 0, fmt.Errorf("list: %w", err)
 	}
-	text = append(text, '\n')
+	encoded = append(encoded, '\n')
 	if len(s.encoded) >= maxEncodedLists {
 		clear(s.encoded)
 	}
-	s.encoded[key] = text
-	return text, s.seq, nil
+	s.encoded[key] = encoded
+	return encoded, s.seq, nil
 }
--- a/internal/fleet/controlplane/fault_region.go
+++ b/internal/fleet/controlplane/fault_region.go
@@ -8,36 +8,36 @@
 	f, p := c.fleet, c.fleet.plan
 	inside := func(standIn int) bool { return standIn < p.StandIns }
 	outside := func(standIn int) bool { return !inside(standIn) }
-	c.do(f.send) // what the region gets last
+	c.runStep(f.updateStandIns) // what the region gets last
 	for i, host := range f.standIns {
 		host.cutOff = inside(i)
 	}
-	began, took := time.Now(), newDelays()
-	unaffected := f.agents(outside)
+	began, delays := time.Now(), newDelayStats()
+	unaffected := f.agentsOf(outside)
 	changes := 0
 	for c.err == nil && (changes == 0 || time.Since(began) < p.Cut) {
-		c.measureChange(took, unaffected, f.randomChange())
+		c.measureChange(delays, unaffected, f.randomHealthChange())
 		changes++
 		c.sleep(min(p.CutEvery, p.Cut-time.Since(began)))
 	}
-	took.addTo(&c.result, "others")
+	delays.addFigures(&c.result, "others")
 	c.result.Add("changes", "count", float64(changes))
 	c.result.Add("cut", "s", time.Since(began).Seconds())
-	c.do(f.pollStandIns)
-	c.result.Add("cut_list_age", "s", float64(f.reconnect())/1000)
+	c.runStep(f.pollStandIns)
+	c.result.Add("cut_list_age", "s", float64(f.reconnectStandIns())/1000)
 	c.endPhase("cut")
 
 	seq, _, _ := f.source.state()
 	now := time.Now()
-	c.do(f.send)
-	c.measureRecovery("healed", f.agents(inside), version{seq, now}, now)
+	c.runStep(f.updateStandIns)
+	c.measureRecovery("healed", f.agentsOf(inside), version{seq, now}, now)
 }}
 
 // reconnect ends the cut and returns the age in milliseconds of the oldest list behind it, as last polled.
-func (f *fleetRun) reconnect() (oldestMs int64) {
+func (f *fleetRun) reconnectStandIns() (oldestMs int64) {
 	for _, host := range f.standIns {
 		if host.cutOff {
-			oldestMs = max(oldestMs, host.last.AgeMs)
+			oldestMs = max(oldestMs, host.lastReport.AgeMs)
 		}
 		host.cutOff = false
 	}
--- a/internal/fleet/controlplane/fault_restart.go
+++ b/internal/fleet/controlplane/fault_restart.go
@@ -18,8 +18,8 @@
 	}
 	seq, _, _ := f.source.state()
 	now := time.Now()
-	c.do(func(ctx context.Context) error {
-		return forEach(f.workers, func(w *worker) error {
+	c.runStep(func(ctx context.Context) error {
+		return forEachConcurrently(f.workers, func(w *worker) error {
 			cmd := &command{Op: opRestart}
 			for _, a := range w.agents {
 				if restarting[a] {
--- a/internal/fleet/controlplane/fault_silence.go
+++ b/internal/fleet/controlplane/fault_silence.go
@@ -10,8 +10,8 @@
 var discoverySilent = fault{"discovery silent", func(c *caseRun) {
 	f := c.fleet
 	setSilent := func(silent bool) {
-		c.do(func(ctx context.Context) error {
-			return forEach(f.standIns, func(host *standInHost) error {
+		c.runStep(func(ctx context.Context) error {
+			return forEachConcurrently(f.standIns, func(host *standInHost) error {
 				_, err := host.call(ctx, &command{Op: opSilence, Silent: silent})
 				return err
 			})
@@ -20,12 +20,12 @@
 	setSilent(true)
 	began := time.Now()
 	c.sleep(min(time.Second, f.plan.Silent/2))
-	v := c.change(f.randomChange())
+	v := c.publish(f.randomHealthChange())
 	c.sleep(f.plan.Silent - time.Since(began))
 	c.result.Add("silent", "s", time.Since(began).Seconds())
 	c.endPhase("silent")
 
 	now := time.Now()
 	setSilent(false)
-	c.measureRecovery("back", f.agents(everywhere), version{v.seq, now}, now)
+	c.measureRecovery("back", f.agentsOf(allStandIns), version{v.seq, now}, now)
 }}
--- a/internal/fleet/controlplane/fault_standin.go
+++ b/internal/fleet/controlplane/fault_standin.go
@@ -14,25 +14,25 @@
 	host.Process = nil
 	killedAt := time.Now()
 	c.sleep(changeInterval)
-	affected := f.agents(func(standIn int) bool { return standIn == 0 })
-	unaffected := f.agents(func(standIn int) bool { return standIn != 0 })
+	affected := f.agentsOf(func(standIn int) bool { return standIn == 0 })
+	unaffected := f.agentsOf(func(standIn int) bool { return standIn != 0 })
 
-	took := newDelays()
-	v := c.change(f.randomChange())
-	c.await(unaffected, v)
-	c.record(took, unaffected, v, since(v.since))
-	took.addTo(&c.result, "others")
+	delays := newDelayStats()
+	v := c.publish(f.randomHealthChange())
+	c.awaitVersion(unaffected, v)
+	c.recordDelays(delays, unaffected, v, sameStart(v.notBefore))
+	delays.addFigures(&c.result, "others")
 
 	c.sleep(f.plan.Down - time.Since(killedAt))
-	c.do(f.pollAgents)
-	during := newDelays()
-	c.record(during, affected, v, since(v.since))
+	c.runStep(f.pollAgents)
+	whileDown := newDelayStats()
+	c.recordDelays(whileDown, affected, v, sameStart(v.notBefore))
 	c.result.Add("down", "s", time.Since(killedAt).Seconds())
-	c.result.Add("theirs_without_while_down", "count", float64(during.without))
+	c.result.Add("theirs_without_while_down", "count", float64(whileDown.unreached))
 	c.endPhase("down")
 
 	// Agents may have the change before the stand-in reports that it listens: their delay is none.
 	reopened := time.Now()
-	c.do(func(ctx context.Context) error { return f.open(ctx, host) })
+	c.runStep(func(ctx context.Context) error { return f.openStandIn(ctx, host) })
 	c.measureRecovery("back", affected, version{v.seq, reopened}, time.Now())
 }}
--- a/internal/fleet/controlplane/fault_zone.go
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -9,12 +9,12 @@
 // zoneLost takes a zone's servers off the list in one change, and brings them back as new processes in
 // another.
 var zoneLost = fault{"zone lost and back", func(c *caseRun) {
-	every := c.fleet.agents(everywhere)
+	all := c.fleet.agentsOf(allStandIns)
 	for _, change := range []struct{ prefix, health string }{{"gone", "gone"}, {"back", "ready"}} {
-		hosts := c.fleet.plan.firstZone(change.health)
-		took := newDelays()
-		c.measureChange(took, every, hosts...)
-		took.addTo(&c.result, change.prefix)
+		hosts := c.fleet.plan.firstZoneHosts(change.health)
+		delays := newDelayStats()
+		c.measureChange(delays, all, hosts...)
+		delays.addFigures(&c.result, change.prefix)
 		c.result.Add(change.prefix+"_servers", "count", float64(len(hosts)))
 		c.sleep(changeInterval)
 		c.endPhase(change.prefix)
@@ -22,9 +22,9 @@
 }}
 
 // firstZone returns the servers of the first zone with this health; ready ones as started just now.
-func (p *Plan) firstZone(health string) []endpointlist.Host {
+func (p *Plan) firstZoneHosts(health string) []endpointlist.Host {
 	var hosts []endpointlist.Host
-	for i, host := range p.hosts() {
+	for i, host := range p.initialHosts() {
 		if p.zoneOf(i) != 0 {
 			continue
 		}
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -72,20 +72,20 @@
 		return err
 	}
 	for _, f := range []struct {
-		arg         string
-		value, most int
+		arg          string
+		value, limit int
 	}{{"stand-ins", p.StandIns, 100}, {"processes", p.Processes, 100}, {"changes", p.Changes, 1000}} {
-		if f.value < 1 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
+		if f.value < 1 || f.value > f.limit {
+			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.limit, f.value)
 		}
 	}
 	for _, f := range []struct {
-		arg         string
-		value, most time.Duration
+		arg          string
+		value, limit time.Duration
 	}{{"ask-within", p.AskWithin, time.Hour}, {"calm", p.Calm, time.Hour}, {"down", p.Down, time.Hour},
 		{"silent", p.Silent, time.Hour}, {"cut", p.Cut, time.Hour}, {"cut-every", p.CutEvery, time.Hour}, {"limit", p.Limit, time.Hour}} {
-		if f.value <= 0 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.most, f.value)
+		if f.value <= 0 || f.value > f.limit {
+			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.limit, f.value)
 		}
 	}
 	if p.Spread < 0 || p.Spread >= p.Limit {
@@ -98,28 +98,28 @@
 		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
 	}
 	if p.Sweep {
-		least := sweepShares[0]
-		if float64(p.Size.Agents)*least*sweepAgentShare < 1 {
-			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgentShare), p.Size.Agents)
+		minShare := sweepShares[0]
+		if float64(p.Size.Agents)*minShare*sweepAgentShare < 1 {
+			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(minShare*sweepAgentShare), p.Size.Agents)
 		}
-		if n := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*least < float64(n) {
-			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(n)/least, p.Size.Servers)
+		if minServers := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*minShare < float64(minServers) {
+			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(minServers)/minShare, p.Size.Servers)
 		}
 	}
-	return p.fits()
+	return p.checkResources()
 }
 
 // with returns the plan with a part of the agents, which start as densely, and a part of the servers.
-func (p *Plan) with(agents, servers float64) Plan {
-	part := *p
-	part.Size.Agents = int(agents * float64(p.Size.Agents))
-	part.Size.Servers = int(servers * float64(p.Size.Servers))
-	part.Spread = time.Duration(agents * float64(p.Spread))
-	return part
+func (p *Plan) scaled(agentShare, serverShare float64) Plan {
+	scaled := *p
+	scaled.Size.Agents = int(agentShare * float64(p.Size.Agents))
+	scaled.Size.Servers = int(serverShare * float64(p.Size.Servers))
+	scaled.Spread = time.Duration(agentShare * float64(p.Spread))
+	return scaled
 }
 
 // fits returns a *fleet.UsageError if the run would need more memory, processes or descriptors than there are.
-func (p *Plan) fits() error {
+func (p *Plan) checkResources() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
 		return fleet.Usage("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
@@ -136,19 +136,19 @@
 		return fmt.Errorf("limit of open files: %w", err)
 	}
 	// A watch that is opened anew may stand beside the one that has ended.
-	watches := 2 * max(ceil(size.Agents, p.Processes), p.agentsOf(0))
-	ports := p.scopes() * p.StandIns * size.Regions
-	if need := max(watches+p.scopes(), ports) + spareDescriptors; uint64(need) > files.Cur {
-		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", need, files.Cur)
+	watches := 2 * max(ceilDiv(size.Agents, p.Processes), p.agentCount(0))
+	ports := p.scopeCount() * p.StandIns * size.Regions
+	if needed := max(watches+p.scopeCount(), ports) + spareDescriptors; uint64(needed) > files.Cur {
+		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", needed, files.Cur)
 	}
 	return nil
 }
 
 // ceil returns n divided by parts, rounded up.
-func ceil(n, parts int) int { return (n + parts - 1) / parts }
+func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
 // scopes returns how many different lists a stand-in serves.
-func (p *Plan) scopes() int {
+func (p *Plan) scopeCount() int {
 	if p.Scope == ScopeService {
 		return p.Size.Services
 	}
@@ -159,7 +159,7 @@
 func (p *Plan) agentScopes() []int {
 	scopes := make([]int, p.Size.Agents)
 	if p.Scope == ScopeService {
-		serviceOf := p.services()
+		serviceOf := p.serviceOfServers()
 		for i := range scopes {
 			scopes[i] = serviceOf[i%p.Size.Servers]
 		}
@@ -182,7 +182,7 @@
 }
 
 // agentsOf returns the number of agents of a stand-in.
-func (p *Plan) agentsOf(standIn int) int {
+func (p *Plan) agentCount(standIn int) int {
 	n := 0
 	for i := range p.Size.Agents {
 		if p.standInOf(i) == standIn {
@@ -193,29 +193,29 @@
 }
 
 // services returns the service of each server. Services are uneven: each has one server at least, the first more.
-func (p *Plan) services() []int {
+func (p *Plan) serviceOfServers() []int {
 	rng := rand.New(rand.NewPCG(p.Size.Seed, servicesStream))
-	sum, until := 0.0, make([]float64, p.Size.Services)
-	for k := range until {
-		sum += 1 / math.Sqrt(float64(k+1))
-		until[k] = sum
-	}
-	of := make([]int, p.Size.Servers)
-	for i := range of {
-		if of[i] = i; i >= p.Size.Services {
-			x := rng.Float64() * sum
-			for of[i] = 0; until[of[i]] < x; of[i]++ {
+	total, cumulative := 0.0, make([]float64, p.Size.Services)
+	for k := range cumulative {
+		total += 1 / math.Sqrt(float64(k+1))
+		cumulative[k] = total
+	}
+	serviceOf := make([]int, p.Size.Servers)
+	for i := range serviceOf {
+		if serviceOf[i] = i; i >= p.Size.Services {
+			draw := rng.Float64() * total
+			for serviceOf[i] = 0; cumulative[serviceOf[i]] < draw; serviceOf[i]++ {
 			}
 		}
 	}
-	return of
+	return serviceOf
 }
 
 // serverName returns a server's name in the list. The agent hashes it.
 func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*nameMultiplier) }
 
 // hosts returns the list at the start. Nobody dials its addresses.
-func (p *Plan) hosts() []endpointlist.Host {
+func (p *Plan) initialHosts() []endpointlist.Host {
 	hosts := make([]endpointlist.Host, p.Size.Servers)
 	for i := range hosts {
 		hosts[i] = endpointlist.Host{Host: serverName(i), Dial: fmt.Sprintf("127.%d.%d.%d:8081", p.zoneOf(i)+1, i>>8&255, i&255),
@@ -228,7 +228,7 @@
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
 // config returns the configuration of an agent.
-func (p *Plan) config(index int, discovery string) ([]byte, error) {
+func (p *Plan) agentConfig(index int, discovery string) ([]byte, error) {
 	zones := make([]string, p.Size.Zones)
 	for z := range zones {
 		zones[z] = zoneName(z)
--- a/internal/fleet/controlplane/ports.go
+++ b/internal/fleet/controlplane/ports.go
@@ -22,10 +22,10 @@
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err == nil {
-		var at syscall.Sockaddr
-		if at, err = syscall.Getsockname(fd); err == nil {
-			if v4, ok := at.(*syscall.SockaddrInet4); ok {
-				r.port = v4.Port
+		var addr syscall.Sockaddr
+		if addr, err = syscall.Getsockname(fd); err == nil {
+			if inet4, ok := addr.(*syscall.SockaddrInet4); ok {
+				r.port = inet4.Port
 				return r, nil
 			}
 			err = errors.New("no IPv4 address")
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -13,12 +13,12 @@
 
 // Process is the bench's handle of one of its processes: a pipe for commands and one for replies.
 type Process struct {
-	name string
-	in   io.WriteCloser
-	out  *json.Decoder
-	end  func()       // ends it at once
-	wait func() error // returns when it has ended
-	once sync.Once
+	name      string
+	commands  io.WriteCloser
+	replies   *json.Decoder
+	terminate func()       // ends it at once
+	wait      func() error // returns when it has ended
+	endOnce   sync.Once
 }
 
 // Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill it.
@@ -42,8 +42,8 @@
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("%s: %w", role, err)
 		}
-		return &Process{name: fmt.Sprintf("%s, process %d", role, cmd.Process.Pid), in: in, out: json.NewDecoder(out),
-			end: func() { _ = cmd.Process.Kill() }, wait: cmd.Wait}, nil
+		return &Process{name: fmt.Sprintf("%s, process %d", role, cmd.Process.Pid), commands: in, replies: json.NewDecoder(out),
+			terminate: func() { _ = cmd.Process.Kill() }, wait: cmd.Wait}, nil
 	}
 }
 
@@ -57,8 +57,8 @@
 	done := make(chan result, 1)
 	go func() {
 		var r result
-		if r.err = json.NewEncoder(p.in).Encode(cmd); r.err == nil {
-			r.err = p.out.Decode(&r.reply)
+		if r.err = json.NewEncoder(p.commands).Encode(cmd); r.err == nil {
+			r.err = p.replies.Decode(&r.reply)
 		}
 		done <- r
 	}()
@@ -80,10 +80,10 @@
 
 // kill ends the process at once, as the failure of its machine would.
 func (p *Process) kill() {
-	p.once.Do(func() {
-		p.end()
+	p.endOnce.Do(func() {
+		p.terminate()
 		_ = p.wait() // it was killed
-		p.in.Close()
+		p.commands.Close()
 	})
 }
 
@@ -92,10 +92,10 @@
 
 // close lets the process end, and ends it if it does not.
 func (p *Process) close() {
-	p.once.Do(func() {
-		p.in.Close()
-		late := time.AfterFunc(shutdownGrace, p.end)
-		defer late.Stop()
+	p.endOnce.Do(func() {
+		p.commands.Close()
+		timer := time.AfterFunc(shutdownGrace, p.terminate)
+		defer timer.Stop()
 		_ = p.wait() // its results have come, or the run's error is known
 	})
 }
--- a/internal/fleet/controlplane/protocol.go
+++ b/internal/fleet/controlplane/protocol.go
@@ -30,10 +30,10 @@
 
 // reply is a process's answer.
 type reply struct {
-	Error  string  `json:"error,omitempty"`
-	Usage  usage   `json:"usage"`
-	Counts counts  `json:"counts"`
-	AgeMs  int64   `json:"age_ms,omitempty"` // since the source of truth last sent an update
-	Events []event `json:"events,omitempty"`
-	LateMs float64 `json:"late_ms,omitempty"` // report: the longest wait for a processor since the last
+	Error  string       `json:"error,omitempty"`
+	Usage  usage        `json:"usage"`
+	Counts servedCounts `json:"counts"`
+	AgeMs  int64        `json:"age_ms,omitempty"` // since the source of truth last sent an update
+	Events []event      `json:"events,omitempty"`
+	LateMs float64      `json:"late_ms,omitempty"` // report: the longest wait for a processor since the last
 }
--- a/internal/fleet/controlplane/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -31,10 +31,10 @@
 		return nil, nil, err
 	}
 	var cases []fleet.Case
-	for _, planned := range plan.fleets() {
+	for _, planned := range plan.plannedFleets() {
 		log.Info("fleet begins", "case", planned.name, "agents", planned.plan.Size.Agents, "servers", planned.plan.Size.Servers)
-		played, err := planned.play(ctx, log, spawn)
-		cases = append(cases, played...)
+		fleetCases, err := planned.run(ctx, log, spawn)
+		cases = append(cases, fleetCases...)
 		if err != nil {
 			return cases, nil, err
 		}
@@ -47,39 +47,39 @@
 
 // plannedFleet is one fleet that a run starts, measures and stops.
 type plannedFleet struct {
-	name   string // of its calm case
-	plan   Plan
-	faults bool // play the faults too
+	name       string // of its calm case
+	plan       Plan
+	withFaults bool // play the faults too
 }
 
 // fleets returns the fleets of a run in the order in which they are played.
-func (p *Plan) fleets() []plannedFleet {
-	var list []plannedFleet
+func (p *Plan) plannedFleets() []plannedFleet {
+	var fleets []plannedFleet
 	if p.Sweep {
-		for _, part := range sweepShares {
-			list = append(list, plannedFleet{name: caseAgents, plan: p.with(part, 1)})
+		for _, share := range sweepShares {
+			fleets = append(fleets, plannedFleet{name: caseAgents, plan: p.scaled(share, 1)})
 		}
-		for _, part := range sweepShares {
-			list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgentShare, part)})
+		for _, share := range sweepShares {
+			fleets = append(fleets, plannedFleet{name: caseServers, plan: p.scaled(sweepAgentShare, share)})
 		}
-		list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgentShare, 1)})
+		fleets = append(fleets, plannedFleet{name: caseServers, plan: p.scaled(sweepAgentShare, 1)})
 	}
-	return append(list, plannedFleet{name: caseTarget, plan: *p, faults: p.Faults})
+	return append(fleets, plannedFleet{name: caseTarget, plan: *p, withFaults: p.Faults})
 }
 
 // play runs the fleet and returns its calm case and those of the faults.
-func (p *plannedFleet) play(ctx context.Context, log *slog.Logger, spawn Spawn) ([]fleet.Case, error) {
+func (p *plannedFleet) run(ctx context.Context, log *slog.Logger, spawn Spawn) ([]fleet.Case, error) {
 	f := newFleetRun(&p.plan, log, spawn)
 	defer f.stop()
 	c := f.newCase(ctx, p.name)
-	c.calm()
+	c.runWithoutFaults()
 	if c.err != nil {
 		return nil, fmt.Errorf("%s: %w", p.name, c.err)
 	}
 	cases := []fleet.Case{c.result}
-	if !p.faults {
+	if !p.withFaults {
 		return cases, nil
 	}
-	played, err := f.playFaults(ctx)
-	return append(cases, played...), err
+	faultCases, err := f.runFaults(ctx)
+	return append(cases, faultCases...), err
 }
--- a/internal/fleet/controlplane/run_test.go
+++ b/internal/fleet/controlplane/run_test.go
@@ -18,7 +18,7 @@
 )
 
 // noLimit is longer than any test waits for.
-const noLimit = 5 * time.Minute
+const testLimit = 5 * time.Minute
 
 // TestMain makes the test binary a process of the bench when it is started as one.
 func TestMain(m *testing.M) {
@@ -37,47 +37,47 @@
 	return &Plan{Size: fleet.Size{Agents: 8, Servers: 12, Services: 3, Regions: 2, Zones: 4, Rate: 100, Depth: 2, Seed: 1},
 		StandIns: 1, Processes: 2, Membership: policy.MembershipPushed, Scope: ScopeFleet, AskWithin: 10 * time.Second, Changes: 2,
 		Calm: time.Millisecond, Down: time.Millisecond, Silent: time.Millisecond, Cut: time.Millisecond,
-		CutEvery: time.Millisecond, Limit: noLimit, Faults: true}
+		CutEvery: time.Millisecond, Limit: testLimit, Faults: true}
 }
 
 // inProcess runs the bench's processes as goroutines, and counts those that have not ended.
 type inProcess struct {
-	alive sync.WaitGroup
-	pass  func(role string, cmd *command) bool // reports whether a process gets a command, else it is stopped; nil: it does
+	alive  sync.WaitGroup
+	accept func(role string, cmd *command) bool // reports whether a process gets a command, else it is stopped; nil: it does
 }
 
 func (s *inProcess) spawn(ctx context.Context, role string) (*Process, error) {
-	ctx, stop := context.WithCancel(ctx)
+	ctx, cancel := context.WithCancel(ctx)
 	commands, in := io.Pipe()
 	out, replies := io.Pipe()
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	s.alive.Add(1)
 	go func() {
 		defer s.alive.Done()
-		defer close(ended)
-		_ = Serve(ctx, role, s.watched(role, commands, stop), replies)
+		defer close(exited)
+		_ = Serve(ctx, role, s.filter(role, commands, cancel), replies)
 		commands.Close()
 		replies.Close()
 	}()
-	return &Process{name: role, in: in, out: json.NewDecoder(out), end: stop,
-		wait: func() error { <-ended; return nil }}, nil
+	return &Process{name: role, commands: in, replies: json.NewDecoder(out), terminate: cancel,
+		wait: func() error { <-exited; return nil }}, nil
 }
 
 // watched returns the commands that pass lets through, and stops the process at the first other one.
-func (s *inProcess) watched(role string, commands io.Reader, stop func()) io.Reader {
-	if s.pass == nil {
+func (s *inProcess) filter(role string, commands io.Reader, stop func()) io.Reader {
+	if s.accept == nil {
 		return commands
 	}
-	passed, w := io.Pipe()
+	filtered, w := io.Pipe()
 	go func() {
-		lines := json.NewDecoder(commands)
+		decoder := json.NewDecoder(commands)
 		for {
 			var cmd command
-			if err := lines.Decode(&cmd); err != nil {
+			if err := decoder.Decode(&cmd); err != nil {
 				w.CloseWithError(err)
 				return
 			}
-			if !s.pass(role, &cmd) {
+			if !s.accept(role, &cmd) {
 				stop()
 				w.Close()
 				return
@@ -85,7 +85,7 @@
 			_ = json.NewEncoder(w).Encode(cmd)
 		}
 	}()
-	return passed
+	return filtered
 }
 
 // Every agent has the last version in force in the end, after any fault: the real watch code reads what the
@@ -130,7 +130,7 @@
 // The error of a run whose process dies names the process, and no other process is left.
 func TestRunEndsWhenProcessDies(t *testing.T) {
 	for _, role := range []string{RoleStandIn, RoleAgents} {
-		bench := &inProcess{pass: func(r string, cmd *command) bool { return r != role || cmd.Op != opReport }}
+		bench := &inProcess{accept: func(r string, cmd *command) bool { return r != role || cmd.Op != opReport }}
 		_, _, err := Run(t.Context(), slog.New(slog.DiscardHandler), smallPlan(), bench.spawn)
 		if err == nil || !strings.Contains(err.Error(), role+": report: has died") {
 			t.Errorf("%s: got error %v, want that the process has died", role, err)
@@ -143,7 +143,7 @@
 func TestRunEndsWhenInterrupted(t *testing.T) {
 	cause := errors.New("interrupted")
 	ctx, interrupt := context.WithCancelCause(t.Context())
-	bench := &inProcess{pass: func(role string, cmd *command) bool {
+	bench := &inProcess{accept: func(role string, cmd *command) bool {
 		if cmd.Op == opList {
 			interrupt(cause)
 		}
@@ -166,7 +166,7 @@
 		if _, err := p.call(t.Context(), &command{Op: "unknown"}); err == nil || !strings.Contains(err.Error(), "unknown command") {
 			t.Errorf("%s: got error %v, want an unknown command", role, err)
 		}
-		p.in.Close()
+		p.commands.Close()
 		if err := p.wait(); err != nil {
 			t.Errorf("%s: got error %v after its input ended, want none", role, err)
 		}
--- a/internal/fleet/controlplane/serve.go
+++ b/internal/fleet/controlplane/serve.go
@@ -33,13 +33,13 @@
 	}
 	defer h.close()
 	delay := &schedulingDelay{}
-	go delay.watch(ctx)
+	go delay.measure(ctx)
 	commands, ended := readCommands(ctx, in)
 	replies := json.NewEncoder(out)
 	for {
 		select {
 		case cmd := <-commands:
-			if err := replies.Encode(answer(ctx, h, &cmd, delay)); err != nil {
+			if err := replies.Encode(execute(ctx, h, &cmd, delay)); err != nil {
 				return fmt.Errorf("reply: %w", err)
 			}
 		case err := <-ended:
@@ -59,10 +59,10 @@
 	commands := make(chan command)
 	ended := make(chan error, 1)
 	go func() {
-		lines := json.NewDecoder(in)
+		decoder := json.NewDecoder(in)
 		for {
 			var cmd command
-			if err := lines.Decode(&cmd); err != nil {
+			if err := decoder.Decode(&cmd); err != nil {
 				ended <- err
 				return
 			}
@@ -77,7 +77,7 @@
 }
 
 // answer carries out a command and returns its reply, which holds the error if it failed.
-func answer(ctx context.Context, h handler, cmd *command, delay *schedulingDelay) reply {
+func execute(ctx context.Context, h handler, cmd *command, delay *schedulingDelay) reply {
 	r, err := h.handle(ctx, cmd)
 	if err == nil {
 		r.Usage, err = measureUsage(cmd.Heap)
@@ -86,7 +86,7 @@
 		r.Error = err.Error()
 	}
 	if cmd.Op == opReport {
-		r.LateMs = delay.takeMs()
+		r.LateMs = delay.takeLongestMs()
 	}
 	return r
 }
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -26,11 +26,11 @@
 
 // simulatedAgents are a process's agents: the real watch code and module, without clients.
 type simulatedAgents struct {
-	plan  *Plan
-	ports map[int]int // of an agent's discovery
-	stops map[int]context.CancelFunc
-	log   *slog.Logger
-	group sync.WaitGroup
+	plan           *Plan
+	discoveryPorts map[int]int // of an agent's discovery
+	cancels        map[int]context.CancelFunc
+	log            *slog.Logger
+	running        sync.WaitGroup
 
 	mu     sync.Mutex
 	events []event
@@ -44,11 +44,11 @@
 		if len(cmd.Ports) != len(cmd.Agents) {
 			return reply{}, errors.New("agents: no port for each")
 		}
-		h.plan, h.ports, h.stops = cmd.Plan, map[int]int{}, map[int]context.CancelFunc{}
+		h.plan, h.discoveryPorts, h.cancels = cmd.Plan, map[int]int{}, map[int]context.CancelFunc{}
 		// Warnings of agents, as of each watch that ends, are expected in a run.
 		h.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
 		for i, a := range cmd.Agents {
-			h.ports[a] = cmd.Ports[i]
+			h.discoveryPorts[a] = cmd.Ports[i]
 			if err := h.start(ctx, a, h.plan.startDelay(a)); err != nil {
 				return reply{}, err
 			}
@@ -56,10 +56,10 @@
 		return reply{}, nil
 	case opRestart:
 		for _, a := range cmd.Agents {
-			if h.stops[a] == nil {
+			if h.cancels[a] == nil {
 				return reply{}, fmt.Errorf("agent %d: not here", a)
 			}
-			h.stops[a]()
+			h.cancels[a]()
 			if err := h.start(ctx, a, 0); err != nil {
 				return reply{}, err
 			}
@@ -77,7 +77,7 @@
 
 // start runs an agent that has no endpoint list yet, after a delay.
 func (h *simulatedAgents) start(ctx context.Context, index int, delay time.Duration) error {
-	text, err := h.plan.config(index, fmt.Sprintf("127.0.0.1:%d", h.ports[index]))
+	text, err := h.plan.agentConfig(index, fmt.Sprintf("127.0.0.1:%d", h.discoveryPorts[index]))
 	if err != nil {
 		return fmt.Errorf("agent %d: %w", index, err)
 	}
@@ -85,10 +85,10 @@
 	if err != nil {
 		return fmt.Errorf("agent %d: %w", index, err)
 	}
-	ctx, h.stops[index] = context.WithCancel(ctx)
-	h.group.Add(1)
+	ctx, h.cancels[index] = context.WithCancel(ctx)
+	h.running.Add(1)
 	go func() {
-		defer h.group.Done()
+		defer h.running.Done()
 		select {
 		case <-time.After(delay):
 		case <-ctx.Done():
@@ -96,18 +96,18 @@
 		}
 		err := agent.RunSimulated(ctx, conf, h.log, func(seq int64, whole bool) {
 			if ctx.Err() == nil { // else its process has ended
-				h.recordInForce(event{index, seq, time.Now().UnixMicro(), whole})
+				h.recordApplied(event{index, seq, time.Now().UnixMicro(), whole})
 			}
 		})
 		if err != nil {
-			h.fail(fmt.Errorf("agent %d: %w", index, err))
+			h.recordError(fmt.Errorf("agent %d: %w", index, err))
 		}
 	}()
 	return nil
 }
 
 // recordInForce keeps an event for the next report.
-func (h *simulatedAgents) recordInForce(e event) {
+func (h *simulatedAgents) recordApplied(e event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.events) >= maxBufferedEvents {
@@ -118,7 +118,7 @@
 }
 
 // fail keeps an error for the next report.
-func (h *simulatedAgents) fail(err error) {
+func (h *simulatedAgents) recordError(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.err = err
@@ -126,8 +126,8 @@
 
 // close ends the agents.
 func (h *simulatedAgents) close() {
-	for _, stop := range h.stops {
-		stop()
+	for _, cancel := range h.cancels {
+		cancel()
 	}
-	h.group.Wait()
+	h.running.Wait()
 }
--- a/internal/fleet/controlplane/slopes.go
+++ b/internal/fleet/controlplane/slopes.go
@@ -9,7 +9,7 @@
 
 // slopeSets are the figures that a line is fitted through: of what grows with the agents, and of what
 // grows with the list.
-var slopeSets = []struct {
+var fittedFigures = []struct {
 	cases   []string // their names
 	over    string   // the parameter in which they differ
 	target  func(fleet.Size) int
@@ -27,15 +27,15 @@
 // reached, has none.
 func fitSlopes(log *slog.Logger, cases []fleet.Case, size fleet.Size) []fleet.Fit {
 	var fits []fleet.Fit
-	for _, set := range slopeSets {
-		var chosen []fleet.Case
+	for _, group := range fittedFigures {
+		var groupCases []fleet.Case
 		for _, c := range cases {
-			if slices.Contains(set.cases, c.Name) {
-				chosen = append(chosen, c)
+			if slices.Contains(group.cases, c.Name) {
+				groupCases = append(groupCases, c)
 			}
 		}
-		for _, figure := range set.figures {
-			f, err := fleet.FitLine(chosen, figure, set.over, float64(set.target(size)))
+		for _, figure := range group.figures {
+			f, err := fleet.FitLine(groupCases, figure, group.over, float64(group.target(size)))
 			if err != nil {
 				log.Warn("no slope", "err", err)
 				continue
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -25,15 +25,15 @@
 // standIn is a stand-in of discovery: it gets its endpoint list from the bench and serves it to
 // polls and watches, on a port for each scope.
 type standIn struct {
-	list   *endpointStore
-	server []*http.Server
-	count  counts
-	peak   callPeak
+	endpoints *endpointStore
+	servers   []*http.Server
+	served    servedCounts
+	callPeak  peakCounter
 }
 
 // counts holds what a stand-in has served since its start. Bytes are those of HTTP, without the
 // headers below it.
-type counts struct {
+type servedCounts struct {
 	Calls      int64 `json:"calls"`
 	Lists      int64 `json:"lists"`      // whole lists and changes written
 	Heartbeats int64 `json:"heartbeats"` // empty lines
@@ -43,61 +43,61 @@
 }
 
 // callPeak counts the calls of a second and keeps the most.
-type callPeak struct {
+type peakCounter struct {
 	mu     sync.Mutex
 	second int64
 	calls  int64
-	most   int64
+	peak   int64
 }
 
 // add counts a call now.
-func (p *callPeak) add() {
+func (p *peakCounter) add() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now := time.Now().Unix(); now != p.second {
 		p.second, p.calls = now, 0
 	}
 	p.calls++
-	p.most = max(p.most, p.calls)
+	p.peak = max(p.peak, p.calls)
 }
 
 // take returns the most calls of a second since the last call of take.
-func (p *callPeak) take() int64 {
+func (p *peakCounter) takePeak() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	most := p.most
-	p.most, p.calls = 0, 0
-	return most
+	peak := p.peak
+	p.peak, p.calls = 0, 0
+	return peak
 }
 
 // countedListener counts the bytes of its connections.
 type countedListener struct {
 	net.Listener
-	count *counts
+	served *servedCounts
 }
 
 type countedConn struct {
 	net.Conn
-	count *counts
+	served *servedCounts
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.count}, nil
+	return countedConn{conn, l.served}, nil
 }
 
 func (c countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	atomic.AddInt64(&c.count.BytesRead, int64(n))
+	atomic.AddInt64(&c.served.BytesRead, int64(n))
 	return n, err
 }
 
 func (c countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	atomic.AddInt64(&c.count.Bytes, int64(n))
+	atomic.AddInt64(&c.served.Bytes, int64(n))
 	return n, err
 }
 
@@ -107,60 +107,60 @@
 	case opOpen:
 		return reply{}, s.open(cmd)
 	case opList:
-		return reply{}, s.take(cmd.List)
+		return reply{}, s.applyList(cmd.List)
 	case opSilence:
-		s.list.setSilent(cmd.Silent)
+		s.endpoints.setSilent(cmd.Silent)
 		return reply{}, nil
 	case opReport:
-		n := counts{Calls: atomic.LoadInt64(&s.count.Calls), Lists: atomic.LoadInt64(&s.count.Lists),
-			Heartbeats: atomic.LoadInt64(&s.count.Heartbeats), Bytes: atomic.LoadInt64(&s.count.Bytes),
-			BytesRead: atomic.LoadInt64(&s.count.BytesRead), CallsPeak: s.peak.take()}
-		return reply{Counts: n, AgeMs: s.list.age().Milliseconds()}, nil
+		n := servedCounts{Calls: atomic.LoadInt64(&s.served.Calls), Lists: atomic.LoadInt64(&s.served.Lists),
+			Heartbeats: atomic.LoadInt64(&s.served.Heartbeats), Bytes: atomic.LoadInt64(&s.served.Bytes),
+			BytesRead: atomic.LoadInt64(&s.served.BytesRead), CallsPeak: s.callPeak.takePeak()}
+		return reply{Counts: n, AgeMs: s.endpoints.age().Milliseconds()}, nil
 	}
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
 
 // take applies a list from the bench.
-func (s *standIn) take(text []byte) error {
+func (s *standIn) applyList(list []byte) error {
 	var l endpointlist.List
-	if err := json.Unmarshal(text, &l); err != nil {
+	if err := json.Unmarshal(list, &l); err != nil {
 		return fmt.Errorf("list: %w", err)
 	}
-	s.list.apply(&l)
+	s.endpoints.apply(&l)
 	return nil
 }
 
 // open takes the first list and listens at the ports of the command.
 func (s *standIn) open(cmd *command) error {
-	var scope func(string) int
+	var scopeOf func(string) int
 	if cmd.Plan.Scope == ScopeService {
-		of := map[string]int{}
-		for i, service := range cmd.Plan.services() {
-			of[serverName(i)] = service
+		serviceOf := map[string]int{}
+		for i, service := range cmd.Plan.serviceOfServers() {
+			serviceOf[serverName(i)] = service
 		}
-		scope = func(host string) int { return of[host] }
+		scopeOf = func(host string) int { return serviceOf[host] }
 	}
-	s.list = newEndpointStore(scope)
-	if err := s.take(cmd.List); err != nil {
+	s.endpoints = newEndpointStore(scopeOf)
+	if err := s.applyList(cmd.List); err != nil {
 		return err
 	}
 	for scope, port := range cmd.Ports {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
 			return fmt.Errorf("stand-in: %w", err)
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, scope) })
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
-		s.server = append(s.server, server)
-		go func() { _ = server.Serve(countedListener{ln, &s.count}) }() // it ends with close
+		s.servers = append(s.servers, server)
+		go func() { _ = server.Serve(countedListener{listener, &s.served}) }() // it ends with close
 	}
 	return nil
 }
 
 // close ends all watches and calls.
 func (s *standIn) close() {
-	for _, server := range s.server {
+	for _, server := range s.servers {
 		server.Close()
 	}
 }
@@ -168,8 +168,8 @@
 // serve answers one call. While the stand-in is silent nothing goes out, on new calls as on
 // open watches.
 func (s *standIn) serve(w http.ResponseWriter, r *http.Request, scope int) {
-	atomic.AddInt64(&s.count.Calls, 1)
-	s.peak.add()
+	atomic.AddInt64(&s.served.Calls, 1)
+	s.callPeak.add()
 	follow, since := r.FormValue("follow") == "1", int64(0)
 	if follow {
 		var err error
@@ -180,18 +180,18 @@
 	}
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
-	notified := false
+	answered := false
 	for {
-		seq, silent, changed := s.list.state()
+		seq, silent, changed := s.endpoints.state()
 		// The first list goes out at once, also without a change: it answers the call.
-		if !silent && (!notified || seq != since) {
-			to, err := s.notify(w, scope, since)
+		if !silent && (!answered || seq != since) {
+			sent, err := s.writeList(w, scope, since)
 			switch {
 			case errors.Is(err, errSilent): // it became silent meanwhile
 			case err != nil || !follow:
 				return
 			default:
-				notified, since = true, to
+				answered, since = true, sent
 			}
 			continue
 		}
@@ -204,7 +204,7 @@
 			if err := s.write(w, []byte("\n")); err != nil {
 				return
 			}
-			atomic.AddInt64(&s.count.Heartbeats, 1)
+			atomic.AddInt64(&s.served.Heartbeats, 1)
 		case <-r.Context().Done():
 			return
 		}
@@ -212,21 +212,21 @@
 }
 
 // notify writes the scope's changes after a version, and returns the version that they lead to.
-func (s *standIn) notify(w http.ResponseWriter, scope int, since int64) (int64, error) {
-	text, seq, err := s.list.encodedList(scope, since)
+func (s *standIn) writeList(w http.ResponseWriter, scope int, since int64) (int64, error) {
+	list, seq, err := s.endpoints.encodedList(scope, since)
 	if err != nil {
 		return since, err
 	}
-	if err := s.write(w, text); err != nil {
+	if err := s.write(w, list); err != nil {
 		return since, err
 	}
-	atomic.AddInt64(&s.count.Lists, 1)
+	atomic.AddInt64(&s.served.Lists, 1)
 	return seq, nil
 }
 
 // write writes a part of an answer and flushes it.
-func (s *standIn) write(w http.ResponseWriter, text []byte) error {
-	if _, err := w.Write(text); err != nil {
+func (s *standIn) write(w http.ResponseWriter, part []byte) error {
+	if _, err := w.Write(part); err != nil {
 		return err
 	}
 	return http.NewResponseController(w).Flush()
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -19,30 +19,30 @@
 // schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
 // the machine's, which others use too. A measured time of that length may be such a wait.
 type schedulingDelay struct {
-	mu   sync.Mutex
-	most time.Duration
+	mu      sync.Mutex
+	longest time.Duration
 }
 
 // watch measures until the context ends.
-func (d *schedulingDelay) watch(ctx context.Context) {
+func (d *schedulingDelay) measure(ctx context.Context) {
 	for {
-		began := time.Now()
+		sleepStart := time.Now()
 		if sleep(ctx, delayProbeInterval) != nil {
 			return
 		}
 		d.mu.Lock()
-		d.most = max(d.most, time.Since(began)-delayProbeInterval)
+		d.longest = max(d.longest, time.Since(sleepStart)-delayProbeInterval)
 		d.mu.Unlock()
 	}
 }
 
 // takeMs returns the longest wait since the last call, in milliseconds.
-func (d *schedulingDelay) takeMs() float64 {
+func (d *schedulingDelay) takeLongestMs() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	most := d.most
-	d.most = 0
-	return float64(most) / float64(time.Millisecond)
+	longest := d.longest
+	d.longest = 0
+	return float64(longest) / float64(time.Millisecond)
 }
 
 // usage holds the resources that a process has used.
