--- a/internal/fleet/controlplane/calm.go
+++ b/internal/fleet/controlplane/calm.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// calm starts the fleet and measures it without faults: its start, a span without a change, and changes
-// of one server each.
+// runWithoutFaults starts the fleet and measures three phases without faults: the start, a time without
+// changes of the list, and changes of one server each.
 func (c *caseRun) runWithoutFaults() {
 	c.runStep(c.fleet.start)
 	c.measureStart()
@@ -17,8 +17,8 @@
 	c.measureChanges()
 }
 
-// measureStart measures from each agent's start until it has its first list. A fleet in which no agent
-// gets one ends the run.
+// measureStart measures the time from each agent's start until it has applied its first list. If no
+// agent gets a list, the run ends with an error.
 func (c *caseRun) measureStart() {
 	f, p := c.fleet, c.fleet.plan
 	all := f.agentsOf(allStandIns)
@@ -31,14 +31,14 @@
 	c.addCosts("start")
 	c.runStep(func(ctx context.Context) error { return f.addMemory(ctx, &c.result) })
 	c.runStep(func(context.Context) error {
-		if delays.unreached == p.Size.Agents { // fewer are a figure, as in any other phase
+		if delays.unreached == p.Size.Agents { // a smaller number is only reported as a figure, as in other phases
 			return fmt.Errorf("start: no agent had a list after %v", p.Limit)
 		}
 		return nil
 	})
 }
 
-// measureChanges makes the plan's changes one after the other.
+// measureChanges publishes the plan's number of changes, one after the other, and measures each.
 func (c *caseRun) measureChanges() {
 	all, delays := c.fleet.agentsOf(allStandIns), newDelayStats()
 	for range c.fleet.plan.Changes {
--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -12,24 +12,24 @@
 // agent together with the one before it, as a single update.
 const changeInterval = 300 * time.Millisecond
 
-// caseRun plays one case on a running fleet as a sequence of steps: begin a phase, change the list, wait
-// until the change is in force, record what that took. The first error stays in err; the steps after it
-// do nothing, so that only the end of a case has to look at it.
+// caseRun measures one case on a running fleet in a sequence of steps. A typical sequence is: start a
+// phase, publish a change of the list, wait until all agents have applied it, record the delays.
+// After the first error the remaining steps do nothing, so only the caller of the case checks err.
 type caseRun struct {
-	ctx    context.Context // of all steps
+	ctx    context.Context // for all steps
 	fleet  *fleetRun
 	result fleet.Case
-	err    error
+	err    error // of the first step that failed
 }
 
-// version is a version of the endpoint list. Agents count as having it from the moment since on: what
-// was in force at them before, as before a restart, is another process's.
+// version is a version of the endpoint list. Only agents that applied it at notBefore or later have it.
+// An earlier event of an agent is from before the measurement, for example from before its restart.
 type version struct {
 	seq       int64
 	notBefore time.Time
 }
 
-// newCase returns a case without figures, with the parameters of the fleet.
+// newCase returns a case with the parameters of the fleet and without figures.
 func (f *fleetRun) newCase(ctx context.Context, name string) *caseRun {
 	p := f.plan
 	params := map[string]float64{"agents": float64(p.Size.Agents), "servers": float64(p.Size.Servers),
@@ -37,34 +37,34 @@
 	return &caseRun{ctx: ctx, fleet: f, result: fleet.Case{Name: name, Params: params}}
 }
 
-// do runs a step unless one before it failed.
+// runStep runs a step unless an earlier step failed.
 func (c *caseRun) runStep(step func(context.Context) error) {
 	if c.err == nil {
 		c.err = step(c.ctx)
 	}
 }
 
-// beginPhase begins a phase, whose costs addCosts adds.
+// startPhase starts a phase. addCosts adds the costs since then.
 func (c *caseRun) startPhase() { c.runStep(c.fleet.startPhase) }
 
-// addCosts adds what the phase has cost so far; the figures' names begin with prefix.
+// addCosts adds the costs of the phase so far, in figures whose names start with prefix.
 func (c *caseRun) addCosts(prefix string) {
 	c.runStep(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
 }
 
-// endPhase adds the costs of the phase and begins the next.
+// endPhase adds the costs of the phase and starts the next phase.
 func (c *caseRun) endPhase(prefix string) {
 	c.addCosts(prefix)
 	c.startPhase()
 }
 
-// sleep waits for a fixed span.
+// sleep waits for a fixed time.
 func (c *caseRun) sleep(d time.Duration) {
 	c.runStep(func(ctx context.Context) error { return sleep(ctx, d) })
 }
 
-// change makes a version of the list with these hosts changed and sends it to the stand-ins that can be
-// reached.
+// publish makes a new version of the list, in which hosts replace the servers of the same name, and
+// sends it to all stand-ins that are running and not cut off.
 func (c *caseRun) publish(hosts ...endpointlist.Host) (published version) {
 	c.runStep(func(ctx context.Context) (err error) {
 		published, err = c.fleet.publish(ctx, hosts...)
@@ -73,25 +73,25 @@
 	return published
 }
 
-// await waits until a version is in force at the agents, for the plan's limit at most.
+// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's limit.
 func (c *caseRun) awaitVersion(agents []int, v version) {
 	c.runStep(func(ctx context.Context) error { return c.fleet.awaitVersion(ctx, agents, v) })
 }
 
-// record adds to the delays how long after begin the version was in force at each of the agents.
+// recordDelays adds to d the time from startOf until each of the agents applied the version.
 func (c *caseRun) recordDelays(d *delayStats, agents []int, v version, startOf func(agent int) time.Time) {
 	c.runStep(func(context.Context) error { return d.addVersion(c.fleet, agents, v, startOf) })
 }
 
-// measureChange makes a change and adds to the delays how long it takes to be in force at the agents.
+// measureChange publishes a change and adds to d the time until each of the agents has applied it.
 func (c *caseRun) measureChange(d *delayStats, agents []int, hosts ...endpointlist.Host) {
 	v := c.publish(hosts...)
 	c.awaitVersion(agents, v)
 	c.recordDelays(d, agents, v, sameStart(v.notBefore))
 }
 
-// measureRecovery ends a fault: it adds how long after end a version is in force at agents that could not
-// get it before, and what that cost.
+// measureRecovery measures the recovery from a fault. It adds the delays from the end of the fault until
+// the agents that could not get a version before apply it, and the costs of the phase.
 func (c *caseRun) measureRecovery(prefix string, agents []int, v version, faultEnd time.Time) {
 	delays := newDelayStats()
 	c.awaitVersion(agents, v)
@@ -100,10 +100,10 @@
 	c.addCosts(prefix)
 }
 
-// since returns the same moment for every agent.
+// sameStart returns a function for recordDelays with which all delays start at t.
 func sameStart(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
 
-// sleep waits for d, or until the context is done, whose cause it returns then.
+// sleep waits for d. If the context is done before, it returns the context's cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/fleet/controlplane/delays.go
+++ b/internal/fleet/controlplane/delays.go
@@ -16,18 +16,19 @@
 	delayDigits = 3
 )
 
-// delays are how long versions took to be in force, over agents and versions.
+// delayStats collects the delays after which agents applied versions of the list. It has one delay for
+// each pair of an agent and a version.
 type delayStats struct {
 	histogram *hdrhistogram.Histogram // in microseconds
-	unreached int                     // agents, over all versions, that did not get the version
+	unreached int                     // pairs in which the agent did not apply the version
 }
 
-// newDelays returns delays without any.
+// newDelayStats returns statistics without delays.
 func newDelayStats() *delayStats {
 	return &delayStats{histogram: hdrhistogram.New(1, maxDelay.Microseconds(), delayDigits)}
 }
 
-// add takes in one version: for each of the agents the time from begin until it is in force there.
+// addVersion adds one version: for each of the agents the time from startOf until it applied the version.
 func (d *delayStats) addVersion(f *fleetRun, agents []int, v version, startOf func(agent int) time.Time) error {
 	for _, a := range agents {
 		appliedAt, ok := f.appliedAt(a, v)
@@ -42,8 +43,8 @@
 	return nil
 }
 
-// addTo adds the figures to a case. Their names begin with prefix. A quantile that
-// takes in agents that were not reached is left out.
+// addFigures adds the figures to a case. Their names start with prefix. A quantile is over all agents,
+// reached or not. It is left out if the agents that were reached are a smaller share than the quantile's.
 func (d *delayStats) addFigures(c *fleet.Case, prefix string) {
 	reached := float64(d.histogram.TotalCount())
 	all := reached + float64(d.unreached)
--- a/internal/fleet/controlplane/fault_silence.go
+++ b/internal/fleet/controlplane/fault_silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// discoverySilent silences all of discovery, changes the list meanwhile, and measures from the end of the
-// silence.
+// discoverySilent makes all stand-ins silent, which means that they accept calls and write nothing. It
+// publishes a change during the silence. The delays start at the end of the silence.
 var discoverySilent = fault{"discovery silent", func(c *caseRun) {
 	f := c.fleet
 	setSilent := func(silent bool) {
@@ -18,11 +18,11 @@
 		})
 	}
 	setSilent(true)
-	began := time.Now()
+	silentFrom := time.Now()
 	c.sleep(min(time.Second, f.plan.Silent/2))
 	v := c.publish(f.randomHealthChange())
-	c.sleep(f.plan.Silent - time.Since(began))
-	c.result.Add("silent", "s", time.Since(began).Seconds())
+	c.sleep(f.plan.Silent - time.Since(silentFrom))
+	c.result.Add("silent", "s", time.Since(silentFrom).Seconds())
 	c.endPhase("silent")
 
 	now := time.Now()
