--- a/internal/fleet/controlplane/ports.go
+++ b/internal/fleet/controlplane/ports.go
@@ -6,12 +6,12 @@
 	"syscall"
 )
 
-// reservation keeps a port of the loopback for stand-ins that are killed and replaced: its socket is bound and
-// does not listen, so that calls are refused while no stand-in runs, and no other socket of the machine gets
-// the port meanwhile.
+// reservation reserves a port of the loopback interface for stand-ins that are killed and replaced. Its socket
+// is bound and does not listen. While no stand-in runs, calls to the port are refused and no other socket
+// of the machine can get the port.
 type reservation struct{ fd, port int }
 
-// reserve reserves a free port.
+// reserve reserves a port that is free.
 func reserve() (reservation, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -35,5 +35,5 @@
 	return reservation{}, fmt.Errorf("port: %w", err)
 }
 
-// release frees the port.
+// release ends the reservation of the port.
 func (r reservation) release() { _ = syscall.Close(r.fd) }
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// Process is the bench's handle of one of its processes: a pipe for commands and one for replies.
+// Process is the bench's handle of one of its processes. It has a pipe for commands and a pipe for replies.
 type Process struct {
 	name      string
 	commands  io.WriteCloser
 	replies   *json.Decoder
-	terminate func()       // ends it at once
-	wait      func() error // returns when it has ended
+	terminate func()       // ends the process immediately
+	wait      func() error // returns after the process has ended
 	endOnce   sync.Once
 }
 
-// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill it.
+// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill the process.
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
-// Command returns a Spawn that starts the program with the arguments, followed by the role. Each
-// process has one core for Go code, as the bench shares its machine. Errors of the Spawn name the role.
+// Command returns a Spawn that starts the program with the arguments, followed by the role. Each process runs
+// Go code on one core only, because all processes of the bench share one machine. Errors of the Spawn name
+// the role.
 func Command(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
@@ -47,8 +48,8 @@
 	}
 }
 
-// call sends a command and returns its reply. An error ends the run: the process may have ended, or be in
-// the middle of the command.
+// call sends a command and returns its reply. After an error the run has to end, because the process may have
+// ended or may still be executing the command.
 func (p *Process) call(ctx context.Context, cmd *command) (reply, error) {
 	type result struct {
 		reply
@@ -65,7 +66,7 @@
 	select {
 	case r := <-done:
 		switch {
-		case r.err != nil && ctx.Err() != nil: // an interrupted process dies of it
+		case r.err != nil && ctx.Err() != nil: // the interrupt ended the process too
 			return r.reply, fmt.Errorf("%s: %s: %w", p.name, cmd.Op, context.Cause(ctx))
 		case r.err != nil:
 			return r.reply, fmt.Errorf("%s: %s: has died: %w", p.name, cmd.Op, r.err)
@@ -78,11 +79,11 @@
 	}
 }
 
-// kill ends the process at once, as the failure of its machine would.
+// kill ends the process immediately, like a failure of its machine.
 func (p *Process) kill() {
 	p.endOnce.Do(func() {
 		p.terminate()
-		_ = p.wait() // it was killed
+		_ = p.wait() // always an error, as the process was killed
 		p.commands.Close()
 	})
 }
@@ -90,12 +91,12 @@
 // shutdownGrace is the time that a process has to exit after its commands end. Then it is killed.
 const shutdownGrace = 5 * time.Second
 
-// close lets the process end, and ends it if it does not.
+// close ends the commands of the process and waits until it exits. It kills the process after shutdownGrace.
 func (p *Process) close() {
 	p.endOnce.Do(func() {
 		p.commands.Close()
 		timer := time.AfterFunc(shutdownGrace, p.terminate)
 		defer timer.Stop()
-		_ = p.wait() // its results have come, or the run's error is known
+		_ = p.wait() // the exit status is not needed: the replies were read, or the run has an error already
 	})
 }
--- a/internal/fleet/controlplane/serve.go
+++ b/internal/fleet/controlplane/serve.go
@@ -8,17 +8,18 @@
 	"io"
 )
 
-// handler carries out the commands of the bench in one role.
+// handler executes the commands of the bench in one role.
 type handler interface {
 	handle(context.Context, *command) (reply, error)
-	close() // ends all that the commands started
+	close() // ends everything that the commands started
 }
 
-// Serve runs a process of the bench in one role, RoleStandIn or RoleAgents: it reads commands, one
-// JSON object each, from in and writes a reply to out for each. It returns nil when in ends, as it
-// does when the bench ends, or when the context is done; and an error for an unknown role, for
-// input that is no command, or if a reply can't be written. A command that fails is no error of Serve:
-// its reply holds the error.
+// Serve runs a process of the bench in one role, RoleStandIn or RoleAgents. It reads commands from in, each a
+// JSON object, and writes a reply to out for each.
+//
+// Serve returns nil when in ends, which happens when the bench ends, or when the context is done. It returns
+// an error for an unknown role, for input that is not a command, or if a reply can't be written. If a command
+// fails, the reply has the error and Serve continues.
 func Serve(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -53,8 +54,8 @@
 	}
 }
 
-// readCommands reads commands until the context is done or in ends. Then ended has the error, io.EOF
-// where in ended between two commands.
+// readCommands reads commands until the context is done, in ends or a command is invalid. In the last two
+// cases it sends the error to ended. The error is io.EOF if in ended between two commands.
 func readCommands(ctx context.Context, in io.Reader) (<-chan command, <-chan error) {
 	commands := make(chan command)
 	ended := make(chan error, 1)
@@ -76,7 +77,7 @@
 	return commands, ended
 }
 
-// answer carries out a command and returns its reply, which holds the error if it failed.
+// execute executes a command and returns its reply. If the command fails, the reply has the error.
 func execute(ctx context.Context, h handler, cmd *command, delay *schedulingDelay) reply {
 	r, err := h.handle(ctx, cmd)
 	if err == nil {
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -16,7 +16,7 @@
 // maxBufferedEvents is the maximum number of events that a process keeps between two reports.
 const maxBufferedEvents = 1 << 20
 
-// event is the moment at which a version of the list came to be in force at an agent.
+// event reports that an agent applied a version of the list.
 type event struct {
 	Agent int   `json:"a"`
 	Seq   int64 `json:"s"`
@@ -24,11 +24,12 @@
 	Whole bool  `json:"w,omitempty"`
 }
 
-// simulatedAgents are a process's agents: the real watch code and module, without clients.
+// simulatedAgents are the agents of one process. They run the real watch code and the real decision module
+// and have no clients.
 type simulatedAgents struct {
 	plan           *Plan
-	discoveryPorts map[int]int // of an agent's discovery
-	cancels        map[int]context.CancelFunc
+	discoveryPorts map[int]int                // by agent
+	cancels        map[int]context.CancelFunc // by agent
 	log            *slog.Logger
 	running        sync.WaitGroup
 
@@ -37,15 +38,16 @@
 	err    error
 }
 
-// handle carries out one command of the bench.
+// handle executes one command of the bench.
 func (h *simulatedAgents) handle(ctx context.Context, cmd *command) (reply, error) {
 	switch cmd.Op {
 	case opOpen:
 		if len(cmd.Ports) != len(cmd.Agents) {
-			return reply{}, errors.New("agents: no port for each")
+			return reply{}, errors.New("agents: need one port for each agent")
 		}
 		h.plan, h.discoveryPorts, h.cancels = cmd.Plan, map[int]int{}, map[int]context.CancelFunc{}
-		// Warnings of agents, as of each watch that ends, are expected in a run.
+		// Agents log a warning for each watch that ends, among others. Warnings are expected in a run and
+		// not logged.
 		h.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
 		for i, a := range cmd.Agents {
 			h.discoveryPorts[a] = cmd.Ports[i]
@@ -57,7 +59,7 @@
 	case opRestart:
 		for _, a := range cmd.Agents {
 			if h.cancels[a] == nil {
-				return reply{}, fmt.Errorf("agent %d: not here", a)
+				return reply{}, fmt.Errorf("agent %d: does not run in this process", a)
 			}
 			h.cancels[a]()
 			if err := h.start(ctx, a, 0); err != nil {
@@ -75,7 +77,7 @@
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
 
-// start runs an agent that has no endpoint list yet, after a delay.
+// start starts an agent without an endpoint list, after a delay.
 func (h *simulatedAgents) start(ctx context.Context, index int, delay time.Duration) error {
 	text, err := h.plan.agentConfig(index, fmt.Sprintf("127.0.0.1:%d", h.discoveryPorts[index]))
 	if err != nil {
@@ -95,7 +97,7 @@
 			return
 		}
 		err := agent.RunSimulated(ctx, conf, h.log, func(seq int64, whole bool) {
-			if ctx.Err() == nil { // else its process has ended
+			if ctx.Err() == nil { // otherwise the simulated process has ended
 				h.recordApplied(event{index, seq, time.Now().UnixMicro(), whole})
 			}
 		})
@@ -106,25 +108,25 @@
 	return nil
 }
 
-// recordInForce keeps an event for the next report.
+// recordApplied keeps an event for the next report.
 func (h *simulatedAgents) recordApplied(e event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if len(h.events) >= maxBufferedEvents {
-		h.err = errors.New("too many lists between two reports")
+		h.err = errors.New("too many applied lists between two reports")
 		return
 	}
 	h.events = append(h.events, e)
 }
 
-// fail keeps an error for the next report.
+// recordError keeps an error for the reports that follow.
 func (h *simulatedAgents) recordError(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.err = err
 }
 
-// close ends the agents.
+// close stops the agents and waits until they have ended.
 func (h *simulatedAgents) close() {
 	for _, cancel := range h.cancels {
 		cancel()
--- a/internal/fleet/controlplane/slopes.go
+++ b/internal/fleet/controlplane/slopes.go
@@ -7,12 +7,12 @@
 	"ploverreel/internal/fleet"
 )
 
-// slopeSets are the figures that a line is fitted through: of what grows with the agents, and of what
-// grows with the list.
+// fittedFigures are the figures that straight lines are fitted through. The first group grows with the number
+// of agents, the second with the length of the list.
 var fittedFigures = []struct {
-	cases   []string // their names
-	over    string   // the parameter in which they differ
-	target  func(fleet.Size) int
+	cases   []string             // names of the cases
+	over    string               // the parameter in which the cases differ
+	target  func(fleet.Size) int // value of the parameter at the plan's size
 	figures []string
 }{
 	{[]string{caseAgents, caseTarget}, "agents", func(s fleet.Size) int { return s.Agents },
@@ -23,8 +23,8 @@
 			"agent_rss"}},
 }
 
-// fitSlopes returns the lines of slopeSets. A figure that too few of the fleets have, as agents were not
-// reached, has none.
+// fitSlopes returns the lines of fittedFigures. A figure that too few cases have is left out with a warning.
+// A case lacks a figure if not enough agents were reached.
 func fitSlopes(log *slog.Logger, cases []fleet.Case, size fleet.Size) []fleet.Fit {
 	var fits []fleet.Fit
 	for _, group := range fittedFigures {
@@ -37,7 +37,7 @@
 		for _, figure := range group.figures {
 			f, err := fleet.FitLine(groupCases, figure, group.over, float64(group.target(size)))
 			if err != nil {
-				log.Warn("no slope", "err", err)
+				log.Warn("cannot fit a line", "err", err)
 				continue
 			}
 			fits = append(fits, f)
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -22,8 +22,8 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// standIn is a stand-in of discovery: it gets its endpoint list from the bench and serves it to
-// polls and watches, on a port for each scope.
+// standIn is a stand-in of discovery. It gets the endpoint list from the bench and serves it to polls and
+// watches, on one port for each scope.
 type standIn struct {
 	endpoints *endpointStore
 	servers   []*http.Server
@@ -31,26 +31,26 @@
 	callPeak  peakCounter
 }
 
-// counts holds what a stand-in has served since its start. Bytes are those of HTTP, without the
-// headers below it.
+// servedCounts counts what a stand-in has served since its start. Bytes are those of HTTP, without the headers
+// of TCP and IP.
 type servedCounts struct {
 	Calls      int64 `json:"calls"`
-	Lists      int64 `json:"lists"`      // whole lists and changes written
-	Heartbeats int64 `json:"heartbeats"` // empty lines
-	Bytes      int64 `json:"bytes"`      // written
-	BytesRead  int64 `json:"bytes_read"` // of calls
-	CallsPeak  int64 `json:"calls_peak"` // most calls in a second since the last report
+	Lists      int64 `json:"lists"`      // whole lists and changes that were written
+	Heartbeats int64 `json:"heartbeats"` // empty lines that were written
+	Bytes      int64 `json:"bytes"`      // bytes written
+	BytesRead  int64 `json:"bytes_read"` // bytes read
+	CallsPeak  int64 `json:"calls_peak"` // largest number of calls in one second since the last report
 }
 
-// callPeak counts the calls of a second and keeps the most.
+// peakCounter counts the calls of each second and keeps the largest count.
 type peakCounter struct {
 	mu     sync.Mutex
-	second int64
-	calls  int64
-	peak   int64
+	second int64 // Unix time of the last call
+	calls  int64 // in that second
+	peak   int64 // largest value of calls
 }
 
-// add counts a call now.
+// add counts a call in the current second.
 func (p *peakCounter) add() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 	p.peak = max(p.peak, p.calls)
 }
 
-// take returns the most calls of a second since the last call of take.
+// takePeak returns the largest number of calls in one second since the last takePeak, and resets it.
 func (p *peakCounter) takePeak() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,12 +70,13 @@
 	return peak
 }
 
-// countedListener counts the bytes of its connections.
+// countedListener counts the bytes that its connections read and write.
 type countedListener struct {
 	net.Listener
 	served *servedCounts
 }
 
+// countedConn is a connection of a countedListener.
 type countedConn struct {
 	net.Conn
 	served *servedCounts
@@ -101,7 +102,7 @@
 	return n, err
 }
 
-// handle carries out one command of the bench.
+// handle executes one command of the bench.
 func (s *standIn) handle(_ context.Context, cmd *command) (reply, error) {
 	switch cmd.Op {
 	case opOpen:
@@ -120,7 +121,7 @@
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
 
-// take applies a list from the bench.
+// applyList applies a list from the bench.
 func (s *standIn) applyList(list []byte) error {
 	var l endpointlist.List
 	if err := json.Unmarshal(list, &l); err != nil {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// open takes the first list and listens at the ports of the command.
+// open applies the first list and listens on the ports of the command.
 func (s *standIn) open(cmd *command) error {
 	var scopeOf func(string) int
 	if cmd.Plan.Scope == ScopeService {
@@ -153,7 +154,7 @@
 		mux.HandleFunc("GET /v1/endpoints", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, scope) })
 		server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 		s.servers = append(s.servers, server)
-		go func() { _ = server.Serve(countedListener{listener, &s.served}) }() // it ends with close
+		go func() { _ = server.Serve(countedListener{listener, &s.served}) }() // close ends it
 	}
 	return nil
 }
@@ -165,8 +166,8 @@
 	}
 }
 
-// serve answers one call. While the stand-in is silent nothing goes out, on new calls as on
-// open watches.
+// serve answers one call. While the stand-in is silent it writes nothing, neither to new calls nor to open
+// watches.
 func (s *standIn) serve(w http.ResponseWriter, r *http.Request, scope int) {
 	atomic.AddInt64(&s.served.Calls, 1)
 	s.callPeak.add()
@@ -183,11 +184,11 @@
 	answered := false
 	for {
 		seq, silent, changed := s.endpoints.state()
-		// The first list goes out at once, also without a change: it answers the call.
+		// The first list is written immediately, even if it has no changes, because it answers the call.
 		if !silent && (!answered || seq != since) {
 			sent, err := s.writeList(w, scope, since)
 			switch {
-			case errors.Is(err, errSilent): // it became silent meanwhile
+			case errors.Is(err, errSilent): // the stand-in became silent after state was read
 			case err != nil || !follow:
 				return
 			default:
@@ -211,7 +212,7 @@
 	}
 }
 
-// notify writes the scope's changes after a version, and returns the version that they lead to.
+// writeList writes the changes of a scope since a version, and returns the version that they lead to.
 func (s *standIn) writeList(w http.ResponseWriter, scope int, since int64) (int64, error) {
 	list, seq, err := s.endpoints.encodedList(scope, since)
 	if err != nil {
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -16,14 +16,15 @@
 // delayProbeInterval is the time that a process sleeps in each measurement of its scheduling delay.
 const delayProbeInterval = 20 * time.Millisecond
 
-// schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
-// the machine's, which others use too. A measured time of that length may be such a wait.
+// schedulingDelay measures how long a process waited for a processor. It may wait for one of its own
+// GOMAXPROCS, or for one of the machine, which other processes use too. A measured time that is not longer
+// than this delay may be due to such a wait.
 type schedulingDelay struct {
 	mu      sync.Mutex
 	longest time.Duration
 }
 
-// watch measures until the context ends.
+// measure measures until the context is done.
 func (d *schedulingDelay) measure(ctx context.Context) {
 	for {
 		sleepStart := time.Now()
@@ -36,7 +37,7 @@
 	}
 }
 
-// takeMs returns the longest wait since the last call, in milliseconds.
+// takeLongestMs returns the longest wait in milliseconds since the last takeLongestMs, and resets it.
 func (d *schedulingDelay) takeLongestMs() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,17 +46,17 @@
 	return float64(longest) / float64(time.Millisecond)
 }
 
-// usage holds the resources that a process has used.
+// usage has the resources that a process uses.
 type usage struct {
-	CPUMs     float64 `json:"cpu_ms"` // user and system, since its start
-	RSS       float64 `json:"rss"`    // bytes, now
-	Heap      float64 `json:"heap"`   // bytes in use by Go, exact after a garbage collection
-	Allocated float64 `json:"allocated"`
+	CPUMs     float64 `json:"cpu_ms"`    // user and system time since the start of the process
+	RSS       float64 `json:"rss"`       // resident bytes at present
+	Heap      float64 `json:"heap"`      // heap bytes of Go; without garbage only after a collection
+	Allocated float64 `json:"allocated"` // heap bytes allocated since the start of the process
 }
 
-// measureUsage reads this process's usage, after a garbage collection if collect is set.
-func measureUsage(collect bool) (u usage, err error) {
-	if collect {
+// measureUsage returns the usage of this process. If collectGarbage is set, it collects the garbage first.
+func measureUsage(collectGarbage bool) (u usage, err error) {
+	if collectGarbage {
 		runtime.GC()
 	}
 	var r syscall.Rusage
