--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -19,10 +19,10 @@
 		warming[i] = startedAt(ready(4+i), h.now)
 	}
 	h.updateEndpoints(ListDelta, warming...)
-	if got, want := h.b.limiter.floor(), whole*(1+h.b.set.Contract.InitialCapacity); math.Abs(got-want) > 1e-9 {
+	if got, want := h.b.limiter.floor(), whole*(1+h.b.settings.Contract.InitialCapacity); math.Abs(got-want) > 1e-9 {
 		t.Errorf("with as many warming endpoints got a floor of %v, want %v", got, want)
 	}
-	h.b.now += h.b.set.Contract.SlowStartMs
+	h.b.now += h.b.settings.Contract.SlowStartMs
 	if got := h.b.limiter.floor(); got != 2*whole {
 		t.Errorf("when they are warm got a floor of %v, want %v", got, 2*whole)
 	}
@@ -43,7 +43,7 @@
 // A longer endpoint list must not undo the decrease of the limit after late answers.
 func TestLimiterKeepsALoweredLimitOnALongerList(t *testing.T) {
 	h := newTrainedHarness(t, testSettings(), 3)
-	h.b.set.Replicas = 100
+	h.b.settings.Replicas = 100
 	lowered := minAttemptsPerEndpoint / attemptsPerEndpoint
 	h.b.limiter.scale = lowered
 	var more []Entry
@@ -192,7 +192,7 @@
 		h.now += 10
 		h.endAttempt(id, 0, server, StatusOK, 3.5*workMs)
 	}
-	want := attemptsPerEndpoint * servers * h.b.traffic.perMs() / (set.Tenants[0].QuotaPerS / 1000)
+	want := attemptsPerEndpoint * servers * h.b.requestRate.perMs() / (set.Tenants[0].QuotaPerS / 1000)
 	if got := h.b.limiter.floor(); !near(got, max(want, 1)) {
 		t.Errorf("got a floor of %v, want %v", got, max(want, 1))
 	}
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -29,7 +29,7 @@
 // updateEndpoint applies one entry of the list.
 func (b *Balancer) updateEndpoint(entry *Entry) {
 	b.work++
-	endpoint, startedAt := b.endpoints.byAddr[entry.Server], finite(entry.StartedMs)
+	endpoint, startedAt := b.endpoints.byAddr[entry.Server], clampFinite(entry.StartedMs)
 	if endpoint == nil {
 		endpoint = b.endpoints.add(entry.Server, startedAt)
 		b.slowStart.markWarming(endpoint)
@@ -107,13 +107,13 @@
 	}
 	objectiveAt := request.timing.objectiveAt
 	switch {
-	case attempt.cancelled || request.closed || request.started:
+	case attempt.cancelled || request.closed || request.responseStarted:
 	case request.class.LateShare == 0 && b.now >= objectiveAt:
 		attempt.cancelled = true
 		b.finishUnserved(request)
-	case b.set.Limits.Cancellation && b.retries.mayRetryNow(request) &&
+	case b.settings.Limits.Cancellation && b.retries.mayRetryNow(request) &&
 		b.now+b.latency.expectedMs(request) < objectiveAt:
 		attempt.cancelled = true
-		b.do(CancelAttempt(request.id, attempt.index))
+		b.emit(CancelAttempt(request.id, attempt.index))
 	}
 }
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -161,7 +161,7 @@
 
 // expireReach removes the results that are older than the connect timeout.
 func (l *localFailureLimiter) expireReach() {
-	expiryMs := l.set.Limits.ConnectTimeoutMs
+	expiryMs := l.settings.Limits.ConnectTimeoutMs
 	if expiryMs <= 0 {
 		expiryMs = defaultReachExpiryMs
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -57,7 +57,7 @@
 // none. inFlight is the number of attempts that the agent has in flight.
 func (s *selector) selectEndpoint(request *request, inFlight int) *endpoint {
 	waits, subset := s.waitsForKey(request), s.subset.size()
-	for tier := range tiers {
+	for tier := range tierCount {
 		candidates, nearest := s.candidates(request, tier, subset, waits)
 		if request.placement.tierWeight == 0 {
 			continue // no endpoint in this tier
@@ -128,8 +128,8 @@
 // waitsForKey reports whether the request still waits for the first endpoints in its key's order.
 func (s *selector) waitsForKey(request *request) bool {
 	timing := &request.timing
-	return request.key != 0 && len(request.tries.counted) == 0 &&
-		s.now-timing.arrived < keyAffinityWaitFraction*(timing.objectiveAt-timing.arrived)
+	return request.key != 0 && len(request.attempts.counted) == 0 &&
+		s.now-timing.arrivedAt < keyAffinityWaitFraction*(timing.objectiveAt-timing.arrivedAt)
 }
 
 // keyEndpointsFull reports whether the request waits for the first endpoints in its key's order and
@@ -145,12 +145,12 @@
 // score is the first in the hash order. All agents of a zone find the same order for a key, and an
 // endpoint's share of the keys is in proportion to its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
-	hash := mix(request.hash ^ endpoint.hash)
+	hash := splitmix64(request.hash ^ endpoint.hash)
 	uniform := float64(hash>>11) / (1 << 53)
 	slowStartWeight := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.weightOf(endpoint) * slowStartWeight
 	weight *= s.recentWeight(endpoint)
-	if endpoint.zone == s.set.Zone {
+	if endpoint.zone == s.settings.Zone {
 		weight *= s.zones.weight
 	}
 	return -math.Log(uniform+1e-18) / weight // 1e-18 avoids the logarithm of 0
@@ -184,7 +184,7 @@
 	share := s.recentKeys.add(key) - 1.0/keyHistory // without the present request
 	endpoints := float64(s.subset.size())
 	// unseen is the fraction of the key's load for which the load bound does not suffice.
-	unseen := min(float64(s.set.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
+	unseen := min(float64(s.settings.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
 	parts := max(share*keySplitFactor*endpoints*unseen, 1)
 	// Part 0 keeps the key's own order. The factor, 2^64 over the golden ratio, spreads the others.
 	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15
@@ -193,8 +193,8 @@
 // observe updates the weights of zones and machine kinds with an answer time, as a fraction of the
 // latency objective.
 func (s *selector) observe(endpoint *endpoint, fraction float64) {
-	s.zones.observe(endpoint.zone == s.set.Zone, fraction, s.set.Prices.CrossZone)
-	if s.set.Weights == "off" {
+	s.zones.observe(endpoint.zone == s.settings.Zone, fraction, s.settings.Prices.CrossZone)
+	if s.settings.Weights == "off" {
 		s.kinds.observe(endpoint, fraction)
 	}
 }
