--- a/internal/fleet/controlplane/case_test.go
+++ b/internal/fleet/controlplane/case_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A step that fails keeps the later ones of its case from running, and its error is the case's.
+// After a step fails, the later steps of the case do not run, and the case keeps the error of that step.
 func TestCaseRunStopsAtFirstError(t *testing.T) {
 	f := newFleetRun(smallPlan(), nil, nil)
 	c := f.newCase(t.Context(), "failing")
@@ -17,7 +17,7 @@
 	step(cause)
 	step(errors.New("another step failed"))
 	if v := c.publish(); v != (version{}) {
-		t.Errorf("got version %+v of a change after the error, want none", v)
+		t.Errorf("got version %+v of a change published after the error, want none", v)
 	}
 	if ran != 2 || !errors.Is(c.err, cause) {
 		t.Errorf("got %d steps run and error %v, want 2 and %v", ran, c.err, cause)
--- a/internal/fleet/controlplane/delays_test.go
+++ b/internal/fleet/controlplane/delays_test.go
@@ -7,7 +7,7 @@
 	"ploverreel/internal/fleet"
 )
 
-// An agent that was not reached has no delay, and a quantile that takes it in is left out.
+// An agent that was not reached has no delay. A quantile that would need its delay is left out.
 func TestDelayStatsLeaveOutQuantilesOfUnreachedAgents(t *testing.T) {
 	f := &fleetRun{events: [][]event{{{Seq: 2, At: 2_000_000}}, {{Seq: 1, At: 1_000_000}}}}
 	delays, c := newDelayStats(), fleet.Case{}
@@ -22,6 +22,6 @@
 		t.Errorf("got p50 %v s, want 1 s", at)
 	}
 	if _, ok := c.Figure("x_p99"); ok {
-		t.Error("got a p99 where 1 of 2 agents was reached, want none")
+		t.Error("got a p99 with 1 of 2 agents reached, want none")
 	}
 }
--- a/internal/fleet/controlplane/plan_test.go
+++ b/internal/fleet/controlplane/plan_test.go
@@ -8,12 +8,12 @@
 	"ploverreel/internal/fleet"
 )
 
-// The error of an argument that is out of range or needs too much of the machine names the argument.
+// Validate names the argument that is out of range or needs more resources than the machine has.
 func TestPlanValidateNamesInvalidArgument(t *testing.T) {
 	if err := smallPlan().Validate(); err != nil {
 		t.Fatal(err)
 	}
-	for arg, change := range map[string]func(*Plan){
+	for arg, invalidate := range map[string]func(*Plan){
 		"servers":    func(p *Plan) { p.Sweep, p.Size.Agents = true, 32 },
 		"agents":     func(p *Plan) { p.Size.Agents, p.Size.Servers = 100_000, 100_000 },
 		"stand-ins":  func(p *Plan) { p.StandIns, p.Size.Regions, p.Processes = 100, 4, 1 },
@@ -26,7 +26,7 @@
 		"scope":      func(p *Plan) { p.Scope = "" },
 	} {
 		p := smallPlan()
-		change(p)
+		invalidate(p)
 		var usage *fleet.UsageError
 		if err := p.Validate(); !errors.As(err, &usage) || usage.Arg != arg {
 			t.Errorf("got error %v, want a usage error of --%s", err, arg)
--- a/internal/fleet/controlplane/run_test.go
+++ b/internal/fleet/controlplane/run_test.go
@@ -17,10 +17,10 @@
 	"ploverreel/policy"
 )
 
-// noLimit is longer than any test waits for.
+// testLimit is the limit of the plan in tests. It is long enough that no test reaches it.
 const testLimit = 5 * time.Minute
 
-// TestMain makes the test binary a process of the bench when it is started as one.
+// TestMain runs a process of the bench instead of the tests if the test binary is started as one.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "control-process" {
 		if err := Serve(context.Background(), os.Args[2], os.Stdin, os.Stdout); err != nil {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// smallPlan returns a plan that plays everything on eight agents, in as little time as it can.
+// smallPlan returns a plan with all faults, eight agents and the shortest possible phases.
 func smallPlan() *Plan {
 	return &Plan{Size: fleet.Size{Agents: 8, Servers: 12, Services: 3, Regions: 2, Zones: 4, Rate: 100, Depth: 2, Seed: 1},
 		StandIns: 1, Processes: 2, Membership: policy.MembershipPushed, Scope: ScopeFleet, AskWithin: 10 * time.Second, Changes: 2,
@@ -40,13 +40,16 @@
 		CutEvery: time.Millisecond, Limit: testLimit, Faults: true}
 }
 
-// inProcess runs the bench's processes as goroutines, and counts those that have not ended.
-type inProcess struct {
-	alive  sync.WaitGroup
-	accept func(role string, cmd *command) bool // reports whether a process gets a command, else it is stopped; nil: it does
+// goroutineProcesses runs the processes of the bench as goroutines of the test.
+type goroutineProcesses struct {
+	alive sync.WaitGroup // the processes that have not ended
+
+	// accept reports whether a process gets a command. If not, the process is stopped instead. With nil a
+	// process gets all commands.
+	accept func(role string, cmd *command) bool
 }
 
-func (s *inProcess) spawn(ctx context.Context, role string) (*Process, error) {
+func (s *goroutineProcesses) spawn(ctx context.Context, role string) (*Process, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	commands, in := io.Pipe()
 	out, replies := io.Pipe()
@@ -63,8 +66,8 @@
 		wait: func() error { <-exited; return nil }}, nil
 }
 
-// watched returns the commands that pass lets through, and stops the process at the first other one.
-func (s *inProcess) filter(role string, commands io.Reader, stop func()) io.Reader {
+// filter returns the commands up to the first that accept rejects. At that command it stops the process.
+func (s *goroutineProcesses) filter(role string, commands io.Reader, stop func()) io.Reader {
 	if s.accept == nil {
 		return commands
 	}
@@ -88,13 +91,14 @@
 	return filtered
 }
 
-// Every agent has the last version in force in the end, after any fault: the real watch code reads what the
-// stand-ins serve. Only a version that can't be delivered is not in force.
-func TestRunBringsLastVersionToEveryAgent(t *testing.T) {
+// Every agent has applied the last version at the end of each case, also after a fault. The agents read the
+// lists of the stand-ins with the real watch code. The only version that some agents lack is the one that was
+// published while their stand-in was down.
+func TestRunDeliversLastVersionToEveryAgent(t *testing.T) {
 	for _, scope := range []string{ScopeFleet, ScopeService} {
 		t.Run(scope, func(t *testing.T) {
 			t.Parallel()
-			p, bench := smallPlan(), &inProcess{}
+			p, bench := smallPlan(), &goroutineProcesses{}
 			p.Scope = scope
 			cases, _, err := Run(t.Context(), slog.New(slog.DiscardHandler), p, bench.spawn)
 			if err != nil {
@@ -108,7 +112,7 @@
 				for _, f := range c.Figures {
 					want := 0.0
 					if f.Name == "theirs_without_while_down" {
-						want = 4 // all of the killed stand-in's
+						want = 4 // all agents of the killed stand-in
 					}
 					if strings.Contains(f.Name, "_without") && f.Value != want {
 						t.Errorf("%s: got %s %v, want %v", c.Name, f.Name, f.Value, want)
@@ -121,29 +125,29 @@
 				}
 			}
 			if lists, _ := cases[0].Figure("change_agent_lists"); lists < 2 {
-				t.Errorf("calm case: got %v lists an agent for two changes, want 2 at least", lists)
+				t.Errorf("calm case: got %v lists per agent for two changes, want at least 2", lists)
 			}
 		})
 	}
 }
 
-// The error of a run whose process dies names the process, and no other process is left.
-func TestRunEndsWhenProcessDies(t *testing.T) {
+// If a process dies, the run returns an error that names the process, and all other processes have ended.
+func TestRunFailsWhenProcessDies(t *testing.T) {
 	for _, role := range []string{RoleStandIn, RoleAgents} {
-		bench := &inProcess{accept: func(r string, cmd *command) bool { return r != role || cmd.Op != opReport }}
+		bench := &goroutineProcesses{accept: func(r string, cmd *command) bool { return r != role || cmd.Op != opReport }}
 		_, _, err := Run(t.Context(), slog.New(slog.DiscardHandler), smallPlan(), bench.spawn)
 		if err == nil || !strings.Contains(err.Error(), role+": report: has died") {
-			t.Errorf("%s: got error %v, want that the process has died", role, err)
+			t.Errorf("%s: got error %v, want an error that says the process has died", role, err)
 		}
 		bench.alive.Wait()
 	}
 }
 
-// An interrupted run ends with the cause and leaves no process.
-func TestRunEndsWhenInterrupted(t *testing.T) {
+// An interrupted run returns the cause of the interrupt, and all processes have ended.
+func TestRunFailsWhenInterrupted(t *testing.T) {
 	cause := errors.New("interrupted")
 	ctx, interrupt := context.WithCancelCause(t.Context())
-	bench := &inProcess{accept: func(role string, cmd *command) bool {
+	bench := &goroutineProcesses{accept: func(role string, cmd *command) bool {
 		if cmd.Op == opList {
 			interrupt(cause)
 		}
@@ -155,8 +159,9 @@
 	bench.alive.Wait()
 }
 
-// Real processes take commands, and end with their standard input, as they do when the bench ends.
-func TestServeEndsWithItsInput(t *testing.T) {
+// A real process executes commands and exits when its standard input ends. The standard input also ends when the
+// bench ends for any reason, so no process outlives the bench.
+func TestServeReturnsWhenInputEnds(t *testing.T) {
 	spawn := SpawnProgram(os.Args[0], "control-process")
 	for _, role := range []string{RoleStandIn, RoleAgents} {
 		p, err := spawn(t.Context(), role)
@@ -164,7 +169,7 @@
 			t.Fatal(err)
 		}
 		if _, err := p.call(t.Context(), &command{Op: "unknown"}); err == nil || !strings.Contains(err.Error(), "unknown command") {
-			t.Errorf("%s: got error %v, want an unknown command", role, err)
+			t.Errorf("%s: got error %v, want one about an unknown command", role, err)
 		}
 		p.commands.Close()
 		if err := p.wait(); err != nil {
--- a/internal/fleet/controlplane/slopes_test.go
+++ b/internal/fleet/controlplane/slopes_test.go
@@ -8,21 +8,22 @@
 	"ploverreel/internal/fleet"
 )
 
-// A line is fitted through the fleets that differ in its parameter alone, and predicts the target.
-func TestFitSlopesUsesCasesOfItsParameter(t *testing.T) {
+// A line is fitted only through the fleets that differ in its parameter and in nothing else. It predicts the
+// figure at the target size.
+func TestFitSlopesUsesCasesThatDifferInOneParameter(t *testing.T) {
 	var cases []fleet.Case
-	add := func(name string, agents, servers float64) {
+	addCase := func(name string, agents, servers float64) {
 		c := fleet.Case{Name: name, Params: map[string]float64{"agents": agents, "servers": servers}}
 		c.Add("standin_rss", "bytes", 10+agents)
 		c.Add("agent_heap", "bytes", 5+2*servers)
 		cases = append(cases, c)
 	}
 	for _, n := range []float64{1, 2, 4, 6} {
-		add(caseAgents, n, 8)
-		add(caseServers, 2, n)
+		addCase(caseAgents, n, 8)
+		addCase(caseServers, 2, n)
 	}
-	add(caseServers, 2, 8)
-	add(caseTarget, 8, 8)
+	addCase(caseServers, 2, 8)
+	addCase(caseTarget, 8, 8)
 	got := map[string]fleet.Fit{}
 	for _, f := range fitSlopes(slog.New(slog.DiscardHandler), cases, fleet.Size{Agents: 8, Servers: 8}) {
 		got[f.Figure] = f
