--- a/internal/fleet/controlplane/endpoint_store.go
+++ b/internal/fleet/controlplane/endpoint_store.go
@@ -22,7 +22,7 @@
 // have to name it. The methods may be called from any goroutine.
 type endpointStore struct {
 	mu        sync.Mutex
-	seq       int64
+	seq       int64    // current version
 	firstSeq  int64    // version of the last whole list; changes since older versions are unknown
 	hostNames []string // in the order in which they were added
 	hosts     map[string]*storedHost
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -24,7 +24,7 @@
 	spawn        Spawn
 	random       *rand.Rand
 	source       *endpointStore // the source of truth
-	reservations []reservation  // the ports of all stand-ins
+	reservations []reservation  // the ports of all stand-ins, by stand-in and scope
 	standIns     []*standInHost
 	workers      []*worker
 
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -44,10 +44,10 @@
 // time.
 type Plan struct {
 	Size       fleet.Size
-	StandIns   int // stand-ins of discovery in each region
-	Processes  int // that run the agents
-	Membership string
-	Scope      string
+	StandIns   int           // stand-ins of discovery in each region
+	Processes  int           // that run the agents
+	Membership string        // policy.MembershipOnRequest or policy.MembershipPushed
+	Scope      string        // ScopeFleet or ScopeService
 	AskWithin  time.Duration // contract.askWithinMs of the agents' settings
 	Spread     time.Duration // time over which the agents' starts are spread evenly; shorter in a smaller fleet
 	Changes    int           // number of changes without a fault, of one server each
