--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -30,7 +30,7 @@
 		case discovery.WatchEvent:
 			l.post(watchEvent{generation: generation, list: result.List})
 		case discovery.WatchEnded:
-			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.EndedAfterNotice})
+			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.Established})
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // opened.
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
-	l.startTimes.onWatchEnded(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
+	l.startTimes.onWatchEnded(l.nowMs(), float64(discovery.WatchIdleTimeout.Milliseconds()))
 	if in.endedAfterNotice {
 		l.log.Warn("endpoint list watch ended", "err", in.err, "discovery", l.watch.discoveryAddr())
 		l.notify(&policy.WatchEnded{})
@@ -108,8 +108,8 @@
 	l.watch.discovery = current
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.startTimes.onWatchEnded(l.nowMs(), 0)
-	go current.Fetch(discovery.RetryNew)
-	go current.Watch(0, discovery.RetryNew)
+	go current.Fetch(discovery.RetryNewDiscovery)
+	go current.Watch(0, discovery.RetryNewDiscovery)
 }
 
 // applyEndpointList puts a list in force: for the connections first, so that nothing new goes to
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -42,9 +42,9 @@
 const (
 	// NoRetry leaves the next call to the caller.
 	NoRetry Retry = false
-	// RetryNew is for a discovery that is new: a call is retried for some seconds, and may be given up
+	// RetryNewDiscovery is for a discovery that is new: a call is retried for some seconds, and may be given up
 	// earlier than others, as what a new discovery has to say soon counts as known.
-	RetryNew Retry = true
+	RetryNewDiscovery Retry = true
 )
 
 // Client calls one discovery.
@@ -61,9 +61,9 @@
 	ctx       context.Context // the calls end with it
 	cancel    context.CancelFunc
 
-	firstWordTimeout time.Duration // within which a call of a watch must deliver its first bytes
+	firstByteTimeout time.Duration // within which a call of a watch must deliver its first bytes
 	hedgeDelay       time.Duration // after which a watch makes another call; 0: never
-	silence          time.Duration // a watch that delivered nothing for so long is ended
+	idleTimeout      time.Duration // a watch that delivered nothing for so long is ended
 
 	// Replaced by tests.
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -78,7 +78,7 @@
 // result, from the goroutine of the call: a call goes on when deliver returns.
 func New(ctx context.Context, addr string, placement Placement, deliver func(Result)) *Client {
 	c := &Client{addr: addr, placement: placement, url: "http://" + addr + "/v1/endpoints", deliver: deliver,
-		firstWordTimeout: firstWordTimeout, silence: WatchSilence,
+		firstByteTimeout: firstByteTimeout, idleTimeout: WatchIdleTimeout,
 		dial: (&net.Dialer{}).DialContext, after: time.After}
 	if placement == Local {
 		c.hedgeDelay = localHedgeDelay
@@ -119,8 +119,8 @@
 // Fetch gets the whole list and delivers one Fetched, after the last retry.
 func (c *Client) Fetch(retry Retry) {
 	timeout := fetchTimeout
-	if retry == RetryNew {
-		timeout = newCallTimeout
+	if retry == RetryNewDiscovery {
+		timeout = newDiscoveryCallTimeout
 	}
 	var list endpointlist.List
 	err := c.withRetry(retry, func() (err error) {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -67,7 +67,7 @@
 	}))
 	t.Cleanup(server.Close)
 	client, results := newClient(t, server.Listener.Addr().String(), Shared)
-	client.Watch(0, RetryNew)
+	client.Watch(0, RetryNewDiscovery)
 	if got := next[WatchEvent](t, results).List.Seq; got != 2 {
 		t.Fatalf("got list %d, want 2", got)
 	}
@@ -89,7 +89,7 @@
 			}
 			var err error
 			if call == "watch" {
-				client.firstWordTimeout = time.Millisecond
+				client.firstByteTimeout = time.Millisecond
 				go client.Watch(1, NoRetry)
 				err = next[WatchEnded](t, results).Err
 			} else {
@@ -114,9 +114,9 @@
 	}{{"local", Local, localHedgeDelay}, {"shared", Shared, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			client := New(t.Context(), refusing, c.placement, nil)
-			if client.hedgeDelay != c.hedge || client.firstWordTimeout != firstWordTimeout || client.silence != WatchSilence {
-				t.Errorf("got waits of %v, %v and %v, want %v, %v and %v", client.hedgeDelay, client.firstWordTimeout, client.silence,
-					c.hedge, firstWordTimeout, WatchSilence)
+			if client.hedgeDelay != c.hedge || client.firstByteTimeout != firstByteTimeout || client.idleTimeout != WatchIdleTimeout {
+				t.Errorf("got waits of %v, %v and %v, want %v, %v and %v", client.hedgeDelay, client.firstByteTimeout, client.idleTimeout,
+					c.hedge, firstByteTimeout, WatchIdleTimeout)
 			}
 		})
 	}
--- a/internal/discovery/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -16,7 +16,7 @@
 type hedgedWatch struct {
 	client    *Client
 	since     int64
-	firstWord time.Duration // how long each call waits for its first word
+	firstByte time.Duration // how long each call waits for its first word
 	answered  atomic.Bool   // a call was answered, or the watch has failed: no other call counts
 }
 
@@ -32,7 +32,7 @@
 	calls := 0
 	call := func() {
 		calls++
-		go func() { results <- h.client.watchOnce(ctx, h.since, h.firstWord, h.claim) }()
+		go func() { results <- h.client.watchOnce(ctx, h.since, h.firstByte, h.claim) }()
 	}
 	call()
 	for {
--- a/internal/discovery/hedged_watch_test.go
+++ b/internal/discovery/hedged_watch_test.go
@@ -85,16 +85,16 @@
 	agenttest.Receive(t, call.Ended, "the end of a call beside the answered one")
 }
 
-func TestHedgedWatchFailsWithoutFirstWord(t *testing.T) {
+func TestHedgedWatchFailsWithoutFirstByte(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	client, results := newClient(t, silent.Addr().String(), Local)
-	client.firstWordTimeout, client.hedgeDelay = 50*time.Millisecond, time.Millisecond
+	client.firstByteTimeout, client.hedgeDelay = 50*time.Millisecond, time.Millisecond
 	go client.Watch(1, NoRetry)
-	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.EndedAfterNotice {
+	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.Established {
 		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
 	}
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	results := make(chan Result, 100)
 	client := New(t.Context(), addr, placement, func(result Result) { results <- result })
-	client.firstWordTimeout, client.silence = agenttest.Never, agenttest.Never
+	client.firstByteTimeout, client.idleTimeout = agenttest.Never, agenttest.Never
 	return client, results
 }
 
--- a/internal/discovery/local_failure_test.go
+++ b/internal/discovery/local_failure_test.go
@@ -38,9 +38,9 @@
 		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN} {
 		for name, call := range map[string]func(*Client){
 			"watch":                      func(c *Client) { c.Watch(1, NoRetry) },
-			"watch of a new discovery":   func(c *Client) { c.Watch(1, RetryNew) },
+			"watch of a new discovery":   func(c *Client) { c.Watch(1, RetryNewDiscovery) },
 			"fetch":                      func(c *Client) { c.Fetch(NoRetry) },
-			"fetch from a new discovery": func(c *Client) { c.Fetch(RetryNew) },
+			"fetch from a new discovery": func(c *Client) { c.Fetch(RetryNewDiscovery) },
 		} {
 			t.Run(errno.Error()+" "+name, func(t *testing.T) {
 				client, results := newClient(t, agenttest.ServeLines(t, false, `{"seq":2,"whole":true,"hosts":[]}`), Shared)
@@ -80,13 +80,13 @@
 	}
 }
 
-// checkBackoff checks that pauses grow to maxLocalBackoff, with jitter.
+// checkBackoff checks that pauses grow to maxLocalFailureBackoff, with jitter.
 func checkBackoff(t *testing.T, pauses []time.Duration) {
 	t.Helper()
 	differ := false
 	for i, span := range pauses {
-		if least := min(minLocalBackoff<<i, maxLocalBackoff) / 2; i < 10 && span < least || span > maxLocalBackoff {
-			t.Fatalf("got pause %d of %v, want %v to %v", i, span, least, maxLocalBackoff)
+		if least := min(minLocalFailureBackoff<<i, maxLocalFailureBackoff) / 2; i < 10 && span < least || span > maxLocalFailureBackoff {
+			t.Fatalf("got pause %d of %v, want %v to %v", i, span, least, maxLocalFailureBackoff)
 		}
 		differ = differ || span != pauses[len(pauses)-1]
 	}
@@ -108,7 +108,7 @@
 			client.dial = dialer.connect
 			client.pause = func(time.Duration) bool { t.Error("got a pause, want none"); return false }
 			client.Watch(1, NoRetry)
-			if got := next[WatchEnded](t, results); got.Err == nil || got.EndedAfterNotice || dialer.connects != 1 {
+			if got := next[WatchEnded](t, results); got.Err == nil || got.Established || dialer.connects != 1 {
 				t.Fatalf("got %+v after %d connects, want a failure after 1", got, dialer.connects)
 			}
 		})
--- a/internal/discovery/results.go
+++ b/internal/discovery/results.go
@@ -22,11 +22,11 @@
 	// WatchEnded ends a watch.
 	WatchEnded struct {
 		Err error // why it ended; never nil
-		// EndedAfterNotice says that the watch had worked, so that its end is no failed call: it
+		// Established says that the watch had worked, so that its end is no failed call: it
 		// delivered a list, or anything for as long as a watch may be silent. One that delivered a
 		// list has worked however short it was: the next one is opened without the wait that
 		// follows a failed call, as what it has to say soon counts as known.
-		EndedAfterNotice bool
+		Established bool
 	}
 )
 
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -9,13 +9,13 @@
 	"ploverreel/internal/socket"
 )
 
-// withRetry makes a call until it succeeds: for newRetryTime with RetryNew, else once. It returns the
+// withRetry makes a call until it succeeds: for newDiscoveryRetryTime with RetryNewDiscovery, else once. It returns the
 // last error.
 func (c *Client) withRetry(retry Retry, call func() error) error {
-	end := time.Now().Add(newRetryTime)
+	end := time.Now().Add(newDiscoveryRetryTime)
 	for {
 		err := c.untilSent(call)
-		if err == nil || retry == NoRetry || time.Now().After(end) || !c.pause(newRetryInterval) {
+		if err == nil || retry == NoRetry || time.Now().After(end) || !c.pause(newDiscoveryRetryInterval) {
 			return err
 		}
 	}
@@ -24,7 +24,7 @@
 // untilSent makes a call until it has left this machine: what fails before is no failed call of
 // discovery, after which the next one would have to wait.
 func (c *Client) untilSent(call func() error) error {
-	for backoff := minLocalBackoff; ; backoff = min(2*backoff, maxLocalBackoff) {
+	for backoff := minLocalFailureBackoff; ; backoff = min(2*backoff, maxLocalFailureBackoff) {
 		err := call()
 		if !neverSent(err) || !c.pause(backoff/2+rand.N(backoff/2)) {
 			return err
--- a/internal/discovery/timeouts.go
+++ b/internal/discovery/timeouts.go
@@ -4,36 +4,38 @@
 
 // Timeouts of one call.
 const (
-	// WatchSilence is how long a watch may deliver nothing before it is ended. Discovery writes a
-	// line every 2 s. What it has to say counts as known to the agent 6 s after it fell silent, the
-	// wait before the next call and that call included.
-	WatchSilence = 3 * time.Second
-	// firstWordTimeout is the same for the first bytes of a watch. A discovery that serves many
-	// agents in turn has failed what waited for 2 s, and a call that is given up later would leave
-	// too little of the 6 s to the next.
-	firstWordTimeout = 2500 * time.Millisecond
-	// localHedgeDelay is after how long without a byte another call of a watch is made beside the
-	// first to a discovery on the agent's own machine. What it has when it is back after an outage
-	// counts as notified, and has the drains' grace.
+	// WatchIdleTimeout bounds how long a watch may deliver no data before it is closed. A healthy
+	// discovery writes a line every 2 s. The agent is expected to know a change within 6 s of the
+	// moment at which discovery fell silent, and these 6 s include the wait before the next call and
+	// that call itself.
+	WatchIdleTimeout = 3 * time.Second
+	// firstByteTimeout bounds how long a call of a watch may wait for its first byte. A discovery that
+	// serves many agents in turn fails a call that has waited for 2 s. A longer timeout would leave
+	// too little of the 6 s for the next call.
+	firstByteTimeout = 2500 * time.Millisecond
+	// localHedgeDelay is the time without a byte after which a watch of a discovery on the agent's own
+	// machine sends one more call (see hedgedWatch). When discovery returns after an outage, the agent
+	// is regarded as notified of all changes. It then has only the grace period of drains to fetch
+	// them.
 	localHedgeDelay = 750 * time.Millisecond
 	// fetchTimeout bounds a fetch from its connect to its last byte.
 	fetchTimeout = 3 * time.Second
 )
 
-// What a new discovery has to say counts as known to the agent after 4 s. So a call to it that fails
-// is retried for newRetryTime, each time newRetryInterval after the failure, and is given up after
-// newCallTimeout.
+// Retries of the first calls to a new discovery. The agent is expected to know the list of a new
+// discovery after 4 s, so these calls get shorter timeouts and are retried without the usual backoff.
 const (
-	newRetryTime     = 4 * time.Second
-	newRetryInterval = 200 * time.Millisecond
-	newCallTimeout   = 1300 * time.Millisecond
+	newDiscoveryRetryTime     = 4 * time.Second         // no retry is scheduled later than this
+	newDiscoveryRetryInterval = 200 * time.Millisecond  // from a failure to the next call
+	newDiscoveryCallTimeout   = 1300 * time.Millisecond // of one call
 )
 
-// A call that this machine could not make, for want of a descriptor, a port or a route, has not
-// reached discovery and costs it nothing: it is made again after minLocalBackoff, which doubles to
-// maxLocalBackoff. So discovery is called within 0.1 s of the end of the want, long before what it
-// has to say counts as known, and no more than some 20 connects a second are tried.
+// Backoff after a call that failed on this machine because it had no free descriptor, no free port or
+// no route. Such a call has not reached discovery and costs it nothing, so it is retried soon: the
+// backoff doubles from the minimum to the maximum. Discovery is therefore called within 0.1 s after
+// the shortage ends, long before the agent is expected to know its changes, and at most about 20
+// connects a second are tried.
 const (
-	minLocalBackoff = 25 * time.Millisecond
-	maxLocalBackoff = 100 * time.Millisecond
+	minLocalFailureBackoff = 25 * time.Millisecond
+	maxLocalFailureBackoff = 100 * time.Millisecond
 )
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -29,7 +29,7 @@
 		}
 		return result.err
 	})
-	c.deliver(WatchEnded{Err: result.err, EndedAfterNotice: result.endedAfterNotice(c.silence)})
+	c.deliver(WatchEnded{Err: result.err, Established: result.established(c.idleTimeout)})
 }
 
 // watchResult is how one watch, or one call of it, went.
@@ -40,29 +40,29 @@
 	err      error // why it ended
 }
 
-// endedAfterNotice reports whether a watch has ended that had worked, see WatchEnded.
-func (r watchResult) endedAfterNotice(silence time.Duration) bool {
+// established reports whether a watch has ended that had worked, see WatchEnded.
+func (r watchResult) established(silence time.Duration) bool {
 	return r.notified || r.alive && r.lasted >= silence
 }
 
 // watchHedged is one watch, whatever the number of its calls. A new discovery that is shared is not
-// waited for longer than newCallTimeout before it is called again.
+// waited for longer than newDiscoveryCallTimeout before it is called again.
 func (c *Client) watchHedged(since int64, retry Retry) watchResult {
-	hedged := &hedgedWatch{client: c, since: since, firstWord: c.firstWordTimeout}
-	if retry == RetryNew && c.hedgeDelay == 0 {
-		hedged.firstWord = min(hedged.firstWord, newCallTimeout)
+	hedged := &hedgedWatch{client: c, since: since, firstByte: c.firstByteTimeout}
+	if retry == RetryNewDiscovery && c.hedgeDelay == 0 {
+		hedged.firstByte = min(hedged.firstByte, newDiscoveryCallTimeout)
 	}
 	return hedged.run(c.hedgeDelay)
 }
 
 // watchOnce is one call of a watch: it delivers the lists that come, in order, until it ends. What
 // comes counts only if claim returns true when the first of it does.
-func (c *Client) watchOnce(ctx context.Context, since int64, firstWord time.Duration, claim func() bool) (result watchResult) {
+func (c *Client) watchOnce(ctx context.Context, since int64, firstByte time.Duration, claim func() bool) (result watchResult) {
 	began := time.Now()
 	defer func() { result.lasted = time.Since(began) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(firstWord, func() { cancel(errWatchSilent) })
+	silence := time.AfterFunc(firstByte, func() { cancel(errWatchSilent) })
 	defer silence.Stop()
 	body, err := c.get(ctx, c.url+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
@@ -76,7 +76,7 @@
 			return
 		}
 		result.alive = true
-		silence.Reset(c.silence)
+		silence.Reset(c.idleTimeout)
 	}}
 	result.err = c.deliverLists(ctx, reader, &result)
 	return result
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -58,23 +58,23 @@
 
 func TestWatchEndsWhenSilent(t *testing.T) {
 	client, results := newClient(t, agenttest.ServeLines(t, true, ""), Shared)
-	client.silence = time.Millisecond
+	client.idleTimeout = time.Millisecond
 	client.Watch(1, NoRetry)
 	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errWatchSilent) {
 		t.Fatalf("got error %v, want %v", got, errWatchSilent)
 	}
 }
 
-func TestWatchEndsWithoutFirstWord(t *testing.T) {
+func TestWatchEndsWithoutFirstByte(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
 	client, results := newClient(t, silent.Addr().String(), Shared)
-	client.firstWordTimeout = time.Millisecond
+	client.firstByteTimeout = time.Millisecond
 	go client.Watch(1, NoRetry)
-	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.EndedAfterNotice {
+	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.Established {
 		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
 	}
 }
@@ -84,7 +84,7 @@
 		t.Run(text, func(t *testing.T) {
 			call, results := startWatch(t)
 			go func() { call.Write <- text + "\n"; close(call.Write) }()
-			if got := next[WatchEnded](t, results); got.Err == nil || got.EndedAfterNotice {
+			if got := next[WatchEnded](t, results); got.Err == nil || got.Established {
 				t.Fatalf("got %+v, want an error and no end after a notice", got)
 			}
 		})
@@ -116,7 +116,7 @@
 				}
 				close(call.Write)
 			}()
-			if result := client.watchHedged(1, NoRetry); result.endedAfterNotice(c.silence) != c.want {
+			if result := client.watchHedged(1, NoRetry); result.established(c.silence) != c.want {
 				t.Fatalf("got the opposite, want ended after a notice %v of %+v", c.want, result)
 			}
 		})
