--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,10 +1,10 @@
-// Package discovery calls the service that lists the backends: it fetches the whole list, and watches
-// for changes. It owns the connections of these calls, their timeouts and their retries. When a call
-// is made is up to whoever uses a Client.
+// Package discovery is the client of the discovery service, which lists the backends. It fetches the
+// whole list and watches for changes. It owns the connections of these calls, their timeouts and their
+// retries. The user of a Client decides when a call is made.
 //
-// What calls bring goes to a callback as a Fetched, a WatchEvent or a WatchEnded; their errors are
-// those of the connection, of the response's status or of the list (see package endpointlist), in one
-// line.
+// The results of calls are passed to a callback as a Fetched, a WatchEvent or a WatchEnded. Their
+// errors come from the connection, the status of the response or the list (see package endpointlist),
+// and are one line.
 package discovery
 
 import (
@@ -19,9 +19,9 @@
 )
 
 const (
-	// maxHeaderBytes bounds the header of a response.
+	// maxHeaderBytes bounds the size of a response's header.
 	maxHeaderBytes = 64 << 10
-	// maxListBytes bounds one list.
+	// maxListBytes bounds the size of one list.
 	maxListBytes = 4 << 20
 )
 
@@ -29,53 +29,55 @@
 type Placement int
 
 const (
-	// Shared is one service for many agents: each call is work for it, and may wait in turn.
+	// Shared is one service for many agents. Each call costs it work and may wait in a queue.
 	Shared Placement = iota
-	// Local is a service on the agent's own machine: it answers at once and at no cost, so that a
-	// watch may make another call beside one on which nothing comes.
+	// Local is a service on the agent's own machine. It answers at once and at no cost, so a watch may
+	// send a second call while the first one delivers no data.
 	Local
 )
 
-// Retry says what follows a call that fails.
+// Retry says whether the Client itself retries a failed call.
 type Retry bool
 
 const (
-	// NoRetry leaves the next call to the caller.
+	// NoRetry reports the failure; the caller decides when to call again.
 	NoRetry Retry = false
-	// RetryNewDiscovery is for a discovery that is new: a call is retried for some seconds, and may be given up
-	// earlier than others, as what a new discovery has to say soon counts as known.
+	// RetryNewDiscovery is for the first calls to a discovery whose address is new. Such a call is
+	// retried for some seconds and may have a shorter timeout than others, because the agent is
+	// expected to know the list of a new discovery soon.
 	RetryNewDiscovery Retry = true
 )
 
-// Client calls one discovery.
+// Client calls the discovery at one address.
 //
-// Fetch and Watch block, and each is to be called in a goroutine of its own. Any method may be called
-// from any goroutine. All calls end with the context that the client was made with, or by Close; each
-// delivers its last result then too.
+// Fetch and Watch block, so each should run in its own goroutine. All methods are safe for concurrent
+// use. All calls end when the context passed to New is cancelled or Close is called; each of them
+// still delivers its last result.
 type Client struct {
 	addr      string
 	placement Placement
-	url       string // of the whole list
+	url       string // of the endpoint list
 	http      *http.Client
 	deliver   func(Result)
-	ctx       context.Context // the calls end with it
+	ctx       context.Context // cancelling it ends all calls
 	cancel    context.CancelFunc
 
-	firstByteTimeout time.Duration // within which a call of a watch must deliver its first bytes
-	hedgeDelay       time.Duration // after which a watch makes another call; 0: never
-	idleTimeout      time.Duration // a watch that delivered nothing for so long is ended
+	firstByteTimeout time.Duration // for a call of a watch, until its first byte
+	hedgeDelay       time.Duration // without data, until a watch sends one more call; 0: never
+	idleTimeout      time.Duration // without data, until a watch is closed
 
 	// Replaced by tests.
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
 	after func(time.Duration) <-chan time.Time
-	pause func(time.Duration) bool // waits; false: the calls end
+	pause func(time.Duration) bool // waits; returns false once the client is closed
 }
 
-// callKey is the key of a call's own context in the one that the transport dials with.
-type callKey struct{}
+// callContextKey is the key under which the context of a call is stored in itself. The transport dials
+// with a context of its own that keeps the values of the call's context but not its cancellation.
+type callContextKey struct{}
 
-// New returns a client of the discovery at addr, an address with a port. It calls deliver with each
-// result, from the goroutine of the call: a call goes on when deliver returns.
+// New returns a client of the discovery at addr, which has the form host:port. The client calls deliver
+// with each result in the goroutine of the call; the call continues after deliver returns.
 func New(ctx context.Context, addr string, placement Placement, deliver func(Result)) *Client {
 	c := &Client{addr: addr, placement: placement, url: "http://" + addr + "/v1/endpoints", deliver: deliver,
 		firstByteTimeout: firstByteTimeout, idleTimeout: WatchIdleTimeout,
@@ -85,18 +87,18 @@
 	}
 	c.http = &http.Client{
 		Transport: &http.Transport{
-			// A connection a call: one that is kept could break under the next call, which the
-			// transport would then send twice, and each call is work for discovery.
+			// Each call uses a new connection. A reused connection could break under the next call;
+			// the transport would then send that call twice, and each call costs discovery work.
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
-			// Left to itself the transport goes on dialling after the call was given up. Where
-			// connections never come up each call would hold a descriptor for minutes.
+			// By default the transport continues to dial after the call was cancelled. If connects
+			// get no response, each call would hold a descriptor for minutes.
 			DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-				return c.dial(ctx.Value(callKey{}).(context.Context), network, addr)
+				return c.dial(ctx.Value(callContextKey{}).(context.Context), network, addr)
 			},
 		},
-		// Discovery is where the configuration says, not where a response points.
+		// The configuration alone sets the address of discovery, so redirects are not followed.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	c.ctx, c.cancel = context.WithCancel(ctx)
@@ -104,19 +106,20 @@
 	return c
 }
 
-// Addr returns the address that the client calls.
+// Addr returns the address passed to New.
 func (c *Client) Addr() string { return c.addr }
 
-// Placement returns where the discovery runs.
+// Placement returns the placement passed to New.
 func (c *Client) Placement() Placement { return c.placement }
 
-// Close ends all calls. It does not wait for them.
+// Close cancels all calls. It does not wait for them to end.
 func (c *Client) Close() { c.cancel() }
 
-// Done returns a channel that is closed once all calls end: by Close, or with the client's context.
+// Done returns a channel that is closed when the calls are cancelled, by Close or by the context passed
+// to New.
 func (c *Client) Done() <-chan struct{} { return c.ctx.Done() }
 
-// Fetch gets the whole list and delivers one Fetched, after the last retry.
+// Fetch gets the whole list and delivers one Fetched after the last try.
 func (c *Client) Fetch(retry Retry) {
 	timeout := fetchTimeout
 	if retry == RetryNewDiscovery {
@@ -130,7 +133,7 @@
 	c.deliver(Fetched{List: list, Err: err})
 }
 
-// fetchOnce gets the whole list within the timeout.
+// fetchOnce gets the whole list in one call, within the timeout.
 func (c *Client) fetchOnce(timeout time.Duration) (endpointlist.List, error) {
 	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
@@ -145,14 +148,14 @@
 	}
 	list, err := endpointlist.Parse(text)
 	if err == nil && !list.Whole {
-		err = errors.New("list: not the whole one")
+		err = errors.New("list: a change instead of the whole list")
 	}
 	return list, err
 }
 
-// get sends one request and returns the body of a response with status 200.
+// get sends one request and returns the body of the response. A status other than 200 is an error.
 func (c *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	req, err := http.NewRequestWithContext(context.WithValue(ctx, callKey{}, ctx), http.MethodGet, url, nil)
+	req, err := http.NewRequestWithContext(context.WithValue(ctx, callContextKey{}, ctx), http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// maxHedgedCalls bounds the calls of one watch that wait for their first word at the same time.
+// maxHedgedCalls bounds the number of concurrent calls of one watch that wait for their first byte.
 const maxHedgedCalls = 4
 
-// hedgedWatch opens one watch by several calls. A discovery on the agent's own machine answers at
-// once and at no cost, so a call on which nothing has come for hedgeDelay may have been made while
-// discovery was down, and will never be answered; or discovery is slow. So the call stays, and
-// another is made beside it. The first call that is answered is the watch; the others end.
+// hedgedWatch opens one watch with hedged calls. A discovery on the agent's own machine answers at once
+// and at no cost. If a call receives no data for the hedge delay, either it was made while discovery
+// was down and will never be answered, or discovery is slow. So the call stays open and one more is
+// sent. The first call that is answered becomes the watch, and the others are cancelled.
 type hedgedWatch struct {
 	client    *Client
 	since     int64
-	firstByte time.Duration // how long each call waits for its first word
-	answered  atomic.Bool   // a call was answered, or the watch has failed: no other call counts
+	firstByte time.Duration // timeout of each call for its first byte
+	answered  atomic.Bool   // a call was answered or has failed; it alone decides the outcome of the watch
 }
 
-// claim reports whether the caller is the first to decide how the watch goes on.
+// claim reports whether the caller is the first to claim the watch, by an answer or by a failure.
 func (h *hedgedWatch) claim() bool { return h.answered.CompareAndSwap(false, true) }
 
-// run follows the watch until it ends. It fails as soon as one of its calls does before any was
-// answered. No call is left when it returns but for those that are about to see that they ended.
+// run runs the watch until it ends. The watch fails as soon as one of its calls fails before any was
+// answered. When run returns, all other calls are cancelled, but some may not have returned yet.
 func (h *hedgedWatch) run(hedgeDelay time.Duration) watchResult {
 	ctx, cancel := context.WithCancel(h.client.ctx)
 	defer cancel()
@@ -46,7 +46,7 @@
 				call()
 			}
 		case result := <-results:
-			if result.alive || h.claim() {
+			if result.receivedData || h.claim() {
 				return result
 			}
 		}
--- a/internal/discovery/list_reader.go
+++ b/internal/discovery/list_reader.go
@@ -6,43 +6,43 @@
 	"io"
 )
 
-var errListTooLong = errors.New("list: longer than any may be")
+var errListTooLong = errors.New("list: exceeds the size limit")
 
-// listReader reads the text of a watch: lists, each of them over one line or many, and white space
-// between them as a sign of life. A list that has begun must be complete within the time that a
-// watch may be silent, and within maxListBytes.
+// listReader reads the response of a watch. The response consists of lists, each over one or more lines,
+// and of white space between them, which serves as a heartbeat. White space within a list is no
+// heartbeat. So a list must be complete within the idle timeout, and within maxListBytes.
 type listReader struct {
-	from  io.Reader
-	heard func() // is called when something came that proves the watch alive
-	begun int    // bytes of the list that is coming; 0: between two
+	source     io.Reader
+	onActivity func() // called on data that resets the idle timeout
+	listBytes  int    // bytes read of an incomplete list; 0 between lists
 }
 
-// Read reads from the watch. Its error is errListTooLong in the midst of a list of over maxListBytes,
-// else that of the connection.
+// Read reads from the response. It returns errListTooLong within a list that exceeds maxListBytes, and
+// otherwise the error of the connection.
 func (r *listReader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p)
-	between := r.begun == 0
-	r.count(p[:n])
-	if n > 0 && between {
-		r.heard()
+	n, err := r.source.Read(p)
+	betweenLists := r.listBytes == 0
+	r.addBytes(p[:n])
+	if n > 0 && betweenLists {
+		r.onActivity()
 	}
-	if r.begun > maxListBytes {
+	if r.listBytes > maxListBytes {
 		return 0, errListTooLong
 	}
 	return n, err
 }
 
-// count adds text to the list that is coming, if it has begun or begins with it.
-func (r *listReader) count(text []byte) {
-	if r.begun > 0 || len(bytes.TrimSpace(text)) > 0 {
-		r.begun += len(text)
+// addBytes adds text to the size of the current list. White space between lists is not added.
+func (r *listReader) addBytes(text []byte) {
+	if r.listBytes > 0 || len(bytes.TrimSpace(text)) > 0 {
+		r.listBytes += len(text)
 	}
 }
 
-// next is called after a list; rest is what was read behind it.
-func (r *listReader) next(rest io.Reader) {
-	r.heard()
-	r.begun = 0
-	text, _ := io.ReadAll(rest) // of memory: it can't fail
-	r.count(text)
+// listDecoded is called after each complete list; rest holds the bytes that were read after it.
+func (r *listReader) listDecoded(rest io.Reader) {
+	r.onActivity()
+	r.listBytes = 0
+	text, _ := io.ReadAll(rest) // can't fail: rest is in memory
+	r.addBytes(text)
 }
--- a/internal/discovery/list_reader_test.go
+++ b/internal/discovery/list_reader_test.go
@@ -9,21 +9,21 @@
 // A list that has begun and does not come to its end counts as silence, however much white space
 // comes.
 func TestListReaderHearsNothingWithinAList(t *testing.T) {
-	heard := 0
-	reader := &listReader{heard: func() { heard++ }}
+	activity := 0
+	reader := &listReader{onActivity: func() { activity++ }}
 	for _, text := range []string{"\n", "\n", "{\n", " \n", "\n", "\"seq\":2", "\n"} {
-		reader.from = strings.NewReader(text)
+		reader.source = strings.NewReader(text)
 		if _, err := reader.Read(make([]byte, 100)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if heard != 3 { // the last one begins the list
-		t.Fatalf("got %d signs of life, want 3", heard)
+	if activity != 3 { // the last one begins the list
+		t.Fatalf("got %d signs of life, want 3", activity)
 	}
-	if reader.next(strings.NewReader("\n")); reader.begun != 0 || heard != 4 {
-		t.Fatalf("got %d signs of life and %d bytes after a list, want 4 and 0", heard, reader.begun)
+	if reader.listDecoded(strings.NewReader("\n")); reader.listBytes != 0 || activity != 4 {
+		t.Fatalf("got %d signs of life and %d bytes after a list, want 4 and 0", activity, reader.listBytes)
 	}
-	if reader.next(strings.NewReader(" {")); reader.begun == 0 {
+	if reader.listDecoded(strings.NewReader(" {")); reader.listBytes == 0 {
 		t.Fatal("got no byte of a list that has begun, want some")
 	}
 }
--- a/internal/discovery/results.go
+++ b/internal/discovery/results.go
@@ -2,30 +2,31 @@
 
 import "ploverreel/internal/endpointlist"
 
-// Result is the outcome of a call, or a part of it: a Fetched, a WatchEvent or a WatchEnded.
+// Result is an outcome of a call: a Fetched, a WatchEvent or a WatchEnded.
 type Result interface {
 	isResult()
 }
 
 type (
-	// Fetched ends a fetch: with a whole list or an error.
+	// Fetched is the only result of a fetch: the whole list, or an error.
 	Fetched struct {
 		List endpointlist.List
 		Err  error
 	}
 
-	// WatchEvent is one list that a watch delivered.
+	// WatchEvent is one list that a watch received.
 	WatchEvent struct {
 		List endpointlist.List
 	}
 
-	// WatchEnded ends a watch.
+	// WatchEnded is the last result of a watch.
 	WatchEnded struct {
 		Err error // why it ended; never nil
-		// Established says that the watch had worked, so that its end is no failed call: it
-		// delivered a list, or anything for as long as a watch may be silent. One that delivered a
-		// list has worked however short it was: the next one is opened without the wait that
-		// follows a failed call, as what it has to say soon counts as known.
+		// Established reports whether the watch had worked before it ended, so that its end is not a
+		// failed call. A watch has worked if it received a list, or if it received any data and
+		// lasted for at least WatchIdleTimeout. A watch that received a list has worked however
+		// short it was: the next one must open without the backoff of a failed call, because the
+		// agent is expected to know later changes soon.
 		Established bool
 	}
 )
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,14 +17,14 @@
 	errWatchSuperseded = errors.New("another call of the watch was answered first")
 )
 
-// Watch follows the changes after the version since until the connection ends, falls silent or
-// delivers a line that is no list. It delivers a WatchEvent for each list as it comes, then one
-// WatchEnded. Only a watch that fails before it delivers a list is retried.
+// Watch follows the changes after the version since. It ends when the connection ends, delivers no data
+// within the idle timeout or delivers an invalid list. It delivers a WatchEvent for each list on
+// arrival, then one WatchEnded. A watch is retried only if it fails before its first list.
 func (c *Client) Watch(since int64, retry Retry) {
 	var result watchResult
 	_ = c.withRetry(retry, func() error {
 		result = c.watchHedged(since, retry)
-		if result.notified {
+		if result.receivedList {
 			return nil
 		}
 		return result.err
@@ -32,21 +32,22 @@
 	c.deliver(WatchEnded{Err: result.err, Established: result.established(c.idleTimeout)})
 }
 
-// watchResult is how one watch, or one call of it, went.
+// watchResult is the outcome of one watch, or of one call of it.
 type watchResult struct {
-	notified bool // it delivered a list
-	alive    bool // it delivered anything
-	lasted   time.Duration
-	err      error // why it ended
+	receivedList bool
+	receivedData bool // a list or white space
+	duration     time.Duration
+	err          error // why it ended
 }
 
-// established reports whether a watch has ended that had worked, see WatchEnded.
-func (r watchResult) established(silence time.Duration) bool {
-	return r.notified || r.alive && r.lasted >= silence
+// established reports whether the watch had worked before it ended; see WatchEnded.Established.
+func (r watchResult) established(idleTimeout time.Duration) bool {
+	return r.receivedList || r.receivedData && r.duration >= idleTimeout
 }
 
-// watchHedged is one watch, whatever the number of its calls. A new discovery that is shared is not
-// waited for longer than newDiscoveryCallTimeout before it is called again.
+// watchHedged runs one watch, which may consist of several calls; see hedgedWatch. A call to a new
+// shared discovery waits for its first byte for at most newDiscoveryCallTimeout, so that it can be
+// retried in time.
 func (c *Client) watchHedged(since int64, retry Retry) watchResult {
 	hedged := &hedgedWatch{client: c, since: since, firstByte: c.firstByteTimeout}
 	if retry == RetryNewDiscovery && c.hedgeDelay == 0 {
@@ -55,34 +56,35 @@
 	return hedged.run(c.hedgeDelay)
 }
 
-// watchOnce is one call of a watch: it delivers the lists that come, in order, until it ends. What
-// comes counts only if claim returns true when the first of it does.
+// watchOnce makes one call of a watch and delivers its lists in order until it ends. It calls claim when
+// the first data arrives. If claim returns false, another call has won: this call ends and delivers
+// nothing.
 func (c *Client) watchOnce(ctx context.Context, since int64, firstByte time.Duration, claim func() bool) (result watchResult) {
-	began := time.Now()
-	defer func() { result.lasted = time.Since(began) }()
+	start := time.Now()
+	defer func() { result.duration = time.Since(start) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(firstByte, func() { cancel(errWatchSilent) })
-	defer silence.Stop()
+	timeout := time.AfterFunc(firstByte, func() { cancel(errWatchSilent) })
+	defer timeout.Stop()
 	body, err := c.get(ctx, c.url+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
 		result.err = cmp.Or(context.Cause(ctx), err)
 		return result
 	}
 	defer body.Close()
-	reader := &listReader{from: body, heard: func() {
-		if !result.alive && !claim() {
+	reader := &listReader{source: body, onActivity: func() {
+		if !result.receivedData && !claim() {
 			cancel(errWatchSuperseded)
 			return
 		}
-		result.alive = true
-		silence.Reset(c.idleTimeout)
+		result.receivedData = true
+		timeout.Reset(c.idleTimeout)
 	}}
 	result.err = c.deliverLists(ctx, reader, &result)
 	return result
 }
 
-// deliverLists delivers the lists of a watch until it ends, and returns why.
+// deliverLists delivers the lists of a call until it ends, and returns the reason.
 func (c *Client) deliverLists(ctx context.Context, reader *listReader, result *watchResult) error {
 	lists := json.NewDecoder(reader)
 	for {
@@ -93,11 +95,11 @@
 		if err := list.Validate(); err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if !result.alive {
+		if !result.receivedData {
 			return errWatchSuperseded
 		}
-		result.notified = true
+		result.receivedList = true
 		c.deliver(WatchEvent{List: list})
-		reader.next(lists.Buffered())
+		reader.listDecoded(lists.Buffered())
 	}
 }
