--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,10 +1,10 @@
 // Package discovery is the client of the discovery service, which lists the backends. It fetches the
-// whole list and watches for changes. It owns the connections of these calls, their timeouts and their
-// retries. The user of a Client decides when a call is made.
+// whole list and watches for changes. It owns the connections of these calls, their timeouts and
+// their retries. The user of a Client decides when a call is made.
 //
 // The results of calls are passed to a callback as a Fetched, a WatchEvent or a WatchEnded. Their
-// errors come from the connection, the status of the response or the list (see package endpointlist),
-// and are one line.
+// errors come from the connection, the status of the response or the list (see package
+// endpointlist), and are one line.
 package discovery
 
 import (
@@ -31,8 +31,8 @@
 const (
 	// Shared is one service for many agents. Each call costs it work and may wait in a queue.
 	Shared Placement = iota
-	// Local is a service on the agent's own machine. It answers at once and at no cost, so a watch may
-	// send a second call while the first one delivers no data.
+	// Local is a service on the agent's own machine. It answers at once and at no cost, so a watch
+	// may send a second call while the first one delivers no data.
 	Local
 )
 
@@ -50,9 +50,9 @@
 
 // Client calls the discovery at one address.
 //
-// Fetch and Watch block, so each should run in its own goroutine. All methods are safe for concurrent
-// use. All calls end when the context passed to New is cancelled or Close is called; each of them
-// still delivers its last result.
+// Fetch and Watch block, so each should run in its own goroutine. All methods are safe for
+// concurrent use. All calls end when the context passed to New is cancelled or Close is called; each
+// of them still delivers its last result.
 type Client struct {
 	addr      string
 	placement Placement
@@ -72,12 +72,13 @@
 	pause func(time.Duration) bool // waits; returns false once the client is closed
 }
 
-// callContextKey is the key under which the context of a call is stored in itself. The transport dials
-// with a context of its own that keeps the values of the call's context but not its cancellation.
+// callContextKey is the key under which the context of a call is stored in itself. The transport
+// dials with a context of its own that keeps the values of the call's context but not its
+// cancellation.
 type callContextKey struct{}
 
-// New returns a client of the discovery at addr, which has the form host:port. The client calls deliver
-// with each result in the goroutine of the call; the call continues after deliver returns.
+// New returns a client of the discovery at addr, which has the form host:port. The client calls
+// deliver with each result in the goroutine of the call; the call continues after deliver returns.
 func New(ctx context.Context, addr string, placement Placement, deliver func(Result)) *Client {
 	c := &Client{addr: addr, placement: placement, url: "http://" + addr + "/v1/endpoints", deliver: deliver,
 		firstByteTimeout: firstByteTimeout, idleTimeout: WatchIdleTimeout,
@@ -115,8 +116,8 @@
 // Close cancels all calls. It does not wait for them to end.
 func (c *Client) Close() { c.cancel() }
 
-// Done returns a channel that is closed when the calls are cancelled, by Close or by the context passed
-// to New.
+// Done returns a channel that is closed when the calls are cancelled, by Close or by the context
+// passed to New.
 func (c *Client) Done() <-chan struct{} { return c.ctx.Done() }
 
 // Fetch gets the whole list and delivers one Fetched after the last try.
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,7 +13,7 @@
 	"ploverreel/internal/agenttest"
 )
 
-func TestFetchDeliversOnlyAWholeList(t *testing.T) {
+func TestFetchRejectsAnythingButAWholeList(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		fails      bool
@@ -42,7 +42,7 @@
 	}
 }
 
-// Discovery is where the configuration says, not where a response points.
+// The configuration alone sets the address of discovery.
 func TestWatchDoesNotFollowRedirects(t *testing.T) {
 	elsewhere := agenttest.NewDiscovery(t)
 	server := httptest.NewServer(http.RedirectHandler("http://"+elsewhere.Addr, http.StatusFound))
@@ -54,7 +54,7 @@
 	}
 }
 
-// The first calls to a new discovery are retried without the decision module's backoff.
+// The decision module's backoff must not delay the first calls to a new discovery.
 func TestWatchOfNewDiscoveryIsRetried(t *testing.T) {
 	calls := make(chan struct{}, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -74,9 +74,9 @@
 	next[WatchEnded](t, results)
 }
 
-// With a discovery that is cut off from the network each call would otherwise hold a descriptor for
-// minutes.
-func TestCallThatIsGivenUpStopsDialling(t *testing.T) {
+// While discovery is cut off from the network, connects get no response. If the dial outlived its
+// call, each call would hold a descriptor for minutes.
+func TestCancelledCallStopsDialling(t *testing.T) {
 	for _, call := range []string{"watch", "fetch"} {
 		t.Run(call, func(t *testing.T) {
 			client, results := newClient(t, refusing, Shared)
@@ -99,14 +99,14 @@
 				err = next[Fetched](t, results).Err
 			}
 			if err == nil {
-				t.Fatal("got no error, want that of a call that was given up")
+				t.Fatal("got no error, want that of a cancelled call")
 			}
 			agenttest.Receive(t, ended, "the end of the dial")
 		})
 	}
 }
 
-func TestNewTimesCallsByPlacement(t *testing.T) {
+func TestNewSetsTimeoutsByPlacement(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		placement Placement
@@ -115,7 +115,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			client := New(t.Context(), refusing, c.placement, nil)
 			if client.hedgeDelay != c.hedge || client.firstByteTimeout != firstByteTimeout || client.idleTimeout != WatchIdleTimeout {
-				t.Errorf("got waits of %v, %v and %v, want %v, %v and %v", client.hedgeDelay, client.firstByteTimeout, client.idleTimeout,
+				t.Errorf("got a hedge delay, a first byte timeout and an idle timeout of %v, %v and %v, want %v, %v and %v", client.hedgeDelay, client.firstByteTimeout, client.idleTimeout,
 					c.hedge, firstByteTimeout, WatchIdleTimeout)
 			}
 		})
@@ -123,13 +123,13 @@
 }
 
 func TestCloseEndsCalls(t *testing.T) {
-	standIn := agenttest.NewDiscovery(t)
-	client, results := newClient(t, standIn.Addr, Shared)
+	server := agenttest.NewDiscovery(t)
+	client, results := newClient(t, server.Addr, Shared)
 	go client.Watch(1, NoRetry)
-	call := agenttest.Receive(t, standIn.Calls, "the call of the watch")
+	call := agenttest.Receive(t, server.Calls, "the call of the watch")
 	select {
 	case <-client.Done():
-		t.Fatal("got a client whose calls have ended, want one that is open")
+		t.Fatal("got a closed client, want an open one")
 	default:
 	}
 	client.Close()
--- a/internal/discovery/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -9,10 +9,10 @@
 // maxHedgedCalls bounds the number of concurrent calls of one watch that wait for their first byte.
 const maxHedgedCalls = 4
 
-// hedgedWatch opens one watch with hedged calls. A discovery on the agent's own machine answers at once
-// and at no cost. If a call receives no data for the hedge delay, either it was made while discovery
-// was down and will never be answered, or discovery is slow. So the call stays open and one more is
-// sent. The first call that is answered becomes the watch, and the others are cancelled.
+// hedgedWatch opens one watch with hedged calls. A discovery on the agent's own machine answers at
+// once and at no cost. If a call receives no data for the hedge delay, either it was made while
+// discovery was down and will never be answered, or discovery is slow. So the call stays open and
+// one more is sent. The first call that is answered becomes the watch, and the others are cancelled.
 type hedgedWatch struct {
 	client    *Client
 	since     int64
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -12,8 +12,8 @@
 // refusing is an address that refuses connections.
 const refusing = "127.0.0.1:1"
 
-// newClient returns a client of the discovery at addr, which waits for it for as long as a test may
-// take, and the results of its calls.
+// newClient returns a client of the discovery at addr whose timeouts are longer than any test, and
+// the channel of its results.
 func newClient(t *testing.T, addr string, placement Placement) (*Client, chan Result) {
 	t.Helper()
 	results := make(chan Result, 100)
@@ -22,7 +22,7 @@
 	return client, results
 }
 
-// next returns the next result, which must be of the type T.
+// next returns the next result. The test fails if its type is not T.
 func next[T Result](t *testing.T, results chan Result) T {
 	t.Helper()
 	result := agenttest.Receive(t, results, "a result")
@@ -33,7 +33,7 @@
 	return typed
 }
 
-// failedConnect is the error of a connect that fails with errno.
+// failedConnect returns the error of a connect that fails with errno.
 func failedConnect(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
--- a/internal/discovery/list_reader.go
+++ b/internal/discovery/list_reader.go
@@ -8,17 +8,17 @@
 
 var errListTooLong = errors.New("list: exceeds the size limit")
 
-// listReader reads the response of a watch. The response consists of lists, each over one or more lines,
-// and of white space between them, which serves as a heartbeat. White space within a list is no
-// heartbeat. So a list must be complete within the idle timeout, and within maxListBytes.
+// listReader reads the response of a watch. The response consists of lists, each over one or more
+// lines, and of white space between them, which serves as a heartbeat. White space within a list is
+// no heartbeat. So a list must be complete within the idle timeout, and within maxListBytes.
 type listReader struct {
 	source     io.Reader
 	onActivity func() // called on data that resets the idle timeout
 	listBytes  int    // bytes read of an incomplete list; 0 between lists
 }
 
-// Read reads from the response. It returns errListTooLong within a list that exceeds maxListBytes, and
-// otherwise the error of the connection.
+// Read reads from the response. It returns errListTooLong within a list that exceeds maxListBytes,
+// and otherwise the error of the connection.
 func (r *listReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	betweenLists := r.listBytes == 0
--- a/internal/discovery/list_reader_test.go
+++ b/internal/discovery/list_reader_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A list that has begun and does not come to its end counts as silence, however much white space
-// comes.
-func TestListReaderHearsNothingWithinAList(t *testing.T) {
+// White space within an incomplete list is no heartbeat: otherwise a list that never ends would keep
+// the watch open.
+func TestListReaderIgnoresHeartbeatsWithinAList(t *testing.T) {
 	activity := 0
 	reader := &listReader{onActivity: func() { activity++ }}
 	for _, text := range []string{"\n", "\n", "{\n", " \n", "\n", "\"seq\":2", "\n"} {
@@ -17,18 +17,18 @@
 			t.Fatal(err)
 		}
 	}
-	if activity != 3 { // the last one begins the list
-		t.Fatalf("got %d signs of life, want 3", activity)
+	if activity != 3 { // two heartbeats and the beginning of the list
+		t.Fatalf("got %d calls of onActivity, want 3", activity)
 	}
 	if reader.listDecoded(strings.NewReader("\n")); reader.listBytes != 0 || activity != 4 {
-		t.Fatalf("got %d signs of life and %d bytes after a list, want 4 and 0", activity, reader.listBytes)
+		t.Fatalf("got %d calls of onActivity and %d bytes after a list, want 4 and 0", activity, reader.listBytes)
 	}
 	if reader.listDecoded(strings.NewReader(" {")); reader.listBytes == 0 {
-		t.Fatal("got no byte of a list that has begun, want some")
+		t.Fatal("got 0 bytes of a list that has begun, want more")
 	}
 }
 
-func TestWatchEndsAtAListThatIsTooLong(t *testing.T) {
+func TestWatchEndsAtListThatExceedsTheSizeLimit(t *testing.T) {
 	call, results := startWatch(t)
 	go func() {
 		call.Write <- `{"seq":2,"more":"`
--- a/internal/discovery/local_failure_test.go
+++ b/internal/discovery/local_failure_test.go
@@ -11,12 +11,12 @@
 	"ploverreel/internal/agenttest"
 )
 
-// failingDialer fails the first connects of a client and counts all.
+// failingDialer fails the first connects of a client and counts all of them.
 type failingDialer struct {
-	failures int
+	failures int // number of connects that fail
 	err      error
 	connects int
-	open     int // connects under way
+	open     int // connects in progress
 	maxOpen  int
 	dial     func(context.Context, string, string) (net.Conn, error)
 }
@@ -31,8 +31,9 @@
 	return f.dial(ctx, network, addr)
 }
 
-// A moment in which this machine has no descriptor, port or route is no failed call of discovery: the
-// call is made as soon as the moment has passed, and until then seldom enough.
+// While this machine has no free descriptor, no free port or no route, calls cannot reach discovery.
+// They must not be reported as failed calls, must go out soon after the shortage ends, and must not
+// be retried too often until then.
 func TestCallThatThisMachineCannotMakeIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ENETDOWN} {
@@ -47,8 +48,8 @@
 				dialer := &failingDialer{failures: 20, err: failedConnect(errno), dial: client.dial}
 				client.dial = dialer.connect
 				var pauses []time.Duration
-				client.pause = func(span time.Duration) bool {
-					pauses = append(pauses, span)
+				client.pause = func(delay time.Duration) bool {
+					pauses = append(pauses, delay)
 					return true
 				}
 				call(client)
@@ -63,7 +64,7 @@
 	}
 }
 
-// checkFirstList checks that the first result is list 2, whatever call brings it.
+// checkFirstList checks that the first result is list 2, of a fetch or of a watch.
 func checkFirstList(t *testing.T, results chan Result) {
 	t.Helper()
 	seq, err := int64(0), error(nil)
@@ -80,22 +81,22 @@
 	}
 }
 
-// checkBackoff checks that pauses grow to maxLocalFailureBackoff, with jitter.
+// checkBackoff checks that the pauses double up to maxLocalFailureBackoff, with jitter.
 func checkBackoff(t *testing.T, pauses []time.Duration) {
 	t.Helper()
 	differ := false
-	for i, span := range pauses {
-		if least := min(minLocalFailureBackoff<<i, maxLocalFailureBackoff) / 2; i < 10 && span < least || span > maxLocalFailureBackoff {
-			t.Fatalf("got pause %d of %v, want %v to %v", i, span, least, maxLocalFailureBackoff)
+	for i, pause := range pauses {
+		if least := min(minLocalFailureBackoff<<i, maxLocalFailureBackoff) / 2; i < 10 && pause < least || pause > maxLocalFailureBackoff {
+			t.Fatalf("got pause %d of %v, want %v to %v", i, pause, least, maxLocalFailureBackoff)
 		}
-		differ = differ || span != pauses[len(pauses)-1]
+		differ = differ || pause != pauses[len(pauses)-1]
 	}
 	if !differ {
-		t.Error("got equal pauses, want some jitter")
+		t.Error("got equal pauses, want jitter")
 	}
 }
 
-// What came from discovery, or from the way to it once a connection was up, is a failed call.
+// An error of discovery, or of an established connection to it, is a failed call.
 func TestCallThatFailsElsewhereIsNotRetried(t *testing.T) {
 	for name, err := range map[string]error{
 		"refused":   failedConnect(syscall.ECONNREFUSED),
@@ -115,7 +116,7 @@
 	}
 }
 
-// So it ends with the agent, and when discovery moves.
+// The agent closes the client when it stops and when the address of discovery changes.
 func TestCallThatWaitsToBeRetriedEndsWithItsClient(t *testing.T) {
 	client, results := newClient(t, refusing, Shared)
 	failing := make(chan struct{}, 1)
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -9,8 +9,8 @@
 	"ploverreel/internal/socket"
 )
 
-// withRetry makes a call. With RetryNewDiscovery it repeats a failed call until newDiscoveryRetryTime has
-// passed. It returns the last error.
+// withRetry makes a call. With RetryNewDiscovery it repeats a failed call until
+// newDiscoveryRetryTime has passed. It returns the last error.
 func (c *Client) withRetry(retry Retry, call func() error) error {
 	end := time.Now().Add(newDiscoveryRetryTime)
 	for {
@@ -21,9 +21,9 @@
 	}
 }
 
-// retryLocalFailures makes a call and repeats it, with backoff and jitter, while it fails on this machine
-// before anything was sent. Such a failure must not be reported as a failed call to discovery: the
-// caller's backoff would then delay the next call.
+// retryLocalFailures makes a call and repeats it, with backoff and jitter, while it fails on this
+// machine before anything was sent. Such a failure must not be reported as a failed call to
+// discovery: the caller's backoff would then delay the next call.
 func (c *Client) retryLocalFailures(call func() error) error {
 	for backoff := minLocalFailureBackoff; ; backoff = min(2*backoff, maxLocalFailureBackoff) {
 		err := call()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	errWatchSilent     = errors.New("watch fell silent")
+	errWatchIdle       = errors.New("no data within the timeout")
 	errWatchSuperseded = errors.New("another call of the watch was answered first")
 )
 
-// Watch follows the changes after the version since. It ends when the connection ends, delivers no data
-// within the idle timeout or delivers an invalid list. It delivers a WatchEvent for each list on
-// arrival, then one WatchEnded. A watch is retried only if it fails before its first list.
+// Watch follows the changes after the version since. It ends when the connection ends, delivers no
+// data within the idle timeout or delivers an invalid list. It delivers a WatchEvent for each list
+// on arrival, then one WatchEnded. A watch is retried only if it fails before its first list.
 func (c *Client) Watch(since int64, retry Retry) {
 	var result watchResult
 	_ = c.withRetry(retry, func() error {
@@ -56,15 +56,15 @@
 	return hedged.run(c.hedgeDelay)
 }
 
-// watchOnce makes one call of a watch and delivers its lists in order until it ends. It calls claim when
-// the first data arrives. If claim returns false, another call has won: this call ends and delivers
-// nothing.
+// watchOnce makes one call of a watch and delivers its lists in order until it ends. It calls claim
+// when the first data arrives. If claim returns false, another call has won: this call ends and
+// delivers nothing.
 func (c *Client) watchOnce(ctx context.Context, since int64, firstByte time.Duration, claim func() bool) (result watchResult) {
 	start := time.Now()
 	defer func() { result.duration = time.Since(start) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timeout := time.AfterFunc(firstByte, func() { cancel(errWatchSilent) })
+	timeout := time.AfterFunc(firstByte, func() { cancel(errWatchIdle) })
 	defer timeout.Stop()
 	body, err := c.get(ctx, c.url+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -11,16 +11,17 @@
 	"ploverreel/internal/agenttest"
 )
 
-// startWatch starts a watch of a stand-in, and returns the call and the results.
+// startWatch starts a watch of a test server. It returns the call that the server received and the
+// channel of results.
 func startWatch(t *testing.T) (*agenttest.DiscoveryCall, chan Result) {
 	t.Helper()
-	standIn := agenttest.NewDiscovery(t)
-	client, results := newClient(t, standIn.Addr, Shared)
+	server := agenttest.NewDiscovery(t)
+	client, results := newClient(t, server.Addr, Shared)
 	go client.Watch(1, NoRetry)
-	return agenttest.Receive(t, standIn.Calls, "the call of the watch"), results
+	return agenttest.Receive(t, server.Calls, "the call of the watch"), results
 }
 
-// Lists may come indented, over many lines, in any pieces, and several at once.
+// Lists may be indented, span many lines, arrive in pieces of any size, or arrive several at once.
 func TestWatchReadsListsOverManyLines(t *testing.T) {
 	call, results := startWatch(t)
 	indented := "{\n  \"seq\": 2,\n\n  \"whole\": false,\n  \"hosts\": [\n    {\n      \"host\": \"s-0\",\n" +
@@ -44,7 +45,7 @@
 	}
 }
 
-func TestWatchEndsAtInvalidListAfterTheListsBefore(t *testing.T) {
+func TestWatchDeliversTheListsBeforeAnInvalidOne(t *testing.T) {
 	client, results := newClient(t, agenttest.ServeLines(t, true, "", agenttest.EndpointChange,
 		`{"seq":3,"hosts":[{"host":"s-0","health":"odd"}]}`), Shared)
 	client.Watch(1, NoRetry)
@@ -56,49 +57,49 @@
 	}
 }
 
-func TestWatchEndsWhenSilent(t *testing.T) {
+func TestWatchEndsAfterIdleTimeout(t *testing.T) {
 	client, results := newClient(t, agenttest.ServeLines(t, true, ""), Shared)
 	client.idleTimeout = time.Millisecond
 	client.Watch(1, NoRetry)
-	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errWatchSilent) {
-		t.Fatalf("got error %v, want %v", got, errWatchSilent)
+	if got := next[WatchEnded](t, results).Err; !errors.Is(got, errWatchIdle) {
+		t.Fatalf("got error %v, want %v", got, errWatchIdle)
 	}
 }
 
 func TestWatchEndsWithoutFirstByte(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // takes calls and says nothing
+	unanswering, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	client, results := newClient(t, silent.Addr().String(), Shared)
+	defer unanswering.Close()
+	client, results := newClient(t, unanswering.Addr().String(), Shared)
 	client.firstByteTimeout = time.Millisecond
 	go client.Watch(1, NoRetry)
-	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchSilent) || got.Established {
-		t.Fatalf("got %+v, want %v and no end after a notice", got, errWatchSilent)
+	if got := next[WatchEnded](t, results); !errors.Is(got.Err, errWatchIdle) || got.Established {
+		t.Fatalf("got %+v, want %v and a watch that was not established", got, errWatchIdle)
 	}
 }
 
-func TestWatchTakesOtherJSONForNoList(t *testing.T) {
+func TestWatchEndsAtJSONThatIsNoList(t *testing.T) {
 	for _, text := range []string{`{}`, `null`, `{"error":"later"}`, `{"seq":9,"whole":true}`, `[]`, `7`} {
 		t.Run(text, func(t *testing.T) {
 			call, results := startWatch(t)
 			go func() { call.Write <- text + "\n"; close(call.Write) }()
 			if got := next[WatchEnded](t, results); got.Err == nil || got.Established {
-				t.Fatalf("got %+v, want an error and no end after a notice", got)
+				t.Fatalf("got %+v, want an error and a watch that was not established", got)
 			}
 		})
 	}
 }
 
-// Only a watch that had worked ends after a notice: the module opens the next one without a backoff.
-// One that delivered a list has worked, however soon it ended.
-func TestWatchEndsAfterNoticeIfItHadWorked(t *testing.T) {
+// After a watch that had worked, the decision module opens the next one without the backoff of a
+// failed call. A watch that received a list has worked, however soon it ended.
+func TestWatchIsEstablishedIfItHadWorked(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		text    string
-		silence time.Duration
-		want    bool
+		name        string
+		text        string
+		idleTimeout time.Duration
+		want        bool
 	}{
 		{"a list, open for long", agenttest.EndpointChange + "\n", time.Nanosecond, true},
 		{"no list, open for long", "\n", time.Nanosecond, true},
@@ -107,17 +108,17 @@
 		{"nothing", "", time.Nanosecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			standIn := agenttest.NewDiscovery(t)
-			client, _ := newClient(t, standIn.Addr, Shared)
+			server := agenttest.NewDiscovery(t)
+			client, _ := newClient(t, server.Addr, Shared)
 			go func() {
-				call := <-standIn.Calls
+				call := <-server.Calls
 				if c.text != "" {
 					call.Write <- c.text
 				}
 				close(call.Write)
 			}()
-			if result := client.watchHedged(1, NoRetry); result.established(c.silence) != c.want {
-				t.Fatalf("got the opposite, want ended after a notice %v of %+v", c.want, result)
+			if result := client.watchHedged(1, NoRetry); result.established(c.idleTimeout) != c.want {
+				t.Fatalf("got the opposite, want established %v of %+v", c.want, result)
 			}
 		})
 	}
