--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -1,4 +1,5 @@
-// This file holds the states of an endpoint: ejection, validation and health checks.
+// This file implements the transitions between the states of an endpoint: ejection, validation and
+// health checks.
 
 package policy
 
@@ -7,34 +8,41 @@
 )
 
 const (
-	// outcomeWeight is the weight of an attempt in its endpoint's failure rate and in the share of
-	// unanswered attempts.
-	outcomeWeight = 0.05
-	// minCommonFailureRate is the least median failure rate with which failures are the fleet's,
-	// not an endpoint's.
+	// outcomeSmoothing is the smoothing factor of two moving averages over attempts: the failure
+	// rate of an endpoint and the share of unanswered attempts.
+	outcomeSmoothing = 0.05
+	// minCommonFailureRate is the median failure rate, as a share of attempts, at and above which
+	// failures are attributed to the fleet and not to a single endpoint.
 	minCommonFailureRate = 0.01
-	// maxCommonFailureFactor is how many times the median an endpoint's failure rate may be then.
+	// maxCommonFailureFactor bounds the failure rate of a single endpoint in that case, as a
+	// multiple of the median. An endpoint with a higher rate is an outlier.
 	maxCommonFailureFactor = 3
-	// maxUnansweredShare is the share of attempts that went unanswered up to their objective from
-	// which on that is the fleet's, not an endpoint's.
+	// minMedianEndpoints is the number of usable endpoints from which on the median failure rate is
+	// used: with one or two it says nothing.
+	minMedianEndpoints = 3
+	// maxUnansweredShare is the share of attempts without an answer by their latency objective at
+	// and above which the cause is attributed to the fleet and not to a single endpoint.
 	maxUnansweredShare = 0.5
-	// maxHealthChecks bounds the health checks under way at once.
+	// maxHealthChecks bounds the number of concurrent health checks.
 	maxHealthChecks = 2
-	// maxConsecutiveEjections bounds the doubling of the ejection time, maxEjectionMs that time.
+	// maxConsecutiveEjections bounds the ejection count, and so how often the ejection time doubles.
+	// maxEjectionMs bounds the ejection time, in ms.
 	maxConsecutiveEjections, maxEjectionMs = 5, 60000.0
-	// servedPerEjection is how many served requests take back an ejection, for each that counts.
+	// servedPerEjection times the ejection count is the number of served requests after which the
+	// ejection count is reduced by one.
 	servedPerEjection = 16
-	// rejectedWindowCut is what an endpoint that rejected an attempt keeps of its window.
-	rejectedWindowCut = 0.7
+	// rejectedWindowFactor multiplies the window of an endpoint that rejected an attempt.
+	rejectedWindowFactor = 0.7
 )
 
-// listFetcher fetches the endpoint list, seldom: what seems to be an endpoint's failure may be its end.
+// listFetcher fetches the endpoint list at a limited rate. The detector fetches it after failures,
+// because an endpoint that seems to fail may have been removed.
 type listFetcher interface {
 	fetch()
 }
 
-// outlierDetector moves endpoints between the states, and tells failures of one endpoint from
-// those of all.
+// outlierDetector ejects endpoints that fail and validates them later. It distinguishes failures of a
+// single endpoint from failures that all endpoints have in common.
 type outlierDetector struct {
 	*environment
 	endpoints *endpointSet
@@ -42,19 +50,19 @@
 	classes   *classStats
 	list      listFetcher
 
-	failureRates []float64 // scratch space of medianFailureRate
-	unanswered   float64   // recent share of attempts that their endpoints did not answer
-	checking     int       // health checks under way
+	failureRates    []float64 // scratch space of medianFailureRate
+	unansweredShare float64   // moving average of the share of attempts without an answer
+	checks          int       // health checks in progress
 }
 
-// newOutlierDetector returns a detector without any failure that asks the components given.
+// newOutlierDetector returns a detector that has seen no failures and uses the given components.
 func newOutlierDetector(env *environment, endpoints *endpointSet, subset *endpointSubset,
 	classes *classStats, list listFetcher) outlierDetector {
 	return outlierDetector{environment: env, endpoints: endpoints, subset: subset, classes: classes,
 		list: list}
 }
 
-// restart takes an endpoint for a new process, of which nothing is known.
+// restart resets the state of an endpoint whose process has restarted, to unknown.
 func (d *outlierDetector) restart(endpoint *endpoint) {
 	d.endpoints.setEjected(endpoint, false)
 	health := &endpoint.health
@@ -62,66 +70,66 @@
 	health.consecutiveEjections, health.served, health.failureRate = 0, 0, 0
 }
 
-// onError takes an endpoint's answer of failure, or a connection that it broke.
+// onError handles an answer of failure from an endpoint, or a connection that it broke.
 func (d *outlierDetector) onError(endpoint *endpoint) {
-	endpoint.traffic.heard(d.now)
+	endpoint.traffic.recordResponse(d.now)
 	if d.isCommonFailure(endpoint) {
-		d.recheck(endpoint)
+		d.markPending(endpoint)
 	} else {
 		d.eject(endpoint, false)
 	}
-	endpoint.health.countFailed()
+	endpoint.health.recordFailure()
 }
 
-// onConnectFailed takes a connect that failed.
+// onConnectFailed handles a failed connect.
 func (d *outlierDetector) onConnectFailed(endpoint *endpoint) {
 	d.eject(endpoint, true)
-	if endpoint.health.unreachableAt == 0 {
-		endpoint.health.unreachableAt = d.now
+	if endpoint.health.unreachableSince == 0 {
+		endpoint.health.unreachableSince = d.now
 	}
 }
 
-// onAnswer notes that an endpoint lives, and reports whether no connect had reached it for so long
-// that it may be a new process.
-func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayBeNew bool) {
-	unreachableAt := endpoint.health.unreachableAt
-	endpoint.traffic.heard(d.now)
-	endpoint.health.unreachableAt = 0
-	return unreachableAt > 0 && d.now-unreachableAt > d.set.Contract.OverloadWindowMs
+// onAnswer records a sign that an endpoint is alive. It reports whether no connect had reached the
+// endpoint for so long that it may be a new process.
+func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayHaveRestarted bool) {
+	unreachableSince := endpoint.health.unreachableSince
+	endpoint.traffic.recordResponse(d.now)
+	endpoint.health.unreachableSince = 0
+	return unreachableSince > 0 && d.now-unreachableSince > d.set.Contract.OverloadWindowMs
 }
 
-// onServed takes a request that an endpoint has served: it is healthy, and after enough of them
-// an ejection is taken back. It reports false for an attempt that was sent before the endpoint
-// failed: that says nothing about what came after.
+// onServed handles a request that an endpoint has served. The endpoint becomes healthy, and the
+// ejection count is reduced by one after enough served requests. onServed ignores an attempt that was
+// sent before the endpoint failed, because it says nothing about the time since, and reports false.
 func (d *outlierDetector) onServed(attempt *attempt) bool {
 	endpoint, health := attempt.endpoint, &attempt.endpoint.health
 	if health.state == StateUnhealthy && attempt.sentAt < health.since && !health.silent {
 		return false
 	}
 	if health.state != StateConnected {
-		d.enter(endpoint, StateConnected)
+		d.setState(endpoint, StateConnected)
 	}
 	if health.silent {
 		health.silent = false
-		health.takeBackEjection()
+		health.decrementEjections()
 	}
 	if health.served++; health.served >= servedPerEjection*health.consecutiveEjections {
 		health.served = 0
-		health.takeBackEjection()
+		health.decrementEjections()
 	}
 	return true
 }
 
-// isCommonFailure reports whether the endpoint fails no more than the fleet does, as when a network
-// breaks connections at random: that says nothing of this one endpoint, and an ejection for each
-// such failure would eject all at once.
+// isCommonFailure reports whether the endpoint fails no more often than the fleet does, for example
+// because a network breaks connections at random. Such failures say nothing about the one endpoint,
+// and an ejection for each of them would eject all endpoints at once.
 func (d *outlierDetector) isCommonFailure(endpoint *endpoint) bool {
 	median := d.medianFailureRate()
 	return median >= minCommonFailureRate && endpoint.health.failureRate <= maxCommonFailureFactor*median
 }
 
-// medianFailureRate returns the middle one of the usable endpoints' failure rates; of one or two
-// endpoints it tells nothing.
+// medianFailureRate returns the median of the usable endpoints' failure rates, or 0 if there are fewer
+// than minMedianEndpoints.
 func (d *outlierDetector) medianFailureRate() float64 {
 	rates := d.failureRates[:0]
 	d.countWork(d.endpoints.all)
@@ -131,118 +139,125 @@
 		}
 	}
 	d.failureRates = rates
-	if len(rates) < 3 {
+	if len(rates) < minMedianEndpoints {
 		return 0
 	}
 	slices.Sort(rates)
 	return rates[len(rates)/2]
 }
 
-// countUnanswered keeps the share of attempts that went unanswered up to their objective, at
-// endpoints that answered no later ones either.
-func (d *outlierDetector) countUnanswered(attempt *attempt, status Status) {
+// recordUnanswered updates the share of unanswered attempts. An attempt is unanswered if it got no
+// answer by its latency objective and its endpoint has not responded since the attempt was sent.
+func (d *outlierDetector) recordUnanswered(attempt *attempt, status Status) {
 	unanswered := 0.0
 	if status == StatusTimeout || status == StatusCancelled {
 		if d.now < attempt.request.timing.objectiveAt {
-			return // its client disconnected early: that tells nothing
+			return // the client disconnected before the objective, which says nothing
 		}
-		if !attempt.endpoint.traffic.heardSince(attempt) {
+		if !attempt.endpoint.traffic.respondedSince(attempt) {
 			unanswered = 1
 		}
 	}
-	d.unanswered += outcomeWeight * (unanswered - d.unanswered)
+	d.unansweredShare += outcomeSmoothing * (unanswered - d.unansweredShare)
 }
 
-// mostUnanswered reports whether so many attempts go unanswered that it is not an endpoint's fault.
-func (d *outlierDetector) mostUnanswered() bool { return d.unanswered >= maxUnansweredShare }
+// mostUnanswered reports whether so many attempts are unanswered that no single endpoint is the cause.
+func (d *outlierDetector) mostUnanswered() bool { return d.unansweredShare >= maxUnansweredShare }
 
-// recheck has an endpoint validated at once, without an ejection.
-func (d *outlierDetector) recheck(endpoint *endpoint) {
+// markPending makes an endpoint pending validation at once, without an ejection.
+func (d *outlierDetector) markPending(endpoint *endpoint) {
 	if endpoint.health.state != StateUnhealthy {
-		d.enter(endpoint, StateUnhealthy)
+		d.setState(endpoint, StateUnhealthy)
 		endpoint.health.silent, endpoint.health.served = false, 0
-		d.enter(endpoint, StateUnhealthyPending)
+		d.setState(endpoint, StateUnhealthyPending)
 	}
 	d.list.fetch()
 }
 
-// eject takes an endpoint for unhealthy; silent says that it gave no answer, not a bad one.
-// Failures of one moment count as one ejection.
+// eject marks an endpoint as unhealthy. silent means that it gave no answer, as opposed to an answer
+// of failure. Further failures of an endpoint that is already unhealthy don't count as ejections.
 func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
 	health := &endpoint.health
 	if health.state != StateUnhealthy {
 		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
-		d.enter(endpoint, StateUnhealthy)
+		d.setState(endpoint, StateUnhealthy)
 		health.silent, health.served = silent, 0
-		endpoint.latency.forgetMean()
+		endpoint.latency.resetMean()
 		endpoint.window.halve()
 	}
 	d.list.fetch()
 }
 
-// clear takes back what an endpoint was blamed for since then, as this machine had lost its
-// network. The next attempt validates it.
-func (d *outlierDetector) clear(endpoint *endpoint, since float64) {
+// revertBlame reverts the effects, an ejection included, that failed connects have had on an endpoint
+// since the given time, because this machine had lost its network. The next attempt validates the
+// endpoint.
+func (d *outlierDetector) revertBlame(endpoint *endpoint, since float64) {
 	health := &endpoint.health
-	if health.unreachableAt >= since {
-		health.unreachableAt = 0
+	if health.unreachableSince >= since {
+		health.unreachableSince = 0
 	}
 	if health.state == StateUnhealthy && health.since >= since {
 		health.silent = false
-		health.takeBackEjection()
-		d.enter(endpoint, StateUnhealthyPending)
+		health.decrementEjections()
+		d.setState(endpoint, StateUnhealthyPending)
 	}
 }
 
-// ejectionTime returns how long, in ms, an endpoint stays unhealthy before it is validated again: one
-// latency objective for a stray failure, or the time in which the agent comes by each endpoint if
-// that is longer, doubled with each further ejection up to a minute. A health check is answered
-// beside the requests and clears an endpoint that fails them: ejected for less than an agent takes
-// to come by, failing endpoints would keep an even share for as long as they fail. While the others
-// have no capacity, which scarce says, none is ejected: an endpoint that fails some requests is
-// better than rejecting them all. One that answers nothing is not.
+// ejectionTime returns the time, in ms, for which an endpoint stays unhealthy before it is validated.
+// After a first failure it is the shortest latency objective, or the time in which the agent sends to
+// each endpoint of its subset once, if that is longer. It doubles with each further ejection, up to
+// maxEjectionMs.
+//
+// The time in which the agent sends to each endpoint is a lower bound because health checks are
+// answered independently of requests: a check can succeed at an endpoint that fails requests, and ends
+// the ejection. With a shorter ejection, failing endpoints would keep an even share of the requests
+// for as long as they fail.
+//
+// If scarce is set, the other endpoints have no capacity, and the time is 0: an endpoint that fails
+// some requests is better than a rejection of them all. An endpoint that answers nothing is no better,
+// and stays ejected.
 func (d *outlierDetector) ejectionTime(endpoint *endpoint, scarce bool) float64 {
 	if scarce && !endpoint.health.silent {
 		return 0
 	}
 	doublings := max(endpoint.health.consecutiveEjections-1, 0)
-	once := max(d.classes.shortestObjectiveMs, d.subset.revisitIntervalMs())
-	return min(once*float64(int(1)<<doublings), maxEjectionMs)
+	firstMs := max(d.classes.shortestObjectiveMs, d.subset.revisitIntervalMs())
+	return min(firstMs*float64(int(1)<<doublings), maxEjectionMs)
 }
 
-// revalidate, on each request, lets endpoints that were unhealthy long enough be validated, and
-// checks their health in the background where the settings allow it. scarce says that requests that
-// would go to any endpoint find no capacity.
+// revalidate is called on each request. It makes endpoints whose ejection time is over pending
+// validation, and checks their health in the background if the settings allow it. scarce says that
+// requests that may be sent to any endpoint find no capacity.
 func (d *outlierDetector) revalidate(scarce bool) {
 	d.countWork(d.endpoints.ejected)
 	for _, endpoint := range d.endpoints.ejected {
 		health := &endpoint.health
 		if health.state == StateUnhealthy && endpoint.usable && len(endpoint.traffic.inFlight) == 0 &&
 			d.now-health.since >= d.ejectionTime(endpoint, scarce) {
-			d.enter(endpoint, StateUnhealthyPending)
+			d.setState(endpoint, StateUnhealthyPending)
 			d.list.fetch()
 		}
 		pending := health.state == StateUnhealthyPending && endpoint.usable
-		if pending && d.set.Limits.HealthChecks && !health.checking && d.checking < maxHealthChecks {
-			health.checking = true
-			d.checking++
+		if pending && d.set.Limits.HealthChecks && !health.checkInProgress && d.checks < maxHealthChecks {
+			health.checkInProgress = true
+			d.checks++
 			d.do(CheckHealth(endpoint.id))
 		}
 	}
 }
 
-// onHealthCheckEnded takes the result of a health check, and reports whether the endpoint has answered
-// it and is healthy by that.
+// onHealthCheckEnded handles the result of a health check. It reports whether the endpoint has passed
+// the check and is healthy now.
 func (d *outlierDetector) onHealthCheckEnded(endpoint *endpoint, status Status) (answered bool) {
-	if !endpoint.health.checking {
+	if !endpoint.health.checkInProgress {
 		return false
 	}
-	endpoint.health.checking = false
-	d.checking--
+	endpoint.health.checkInProgress = false
+	d.checks--
 	switch {
 	case endpoint.health.state != StateUnhealthyPending:
 	case status == StatusOK:
-		d.enter(endpoint, StateConnected)
+		d.setState(endpoint, StateConnected)
 		return true
 	case status != StatusRejected:
 		d.eject(endpoint, true)
@@ -250,8 +265,8 @@
 	return false
 }
 
-// enter puts an endpoint in a new state; tiers have changed.
-func (d *outlierDetector) enter(endpoint *endpoint, state State) {
+// setState sets the state of an endpoint, and with it the endpoint's tier.
+func (d *outlierDetector) setState(endpoint *endpoint, state State) {
 	d.endpoints.setEjected(endpoint, state > StateUnknown)
 	endpoint.health.state, endpoint.health.since = state, d.now
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -26,24 +26,25 @@
 // overestimated, in ms. Such an error weighs most at the start of the process, where it makes the
 // endpoint's capacity seem maxCapacityOverestimate times what it is.
 func (c *Contract) StartToleranceMs() float64 {
-	if c.SlowStartFrom >= 1 {
+	if c.InitialCapacity >= 1 {
 		return c.SlowStartMs
 	}
-	return min((maxCapacityOverestimate-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
+	return min((maxCapacityOverestimate-1)*c.InitialCapacity/(1-c.InitialCapacity)*c.SlowStartMs,
+		c.SlowStartMs)
 }
 
 // capacityFraction returns the fraction of its full capacity that an endpoint has by the contract.
-// It grows linearly with the age of its process, from SlowStartFrom to 1 at SlowStartMs.
+// It grows linearly with the age of its process, from InitialCapacity to 1 at SlowStartMs.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
 	contract, start := &env.set.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
-		start.startedAt != start.listedAt && age > contract.PollWithinMs {
+		start.startedAt != start.listedStartAt && age > contract.MaxListAgeMs {
 		// It started long ago, or its restart was assumed and a list that is recent enough to show
 		// it has not confirmed it.
 		return 1
 	}
-	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+	return contract.InitialCapacity + (1-contract.InitialCapacity)*max(age, 0)/contract.SlowStartMs
 }
 
 // slowStart limits the work that is sent to endpoints that are warming up. Each has an allowance, a
@@ -94,7 +95,7 @@
 // only a part of one request. With random starts, as many of them send a request as these parts add
 // up to; if all started at 0, none would send one before the endpoint is warm.
 func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
-	endpoint.slowStart.listedAt, endpoint.slowStart.startedAt = startedAt, startedAt
+	endpoint.slowStart.listedStartAt, endpoint.slowStart.startedAt = startedAt, startedAt
 	w.markWarming(endpoint)
 	endpoint.slowStart.allowance = w.rng.Float64()
 }
@@ -229,6 +230,6 @@
 // cost, at the rate at which a warm endpoint was sent work before.
 func (w *slowStart) pauseElapsed(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
-	earned := (w.now - endpoint.traffic.sentAt) * w.workPerWeight * endpoint.weight * share
+	earned := (w.now - endpoint.traffic.lastSentAt) * w.workPerWeight * endpoint.weight * share
 	return earned >= cost*w.set.Contract.SlowStartMs
 }
