--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,7 +1,7 @@
-// Package endpointlist is the list of backends in discovery's form: its JSON, its validation, and
-// how the decision module names a backend. A configuration brings such a list as the one known at
-// the start, and discovery delivers whole lists and changes. The functions may be called from any
-// goroutine; errors that name a field are or wrap a *fielderror.Error.
+// Package endpointlist defines the list of backends as discovery sends it: its JSON, its validation
+// and the address that identifies a backend in the decision module. A configuration contains the
+// initial list; discovery delivers whole lists and changes. The functions are safe for concurrent
+// use. Errors that name a field are or wrap a *fielderror.Error.
 package endpointlist
 
 import (
@@ -16,30 +16,30 @@
 	"ploverreel/policy"
 )
 
-// List is a list of backends, or a change of it.
+// List is the whole list of backends, or a change of it.
 type List struct {
-	Seq   int64  `json:"seq"`   // version; grows with each change
-	Whole bool   `json:"whole"` // whether Hosts are all backends, or only those that changed
+	Seq   int64  `json:"seq"`   // version; increases with each change
+	Whole bool   `json:"whole"` // true: Hosts holds all backends; false: only those that changed
 	Hosts []Host `json:"hosts"`
 }
 
 // Host is one backend of a list.
 type Host struct {
-	Host   string  `json:"host"`    // its name, which it keeps
-	Dial   string  `json:"dial"`    // address with a port
-	Site   string  `json:"site"`    // zone, by name
-	Class  string  `json:"class"`   // machine kind, by name
+	Host   string  `json:"host"`    // name of the backend; never changes
+	Dial   string  `json:"dial"`    // address to connect to, host:port
+	Site   string  `json:"site"`    // name of its zone
+	Class  string  `json:"class"`   // name of its machine kind
 	Block  int     `json:"block"`   // cell
 	Health string  `json:"health"`  // "ready", "draining" or "gone"
 	Share  float64 `json:"share"`   // weight among the backends
-	BornMs float64 `json:"born_ms"` // start of its process by its wall clock, Unix time; 0: long ago
+	BornMs float64 `json:"born_ms"` // start of its process: Unix time in ms by its wall clock; 0: long ago
 }
 
 var healthByName = map[string]policy.Health{
 	"ready": policy.HealthReady, "draining": policy.HealthDraining, "gone": policy.HealthGone,
 }
 
-// Parse reads and validates one list. Its error is that of the JSON or of Validate.
+// Parse parses and validates one list. Its error comes from the JSON decoder or from Validate.
 func Parse(text []byte) (List, error) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -48,7 +48,7 @@
 	return list, list.Validate()
 }
 
-// Validate returns, as a *fielderror.Error, what is wrong with the first invalid field of a list.
+// Validate returns a *fielderror.Error of the first invalid field, or nil.
 func (l *List) Validate() error {
 	if l.Hosts == nil {
 		return fielderror.Errorf("hosts", "missing") // other JSON must not pass as a list without backends
@@ -67,23 +67,24 @@
 	return nil
 }
 
-// HealthOf returns the health of a host of a validated list, as the decision module knows it.
+// HealthOf converts the health of a host of a validated list to that of the decision module.
 func HealthOf(host *Host) policy.Health { return healthByName[host.Health] }
 
-// AddressOf returns the address that a backend has in the decision module. It depends on the
-// backend's name alone, so it is the same at every agent and stays when the address to dial changes.
+// AddressOf returns the address that identifies a backend in the decision module. It is a hash of
+// the backend's name alone, so every agent computes the same one and it does not change with
+// Host.Dial.
 func AddressOf(host string) policy.Addr {
 	hash := fnv.New64a()
 	io.WriteString(hash, host)
 	sum := hash.Sum(nil)
 	for i := range 2 {
-		sum[i+2] ^= sum[i] // fold all 64 bits into 48
+		sum[i+2] ^= sum[i] // folds the 64 bits of the hash into the 48 of an address
 	}
 	return policy.Addr(sum[2:])
 }
 
-// CheckAddress reports why an address has no host and numeric port, or nil. Addresses of a
-// configuration have the same form as those of a list.
+// CheckAddress returns an error unless the address consists of a host and a numeric port. The
+// addresses in a configuration and those in a list have the same form.
 func CheckAddress(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
