--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -64,7 +64,7 @@
 		return fmt.Errorf("config: listen: %w", err)
 	}
 	go reloadOn(reload, path, balancer, log)
-	log.Info("started", "listen", conf.Listen, "backends", len(conf.Known.Hosts))
+	log.Info("started", "listen", conf.Listen, "backends", len(conf.InitialList.Hosts))
 	if traceInterval > 0 {
 		go func() {
 			if err := balancer.Trace(traceInterval); err != nil {
--- a/deploy/example/example_test.go
+++ b/deploy/example/example_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	addresses := []string{conf.Listen, conf.Discovery}
-	for _, host := range conf.Known.Hosts {
+	for _, host := range conf.InitialList.Hosts {
 		addresses = append(addresses, host.Dial)
 	}
 	for _, address := range addresses {
@@ -34,8 +34,8 @@
 	for _, class := range conf.Settings.Classes {
 		effects[class.Effect] = true
 	}
-	if len(conf.Known.Hosts) == 0 || len(effects) != 3 {
-		t.Errorf("%d known servers, classes of %d effects, want some and 3", len(conf.Known.Hosts), len(effects))
+	if len(conf.InitialList.Hosts) == 0 || len(effects) != 3 {
+		t.Errorf("%d known servers, classes of %d effects, want some and 3", len(conf.InitialList.Hosts), len(effects))
 	}
 }
 
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -95,7 +95,7 @@
 	l.watch.discovery = discovery.New(ctx, conf.Discovery, placementOf(&settings), l.discoveryResults(0))
 	l.actions = l.balancer.Start(l.nowMs(), l.actions[:0])
 	l.executeActions()
-	l.applyEndpointList(policy.ListCached, &conf.Known)
+	l.applyEndpointList(policy.ListCached, &conf.InitialList)
 	return l, nil
 }
 
@@ -215,7 +215,7 @@
 		return err
 	}
 	if err := l.balancer.Reconfigure(conf.ModuleSettings()); err != nil {
-		return fielderror.OfSettings(err)
+		return fielderror.FromSettings(err)
 	}
 	l.config = conf
 	l.applyLimits()
--- a/internal/agent/ready_test.go
+++ b/internal/agent/ready_test.go
@@ -135,9 +135,9 @@
 // to free their slots.
 func TestAgentAnswersClientBehindFullBacklog(t *testing.T) {
 	const backlog, every = 128, 16 // every 16th client sends a request
-	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.OpenRequests() {
+	if backlog <= minLimits.ClientSockets() || backlog/every > minLimits.MaxOpenRequests() {
 		t.Fatalf("got %d clients of which %d send, want more than %d of which %d send at most",
-			backlog, backlog/every, minLimits.ClientSockets(), minLimits.OpenRequests())
+			backlog, backlog/every, minLimits.ClientSockets(), minLimits.MaxOpenRequests())
 	}
 	backend, _ := agenttest.IDBackend(t, 200, false)
 	listener := newListener(t)
--- a/internal/agent/requests_test.go
+++ b/internal/agent/requests_test.go
@@ -95,7 +95,7 @@
 	// On a slow machine clients may write late and handlers may respond late.
 	agent.clients.SetTimeouts(agenttest.Never, agenttest.Never)
 	const excess = 20
-	requests := minLimits.OpenRequests() + excess
+	requests := minLimits.MaxOpenRequests() + excess
 	if requests <= minLimits.ClientSockets() {
 		t.Fatalf("got %d requests, want more than the %d slots for clients", requests, minLimits.ClientSockets())
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -53,7 +53,7 @@
 	}
 	a := &Agent{
 		loop: loop, log: log, stop: stop, initialMaxDeadline: conf.MaxDeadline(),
-		clients:       clientconn.NewTable(conf.Limits.ClientSockets(), conf.Limits.KeptSockets()),
+		clients:       clientconn.NewTable(conf.Limits.ClientSockets(), conf.Limits.KeepAliveSockets()),
 		drainDeadline: make(chan struct{}), afterFunc: time.AfterFunc,
 	}
 	a.config.Store(conf)
@@ -120,7 +120,7 @@
 		return errors.New("config: the agent has ended")
 	}
 	a.maxDeadline.Store(max(a.maxDeadline.Load(), int64(next.MaxDeadline())))
-	a.clients.Resize(next.Limits.ClientSockets(), next.Limits.KeptSockets())
+	a.clients.Resize(next.Limits.ClientSockets(), next.Limits.KeepAliveSockets())
 	// This is last because it lets new requests use the new classes, which the loop must know by
 	// then.
 	a.config.Store(next)
--- a/internal/agent/watched_fleet_test.go
+++ b/internal/agent/watched_fleet_test.go
@@ -77,7 +77,7 @@
 // startAgent starts the agent's process with the current list.
 func (f *watchedFleet) startAgent() {
 	conf := parseConfig(f.t, agenttest.Config(refusingAddr))
-	conf.Known = newList(f.seq, true, f.hosts...)
+	conf.InitialList = newList(f.seq, true, f.hosts...)
 	conf.Clock = f.machine
 	l, err := newLoop(f.t.Context(), conf, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
-// Package config is the configuration of an agent: its JSON file, its validation, and what follows
-// from it for the rest of the agent, such as how many descriptors are for whom and which numbers the
-// decision module knows names by.
+// Package config reads and validates the configuration of an agent, a JSON file. It also derives
+// values from it, such as the division of the file descriptors between clients and backends, and the
+// numbers that stand for names in the decision module.
 //
-// Load and Parse return a validated Config, which is not changed afterwards and may be read from any
-// goroutine. Their errors are one line that names the field and are or wrap a *fielderror.Error,
-// unless the text is no JSON.
+// Load and Parse return a validated Config. It is immutable and may be read from any goroutine.
+// Their errors are one line that names the field. They are or wrap a *fielderror.Error, unless the
+// text is not JSON.
 package config
 
 import (
@@ -14,43 +14,48 @@
 	"ploverreel/policy"
 )
 
-// alwaysAcceptedTimeout is up to where any Request-Timeout is accepted, whatever the deadlines of
-// the classes are.
-const alwaysAcceptedTimeout = time.Minute
+// maxDeadlineFloor is the floor of MaxDeadline: any Request-Timeout up to it is accepted, even if
+// the deadlines of all classes are shorter.
+const maxDeadlineFloor = time.Minute
 
-// Config is the configuration of an agent. It is not changed once it is parsed; agent.Agent.Reload
-// puts another one in force.
+// Config is the configuration of an agent. It is immutable after Parse; agent.Agent.Reload replaces
+// it by another.
 type Config struct {
 	Name      string
-	Listen    string // address with a port for the clients
-	Discovery string // address with a port of the service that lists the backends
-	Seed      uint64 // of the module's random draws
+	Listen    string // address that clients connect to, host:port
+	Discovery string // address of the discovery service, host:port
+	Seed      uint64 // of the decision module's random number generator
 	Limits    Limits
 	Settings  policy.Settings
 	Names     NameIndex
-	Known     endpointlist.List // the list at the start; may be empty
+	// InitialList is used until discovery delivers a list. It may be empty.
+	InitialList endpointlist.List
 
-	Clock MachineClock // nil: that of this machine; tests set another
+	Clock MachineClock // nil means the clock of this machine; tests replace it
 }
 
-// MaxDeadline returns the longest deadline that a request may bring.
+// MaxDeadline returns the longest deadline that a request may have: that of the class with the
+// longest one, and at least a minute.
 func (c *Config) MaxDeadline() time.Duration {
-	longest := alwaysAcceptedTimeout
+	longest := maxDeadlineFloor
 	for i := range c.Settings.Classes {
 		longest = max(longest, Milliseconds(c.Settings.Classes[i].DeadlineMs))
 	}
 	return longest
 }
 
-// ModuleSettings returns the settings as the decision module gets them on sockets. No more requests
-// may be open than the table of client connections has slots for. A list that is pushed reaches only
-// agents that watch, so that membership becomes a watched one: else an agent would learn of drains
-// from the fetches that its own failures cause.
+// ModuleSettings returns the settings for the decision module of an agent on sockets. They differ
+// from Settings in two ways:
+//   - The limit of open requests is at most Limits.MaxOpenRequests, so that the table of client
+//     connections has a slot for each request.
+//   - Pushed membership becomes watched membership, because a pushed list reaches only agents that
+//     watch. Without a watch, an agent would learn of drains only from the fetches that its own
+//     failures cause.
 func (c *Config) ModuleSettings() policy.Settings {
 	settings := c.Settings
-	most := c.Limits.OpenRequests()
-	if settings.Limits.MaxOpenRequests <= 0 || settings.Limits.MaxOpenRequests > most {
-		settings.Limits.MaxOpenRequests = most
+	limit := c.Limits.MaxOpenRequests()
+	if settings.Limits.MaxOpenRequests <= 0 || settings.Limits.MaxOpenRequests > limit {
+		settings.Limits.MaxOpenRequests = limit
 	}
 	if settings.Membership == policy.MembershipPushed {
 		settings.Membership = policy.MembershipWatched
@@ -58,6 +63,6 @@
 	return settings
 }
 
-// Milliseconds returns a number of ms, as the settings and the decision module have them, as a
+// Milliseconds converts a time in ms, the unit of the settings and of the decision module, to a
 // time.Duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestModuleSettingsBoundOpenRequestsAndWatchPushedLists(t *testing.T) {
-	room := config.Limits{Sockets: 1024}.OpenRequests()
+	room := config.Limits{Sockets: 1024}.MaxOpenRequests()
 	for _, c := range []struct {
 		name       string
 		value      any
@@ -44,9 +44,9 @@
 	for sockets := config.MinSockets; sockets <= 4096; sockets++ {
 		limits := config.Limits{Sockets: sockets}
 		clients, backends := limits.ClientSockets(), limits.BackendSockets()
-		if clients+backends >= sockets || limits.OpenRequests() <= 0 || limits.OpenRequests() >= clients || limits.KeptSockets() >= clients {
+		if clients+backends >= sockets || limits.MaxOpenRequests() <= 0 || limits.MaxOpenRequests() >= clients || limits.KeepAliveSockets() >= clients {
 			t.Fatalf("got %d of clients (%d kept, %d with a request) and %d of backends, want some of each, less than %d in all",
-				clients, limits.KeptSockets(), limits.OpenRequests(), backends, sockets)
+				clients, limits.KeepAliveSockets(), limits.MaxOpenRequests(), backends, sockets)
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -13,32 +13,32 @@
 	"ploverreel/policy"
 )
 
-// fileJSON is the JSON of a configuration.
+// fileJSON is the JSON form of a configuration.
 type fileJSON struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Seed      string          `json:"seed"` // 64 bits in hexadecimal
+	Seed      string          `json:"seed"` // 64-bit number in hexadecimal
 	Limits    Limits          `json:"limits"`
 	Known     json.RawMessage `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads and validates the file at path, the value of EDGE_CONFIG. Its error is one line: that of
-// EDGE_CONFIG if the file can't be read, else that of Parse.
+// Load reads and validates the file at path, the value of EDGE_CONFIG. Its error is one line. If the
+// file can't be read, the error names EDGE_CONFIG; otherwise it is the error of Parse.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, fielderror.Errorf("EDGE_CONFIG", "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fielderror.In("EDGE_CONFIG", err)
+		return nil, fielderror.Wrap("EDGE_CONFIG", err)
 	}
 	return Parse(text)
 }
 
-// Parse reads and validates the text of a configuration. Its error is one line, "config: field:
-// reason", and wraps a *fielderror.Error unless the text is no JSON.
+// Parse parses and validates the text of a configuration. Its error is one line of the form
+// "config: field: reason". It wraps a *fielderror.Error, unless the text is not JSON.
 func Parse(text []byte) (*Config, error) {
 	config, err := parse(text)
 	if err != nil {
@@ -60,8 +60,8 @@
 		return nil, err
 	}
 	if len(file.Known) > 0 {
-		if config.Known, err = endpointlist.Parse(file.Known); err != nil {
-			return nil, fielderror.In("known", err)
+		if config.InitialList, err = endpointlist.Parse(file.Known); err != nil {
+			return nil, fielderror.Wrap("known", err)
 		}
 	}
 	return config, nil
@@ -79,13 +79,14 @@
 	return file, nil
 }
 
-// validate checks all but the settings and the list, and returns the seed.
+// validate checks all fields except for the contents of the settings and of the endpoint list. It
+// returns the parsed seed.
 func (f *fileJSON) validate() (seed uint64, err error) {
 	if err := endpointlist.CheckAddress(f.Listen); err != nil {
-		return 0, fielderror.In("listen", err)
+		return 0, fielderror.Wrap("listen", err)
 	}
 	if err := endpointlist.CheckAddress(f.Discovery); err != nil {
-		return 0, fielderror.In("discovery", err)
+		return 0, fielderror.Wrap("discovery", err)
 	}
 	if seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return 0, fielderror.Errorf("seed", "not 64 bits in hexadecimal: %q", f.Seed)
@@ -105,21 +106,21 @@
 	return seed, nil
 }
 
-// parseSettings takes the settings and the names in them.
+// parseSettings parses and validates the settings and builds the name index from them.
 func (c *Config) parseSettings(text json.RawMessage) (err error) {
 	if c.Settings, err = simwire.ParseSettings(text); err != nil {
-		return fielderror.OfSettings(err)
+		return fielderror.FromSettings(err)
 	}
 	var names struct {
 		Zones        []string `json:"failureDomains"`
 		MachineKinds []string `json:"shapes"`
 	}
 	if err := json.Unmarshal(text, &names); err != nil {
-		return fielderror.In("settings: failureDomains or shapes", err)
+		return fielderror.Wrap("settings: failureDomains or shapes", err)
 	}
-	// The module validates its settings itself, when one is made.
+	// policy.New validates the settings of the decision module.
 	if _, err := policy.New(c.Settings, c.Seed); err != nil {
-		return fielderror.OfSettings(err)
+		return fielderror.FromSettings(err)
 	}
 	c.Names = NameIndex{zones: indexNames(names.Zones), machineKinds: indexNames(names.MachineKinds),
 		classes: map[string]int{}, tenants: map[string]int{}}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,34 +1,34 @@
 package config
 
-// MinSockets is the smallest descriptor limit that an agent can work with. otherSockets of the
-// limit are kept for discovery, the listener and the runtime.
+// Numbers of file descriptors.
 const (
-	MinSockets   = 64
-	otherSockets = 16
+	MinSockets      = 64 // smallest limits.sockets that an agent can work with
+	reservedSockets = 16 // for discovery, the listener and the runtime
 )
 
-// Limits holds the resources that the process may use. Its methods divide the descriptors: each returns
-// how many of Sockets are for one use.
+// Limits holds the resources that the process may use. Its methods divide the file descriptors: each
+// returns the share of Sockets for one use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // open descriptors, connections and all else
+	Sockets  int     `json:"sockets"` // limit of open file descriptors of all kinds
 }
 
-// BackendSockets returns how many descriptors are for connections to backends.
-func (l Limits) BackendSockets() int { return (l.Sockets - otherSockets) * 2 / 5 }
+// BackendSockets returns the number of descriptors for connections to backends: two fifths of those
+// that are not reserved.
+func (l Limits) BackendSockets() int { return (l.Sockets - reservedSockets) * 2 / 5 }
 
-// ClientSockets returns how many descriptors are for clients' connections: the slots of the table
-// of client connections.
-func (l Limits) ClientSockets() int { return l.Sockets - otherSockets - l.BackendSockets() }
+// ClientSockets returns the number of descriptors for client connections: all that are neither
+// reserved nor for backends. It is the number of slots in the table of client connections.
+func (l Limits) ClientSockets() int { return l.Sockets - reservedSockets - l.BackendSockets() }
 
-// KeptSockets returns how many clients' connections may be kept alive between requests.
-func (l Limits) KeptSockets() int { return l.Sockets / 6 }
+// KeepAliveSockets returns how many client connections may be kept alive between requests.
+func (l Limits) KeepAliveSockets() int { return l.Sockets / 6 }
 
-// OpenRequests returns how many requests may be in progress at once. The decision module gets this
-// bound and rejects what exceeds it; the other slots of the table of client connections are for the
-// clients that are sent that rejection.
-func (l Limits) OpenRequests() int {
+// MaxOpenRequests returns how many requests may be in progress at once. The decision module rejects
+// requests above this limit. An eighth of the slots in the table of client connections, and at least
+// 8, stay free for the clients that receive such a rejection.
+func (l Limits) MaxOpenRequests() int {
 	slots := l.ClientSockets()
 	return slots - max(slots/8, 8)
 }
--- a/internal/config/name_index.go
+++ b/internal/config/name_index.go
@@ -6,30 +6,30 @@
 	"ploverreel/policy"
 )
 
-// NameIndex maps the names that discovery and clients use to the decision module's numbers: the
-// index of each in the lists of the settings. It is read-only.
+// NameIndex maps names that discovery and clients use to the numbers that the decision module uses.
+// The number of a name is its index in its list in the settings. A NameIndex is immutable.
 type NameIndex struct {
 	zones, machineKinds, classes, tenants map[string]int
 }
 
-// Class returns the number of a class, and whether the settings name it.
+// Class returns the number of a class, and whether the settings have a class of that name.
 func (n *NameIndex) Class(name string) (class int, known bool) {
 	class, known = n.classes[name]
 	return class, known
 }
 
-// Tenant returns the number of a tenant, and whether the settings name it.
+// Tenant returns the number of a tenant, and whether the settings have a tenant of that name.
 func (n *NameIndex) Tenant(name string) (tenant int, known bool) {
 	tenant, known = n.tenants[name]
 	return tenant, known
 }
 
-// HasTenants reports whether the settings name any tenant.
+// HasTenants reports whether the settings have any tenant.
 func (n *NameIndex) HasTenants() bool { return len(n.tenants) > 0 }
 
-// Entry translates a host of an endpoint list for the decision module. StartedMs is still born_ms,
-// by the wall clock of the host. A zone or machine kind that the settings don't name gets a number
-// that no settings give, so that it is nobody's own.
+// Entry converts a host of an endpoint list to an entry for the decision module. Its StartedMs is
+// born_ms unchanged, a time of the host's wall clock. A zone or machine kind that the settings don't
+// have becomes -1. No settings use that number, so no agent regards the backend as in its own zone.
 func (n *NameIndex) Entry(host *endpointlist.Host) policy.Entry {
 	return policy.Entry{
 		Server:      endpointlist.AddressOf(host.Host),
@@ -42,9 +42,9 @@
 	}
 }
 
-// CheckReload returns, as a *fielderror.Error, the first zone or machine kind that doesn't have the
-// same number in next: those of the listed backends are known by it, so that it can't change while
-// the agent runs.
+// CheckReload returns a *fielderror.Error if a zone or machine kind is missing from next or has
+// another number there. The entries of the listed backends hold these numbers, so they can't change
+// while the agent runs.
 func (n *NameIndex) CheckReload(next *NameIndex) error {
 	for _, list := range []struct {
 		key           string
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// indexNames maps each name to its index; of one that stands twice, the last.
+// indexNames maps each name to its index, or to its last index if it occurs more than once.
 func indexNames(names []string) map[string]int {
 	byName := make(map[string]int, len(names))
 	for i, name := range names {
@@ -68,10 +68,10 @@
 	return byName
 }
 
-// indexOr returns the index of a name, or otherwise for one that has none.
-func indexOr(indexes map[string]int, name string, otherwise int) int {
+// indexOr returns the index of a name, or fallback if it has none.
+func indexOr(indexes map[string]int, name string, fallback int) int {
 	if i, ok := indexes[name]; ok {
 		return i
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/config/trace.go
+++ b/internal/config/trace.go
@@ -6,12 +6,12 @@
 	"ploverreel/internal/fielderror"
 )
 
-// minTracePeriod is the least time between two lines of the trace, as the agent's event loop writes
-// them.
+// minTracePeriod is the shortest valid time between two lines of the trace. The agent's event loop
+// writes them, so a shorter period would slow it down.
 const minTracePeriod = 10 * time.Millisecond
 
-// ParseTrace reads EDGE_TRACE: the time between two lines of the trace, such as "1s", or "" for no
-// trace, which is 0. Its error is a *fielderror.Error of EDGE_TRACE.
+// ParseTrace parses the value of EDGE_TRACE, the time between two lines of the trace, such as "1s".
+// It returns 0 for "", which means no trace. Its error is a *fielderror.Error of EDGE_TRACE.
 func ParseTrace(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/fielderror/fielderror.go
+++ b/internal/fielderror/fielderror.go
@@ -1,5 +1,5 @@
-// Package fielderror is the error of one field of a configuration or of an endpoint list. Its
-// functions may be called from any goroutine.
+// Package fielderror defines the error of one field of a configuration or of an endpoint list. Its
+// functions are safe for concurrent use.
 package fielderror
 
 import (
@@ -8,28 +8,29 @@
 	"strings"
 )
 
-// Error says what is wrong with one field of a configuration or of an endpoint list. Its text
-// is one line, "field: reason". The errors of configurations, lists and EDGE_TRACE are or wrap one
-// wherever a field can be named; errors.As finds it.
+// Error says what is wrong with one field. Its text is one line of the form "field: reason". Errors
+// of configurations, endpoint lists and EDGE_TRACE are or wrap an Error wherever a field can be
+// named, so that errors.As finds it.
 type Error struct {
-	// Field is the path of the field, such as "limits.cores". Behind a part that is checked by
-	// itself stands a colon: "settings: classes[0].name", "known: hosts[1].dial".
+	// Field is the path of the field, such as "limits.cores". If a part of the text has its own
+	// validation, a colon follows its name: "settings: classes[0].name", "known: hosts[1].dial".
 	Field  string
 	Reason string
-	Err    error // what Reason is the text of; nil: nothing
+	Err    error // the cause of the error; may be nil
 }
 
 func (e *Error) Error() string { return e.Field + ": " + e.Reason }
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Errorf returns the error of a field with a formatted reason.
+// Errorf returns an Error of the field with a formatted reason.
 func Errorf(field, format string, args ...any) error {
 	return &Error{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// In returns the error of a part of field, or nil for nil.
-func In(field string, err error) error {
+// Wrap returns err as an Error of the field, or nil if err is nil. If err is itself the Error of a
+// field, that field becomes a part of the given one: "known: hosts[1].dial".
+func Wrap(field string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -40,9 +41,9 @@
 	return &Error{Field: field, Reason: err.Error(), Err: err}
 }
 
-// OfSettings returns an error of the decision module, whose text is "settings: field: reason", as one of
-// that field; nil stays nil.
-func OfSettings(err error) error {
+// FromSettings converts an error of the decision module, whose text has the form "settings: field:
+// reason", to an Error of that field. It returns nil if err is nil.
+func FromSettings(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -16,12 +16,12 @@
 		err  error
 		want string
 	}{
-		{"plain error", fielderror.In("listen", errors.New(`no address with a port: "here"`)), "listen"},
-		{"error of a field within", fielderror.In("known", fielderror.Errorf("hosts", "missing")), "known: hosts"},
-		{"error that wraps another", fielderror.In("known", fmt.Errorf("json: %w", io.EOF)), "known"},
-		{"error of settings with a field", fielderror.OfSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
-		{"error of settings without a field", fielderror.OfSettings(errors.New("settings: no colon behind")), "settings"},
-		{"error with a field behind other text", fielderror.In("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
+		{"plain error", fielderror.Wrap("listen", errors.New(`no address with a port: "here"`)), "listen"},
+		{"error of a field within", fielderror.Wrap("known", fielderror.Errorf("hosts", "missing")), "known: hosts"},
+		{"error that wraps another", fielderror.Wrap("known", fmt.Errorf("json: %w", io.EOF)), "known"},
+		{"error of settings with a field", fielderror.FromSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
+		{"error of settings without a field", fielderror.FromSettings(errors.New("settings: no colon behind")), "settings"},
+		{"error with a field behind other text", fielderror.Wrap("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var field *fielderror.Error
@@ -33,10 +33,10 @@
 }
 
 func TestErrorKeepsItsCause(t *testing.T) {
-	if err := fielderror.In("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) {
+	if err := fielderror.Wrap("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) {
 		t.Errorf("got %v, want an error that wraps %v", err, io.EOF)
 	}
-	if in, settings := fielderror.In("x", nil), fielderror.OfSettings(nil); in != nil || settings != nil {
+	if in, settings := fielderror.Wrap("x", nil), fielderror.FromSettings(nil); in != nil || settings != nil {
 		t.Errorf("got errors %v and %v of none, want none", in, settings)
 	}
 }
