--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,10 +1,10 @@
-// Package simwire is the codec of the simulator's wire: it translates its binary frames to the events of
-// package policy, and that package's actions to reply frames. It decides nothing.
+// Package simwire is the codec of the simulator's wire protocol. It decodes the binary frames of the
+// simulator to events of package policy, and encodes the actions of that package to reply frames.
 //
-// A batch is a header of 8 bytes (the number of records and the bytes that follow), the clock, records
-// of EventSize bytes and a tail that records point into. A reply is a header of the same form, records
-// of ActionSize bytes and a tail. All numbers are big-endian; times are milliseconds as IEEE 754 doubles.
-// The codes have the words of the wire's own page; the comments say what they stand for.
+// A batch consists of a header of 8 bytes (the number of records and the number of bytes that follow),
+// the clock, records of EventSize bytes and a tail to which records refer. A reply consists of a header
+// of the same form, records of ActionSize bytes and a tail. All numbers are big-endian. Times are in
+// milliseconds, as IEEE 754 doubles.
 package simwire
 
 import (
@@ -16,48 +16,48 @@
 
 // Sizes on the wire, in bytes.
 const (
-	EventSize  = 48      // a record of a batch
-	ActionSize = 24      // a record of a reply
-	entrySize  = 24      // a line of an endpoint list
-	maxFrame   = 1 << 30 // no legal batch comes near it
+	EventSize  = 48      // of a record of a batch
+	ActionSize = 24      // of a record of a reply
+	entrySize  = 24      // of an entry of an endpoint list
+	maxFrame   = 1 << 30 // limit of a batch without its header, far above any valid batch
 )
 
-// Event codes.
+// Event codes. The words in quotes are those of the wire's specification.
 const (
-	codeDropped  = 16 // a client has left
-	codeAsk      = 17 // a request of a client
-	codeVerdict  = 18 // the outcome of an attempt
-	codePool     = 19 // a list table, to which codeTargets points
-	codeFlowing  = 20 // the first byte of an answer
-	codeKilled   = 21 // an instance has ended
-	codeTargets  = 22 // an endpoint list
-	codePeerData = 23 // a message of another agent
-	codeHealth   = 24 // the outcome of a health check
-	codeBoot     = 25 // an instance starts
-	codeFired    = 26 // a timer
+	codeClientDisconnected = 16 // "dropped": a client has disconnected
+	codeRequestArrived     = 17 // "ask": a request of a client
+	codeAttemptEnded       = 18 // "verdict": the outcome of an attempt
+	codeListTable          = 19 // "pool": a list table, to which codeEndpointsUpdated refers
+	codeResponseStarted    = 20 // "flowing": the first byte of a response
+	codeInstanceEnded      = 21 // "killed": an instance has ended
+	codeEndpointsUpdated   = 22 // "targets": an endpoint list, or the failure of a call for one
+	codePeerMessage        = 23 // "peer data": a message from another agent
+	codeHealthCheckEnded   = 24 // "health": the outcome of a health check
+	codeInstanceStarted    = 25 // "boot": an instance starts
+	codeTimerFired         = 26 // "fired": the delay of a timer has passed
 )
 
-// Action codes.
+// Action codes. The words in quotes are those of the wire's specification.
 const (
-	codeHangUp      = 80 // close the idle connections to a server
-	codeNotNow      = 81 // reject a request
-	codeTouch       = 82 // check a server's health
-	codeFollow      = 83 // watch the endpoint list
-	codeCallOut     = 84 // send an attempt
-	codeReadList    = 85 // fetch the endpoint list
-	codeCrash       = 87 // the instance's decision code failed
-	codeNotifyMe    = 88 // set a timer
-	codeRetract     = 89 // cancel an attempt
-	codeFinishError = 90 // fail a request
-	codeTrace       = 91 // a line for the log
+	codeCloseIdleConnections = 80 // "hang up": close the idle connections to a server
+	codeRejectRequest        = 81 // "not now": reject a request
+	codeCheckHealth          = 82 // "touch": check a server's health
+	codeOpenWatch            = 83 // "follow": watch the endpoint list
+	codeSendAttempt          = 84 // "call out": send an attempt
+	codeFetchEndpoints       = 85 // "read list": fetch the endpoint list
+	codeCrash                = 87 // "crash": the instance's decision code failed
+	codeSetTimer             = 88 // "notify me": set a timer
+	codeCancelAttempt        = 89 // "retract": cancel an attempt
+	codeFailRequest          = 90 // "finish error": fail a request
+	codeLogText              = 91 // "trace": a line for the log
 )
 
-// modeFailed is the mode of a codeTargets that no list came with, as the call has failed. The others are
-// the policy.ListKind of what came.
+// modeFailed is the mode of a codeEndpointsUpdated record that carries no list, because the call to
+// discovery failed. The other modes are the values of policy.ListKind.
 const modeFailed = uint8(policy.ListCached) + 1
 
-// getFloat64 reads an IEEE 754 double at the beginning of raw.
+// getFloat64 reads an IEEE 754 double from the first 8 bytes of raw.
 func getFloat64(raw []byte) float64 { return math.Float64frombits(binary.BigEndian.Uint64(raw)) }
 
-// putFloat64 writes an IEEE 754 double at the beginning of raw.
+// putFloat64 writes an IEEE 754 double to the first 8 bytes of raw.
 func putFloat64(raw []byte, value float64) { binary.BigEndian.PutUint64(raw, math.Float64bits(value)) }
--- a/internal/simwire/decode_event.go
+++ b/internal/simwire/decode_event.go
@@ -20,8 +20,8 @@
 	fired        policy.TimerFired
 }
 
-// decodeAsk decodes a request of a client.
-func (b *eventBuffer) decodeAsk(raw []byte) policy.Event {
+// decodeRequestArrived decodes a request of a client.
+func (b *eventBuffer) decodeRequestArrived(raw []byte) policy.Event {
 	be := binary.BigEndian
 	b.arrived = policy.RequestArrived{
 		Request:     getRequest(raw),
@@ -36,8 +36,8 @@
 	return &b.arrived
 }
 
-// decodeVerdict decodes the outcome of an attempt.
-func (b *eventBuffer) decodeVerdict(raw []byte) (policy.Event, error) {
+// decodeAttemptEnded decodes the outcome of an attempt.
+func (b *eventBuffer) decodeAttemptEnded(raw []byte) (policy.Event, error) {
 	values, err := report("verdict: report", raw[28:])
 	if err != nil {
 		return nil, err
@@ -59,8 +59,8 @@
 	return &b.ended, nil
 }
 
-// decodeFlowing decodes the first byte of an attempt's answer.
-func (b *eventBuffer) decodeFlowing(raw []byte) policy.Event {
+// decodeResponseStarted decodes the first byte of an attempt's answer.
+func (b *eventBuffer) decodeResponseStarted(raw []byte) policy.Event {
 	b.started = policy.ResponseStarted{
 		Request:   getRequest(raw),
 		Server:    policy.Addr(raw[9:15]),
@@ -70,8 +70,8 @@
 	return &b.started
 }
 
-// decodeHealth decodes the outcome of a health check.
-func (b *eventBuffer) decodeHealth(raw []byte) (policy.Event, error) {
+// decodeHealthCheckEnded decodes the outcome of a health check.
+func (b *eventBuffer) decodeHealthCheckEnded(raw []byte) (policy.Event, error) {
 	values, err := report("health: report", raw[21:])
 	if err != nil {
 		return nil, err
--- a/internal/simwire/decode_list.go
+++ b/internal/simwire/decode_list.go
@@ -8,8 +8,8 @@
 	"ploverreel/policy"
 )
 
-// keepList decodes a list table and keeps it under its number.
-func (d *Decoder) keepList(raw, tail []byte) error {
+// storeListTable decodes a list table and keeps it under its number.
+func (d *Decoder) storeListTable(raw, tail []byte) error {
 	be := binary.BigEndian
 	table := be.Uint32(raw[1:])
 	if int64(table) >= int64(len(d.lists)) {
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// decodeTargets decodes an endpoint list, whose entries are in a table that came before, or the failure
+// decodeEndpointsUpdated decodes an endpoint list, whose entries are in a table that came before, or the failure
 // of a call for one.
-func (d *Decoder) decodeTargets(raw []byte) (policy.Event, error) {
+func (d *Decoder) decodeEndpointsUpdated(raw []byte) (policy.Event, error) {
 	mode := raw[5]
 	if mode > modeFailed {
 		return nil, fmt.Errorf("targets: mode: unknown value %d", mode)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -122,31 +122,31 @@
 	record.Kind = Event
 	record.Instance = binary.BigEndian.Uint32(raw[1:])
 	switch raw[0] {
-	case codeBoot:
+	case codeInstanceStarted:
 		record.Kind, record.Seed = Boot, binary.BigEndian.Uint64(raw[5:])
 		record.Settings, err = span("boot: settings", raw[13:], tail, 1)
-	case codeKilled:
+	case codeInstanceEnded:
 		record.Kind = Killed
-	case codePool:
+	case codeListTable:
 		record.Kind = 0
-		err = d.keepList(raw, tail)
-	case codeTargets:
-		record.Event, err = d.decodeTargets(raw)
-	case codeAsk:
-		record.Event = d.events.decodeAsk(raw)
-	case codeVerdict:
-		record.Event, err = d.events.decodeVerdict(raw)
-	case codeFlowing:
-		record.Event = d.events.decodeFlowing(raw)
-	case codeDropped:
+		err = d.storeListTable(raw, tail)
+	case codeEndpointsUpdated:
+		record.Event, err = d.decodeEndpointsUpdated(raw)
+	case codeRequestArrived:
+		record.Event = d.events.decodeRequestArrived(raw)
+	case codeAttemptEnded:
+		record.Event, err = d.events.decodeAttemptEnded(raw)
+	case codeResponseStarted:
+		record.Event = d.events.decodeResponseStarted(raw)
+	case codeClientDisconnected:
 		d.events.disconnected = policy.ClientDisconnected{Request: getRequest(raw)}
 		record.Event = &d.events.disconnected
-	case codeHealth:
-		record.Event, err = d.events.decodeHealth(raw)
-	case codeFired:
+	case codeHealthCheckEnded:
+		record.Event, err = d.events.decodeHealthCheckEnded(raw)
+	case codeTimerFired:
 		d.events.fired = policy.TimerFired{Token: binary.BigEndian.Uint32(raw[5:])}
 		record.Event = &d.events.fired
-	case codePeerData:
+	case codePeerMessage:
 		record.Event = &policy.PeerMessageReceived{}
 		_, err = span("peer_data: msg", raw[9:], tail, 1)
 	default:
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -44,34 +44,34 @@
 	be := binary.BigEndian
 	switch action.Kind {
 	case policy.ActionSendAttempt:
-		raw := e.record(codeCallOut, instance)
+		raw := e.record(codeSendAttempt, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		copy(raw[9:15], action.Server[:])
 		putFloat64(raw[15:], action.TimeoutMs)
 	case policy.ActionCancelAttempt:
-		raw := e.record(codeRetract, instance)
+		raw := e.record(codeCancelAttempt, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		be.PutUint16(raw[9:], uint16(action.Attempt))
 	case policy.ActionRejectRequest:
-		raw := e.record(codeNotNow, instance)
+		raw := e.record(codeRejectRequest, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		putFloat64(raw[9:], action.RetryAfterMs)
 	case policy.ActionFailRequest:
-		be.PutUint32(e.record(codeFinishError, instance)[5:], uint32(action.Request))
+		be.PutUint32(e.record(codeFailRequest, instance)[5:], uint32(action.Request))
 	case policy.ActionCheckHealth:
-		copy(e.record(codeTouch, instance)[5:11], action.Server[:])
+		copy(e.record(codeCheckHealth, instance)[5:11], action.Server[:])
 	case policy.ActionSetTimer:
-		raw := e.record(codeNotifyMe, instance)
+		raw := e.record(codeSetTimer, instance)
 		putFloat64(raw[5:], action.DelayMs)
 		be.PutUint32(raw[13:], action.Token)
 	case policy.ActionOpenWatch:
-		e.record(codeFollow, instance)[5] = 1
+		e.record(codeOpenWatch, instance)[5] = 1
 	case policy.ActionFetchEndpoints:
-		e.record(codeReadList, instance)
+		e.record(codeFetchEndpoints, instance)
 	case policy.ActionCloseIdleConnections:
-		copy(e.record(codeHangUp, instance)[5:11], action.Server[:])
+		copy(e.record(codeCloseIdleConnections, instance)[5:11], action.Server[:])
 	case policy.ActionLogText:
-		e.text(codeTrace, instance, action.Text)
+		e.text(codeLogText, instance, action.Text)
 	}
 }
 
