--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,9 @@
-// Command simadapter runs many independent balancers, the agents' decision module, on the simulator's
-// wire: batches on standard input, one reply for each on standard output. It ends with 0 at a clean end
-// of input, and with 1 and one line on standard error for a batch that can't be read or a reply that
-// can't be written.
+// Command simadapter connects the agents' decision module to the simulator. It runs many independent
+// balancers in one process. It reads batches of the simulator's wire protocol from standard input
+// and writes one reply for each batch to standard output.
+//
+// The exit code is 0 if the input ends between two batches. If a batch can't be read or a reply
+// can't be written, the exit code is 1 and one line on standard error gives the reason.
 package main
 
 import (
@@ -21,8 +23,8 @@
 	}
 }
 
-// run serves batches until the input ends. Instances share nothing but the
-// process; each is reached through its number only.
+// run answers batches until the input ends. Each instance is a balancer of its own, found by its
+// number. Instances share no state.
 func run(in io.Reader, out io.Writer) error {
 	decoder := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	output := bufio.NewWriterSize(out, 1<<16)
@@ -31,8 +33,8 @@
 	var actions []policy.Action
 	handle := func(now float64, record *simwire.Record) error {
 		switch record.Kind {
-		case simwire.Boot:
-			balancer, err := boot(record)
+		case simwire.InstanceStarted:
+			balancer, err := newBalancer(record)
 			if err != nil {
 				encoder.Crash(record.Instance, err.Error())
 				delete(instances, record.Instance)
@@ -40,13 +42,13 @@
 			}
 			instances[record.Instance] = balancer
 			actions = balancer.Start(now, actions[:0])
-		case simwire.Killed:
+		case simwire.InstanceEnded:
 			delete(instances, record.Instance)
 			return nil
 		default:
 			balancer := instances[record.Instance]
 			if balancer == nil {
-				return nil // it was killed or never started
+				return nil // the instance has ended, or it never started
 			}
 			actions = balancer.Handle(now, record.Event, actions[:0])
 		}
@@ -72,8 +74,8 @@
 	}
 }
 
-// boot returns a balancer with the settings and the seed of a Boot record.
-func boot(record *simwire.Record) (*policy.Balancer, error) {
+// newBalancer returns a balancer with the settings and the seed of an InstanceStarted record.
+func newBalancer(record *simwire.Record) (*policy.Balancer, error) {
 	settings, err := simwire.ParseSettings(record.Settings)
 	if err != nil {
 		return nil, err
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,7 +12,8 @@
 const settings = `{"classes":[{"name":"a","aimMs":100,"giveUpMs":500,"effect":"free","credit":1}],
 "limits":{"maxAttempts":2},"membershipMode":"pushed","roundMs":5}`
 
-// batch frames records of 48 bytes, given by their first bytes, with a tail.
+// batch returns a batch with a tail. Each record is given by its first bytes and padded with zeros
+// to 48 bytes.
 func batch(clock float64, tail string, records ...[]byte) []byte {
 	be := binary.BigEndian
 	out := be.AppendUint32(nil, uint32(len(records)))
@@ -24,37 +25,39 @@
 	return append(out, tail...)
 }
 
-// bootRecord starts an instance with the first bytes of the tail as its settings.
-func bootRecord(who uint32, textLen int) []byte {
+// startRecord returns a record that starts an instance. Its settings are the first textLen bytes of
+// the tail.
+func startRecord(instance uint32, textLen int) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{25}, who)
+	r := be.AppendUint32([]byte{25}, instance)
 	r = be.AppendUint64(r, 7)
 	r = be.AppendUint32(r, 0)
 	return be.AppendUint32(r, uint32(textLen))
 }
 
-// ask is a request with 400 ms left.
-func ask(who, id uint32) []byte {
+// requestRecord returns a record of a request with 400 ms left.
+func requestRecord(instance, id uint32) []byte {
 	be := binary.BigEndian
-	r := be.AppendUint32([]byte{17}, who)
+	r := be.AppendUint32([]byte{17}, instance)
 	r = be.AppendUint32(r, id)
 	r = append(r, make([]byte, 14)...)
 	return be.AppendUint64(r, math.Float64bits(400))
 }
 
-// killed ends an instance.
-func killed(who uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, who) }
+// endRecord returns a record that ends an instance.
+func endRecord(instance uint32) []byte { return binary.BigEndian.AppendUint32([]byte{21}, instance) }
 
-// An instance that is killed and booted in one batch is another one: it knows no request of the first.
+// If an instance ends and another starts with the same number in one batch, the second one must not
+// know requests of the first.
 func TestAdapterReplacesInstanceWithinBatch(t *testing.T) {
-	in := batch(1000, settings, bootRecord(3, len(settings)), ask(3, 9))
-	in = append(in, batch(1005, settings, killed(3), ask(3, 10), bootRecord(3, len(settings)), ask(3, 11))...)
+	in := batch(1000, settings, startRecord(3, len(settings)), requestRecord(3, 9))
+	in = append(in, batch(1005, settings, endRecord(3), requestRecord(3, 10), startRecord(3, len(settings)), requestRecord(3, 11))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Each instance queues its one request (there is no list) and sets one timer; the request between the two
-	// has no instance.
+	// Each instance queues its one request, because it has no endpoint list, and sets one timer. The
+	// request between the two has no instance and is ignored.
 	reply := out.Bytes()
 	for i, want := range []uint32{1, 1} {
 		n, size := binary.BigEndian.Uint32(reply), binary.BigEndian.Uint32(reply[4:])
@@ -65,11 +68,11 @@
 	}
 }
 
-// Invalid settings end in a crash record that names the key.
+// Invalid settings are answered with a crash record that names the key.
 func TestAdapterReportsInvalidSettingsAsCrash(t *testing.T) {
 	bad := strings.Replace(settings, "free", "maybe", 1)
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(batch(1000, bad, bootRecord(3, len(bad)))), &out); err != nil {
+	if err := run(bytes.NewReader(batch(1000, bad, startRecord(3, len(bad)))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if reply := out.Bytes(); reply[8] != 87 || !strings.Contains(string(reply), "classes[0].effect") {
@@ -77,9 +80,10 @@
 	}
 }
 
-// Input that ends within a batch is an error of one line, input that ends before one is none.
+// Input that ends within a batch causes an error of one line. Input that ends before a batch is no
+// error.
 func TestAdapterRejectsTruncatedInput(t *testing.T) {
-	in := batch(1000, "", killed(1))
+	in := batch(1000, "", endRecord(1))
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in[:len(in)-1]), &out); err == nil || strings.Contains(err.Error(), "\n") {
 		t.Errorf("got error %v, want one of one line", err)
@@ -89,7 +93,7 @@
 	}
 }
 
-// On any input the adapter answers or returns an error of one line; it never panics.
+// For any input, the adapter must either answer or return an error of one line, and never panic.
 func FuzzAdapter(f *testing.F) {
 	list := func(since, weight float64) []byte {
 		e := append([]byte{0, 0}, binary.BigEndian.AppendUint64(nil, math.Float64bits(since))...)
@@ -102,11 +106,11 @@
 	pool := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
 	verdict := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300} {
-		odd := binary.BigEndian.AppendUint64(ask(3, 9)[:23], math.Float64bits(x))
+		odd := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
 		late := binary.BigEndian.AppendUint64(verdict[:19:19], math.Float64bits(x))
-		in := batch(1000, settings, bootRecord(3, len(settings)))
-		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, ask(3, 10))...)
-		f.Add(append(in, batch(1010, "", late, killed(3))...))
+		in := batch(1000, settings, startRecord(3, len(settings)))
+		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, requestRecord(3, 10))...)
+		f.Add(append(in, batch(1010, "", late, endRecord(3))...))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if err := run(bytes.NewReader(data), io.Discard); err != nil && strings.Contains(err.Error(), "\n") {
--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,10 +1,10 @@
 // Package simwire is the codec of the simulator's wire protocol. It decodes the binary frames of the
 // simulator to events of package policy, and encodes the actions of that package to reply frames.
 //
-// A batch consists of a header of 8 bytes (the number of records and the number of bytes that follow),
-// the clock, records of EventSize bytes and a tail to which records refer. A reply consists of a header
-// of the same form, records of ActionSize bytes and a tail. All numbers are big-endian. Times are in
-// milliseconds, as IEEE 754 doubles.
+// A batch consists of a header of 8 bytes (the number of records and the number of bytes that
+// follow), the clock, records of EventSize bytes and a tail to which records refer. A reply consists
+// of a header of the same form, records of ActionSize bytes and a tail. All numbers are big-endian.
+// Times are in milliseconds, as IEEE 754 doubles.
 package simwire
 
 import (
--- a/internal/simwire/decode_event.go
+++ b/internal/simwire/decode_event.go
@@ -8,8 +8,8 @@
 	"ploverreel/policy"
 )
 
-// eventBuffer holds one event of each type that has fields, overwritten by the next of that type, so
-// that decoding a record allocates nothing for its event.
+// eventBuffer holds one event of each type that has fields. The next event of the type overwrites it, so
+// that decoding allocates no memory for these events.
 type eventBuffer struct {
 	arrived      policy.RequestArrived
 	ended        policy.AttemptEnded
@@ -20,7 +20,7 @@
 	fired        policy.TimerFired
 }
 
-// decodeRequestArrived decodes a request of a client.
+// decodeRequestArrived decodes the arrival of a client's request.
 func (b *eventBuffer) decodeRequestArrived(raw []byte) policy.Event {
 	be := binary.BigEndian
 	b.arrived = policy.RequestArrived{
@@ -38,7 +38,7 @@
 
 // decodeAttemptEnded decodes the outcome of an attempt.
 func (b *eventBuffer) decodeAttemptEnded(raw []byte) (policy.Event, error) {
-	values, err := report("verdict: report", raw[28:])
+	values, err := decodeReport("verdict: report", raw[28:])
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 	return &b.ended, nil
 }
 
-// decodeResponseStarted decodes the first byte of an attempt's answer.
+// decodeResponseStarted decodes the arrival of a response's first byte.
 func (b *eventBuffer) decodeResponseStarted(raw []byte) policy.Event {
 	b.started = policy.ResponseStarted{
 		Request:   getRequest(raw),
@@ -72,7 +72,7 @@
 
 // decodeHealthCheckEnded decodes the outcome of a health check.
 func (b *eventBuffer) decodeHealthCheckEnded(raw []byte) (policy.Event, error) {
-	values, err := report("health: report", raw[21:])
+	values, err := decodeReport("health: report", raw[21:])
 	if err != nil {
 		return nil, err
 	}
@@ -85,14 +85,14 @@
 	return &b.checked, nil
 }
 
-// getRequest returns the request that a record is about.
+// getRequest returns the request id of a record.
 func getRequest(raw []byte) policy.RequestID {
 	return policy.RequestID(binary.BigEndian.Uint32(raw[5:]))
 }
 
-// report reads the values of a load report: their number, at most 4, and 32-bit floats. It returns nil for none,
-// and an error that names the field for more than 4.
-func report(field string, raw []byte) ([]float32, error) {
+// decodeReport decodes a load report: the number of its values, at most 4, then the values as 32-bit
+// floats. It returns nil for an empty report. The error names the field.
+func decodeReport(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
 	}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -10,42 +10,44 @@
 	"ploverreel/policy"
 )
 
-// Kind says which event of the wire a record of a batch holds.
+// Kind is the kind of a record. It determines which fields of the record are set.
 type Kind uint8
 
-// The kinds of records.
+// The kinds of records, with the fields that each sets.
 const (
-	Boot   Kind = iota + 1 // Instance, Seed, Settings
-	Killed                 // Instance
-	Event                  // Instance, Event
+	InstanceStarted Kind = iota + 1 // Instance, Seed, Settings
+	InstanceEnded                   // Instance
+	Event                           // Instance, Event
 )
 
-// Record is one record of a batch, with its list tables resolved. It and its event are valid until the
-// function that Next calls returns; the entries and the report of the event stay valid.
+// Record is one record of a batch. References to list tables are resolved. The record and its event
+// are valid until the function passed to Next returns. The entries and the report of the event stay
+// valid.
 type Record struct {
 	Kind     Kind
-	Instance uint32       // the balancer that it is for
-	Seed     uint64       // of a Boot
-	Settings []byte       // of a Boot: JSON, for ParseSettings
-	Event    policy.Event // of an Event
+	Instance uint32       // number of the balancer that the record is for
+	Seed     uint64       // seed of the new instance
+	Settings []byte       // settings of the new instance: JSON for ParseSettings
+	Event    policy.Event // event for the instance
 }
 
-// Decoder reads batches from a stream. It keeps the numbered list tables,
-// which belong to the process and are shared, read-only, by all instances.
+// Decoder reads batches from a stream. It stores the numbered list tables, which are shared by all
+// instances of the process and read-only.
 type Decoder struct {
 	input io.Reader
-	buf   []byte // the batch behind its header, used again for the next
+	buf   []byte // the current batch without its header; reused for the next batch
 	lists [16][]policy.Entry
-	// events holds what the records' events point to.
+	// events holds the events that records point to.
 	events eventBuffer
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{input: r} }
 
-// Next reads one batch and calls fn for each of its records in order; now is the batch's clock in ms.
-// It returns io.EOF if the input ends before a batch, the error of fn if that returns one, and else an
-// error that names the field that is truncated, out of range or unknown; nothing more can be read then.
+// Next reads one batch and calls fn for each of its records in order; now is the batch's clock in
+// ms. It returns io.EOF if the input ends before a batch begins. An error of fn is returned as it
+// is. Any other error names the field that is truncated, out of range or unknown. After an error the
+// Decoder can't be used any more.
 func (d *Decoder) Next(fn func(now float64, record *Record) error) error {
 	var head [8]byte
 	if _, err := io.ReadFull(d.input, head[:]); err != nil {
@@ -78,7 +80,7 @@
 			return fmt.Errorf("record %d: %w", i, err)
 		}
 		if record.Kind == 0 {
-			continue // a list table
+			continue // a list table, which decode has stored
 		}
 		if err := fn(now, &record); err != nil {
 			return err
@@ -87,46 +89,46 @@
 	return nil
 }
 
-// fill reads size bytes in steps, so that a false length allocates no more
-// than about twice what really arrives.
+// fill reads size bytes into the buffer. It reads in steps, so that a false length in a header
+// allocates at most about twice the number of bytes that arrive.
 func (d *Decoder) fill(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
 		n := min(step, size-len(d.buf))
-		at := len(d.buf)
-		if cap(d.buf) < at+n {
+		filled := len(d.buf)
+		if cap(d.buf) < filled+n {
 			d.buf = append(d.buf, make([]byte, n)...)
 		}
-		d.buf = d.buf[:at+n]
-		if _, err := io.ReadFull(d.input, d.buf[at:]); err != nil {
-			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", at, size, err)
+		d.buf = d.buf[:filled+n]
+		if _, err := io.ReadFull(d.input, d.buf[filled:]); err != nil {
+			return fmt.Errorf("batch: truncated at %d of %d bytes: %w", filled, size, err)
 		}
 	}
 	return nil
 }
 
-// span resolves a field of an offset into the tail, in bytes, and a length in units of so many bytes.
-// It returns a part of the tail, or an error that names the field.
-func span(field string, raw, tail []byte, unit int) ([]byte, error) {
+// span returns the part of the tail to which a field refers. The field consists of an offset in
+// bytes and a length in units of unitSize bytes. The error names the field.
+func span(field string, raw, tail []byte, unitSize int) ([]byte, error) {
 	offset, length := uint64(binary.BigEndian.Uint32(raw)), uint64(binary.BigEndian.Uint32(raw[4:]))
-	end := offset + length*uint64(unit)
+	end := offset + length*uint64(unitSize)
 	if end > uint64(len(tail)) {
 		return nil, fmt.Errorf("%s: offset %d and length %d pass the tail's %d bytes", field, offset, length, len(tail))
 	}
 	return tail[offset:end], nil
 }
 
-// decode decodes a record. A list table is kept for the records behind it, and leaves the kind 0.
+// decode decodes one record. It stores a list table for later records and sets the kind 0 for it.
 func (d *Decoder) decode(raw, tail []byte, record *Record) (err error) {
 	record.Kind = Event
 	record.Instance = binary.BigEndian.Uint32(raw[1:])
 	switch raw[0] {
 	case codeInstanceStarted:
-		record.Kind, record.Seed = Boot, binary.BigEndian.Uint64(raw[5:])
+		record.Kind, record.Seed = InstanceStarted, binary.BigEndian.Uint64(raw[5:])
 		record.Settings, err = span("boot: settings", raw[13:], tail, 1)
 	case codeInstanceEnded:
-		record.Kind = Killed
+		record.Kind = InstanceEnded
 	case codeListTable:
 		record.Kind = 0
 		err = d.storeListTable(raw, tail)
--- a/internal/simwire/decoder_test.go
+++ b/internal/simwire/decoder_test.go
@@ -11,7 +11,7 @@
 	"ploverreel/policy"
 )
 
-// frame builds a batch from hex text; blanks and newlines are for the reader.
+// frame decodes hex text to the bytes of a frame. Blanks and newlines in the text are ignored.
 func frame(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
@@ -21,10 +21,11 @@
 	return b
 }
 
-// zeros returns so many zero bytes as hex text.
+// zeros returns n zero bytes as hex text.
 func zeros(n int) string { return strings.Repeat("00", n) }
 
-// decodeAll returns the clock and a copy of each record of a stream of batches.
+// decodeAll decodes a stream of batches. It returns a copy of each record and the clock of its
+// batch.
 func decodeAll(data []byte) (clocks []float64, recs []Record, err error) {
 	d := NewDecoder(bytes.NewReader(data))
 	for {
@@ -42,7 +43,8 @@
 	}
 }
 
-// cloneEvent returns a copy of an event that stays valid after the decoder's next record, nil for nil.
+// cloneEvent returns a copy of an event, which stays valid after the decoder's next record. It
+// returns nil for nil.
 func cloneEvent(event policy.Event) policy.Event {
 	if event == nil {
 		return nil
@@ -52,7 +54,7 @@
 	return clone.Interface().(policy.Event)
 }
 
-// eventOf returns the event of a record as the type that it must have.
+// eventOf returns the event of a record. The test fails if its type is not E.
 func eventOf[E policy.Event](t *testing.T, record *Record) E {
 	t.Helper()
 	event, ok := record.Event.(E)
@@ -62,8 +64,8 @@
 	return event
 }
 
-// A request, a timer and a disconnected client are read from bytes that were worked out by hand.
-func TestDecoderDecodesWorkedOutBytes(t *testing.T) {
+// A request, a fired timer and a disconnected client, encoded by hand.
+func TestDecoderDecodesHandEncodedBytes(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
 		1a 00000003 0000004d`+zeros(39)+`
@@ -75,20 +77,20 @@
 	if clocks[0] != 8412.25 {
 		t.Errorf("got clock %v, want 8412.25", clocks[0])
 	}
-	ask := eventOf[*policy.RequestArrived](t, &recs[0])
-	if recs[0].Instance != 3 || ask.Request != 0x5d3a91c4 || ask.TimeLeftMs != 240 ||
-		ask.WorkHintMs != 12 || !ask.HasWorkHint || ask.Retry || ask.Key != 0x91f03b7c55d20a64 {
-		t.Errorf("ask: got instance %d, %+v, want the request of the bytes", recs[0].Instance, ask)
+	request := eventOf[*policy.RequestArrived](t, &recs[0])
+	if recs[0].Instance != 3 || request.Request != 0x5d3a91c4 || request.TimeLeftMs != 240 ||
+		request.WorkHintMs != 12 || !request.HasWorkHint || request.Retry || request.Key != 0x91f03b7c55d20a64 {
+		t.Errorf("request: got instance %d, %+v, want the request of the bytes", recs[0].Instance, request)
 	}
 	if e := eventOf[*policy.TimerFired](t, &recs[1]); e.Token != 0x4d {
-		t.Errorf("fired: got %+v, want token 0x4d", e)
+		t.Errorf("timer: got %+v, want token 0x4d", e)
 	}
 	if e := eventOf[*policy.ClientDisconnected](t, &recs[2]); recs[2].Instance != 5 || e.Request != 0x0e6f2b19 {
-		t.Errorf("dropped: got instance %d, %+v, want 5 and request 0x0e6f2b19", recs[2].Instance, e)
+		t.Errorf("disconnected client: got instance %d, %+v, want 5 and request 0x0e6f2b19", recs[2].Instance, e)
 	}
 }
 
-// The outcomes of an attempt and of a health check are read with their load reports.
+// The outcomes of an attempt and of a health check, one with a load report and one without.
 func TestDecoderDecodesOutcomeAndHealthCheck(t *testing.T) {
 	data := frame(t, `00000002 00000068 40c06e2000000000
 		12 00000003 5d3a91c4 0002 0a124a07 138b 0064 4032800000000000 01 02 3f800000 40000000 00000000 00000000`+zeros(3)+`
@@ -97,18 +99,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := eventOf[*policy.AttemptEnded](t, &recs[0])
-	if v.Attempt != 2 || v.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
-		v.Status != policy.StatusOK || v.LatencyMs != 18.5 || !v.Final || len(v.Report) != 2 || v.Report[1] != 2 {
-		t.Errorf("verdict: got %+v, want the outcome of the bytes", v)
+	attempt := eventOf[*policy.AttemptEnded](t, &recs[0])
+	if attempt.Attempt != 2 || attempt.Server != (policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}) ||
+		attempt.Status != policy.StatusOK || attempt.LatencyMs != 18.5 || !attempt.Final || len(attempt.Report) != 2 || attempt.Report[1] != 2 {
+		t.Errorf("attempt: got %+v, want the outcome of the bytes", attempt)
 	}
-	if p := eventOf[*policy.HealthCheckEnded](t, &recs[1]); p.Status != policy.StatusOK || p.LatencyMs != 1.4 || p.Report != nil {
-		t.Errorf("health: got %+v, want OK after 1.4 ms without a report", p)
+	if check := eventOf[*policy.HealthCheckEnded](t, &recs[1]); check.Status != policy.StatusOK || check.LatencyMs != 1.4 || check.Report != nil {
+		t.Errorf("health check: got %+v, want OK after 1.4 ms without a report", check)
 	}
 }
 
-// A list number may be used again within a batch: each event has the list that was last kept before it.
-func TestDecoderResolvesReusedListNumbersInOrder(t *testing.T) {
+// A table number may be used twice within a batch. Each event must get the table that was stored
+// last before it.
+func TestDecoderResolvesReusedTableNumbersInOrder(t *testing.T) {
 	entry := func(port string) string {
 		return "0001 40b7d40000000000 01 0a9011f2" + port + "3fc00000 0002 01"
 	}
@@ -131,8 +134,8 @@
 	}
 }
 
-// Each mode of a list has its event.
-func TestDecoderMapsTargetsModes(t *testing.T) {
+// Each mode of an endpoint list is decoded to its own event.
+func TestDecoderMapsEndpointListModes(t *testing.T) {
 	for _, test := range []struct {
 		name, mode string
 		want       policy.Event
@@ -155,7 +158,8 @@
 	}
 }
 
-// A record's event is overwritten by the next of its type: decoding allocates nothing for events.
+// Events are stored in a buffer that the next event of the type overwrites, so that decoding
+// allocates no memory for events.
 func TestDecoderReusesEvents(t *testing.T) {
 	data := frame(t, `00000003 00000098 40c06e2000000000
 		11 00000003 5d3a91c4 0000 00000000 91f03b7c55d20a64 406e000000000000 4028000000000000 01`+zeros(8)+`
@@ -176,13 +180,13 @@
 			t.Fatal(err)
 		}
 	})
-	if events == 0 || allocs > 2 { // the header and the record, once a batch
+	if events == 0 || allocs > 2 { // per batch: the header and the record
 		t.Errorf("got %v allocations for a batch of 3 events, want at most 2", allocs)
 	}
 }
 
-// The end and the start of an instance are records without an event.
-func TestDecoderDecodesBootAndKilled(t *testing.T) {
+// The records for the end and for the start of an instance hold no event.
+func TestDecoderDecodesInstanceEndAndStart(t *testing.T) {
 	data := frame(t, `00000002 0000006a 40c06e2000000000
 		15 00000003`+zeros(43)+`
 		19 00000003 0000000000000007 00000000 00000002`+zeros(27)+`7b7d`)
@@ -190,12 +194,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if recs[0].Kind != Killed || recs[1].Kind != Boot || recs[1].Seed != 7 || string(recs[1].Settings) != "{}" {
-		t.Errorf("got %+v, want a Killed and a Boot with seed 7 and its settings", recs)
+	if recs[0].Kind != InstanceEnded || recs[1].Kind != InstanceStarted || recs[1].Seed != 7 || string(recs[1].Settings) != "{}" {
+		t.Errorf("got %+v, want the end and the start of an instance, with seed 7 and its settings", recs)
 	}
 }
 
-// The error of a malformed frame names the field.
+// The error for a malformed frame names the field.
 func TestDecoderNamesFieldOfMalformedFrame(t *testing.T) {
 	for name, c := range map[string]struct{ text, field string }{
 		"short header":   {"000000", "batch header"},
@@ -219,7 +223,8 @@
 	}
 }
 
-// On any input the decoder returns, and keeps not much more memory than the input has bytes.
+// For any input, the decoder must return and its buffer must not grow far beyond the size of the
+// input.
 func FuzzDecoder(f *testing.F) {
 	f.Add(frame(f, "00000000 00000008 40c06e2000000000"))
 	f.Add(frame(f, "00000001 00000038 40c06e2000000000 1a 00000003 0000004d"+zeros(39)))
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -7,28 +7,28 @@
 	"ploverreel/policy"
 )
 
-// Encoder builds one reply frame at a time. Its zero value is an empty frame.
+// Encoder builds one reply frame at a time. The zero value is an empty frame.
 type Encoder struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset empties the frame; its memory is used again.
+// Reset empties the frame and keeps its memory for the next one.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-// record appends an empty record of an instance and returns it.
+// record appends a record of an instance, with empty fields, and returns its bytes.
 func (e *Encoder) record(code byte, instance uint32) []byte {
-	at := len(e.records)
+	start := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
-	raw := e.records[at:]
+	raw := e.records[start:]
 	raw[0] = code
 	binary.BigEndian.PutUint32(raw[1:], instance)
 	return raw
 }
 
-// text appends a record whose text is in the tail.
+// text appends a record that refers to a text, and appends the text to the tail.
 func (e *Encoder) text(code byte, instance uint32, text string) {
 	raw := e.record(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
@@ -36,10 +36,10 @@
 	e.tail = append(e.tail, text...)
 }
 
-// Crash appends the record that an instance's decision code failed, with the reason.
+// Crash appends a record which says that the decision code of an instance failed, with the reason.
 func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
 
-// Add appends one action of an instance. Kinds of actions that the wire has no record for are skipped.
+// Add appends one action of an instance. It skips kinds of actions for which the wire has no record.
 func (e *Encoder) Add(instance uint32, action *policy.Action) {
 	be := binary.BigEndian
 	switch action.Kind {
@@ -75,8 +75,8 @@
 	}
 }
 
-// WriteTo writes the frame to w and returns the bytes written, or the error of w. The frame stays until
-// Reset.
+// WriteTo writes the frame to w. It returns the number of bytes written and the error of w. The
+// frame is kept until Reset.
 func (e *Encoder) WriteTo(w io.Writer) (int64, error) {
 	var head [8]byte
 	binary.BigEndian.PutUint32(head[:], e.count)
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -7,8 +7,8 @@
 	"ploverreel/policy"
 )
 
-// Each kind of action is written as the bytes that were worked out by hand.
-func TestEncoderEncodesWorkedOutBytes(t *testing.T) {
+// Each kind of action is compared with bytes that were encoded by hand.
+func TestEncoderEncodesToHandEncodedBytes(t *testing.T) {
 	var e Encoder
 	s := policy.Addr{0x0a, 0x12, 0x4a, 0x07, 0x13, 0x8b}
 	for _, a := range []policy.Action{
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,8 +8,9 @@
 	"ploverreel/policy"
 )
 
-// ParseSettings reads the settings' JSON, as a Boot record or an agent's configuration has it. Unknown
-// keys are skipped. The error of a value of the wrong type names its key; values are checked by policy.New.
+// ParseSettings parses the JSON of the settings, from an InstanceStarted record or from an agent's
+// configuration. Unknown keys are ignored. The error for a value of a wrong type names its key.
+// policy.New validates the values.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var settings policy.Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Settings are read without their unknown keys; the error of a wrong type names the key.
+// Unknown keys are ignored. The error for a value of a wrong type names its key.
 func TestParseSettingsNamesKeyOfWrongType(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"classes": [{"name": "x", "aimMs": 5, "effect": "free", "novel": 1}], "roundMs": 5, "strange": {}}`))
 	if err != nil || len(s.Classes) != 1 || s.Classes[0].LatencyObjectiveMs != 5 || s.RoundMs != 5 {
