--- a/cmd/ploverreel/descriptors_test.go
+++ b/cmd/ploverreel/descriptors_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	testSockets    = 64 // the fewest that a configuration may have
-	backendSockets = 19 // how many of them are for connections to backends
+	testSockets    = 64 // limits.sockets of the tests, the smallest valid value
+	backendSockets = 19 // number of these that are for connections to backends
 )
 
-// blockingBackend is a backend that doesn't answer requests whose id begins with "block" until it is
-// released.
+// blockingBackend is a backend that holds requests whose id begins with "block" until release is
+// called.
 type blockingBackend struct {
 	addr    net.Addr
-	blocked chan struct{} // one element for each request that waits
+	blocked chan struct{} // has one element for each request on hold
 	release func()
 }
 
@@ -37,11 +37,11 @@
 	}))
 	b := &blockingBackend{addr: server.Listener.Addr(), blocked: blocked, release: sync.OnceFunc(func() { close(released) })}
 	t.Cleanup(server.Close)
-	t.Cleanup(b.release) // before the server closes, also when the test fails
+	t.Cleanup(b.release) // runs before the server closes, also if the test fails
 	return b
 }
 
-// listOf returns an endpoint list with n backends at one address.
+// listOf returns an endpoint list of n backends that share one address.
 func listOf(name string, n int, addr net.Addr) string {
 	hosts := []string{}
 	for i := range n {
@@ -51,8 +51,8 @@
 	return `{"seq":7,"whole":true,"hosts":[` + strings.Join(hosts, ",") + `]}`
 }
 
-// limitedAgent is the program with no more descriptors than its limits.sockets, and a client of it
-// that opens a connection for each request.
+// limitedAgent is the program in a process that can't open more descriptors than limits.sockets, and
+// a client that opens a new connection for each request.
 type limitedAgent struct {
 	*program
 	backend *blockingBackend
@@ -68,7 +68,7 @@
 	return agent
 }
 
-// config returns the configuration with a discovery.
+// config returns a configuration with this discovery address.
 func (a *limitedAgent) config(listen, discovery string) string {
 	longDeadlines := strings.Replace(settings, `"aimMs":500,"giveUpMs":1000`, `"aimMs":50000,"giveUpMs":60000`, 1)
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":%d},
@@ -105,8 +105,8 @@
 	}
 }
 
-// openIdleClients opens more clients' connections than there are descriptors. Every other one sends a
-// request, and is idle after its response; the rest send nothing.
+// openIdleClients opens more client connections than there are descriptors. Every other connection
+// sends a request and stays idle after the response. The rest send nothing.
 func (a *limitedAgent) openIdleClients(t *testing.T, idPrefix string) {
 	t.Helper()
 	for i := range 2 * testSockets {
@@ -125,8 +125,8 @@
 	}
 }
 
-// openSilentClients opens more clients' connections than there are descriptors, which send nothing.
-// Some may not come up.
+// openSilentClients opens more client connections than there are descriptors. They send nothing, and
+// some of the connects may fail.
 func (a *limitedAgent) openSilentClients(t *testing.T) {
 	for range 3 * testSockets {
 		if conn, err := net.DialTimeout("tcp", a.listen, time.Minute); err == nil {
@@ -135,32 +135,33 @@
 	}
 }
 
-// blockBackendConnections sends requests until all connections to backends wait for an answer. The
-// answers are sent on the channel.
-func (a *limitedAgent) blockBackendConnections(t *testing.T) (answers chan string) {
+// blockBackendConnections sends requests until each connection to a backend waits for a response. It
+// returns the channel on which the responses arrive.
+func (a *limitedAgent) blockBackendConnections(t *testing.T) (responses chan string) {
 	t.Helper()
-	answers = make(chan string, backendSockets)
+	responses = make(chan string, backendSockets)
 	for i := range backendSockets {
-		go func() { answers <- a.request(fmt.Sprint("block", i)) }()
+		go func() { responses <- a.request(fmt.Sprint("block", i)) }()
 	}
 	a.eventually(t, "all connections to backends in use", func() bool { return len(a.backend.blocked) == backendSockets })
-	return answers
+	return responses
 }
 
-// moveDiscovery reloads the configuration with one discovery after the other.
+// moveDiscovery reloads the configuration with each discovery address in turn.
 func (a *limitedAgent) moveDiscovery(t *testing.T, addrs ...string) {
 	t.Helper()
 	for i, addr := range addrs {
 		a.reload(t, a.config(a.listen, addr))
-		a.eventually(t, "another discovery", func() bool {
+		a.eventually(t, "a change of the discovery address", func() bool {
 			return strings.Count(a.log.String(), "discovery address changed") == i+1
 		})
 	}
 }
 
-// With idle clients in all slots, requests on all connections to backends, and a discovery that is
-// down and moves, the program opens no more than limits.sockets descriptors, which is all that the
-// system lets it open here. /ready, the calls to discovery and the backends get theirs.
+// The program must not need more than limits.sockets descriptors, even with idle clients in all
+// slots, requests on all connections to backends, and a discovery that is down and changes its
+// address. The process limit equals limits.sockets here, so /ready, calls to discovery or
+// connections to backends would fail if the program used more.
 func TestProgramStaysWithinItsDescriptors(t *testing.T) {
 	for _, kind := range []outageKind{refusing, silent, unreachable} {
 		t.Run(string(kind)+" discovery", func(t *testing.T) {
@@ -173,16 +174,16 @@
 			agent := startLimitedAgent(t, backend, first.addr)
 			agent.openIdleClients(t, "idle")
 			agent.checkReady(t, "with idle clients")
-			answers := agent.blockBackendConnections(t)
+			responses := agent.blockBackendConnections(t)
 			agent.openSilentClients(t)
 			agent.checkReady(t, "with requests on all connections to backends")
 			agent.moveDiscovery(t, second.addr, first.addr, second.addr, first.addr)
-			agent.checkReady(t, "while discovery moves")
+			agent.checkReady(t, "while the discovery address changes")
 			first.recover(t, listOf("new", 3, listed.Listener.Addr()))
 			agent.eventually(t, "a watch opened", func() bool { return first.watches.Load() > 0 })
 			backend.release()
 			for range backendSockets {
-				if got := <-answers; got != "200 done" {
+				if got := <-responses; got != "200 done" {
 					t.Errorf("a blocked request: got %s, want 200 done", got)
 				}
 			}
--- a/cmd/ploverreel/main.go
+++ b/cmd/ploverreel/main.go
@@ -1,7 +1,9 @@
-// Command ploverreel is one load-balancing agent on sockets. EDGE_CONFIG names the file of its
-// configuration; EDGE_TRACE, a duration such as "1s", has it log the decision module's state at that
-// interval. SIGHUP reloads the configuration, and SIGTERM shuts the agent down gracefully. An error at
-// the start is one line on standard error, with exit code 1.
+// Command ploverreel runs one load-balancing agent on sockets.
+//
+// EDGE_CONFIG is the path of the configuration file. EDGE_TRACE, a duration such as "1s", turns on
+// the trace: the agent logs the state of the decision module at that interval. SIGHUP reloads the
+// configuration. SIGTERM shuts the agent down gracefully. If the agent can't start, it prints one
+// line on standard error and exits with code 1.
 package main
 
 import (
@@ -21,11 +23,12 @@
 )
 
 const (
-	// gcPercent lets the heap grow well past the usual twice before a collection: the live heap is a
-	// few MB, and collections cost time.
+	// gcPercent is the growth of the heap, in percent of the live heap, after which the garbage
+	// collector runs. It is higher than the default of 100, because the live heap is only a few MB
+	// and collections cost time.
 	gcPercent = 400
-	// heapShare is the part of the memory limit that the heap may take. The limit also counts stacks
-	// and the program.
+	// heapShare is the fraction of limits.memory_mb that the heap may use. The rest is for stacks and
+	// the program itself.
 	heapShare = 0.6
 )
 
@@ -36,8 +39,7 @@
 	}
 }
 
-// run reads the configuration, listens, and serves until SIGTERM or an interrupt. Its error is one
-// line.
+// run loads the configuration, listens, and serves until SIGTERM or SIGINT. Its error is one line.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// reloadOn reloads the configuration at path at each signal. If that fails, the configuration in force
-// stays. It never returns: its goroutine lives as long as the process.
+// reloadOn reloads the configuration from path on each signal. If a reload fails, the current
+// configuration is kept. It never returns; its goroutine ends with the process.
 func reloadOn(signals <-chan os.Signal, path string, balancer *agent.Agent, log *slog.Logger) {
 	for range signals {
 		conf, err := config.Load(path)
@@ -96,8 +98,9 @@
 	}
 }
 
-// applyLimits keeps the process within the limits of cores and memory. The machine may have more cores
-// than the agent may use, and more threads than cores would only wait for each other.
+// applyLimits applies the limits of cores and memory to the Go runtime. The machine may have more
+// cores than the agent may use, and more running threads than usable cores would only wait for each
+// other.
 func applyLimits(limits config.Limits) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(limits.Cores)), 1))
 	debug.SetMemoryLimit(int64(limits.MemoryMB * heapShare * (1 << 20)))
--- a/cmd/ploverreel/main_test.go
+++ b/cmd/ploverreel/main_test.go
@@ -29,7 +29,8 @@
 	p.checkLogged(t, "started", "stopped")
 }
 
-// classStatus returns the status of a request of the class "another" that has no id; 0: no answer.
+// classStatus returns the status of a request of the class "another" without an id, or 0 if there is
+// no response.
 func (p *program) classStatus() int {
 	req, _ := http.NewRequest(http.MethodPost, "http://"+p.listen+"/another/u1", strings.NewReader("x"))
 	resp, err := http.DefaultClient.Do(req)
@@ -40,8 +41,8 @@
 	return resp.StatusCode
 }
 
-// SIGHUP reloads the configuration. An invalid one changes nothing and is logged in one line, a valid
-// one is applied. Neither ends the program.
+// SIGHUP reloads the configuration. A valid configuration is applied. An invalid one changes nothing
+// and is logged in one line. The program continues in both cases.
 func TestProgramReloadsOnSIGHUP(t *testing.T) {
 	calls := make(chan string, 100)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,11 +61,12 @@
 		t.Fatalf("got calls %v, want a fetch and a watch from version 0", got)
 	}
 	p.awaitReady(t)
-	// A change that needs a restart is named in one line, and nothing of it is applied.
+	// A change that needs a restart is logged in one line, and nothing of the new configuration is
+	// applied.
 	p.reload(t, configWith("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"))
 	p.awaitLogged(t, "config: listen: can't change without a restart", 1)
 	p.awaitReady(t)
-	// Other settings are applied without a restart: a class that was unknown is known.
+	// Other settings are applied without a restart: a class that was unknown becomes known.
 	if got := p.classStatus(); got != http.StatusNotFound {
 		t.Fatalf("got status %d of an unknown class, want %d", got, http.StatusNotFound)
 	}
@@ -75,8 +77,8 @@
 	p.checkLogged(t, "started", `"reload rejected"`, `"reload applied"`, `"reload rejected"`, `"reload applied"`, "stopped")
 }
 
-// During a shutdown the program answers the requests in progress, whatever further signals come and
-// whatever the file of the configuration holds then.
+// During a shutdown the program must answer the requests in progress, even if further signals arrive
+// and the configuration file is invalid by then.
 func TestProgramShutsDownDespiteFurtherSignals(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/ploverreel/outage_test.go
+++ b/cmd/ploverreel/outage_test.go
@@ -10,24 +10,24 @@
 	"testing"
 )
 
-// outageKind says how a discovery that is down behaves.
+// outageKind is the way in which discovery is down.
 type outageKind string
 
 const (
-	refusing    outageKind = "refusing"    // nobody listens
-	silent      outageKind = "silent"      // connections are accepted, and never answered
-	unreachable outageKind = "unreachable" // no connection comes up
+	refusing    outageKind = "refusing"    // connects are refused
+	silent      outageKind = "silent"      // connections are accepted, requests are never answered
+	unreachable outageKind = "unreachable" // connects get no response
 )
 
-// listenBacklog is the backlog of a listener that accepts connections.
+// listenBacklog is the backlog of a listener whose connections come up.
 const listenBacklog = 128
 
-// outage is a discovery that is down, at an address of its own, until it recovers.
+// outage is a discovery that is down until recover is called. It has an address of its own.
 type outage struct {
 	addr    string
 	fd      int
-	server  *http.Server // nil: still down
-	watches atomic.Int32 // that were sent the list
+	server  *http.Server // nil until recover
+	watches atomic.Int32 // number of watches that were sent the list
 }
 
 func newOutage(t *testing.T, kind outageKind) *outage {
@@ -50,7 +50,7 @@
 	case silent:
 		o.listen(t, listenBacklog)
 	case unreachable:
-		// One connection fills a backlog of 0, and the kernel drops further ones.
+		// One connection fills a backlog of 0, and the kernel drops further connects.
 		o.listen(t, 0)
 		conn, err := net.Dial("tcp", o.addr)
 		if err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// recover ends the outage: each fetch and each watch gets the list from now on.
+// recover ends the outage. From then on each fetch and each watch gets the list.
 func (o *outage) recover(t *testing.T, list string) {
 	t.Helper()
 	o.listen(t, listenBacklog)
--- a/cmd/ploverreel/program_test.go
+++ b/cmd/ploverreel/program_test.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	// childVariable makes the test binary the program itself.
+	// childVariable is the environment variable that makes the test binary run the program instead
+	// of the tests.
 	childVariable = "PLOVERREEL_TEST_CHILD"
-	// descriptorsVariable is how many descriptors the program may open then.
+	// descriptorsVariable is the environment variable for the limit of the child's descriptors.
 	descriptorsVariable = "PLOVERREEL_TEST_DESCRIPTORS"
 )
 
-// TestMain makes the test binary the program itself if childVariable says so.
+// TestMain runs the program instead of the tests if childVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(childVariable) == "1" {
 		if limit, err := strconv.ParseUint(os.Getenv(descriptorsVariable), 10, 64); err == nil {
@@ -50,9 +51,9 @@
 		listen, discovery, settings, backend)
 }
 
-// freeAddress returns an address on which nothing listens. Its host is a loopback address of this
-// process's own: on 127.0.0.1 the kernel may give the port to a connection of another process before the
-// program listens on it.
+// freeAddress returns an address on which nothing listens. Its host is a loopback address that only
+// this process uses. On 127.0.0.1 the kernel could assign the port to a connection of another
+// process before the program listens on it.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -64,7 +65,7 @@
 	return free.Addr().String()
 }
 
-// program is the program in a process of its own, which ends with the test.
+// program is a child process that runs the program. It is killed at the end of the test.
 type program struct {
 	cmd        *exec.Cmd
 	listen     string
@@ -72,8 +73,8 @@
 	log        *logBuffer
 }
 
-// startProgram starts the program with a configuration that listens on the address, and with some
-// more environment variables.
+// startProgram starts the program with a configuration, which contains the address listen, and with
+// additional environment variables.
 func startProgram(t *testing.T, listen, config string, env ...string) *program {
 	t.Helper()
 	executable, err := os.Executable()
@@ -90,7 +91,7 @@
 	}
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
-		_ = p.cmd.Wait() // an error if the test has waited
+		_ = p.cmd.Wait() // returns an error if the test has already waited
 	})
 	return p
 }
@@ -109,14 +110,14 @@
 	}
 }
 
-// reload writes another configuration and signals the program to reload it.
+// reload replaces the configuration file and sends SIGHUP.
 func (p *program) reload(t *testing.T, config string) {
 	t.Helper()
 	p.writeConfig(t, config)
 	p.signal(t, syscall.SIGHUP)
 }
 
-// eventually waits until a condition on the program holds.
+// eventually waits up to 30 s for a condition.
 func (p *program) eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
@@ -126,13 +127,13 @@
 	}
 }
 
-// awaitLogged waits until the log has a text n times.
+// awaitLogged waits until the log contains a text exactly n times.
 func (p *program) awaitLogged(t *testing.T, text string, n int) {
 	t.Helper()
 	p.eventually(t, "the log line "+text, func() bool { return strings.Count(p.log.String(), text) == n })
 }
 
-// awaitReady waits until /ready says yes.
+// awaitReady waits until /ready is answered with 200.
 func (p *program) awaitReady(t *testing.T) {
 	t.Helper()
 	p.eventually(t, "ready", func() bool {
@@ -145,15 +146,15 @@
 	})
 }
 
-// awaitExit waits until the program ends, and checks that it does so with exit code 0.
+// awaitExit waits until the program ends, and checks that its exit code is 0.
 func (p *program) awaitExit(t *testing.T) {
 	t.Helper()
 	if err := p.cmd.Wait(); err != nil {
-		t.Fatalf("got the end %v, want exit code 0; log:\n%s", err, p.log)
+		t.Fatalf("got %v, want exit code 0; log:\n%s", err, p.log)
 	}
 }
 
-// order sends a valid request of the class order, and returns the status of its response.
+// order sends a valid request of the class order and returns the status of the response.
 func (p *program) order() (status string, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+p.listen+"/order/u1", strings.NewReader("x"))
 	if err != nil {
@@ -169,21 +170,21 @@
 	return resp.Status, nil
 }
 
-// checkLogged checks that the program, which has ended, logged these messages in order. Others may
-// stand between them.
+// checkLogged checks that the program logged these messages in this order, possibly with others
+// between them. The program must have ended.
 func (p *program) checkLogged(t *testing.T, want ...string) {
 	t.Helper()
 	rest := p.log.String()
 	for _, message := range want {
 		_, after, found := strings.Cut(rest, "msg="+message+" ")
 		if !found {
-			t.Fatalf("got no message %s in its place, want %s in order; log:\n%s", message, want, p.log)
+			t.Fatalf("got no message %s at its position, want %s in order; log:\n%s", message, want, p.log)
 		}
 		rest = after
 	}
 }
 
-// logBuffer collects what the program writes. It may be read while the program runs.
+// logBuffer collects the output of the program. It may be read while the program writes to it.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
