--- a/policy/numbers_test.go
+++ b/policy/numbers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFiniteMakesOutsideNumbersSafe(t *testing.T) {
+func TestClampFiniteMakesEventNumbersSafe(t *testing.T) {
 	cases := []struct {
 		name     string
 		in, want float64
@@ -20,14 +20,14 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			if got := finite(test.in); got != test.want {
+			if got := clampFinite(test.in); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestEWMATakesTheFirstSampleWhole(t *testing.T) {
+func TestEWMAStartsAtTheFirstSample(t *testing.T) {
 	if got := ewma(0, 8, 0.25); got != 8 {
 		t.Errorf("the first sample 8: got %v, want 8", got)
 	}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -95,7 +95,7 @@
 	unreachableSince := endpoint.health.unreachableSince
 	endpoint.traffic.recordResponse(d.now)
 	endpoint.health.unreachableSince = 0
-	return unreachableSince > 0 && d.now-unreachableSince > d.set.Contract.OverloadWindowMs
+	return unreachableSince > 0 && d.now-unreachableSince > d.settings.Contract.OverloadWindowMs
 }
 
 // onServed handles a request that an endpoint has served. The endpoint becomes healthy, and the
@@ -238,10 +238,11 @@
 			d.list.fetch()
 		}
 		pending := health.state == StateUnhealthyPending && endpoint.usable
-		if pending && d.set.Limits.HealthChecks && !health.checkInProgress && d.checks < maxHealthChecks {
+		if pending && d.settings.Limits.HealthChecks && !health.checkInProgress &&
+			d.checks < maxHealthChecks {
 			health.checkInProgress = true
 			d.checks++
-			d.do(CheckHealth(endpoint.id))
+			d.emit(CheckHealth(endpoint.id))
 		}
 	}
 }
--- a/policy/quota_test.go
+++ b/policy/quota_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			env := &environment{set: Settings{Tenants: []Tenant{{QuotaShare: test.quota}, {QuotaShare: 1}}}}
+			env := &environment{settings: Settings{Tenants: []Tenant{{QuotaShare: test.quota}, {QuotaShare: 1}}}}
 			quotas := newQuotaTracker(env)
 			for i := range 10000 {
 				tenant := 1
@@ -37,7 +37,7 @@
 
 // Requests of a tenant that is not in the settings change nothing, and it is never over a quota.
 func TestQuotaTrackerIgnoresUnknownTenants(t *testing.T) {
-	quotas := newQuotaTracker(&environment{set: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
+	quotas := newQuotaTracker(&environment{settings: Settings{Tenants: []Tenant{{QuotaShare: 0.5}}}})
 	quotas.count(0)
 	before := quotas.shares[0]
 	for _, tenant := range []int{-1, 1, 1 << 30} {
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -1,84 +1,90 @@
-// This file holds the way of a request: it arrives, waits in the queue, is sent, is retried and ends.
-// What each attempt of it goes through is in attempt_lifecycle.go.
+// This file holds the lifecycle of a request: arrival, queueing, dispatch, retries and end. The
+// lifecycle of its attempts is in attempt_lifecycle.go.
 
 package policy
 
 const (
-	// infeasibleFraction is the least part of its expected time that a hinted request needs.
+	// infeasibleFraction is multiplied by the expected answer time of a request with a work hint. If
+	// the result exceeds the time left until the latency objective, the request is infeasible. It
+	// is the smallest fraction of the expected time that an answer is assumed to take.
 	infeasibleFraction = 0.7
-	// maxPlacementFailures is how many requests that would go to any endpoint find none before a
-	// dispatch stops: a few tell of all.
+	// maxPlacementFailures bounds the requests, among those not waiting for the endpoints of their
+	// key, for which a dispatch finds no endpoint. At this number the dispatch stops: the other
+	// queued requests would most likely find none either.
 	maxPlacementFailures = 4
 )
 
-// onRequestArrived queues a new request, or rejects it at once if nothing can serve it in time.
+// onRequestArrived queues a new request, or rejects it at once if no endpoint can serve it in time.
 func (b *Balancer) onRequestArrived(event *RequestArrived) {
 	if b.queue.open[event.Request] != nil {
 		return
 	}
 	if event.Class < 0 || event.Class >= len(b.classes.all) {
-		// It is still owed an answer, and nothing of it ran.
+		// The client still needs an answer. No attempt was made, so it gets a rejection.
 		b.finishUnserved(&request{id: event.Request, class: &class{}})
 		return
 	}
 	request, retry := b.newRequest(event)
 	b.queue.add(request)
-	b.traffic.count(retry)
+	b.requestRate.count(retry)
 	b.quotas.count(request.tenant)
 	b.classes.countRequest(request.class)
-	b.outliers.revalidate(b.queue.scarce)
-	b.queue.push(request)
+	b.outliers.revalidate(b.queue.outOfCapacity)
+	b.queue.enqueue(request)
 	if b.isInfeasible(request) {
 		b.finishUnserved(request)
 	}
 }
 
-// newRequest returns the request that an event brings, and whether it is a client's retry.
+// newRequest returns the request of an event, and whether it is a client's retry.
 func (b *Balancer) newRequest(event *RequestArrived) (created *request, retry bool) {
 	class := b.classes.all[event.Class]
 	created = &request{id: event.Request, class: class, tenant: event.Tenant, key: event.Key,
-		timing: requestTiming{arrived: b.now, firstArrived: b.now},
-		tries:  requestTries{limit: b.set.Limits.MaxAttempts}}
+		timing:   requestTiming{arrivedAt: b.now, firstArrivedAt: b.now},
+		attempts: requestAttempts{limit: b.settings.Limits.MaxAttempts}}
 	if event.HasWorkHint {
-		created.hint = finite(event.WorkHintMs)
+		created.workHintMs = clampFinite(event.WorkHintMs)
 	}
-	if created.hint > 0 {
-		b.latency.hints.observeHint(created.hint)
+	if created.workHintMs > 0 {
+		b.latency.hints.observeHint(created.workHintMs)
 	}
-	leftMs := finite(event.TimeLeftMs)
+	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
-	timing.deadline = b.now + leftMs - min(b.set.RoundMs, leftMs/4)
-	retry = b.queue.isRetry(created, event.Retry)
-	objectiveAt := timing.firstArrived + class.LatencyObjectiveMs + class.ObjectiveStretch*created.hint
+	// The margin is for the delivery of the answer: events are batched for up to RoundMs.
+	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
+	retry = b.queue.detectRetry(created, event.Retry)
+	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
+		class.ObjectiveStretch*created.workHintMs
 	timing.objectiveAt = min(objectiveAt, timing.deadline)
 	created.hash = b.selector.hashOf(created.key)
 	return created, retry
 }
 
-// isInfeasible reports whether a request's hinted work cannot fit its objective anywhere: the costly
-// few of a heavy tail would only keep others waiting.
+// isInfeasible reports whether a request with a work hint can't meet its latency objective at any
+// endpoint. Where the distribution of work has a heavy tail, the few most expensive requests would
+// only delay the others.
 func (b *Balancer) isInfeasible(request *request) bool {
-	return request.hint > 0 && request.class.LateShare == 0 &&
+	return request.workHintMs > 0 && request.class.LateShare == 0 &&
 		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
 }
 
-// dispatch sends what is queued as far as there is capacity, in order of priority, and sheds what
-// is too much.
+// dispatch sends queued requests in order of priority while there is capacity. Then it sheds the
+// requests of lowest priority that exceed the bounds of the queue.
 func (b *Balancer) dispatch() {
-	b.limiter.abandoned.settle(b.now)
+	b.limiter.abandoned.removeFinished(b.now)
 	b.queue.sort()
 	b.sendQueued()
-	for b.queue.full(b.limiter.inFlight) {
-		b.finishUnserved(b.queue.last())
+	for b.queue.overLimit(b.limiter.inFlight) {
+		b.finishUnserved(b.queue.lowestPriority())
 	}
 }
 
-// sendQueued sends queued requests while the limits allow it. A request that waits for its key's
-// endpoints is passed over.
+// sendQueued sends queued requests while the concurrency limit and localFailure allow it. It skips
+// requests that still wait for the endpoints of their key.
 func (b *Balancer) sendQueued() {
 	failures := 0
 	for i := 0; i < len(b.queue.queued) && failures < maxPlacementFailures &&
-		b.limiter.allows() && b.local.allows(); {
+		b.limiter.allows() && b.localFailure.allows(); {
 		request, inFlight := b.queue.queued[i], b.limiter.inFlight
 		if b.selector.keyEndpointsFull(request, inFlight) {
 			i++
@@ -94,32 +100,35 @@
 			failures++
 		}
 	}
-	b.queue.setScarce(failures > 0)
+	b.queue.setOutOfCapacity(failures > 0)
 }
 
-// retry queues an unanswered request for another endpoint where class, time and the retry budget
-// allow, or ends it. It competes with first attempts, so that failures do not multiply the load:
-// with a request or two in flight at each of a thousand agents no window holds back what all send
-// on together.
+// retry queues a request for another endpoint after a failed attempt if its class, its deadline and
+// the retry budget allow that, and ends it otherwise. The retry competes with first attempts in the
+// queue, so that failures don't multiply the load. The windows of the endpoints can't prevent that
+// where each of a thousand agents has one or two requests in flight and all of them retry at once.
 func (b *Balancer) retry(request *request, reason Status) {
-	if !b.retries.charge(request, reason) {
+	if !b.retries.tryCharge(request, reason) {
 		b.finishUnserved(request)
 		return
 	}
-	b.queue.push(request)
+	b.queue.enqueue(request)
 }
 
-// retryLocally queues a request again of which an attempt failed on this machine.
-func (b *Balancer) retryLocally(request *request) {
+// retryAfterLocalFailure queues a request again after an attempt that failed on the agent's own
+// machine. It ends the request if its deadline has passed.
+func (b *Balancer) retryAfterLocalFailure(request *request) {
 	if b.now >= request.timing.deadline {
 		b.finishUnserved(request)
 		return
 	}
-	b.queue.push(request)
+	b.queue.enqueue(request)
 }
 
-// expire ends queued requests that can no longer earn anything, before they cost work.
-func (b *Balancer) expire() {
+// expireQueued ends queued requests whose answers would come too late to be worth anything, before
+// an endpoint spends work on them. That time is the deadline for classes with a LateShare, and the
+// latency objective for others.
+func (b *Balancer) expireQueued() {
 	b.work += uint64(len(b.queue.queued))
 	for i := 0; i < len(b.queue.queued); {
 		request := b.queue.queued[i]
@@ -135,18 +144,19 @@
 	}
 }
 
-// cancelLate ends requests that are in flight and can earn nothing any more while others are
-// queued: past their objective their answers are worth nothing, and they would wait for slow
-// endpoints up to their clients' deadlines. What may not be repeated at will is waited for: nobody
-// could tell whether it has run.
+// cancelLate ends requests in flight that are past their latency objective while other requests wait
+// for capacity. Their answers are worth nothing any more, and they could wait for slow endpoints up
+// to their clients' deadlines. It leaves requests of a class with a LateShare, whose late answers
+// are worth something, and requests that are not repeatable: nobody could tell whether they ran.
 func (b *Balancer) cancelLate() {
-	if !b.set.Limits.Cancellation || len(b.queue.queued) == 0 || b.limiter.allows() && !b.queue.scarce {
+	if !b.settings.Limits.Cancellation || len(b.queue.queued) == 0 ||
+		b.limiter.allows() && !b.queue.outOfCapacity {
 		return
 	}
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		if b.capacityFraction(endpoint) < 1 {
-			continue // slow because it is warming up: each further attempt would count against it
+			continue // slow because it is warming up; further attempts would count as overload of it
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			request := attempt.request
@@ -158,41 +168,43 @@
 	}
 }
 
-// onClientDisconnected ends a request whose client has disconnected.
+// onClientDisconnected ends the request of a client that has disconnected.
 func (b *Balancer) onClientDisconnected(event *ClientDisconnected) {
 	if request := b.queue.open[event.Request]; request != nil && !request.closed {
-		b.queue.remember(request)
-		b.close(request)
+		b.queue.rememberUnserved(request)
+		b.closeRequest(request)
 	}
 }
 
-// finishUnserved answers a request that is not served. It is the one place that decides how: a
-// rejection where the class allows the claim that a retry is harmless, else a failure.
+// finishUnserved ends a request without a response from an endpoint. Only this function decides what
+// the client gets: a rejection if a retry is harmless, because no attempt may have run or the class
+// is repeatable, and a failure otherwise.
 func (b *Balancer) finishUnserved(request *request) {
-	if request.closed || request.started {
+	if request.closed || request.responseStarted {
 		return
 	}
-	b.queue.remember(request)
+	b.queue.rememberUnserved(request)
 	harmless := request.idempotency.mayHaveRun == 0 || isRepeatable(request.class)
-	b.close(request)
+	b.closeRequest(request)
 	request.class.countUnserved(harmless)
 	if harmless {
-		b.do(RejectRequest(request.id, b.set.Limits.MaxRetryAfterMs))
+		b.emit(RejectRequest(request.id, b.settings.Limits.MaxRetryAfterMs))
 	} else {
-		b.do(FailRequest(request.id))
+		b.emit(FailRequest(request.id))
 	}
 }
 
-// close cancels what is in flight of a finished request, and forgets it as soon as nothing is.
-func (b *Balancer) close(request *request) {
+// closeRequest marks a request as finished and cancels its attempts in flight. It removes the request
+// once no attempt is in flight.
+func (b *Balancer) closeRequest(request *request) {
 	request.closed = true
 	b.queue.remove(request)
-	for _, attempt := range request.tries.counted {
-		if !attempt.done && b.set.Limits.Cancellation {
-			b.do(CancelAttempt(request.id, attempt.index))
+	for _, attempt := range request.attempts.counted {
+		if !attempt.ended && b.settings.Limits.Cancellation {
+			b.emit(CancelAttempt(request.id, attempt.index))
 		}
 	}
-	if request.tries.inFlight == 0 {
+	if request.attempts.inFlight == 0 {
 		b.queue.forget(request)
 	}
 }
--- a/policy/request_rate_test.go
+++ b/policy/request_rate_test.go
@@ -23,10 +23,10 @@
 				key  uint64
 				want float64
 			}{{"first", 7, 1}, {"same key", 7, again}, {"another key", 8, 1}, {"no key", 0, 1}, {"no key again", 0, 1}} {
-				before := h.b.traffic.recentCount
+				before := h.b.requestRate.recentCount
 				id, _ := h.arrive(idempotentClass, test.key)
 				h.handle(&ClientDisconnected{Request: id})
-				if got := h.b.traffic.recentCount - before; got != test.want {
+				if got := h.b.requestRate.recentCount - before; got != test.want {
 					t.Fatalf("%s: got %v counted, want %v", test.name, got, test.want)
 				}
 			}
@@ -37,7 +37,7 @@
 // The rate of evenly spaced requests is measured correctly from soon after the start. Retries count
 // only towards the rate over the lifetime.
 func TestRequestRateMeasuresAnEvenRate(t *testing.T) {
-	env := &environment{now: 1000, set: Settings{Limits: Limits{KeepaliveMs: 10000}}}
+	env := &environment{now: 1000, settings: Settings{Limits: Limits{KeepaliveMs: 10000}}}
 	rate := newRequestRate(env)
 	rate.start()
 	for i := range 60000 {
