--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestModuleSettingsBoundOpenRequestsAndWatchPushedLists(t *testing.T) {
-	room := config.Limits{Sockets: 1024}.MaxOpenRequests()
+	most := config.Limits{Sockets: 1024}.MaxOpenRequests()
 	for _, c := range []struct {
 		name       string
 		value      any
@@ -17,10 +17,10 @@
 		requests   int
 		membership string
 	}{
-		{"open requests not limited", nil, []any{"settings", "limits", "openCap"}, room, policy.MembershipWatched},
+		{"open requests not limited", nil, []any{"settings", "limits", "openCap"}, most, policy.MembershipWatched},
 		{"fewer open requests than fit", 10, []any{"settings", "limits", "openCap"}, 10, policy.MembershipWatched},
-		{"more open requests than fit", 1 << 20, []any{"settings", "limits", "openCap"}, room, policy.MembershipWatched},
-		{"list on request", policy.MembershipOnRequest, []any{"settings", "membershipMode"}, room, policy.MembershipOnRequest},
+		{"more open requests than fit", 1 << 20, []any{"settings", "limits", "openCap"}, most, policy.MembershipWatched},
+		{"list on request", policy.MembershipOnRequest, []any{"settings", "membershipMode"}, most, policy.MembershipOnRequest},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := parseWith(t, c.value, c.path...).ModuleSettings()
@@ -45,7 +45,7 @@
 		limits := config.Limits{Sockets: sockets}
 		clients, backends := limits.ClientSockets(), limits.BackendSockets()
 		if clients+backends >= sockets || limits.MaxOpenRequests() <= 0 || limits.MaxOpenRequests() >= clients || limits.KeepAliveSockets() >= clients {
-			t.Fatalf("got %d of clients (%d kept, %d with a request) and %d of backends, want some of each, less than %d in all",
+			t.Fatalf("got %d of clients (%d kept, %d with a request) and %d of backends, want some of each and a sum below %d",
 				clients, limits.KeepAliveSockets(), limits.MaxOpenRequests(), backends, sockets)
 		}
 	}
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -11,7 +11,7 @@
 	"ploverreel/internal/fielderror"
 )
 
-// The texts are an interface: they are pinned word for word.
+// The texts are part of the public interface, so they are compared word for word.
 func TestParseErrorIsOneLineWithTheField(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -72,7 +72,7 @@
 		err  error
 		want string
 	}{
-		{"half a text", parse("{"), "config: no JSON: unexpected end of JSON input"},
+		{"incomplete text", parse("{"), "config: no JSON: unexpected end of JSON input"},
 		{"JSON of another kind", parse("[]"), "config: : cannot be a array"},
 		{"no path", load(""), "EDGE_CONFIG: not set"},
 		{"no file at the path", load(missing), "EDGE_CONFIG: open " + missing + ": no such file or directory"},
--- a/internal/config/helpers_test.go
+++ b/internal/config/helpers_test.go
@@ -8,7 +8,7 @@
 	"ploverreel/internal/config"
 )
 
-// marshal returns the text of a JSON object.
+// marshal encodes an object as JSON.
 func marshal(t *testing.T, object map[string]any) []byte {
 	t.Helper()
 	text, err := json.Marshal(object)
@@ -18,7 +18,7 @@
 	return text
 }
 
-// parseWith returns a complete configuration with one value changed.
+// parseWith parses a valid configuration in which the value at path is replaced.
 func parseWith(t *testing.T, value any, path ...any) *config.Config {
 	t.Helper()
 	object := agenttest.Config("127.0.0.1:1", "127.0.0.1:1")
--- a/internal/config/name_index_test.go
+++ b/internal/config/name_index_test.go
@@ -29,12 +29,12 @@
 	}
 }
 
-func TestNameIndexCheckReloadKeepsNumbers(t *testing.T) {
+func TestCheckReloadRejectsChangedNumbers(t *testing.T) {
 	current := parseWith(t, []any{"a", "b"}, "settings", "failureDomains").Names
 	for _, c := range []struct {
 		name  string
 		zones []any
-		want  string // field of the error; "": none
+		want  string // field of the error; "" if there is none
 	}{
 		{"the same", []any{"a", "b"}, ""},
 		{"one more", []any{"a", "b", "c"}, ""},
--- a/internal/endpointlist/endpointlist_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -9,7 +9,7 @@
 	"ploverreel/policy"
 )
 
-func TestAddressOfFollowsFromNameAlone(t *testing.T) {
+func TestAddressOfDependsOnNameAlone(t *testing.T) {
 	first, again := endpointlist.AddressOf("s-1"), endpointlist.AddressOf("s-1")
 	if other := endpointlist.AddressOf("s-2"); first != again || first == other {
 		t.Fatalf("got %v and %v for one name and %v for another, want the first two alone equal", first, again, other)
--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -9,7 +9,7 @@
 	"ploverreel/internal/fielderror"
 )
 
-// The field of an error is the whole path, also below a part that is checked by itself.
+// The field of an error is the whole path, also if a part of the text has its own validation.
 func TestErrorNamesFieldByItsPath(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -17,11 +17,11 @@
 		want string
 	}{
 		{"plain error", fielderror.Wrap("listen", errors.New(`no address with a port: "here"`)), "listen"},
-		{"error of a field within", fielderror.Wrap("known", fielderror.Errorf("hosts", "missing")), "known: hosts"},
+		{"error of a nested field", fielderror.Wrap("known", fielderror.Errorf("hosts", "missing")), "known: hosts"},
 		{"error that wraps another", fielderror.Wrap("known", fmt.Errorf("json: %w", io.EOF)), "known"},
 		{"error of settings with a field", fielderror.FromSettings(errors.New("settings: limits.maxAttempts: must be 1 or above, is 0")), "settings: limits.maxAttempts"},
 		{"error of settings without a field", fielderror.FromSettings(errors.New("settings: no colon behind")), "settings"},
-		{"error with a field behind other text", fielderror.Wrap("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
+		{"error of a field wrapped with other text", fielderror.Wrap("a", fmt.Errorf("b: %w", fielderror.Errorf("c", "d"))), "a"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var field *fielderror.Error
