--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -32,7 +32,7 @@
 	// Shared is one service for many agents. Each call costs it work and may wait in a queue.
 	Shared Placement = iota
 	// Local is a service on the agent's own machine. It answers at once and at no cost, so a watch
-	// may send a second call while the first one delivers no data.
+	// may send another call while the first one delivers no data.
 	Local
 )
 
--- a/internal/discovery/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -14,14 +14,15 @@
 // discovery was down and will never be answered, or discovery is slow. So the call stays open and
 // one more is sent. The first call that is answered becomes the watch, and the others are cancelled.
 type hedgedWatch struct {
-	client    *Client
-	since     int64
-	firstByte time.Duration // timeout of each call for its first byte
-	answered  atomic.Bool   // a call was answered or has failed; it alone decides the outcome of the watch
+	client           *Client
+	since            int64
+	firstByteTimeout time.Duration // of each call
+	claimed          atomic.Bool   // set by the one call that decides the outcome of the watch
 }
 
-// claim reports whether the caller is the first to claim the watch, by an answer or by a failure.
-func (h *hedgedWatch) claim() bool { return h.answered.CompareAndSwap(false, true) }
+// claim claims the watch for the calling call, which was answered or has failed. It returns false if
+// another call has claimed the watch before.
+func (h *hedgedWatch) claim() bool { return h.claimed.CompareAndSwap(false, true) }
 
 // run runs the watch until it ends. The watch fails as soon as one of its calls fails before any was
 // answered. When run returns, all other calls are cancelled, but some may not have returned yet.
@@ -32,17 +33,17 @@
 	calls := 0
 	call := func() {
 		calls++
-		go func() { results <- h.client.watchOnce(ctx, h.since, h.firstByte, h.claim) }()
+		go func() { results <- h.client.watchOnce(ctx, h.since, h.firstByteTimeout, h.claim) }()
 	}
 	call()
 	for {
 		var hedge <-chan time.Time
-		if hedgeDelay > 0 && calls < maxHedgedCalls && !h.answered.Load() {
+		if hedgeDelay > 0 && calls < maxHedgedCalls && !h.claimed.Load() {
 			hedge = h.client.after(hedgeDelay)
 		}
 		select {
 		case <-hedge:
-			if !h.answered.Load() {
+			if !h.claimed.Load() {
 				call()
 			}
 		case result := <-results:
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -49,9 +49,9 @@
 // shared discovery waits for its first byte for at most newDiscoveryCallTimeout, so that it can be
 // retried in time.
 func (c *Client) watchHedged(since int64, retry Retry) watchResult {
-	hedged := &hedgedWatch{client: c, since: since, firstByte: c.firstByteTimeout}
+	hedged := &hedgedWatch{client: c, since: since, firstByteTimeout: c.firstByteTimeout}
 	if retry == RetryNewDiscovery && c.hedgeDelay == 0 {
-		hedged.firstByte = min(hedged.firstByte, newDiscoveryCallTimeout)
+		hedged.firstByteTimeout = min(hedged.firstByteTimeout, newDiscoveryCallTimeout)
 	}
 	return hedged.run(c.hedgeDelay)
 }
@@ -59,13 +59,13 @@
 // watchOnce makes one call of a watch and delivers its lists in order until it ends. It calls claim
 // when the first data arrives. If claim returns false, another call has won: this call ends and
 // delivers nothing.
-func (c *Client) watchOnce(ctx context.Context, since int64, firstByte time.Duration, claim func() bool) (result watchResult) {
+func (c *Client) watchOnce(ctx context.Context, since int64, firstByteTimeout time.Duration, claim func() bool) (result watchResult) {
 	start := time.Now()
 	defer func() { result.duration = time.Since(start) }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timeout := time.AfterFunc(firstByte, func() { cancel(errWatchIdle) })
-	defer timeout.Stop()
+	timer := time.AfterFunc(firstByteTimeout, func() { cancel(errWatchIdle) })
+	defer timer.Stop()
 	body, err := c.get(ctx, c.url+"?follow=1&since="+strconv.FormatInt(since, 10))
 	if err != nil {
 		result.err = cmp.Or(context.Cause(ctx), err)
@@ -78,7 +78,7 @@
 			return
 		}
 		result.receivedData = true
-		timeout.Reset(c.idleTimeout)
+		timer.Reset(c.idleTimeout)
 	}}
 	result.err = c.deliverLists(ctx, reader, &result)
 	return result
