--- a/cmd/ploverreel/descriptors_test.go
+++ b/cmd/ploverreel/descriptors_test.go
@@ -147,8 +147,8 @@
 	return responses
 }
 
-// moveDiscovery reloads the configuration with each discovery address in turn.
-func (a *limitedAgent) moveDiscovery(t *testing.T, addrs ...string) {
+// changeDiscovery reloads the configuration with each discovery address in turn.
+func (a *limitedAgent) changeDiscovery(t *testing.T, addrs ...string) {
 	t.Helper()
 	for i, addr := range addrs {
 		a.reload(t, a.config(a.listen, addr))
@@ -177,7 +177,7 @@
 			responses := agent.blockBackendConnections(t)
 			agent.openSilentClients(t)
 			agent.checkReady(t, "with requests on all connections to backends")
-			agent.moveDiscovery(t, second.addr, first.addr, second.addr, first.addr)
+			agent.changeDiscovery(t, second.addr, first.addr, second.addr, first.addr)
 			agent.checkReady(t, "while the discovery address changes")
 			first.recover(t, listOf("new", 3, listed.Listener.Addr()))
 			agent.eventually(t, "a watch opened", func() bool { return first.watches.Load() > 0 })
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -95,22 +95,22 @@
 
 // For any input, the adapter must either answer or return an error of one line, and never panic.
 func FuzzAdapter(f *testing.F) {
-	list := func(since, weight float64) []byte {
-		e := append([]byte{0, 0}, binary.BigEndian.AppendUint64(nil, math.Float64bits(since))...)
+	entry := func(startedMs, weight float64) []byte {
+		e := append([]byte{0, 0}, binary.BigEndian.AppendUint64(nil, math.Float64bits(startedMs))...)
 		e = append(e, 1, 10, 0, 0, 1, 0x13, 0x8b)
 		return append(e, append(binary.BigEndian.AppendUint32(nil, math.Float32bits(float32(weight))), 0, 0, 0)...)
 	}
-	targets := func(n uint32) []byte {
+	listUpdate := func(n uint32) []byte {
 		return append(binary.BigEndian.AppendUint32([]byte{22}, n), 1, 0, 0, 0, 1, 0, 0, 0, 0)
 	}
-	pool := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
-	verdict := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
+	listTable := append([]byte{19, 0, 0, 0, 0}, 0, 0, 0, 0, 0, 0, 0, 1)
+	outcome := append(binary.BigEndian.AppendUint32([]byte{18, 0, 0, 0, 3}, 9), 0, 0, 10, 0, 0, 1, 0x13, 0x8b, 0, 100)
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300} {
-		odd := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
-		late := binary.BigEndian.AppendUint64(verdict[:19:19], math.Float64bits(x))
+		request := binary.BigEndian.AppendUint64(requestRecord(3, 9)[:23], math.Float64bits(x))
+		outcomeRecord := binary.BigEndian.AppendUint64(outcome[:19:19], math.Float64bits(x))
 		in := batch(1000, settings, startRecord(3, len(settings)))
-		in = append(in, batch(1000, string(list(x, x)), pool, targets(3), odd, requestRecord(3, 10))...)
-		f.Add(append(in, batch(1010, "", late, endRecord(3))...))
+		in = append(in, batch(1000, string(entry(x, x)), listTable, listUpdate(3), request, requestRecord(3, 10))...)
+		f.Add(append(in, batch(1010, "", outcomeRecord, endRecord(3))...))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if err := run(bytes.NewReader(data), io.Discard); err != nil && strings.Contains(err.Error(), "\n") {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,8 +34,8 @@
 	Clock MachineClock // nil means the clock of this machine; tests replace it
 }
 
-// MaxDeadline returns the longest deadline that a request may have: that of the class with the
-// longest one, and at least a minute.
+// MaxDeadline returns the longest deadline that a request may have: the longest deadline of any
+// class, but at least maxDeadlineFloor.
 func (c *Config) MaxDeadline() time.Duration {
 	longest := maxDeadlineFloor
 	for i := range c.Settings.Classes {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -22,7 +22,8 @@
 // reserved nor for backends. It is the number of slots in the table of client connections.
 func (l Limits) ClientSockets() int { return l.Sockets - reservedSockets - l.BackendSockets() }
 
-// KeepAliveSockets returns how many client connections may be kept alive between requests.
+// KeepAliveSockets returns how many client connections may be kept alive between requests: a sixth
+// of Sockets.
 func (l Limits) KeepAliveSockets() int { return l.Sockets / 6 }
 
 // MaxOpenRequests returns how many requests may be in progress at once. The decision module rejects
--- a/internal/config/name_index.go
+++ b/internal/config/name_index.go
@@ -29,7 +29,7 @@
 
 // Entry converts a host of an endpoint list to an entry for the decision module. Its StartedMs is
 // born_ms unchanged, a time of the host's wall clock. A zone or machine kind that the settings don't
-// have becomes -1. No settings use that number, so no agent regards the backend as in its own zone.
+// have becomes -1. No agent has that number, so the backend is in no agent's own zone.
 func (n *NameIndex) Entry(host *endpointlist.Host) policy.Entry {
 	return policy.Entry{
 		Server:      endpointlist.AddressOf(host.Host),
--- a/internal/fielderror/fielderror_test.go
+++ b/internal/fielderror/fielderror_test.go
@@ -36,7 +36,7 @@
 	if err := fielderror.Wrap("known", fmt.Errorf("json: %w", io.EOF)); !errors.Is(err, io.EOF) {
 		t.Errorf("got %v, want an error that wraps %v", err, io.EOF)
 	}
-	if in, settings := fielderror.Wrap("x", nil), fielderror.FromSettings(nil); in != nil || settings != nil {
-		t.Errorf("got errors %v and %v of none, want none", in, settings)
+	if wrapped, settings := fielderror.Wrap("x", nil), fielderror.FromSettings(nil); wrapped != nil || settings != nil {
+		t.Errorf("got errors %v and %v of none, want none", wrapped, settings)
 	}
 }
