--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -30,7 +30,7 @@
 		case discovery.WatchEvent:
 			l.post(watchEvent{generation: generation, list: result.List})
 		case discovery.WatchEnded:
-			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.EndedAfterNotice})
+			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.Established})
 		}
 	}
 }
@@ -66,7 +66,7 @@
 // one.
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
-	l.startTimes.onWatchEnded(l.nowMs(), float64(discovery.WatchSilence.Milliseconds()))
+	l.startTimes.onWatchEnded(l.nowMs(), float64(discovery.WatchIdleTimeout.Milliseconds()))
 	if in.endedAfterNotice {
 		l.log.Warn("endpoint list watch ended", "err", in.err, "discovery", l.watch.discoveryAddr())
 		l.notify(&policy.WatchEnded{})
@@ -108,8 +108,8 @@
 	l.watch.discovery = next
 	l.watch.listVersion, l.watch.fetching, l.watch.watching = 0, true, true
 	l.startTimes.onWatchEnded(l.nowMs(), 0)
-	go next.Fetch(discovery.RetryNew)
-	go next.Watch(0, discovery.RetryNew)
+	go next.Fetch(discovery.RetryNewDiscovery)
+	go next.Watch(0, discovery.RetryNewDiscovery)
 }
 
 // applyEndpointList applies a list. It updates the backends first, so that no new attempt is
--- a/internal/fleet/controlplane/calm.go
+++ b/internal/fleet/controlplane/calm.go
@@ -6,46 +6,46 @@
 	"time"
 )
 
-// calm starts the fleet and measures it without faults: its start, a span without a change, and changes
-// of one server each.
-func (c *caseRun) calm() {
-	c.do(c.fleet.start)
+// runWithoutFaults starts the fleet and measures three phases without faults: the start, a time
+// without changes of the list, and changes of one server each.
+func (c *caseRun) runWithoutFaults() {
+	c.runStep(c.fleet.start)
 	c.measureStart()
-	c.beginPhase()
+	c.startPhase()
 	c.sleep(c.fleet.plan.Calm)
 	c.endPhase("calm")
 	c.measureChanges()
 }
 
-// measureStart measures from each agent's start until it has its first list. A fleet in which no agent
-// gets one ends the run.
+// measureStart measures the time from each agent's start until it has applied its first list. If no
+// agent gets a list, the run ends with an error.
 func (c *caseRun) measureStart() {
 	f, p := c.fleet, c.fleet.plan
-	every := f.agents(everywhere)
-	first := version{seq: firstVersion, since: f.phaseBegan}
-	started := func(agent int) time.Time { return first.since.Add(p.startDelay(agent)) }
-	took := newDelays()
-	c.await(every, first)
-	c.record(took, every, first, started)
-	took.addTo(&c.result, "first")
+	all := f.agentsOf(allStandIns)
+	first := version{seq: firstVersion, notBefore: f.phaseStart}
+	started := func(agent int) time.Time { return first.notBefore.Add(p.startDelay(agent)) }
+	delays := newDelayStats()
+	c.awaitVersion(all, first)
+	c.recordDelays(delays, all, first, started)
+	delays.addFigures(&c.result, "first")
 	c.addCosts("start")
-	c.do(func(ctx context.Context) error { return f.addMemory(ctx, &c.result) })
-	c.do(func(context.Context) error {
-		if took.without == p.Size.Agents { // fewer are a figure, as in any other phase
+	c.runStep(func(ctx context.Context) error { return f.addMemory(ctx, &c.result) })
+	c.runStep(func(context.Context) error {
+		if delays.unreached == p.Size.Agents { // a smaller number is only reported as a figure, as in other phases
 			return fmt.Errorf("start: no agent had a list after %v", p.Limit)
 		}
 		return nil
 	})
 }
 
-// measureChanges makes the plan's changes one after the other.
+// measureChanges publishes the plan's number of changes, one after the other, and measures each.
 func (c *caseRun) measureChanges() {
-	every, took := c.fleet.agents(everywhere), newDelays()
+	all, delays := c.fleet.agentsOf(allStandIns), newDelayStats()
 	for range c.fleet.plan.Changes {
-		c.measureChange(took, every, c.fleet.randomChange())
-		c.sleep(changePause)
+		c.measureChange(delays, all, c.fleet.randomHealthChange())
+		c.sleep(changeInterval)
 	}
-	took.addTo(&c.result, "change")
+	delays.addFigures(&c.result, "change")
 	c.result.Add("changes", "count", float64(c.fleet.plan.Changes))
 	c.addCosts("change")
 }
--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -8,27 +8,29 @@
 	"ploverreel/internal/fleet"
 )
 
-// changePause keeps changes apart, so that agents do not get two of them as one.
-const changePause = 300 * time.Millisecond
+// changeInterval is the wait after a change of the list. A change that follows sooner may reach an
+// agent together with the one before it, as a single update.
+const changeInterval = 300 * time.Millisecond
 
-// caseRun plays one case on a running fleet as a sequence of steps: begin a phase, change the list, wait
-// until the change is in force, record what that took. The first error stays in err; the steps after it
-// do nothing, so that only the end of a case has to look at it.
+// caseRun measures one case on a running fleet in a sequence of steps. A typical sequence is: start
+// a phase, publish a change of the list, wait until all agents have applied it, record the delays.
+// After the first error the remaining steps do nothing, so only the caller of the case checks err.
 type caseRun struct {
-	ctx    context.Context // of all steps
+	ctx    context.Context // for all steps
 	fleet  *fleetRun
 	result fleet.Case
-	err    error
+	err    error // of the first step that failed
 }
 
-// version is a version of the endpoint list. Agents count as having it from the moment since on: what
-// was in force at them before, as before a restart, is another process's.
+// version is a version of the endpoint list, with the earliest time at which applying it counts in
+// a measurement. An earlier event of an agent is ignored. It may be from before a restart of the
+// agent.
 type version struct {
-	seq   int64
-	since time.Time
+	seq       int64
+	notBefore time.Time
 }
 
-// newCase returns a case without figures, with the parameters of the fleet.
+// newCase returns a case with the parameters of the fleet and without figures.
 func (f *fleetRun) newCase(ctx context.Context, name string) *caseRun {
 	p := f.plan
 	params := map[string]float64{"agents": float64(p.Size.Agents), "servers": float64(p.Size.Servers),
@@ -36,73 +38,74 @@
 	return &caseRun{ctx: ctx, fleet: f, result: fleet.Case{Name: name, Params: params}}
 }
 
-// do runs a step unless one before it failed.
-func (c *caseRun) do(step func(context.Context) error) {
+// runStep runs a step unless an earlier step failed.
+func (c *caseRun) runStep(step func(context.Context) error) {
 	if c.err == nil {
 		c.err = step(c.ctx)
 	}
 }
 
-// beginPhase begins a phase, whose costs addCosts adds.
-func (c *caseRun) beginPhase() { c.do(c.fleet.beginPhase) }
+// startPhase starts a phase. addCosts adds the costs since then.
+func (c *caseRun) startPhase() { c.runStep(c.fleet.startPhase) }
 
-// addCosts adds what the phase has cost so far; the figures' names begin with prefix.
+// addCosts adds the costs of the phase so far, in figures whose names start with prefix.
 func (c *caseRun) addCosts(prefix string) {
-	c.do(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
+	c.runStep(func(ctx context.Context) error { return c.fleet.addCosts(ctx, &c.result, prefix) })
 }
 
-// endPhase adds the costs of the phase and begins the next.
+// endPhase adds the costs of the phase and starts the next phase.
 func (c *caseRun) endPhase(prefix string) {
 	c.addCosts(prefix)
-	c.beginPhase()
+	c.startPhase()
 }
 
-// sleep waits for a fixed span.
+// sleep waits for a fixed time.
 func (c *caseRun) sleep(d time.Duration) {
-	c.do(func(ctx context.Context) error { return sleep(ctx, d) })
+	c.runStep(func(ctx context.Context) error { return sleep(ctx, d) })
 }
 
-// change makes a version of the list with these hosts changed and sends it to the stand-ins that can be
-// reached.
-func (c *caseRun) change(hosts ...endpointlist.Host) (made version) {
-	c.do(func(ctx context.Context) (err error) {
-		made, err = c.fleet.change(ctx, hosts...)
+// publish makes a new version of the list, in which hosts replace the servers of the same name, and
+// sends it to all stand-ins that are running and not cut off.
+func (c *caseRun) publish(hosts ...endpointlist.Host) (published version) {
+	c.runStep(func(ctx context.Context) (err error) {
+		published, err = c.fleet.publish(ctx, hosts...)
 		return err
 	})
-	return made
+	return published
 }
 
-// await waits until a version is in force at the agents, for the plan's limit at most.
-func (c *caseRun) await(agents []int, v version) {
-	c.do(func(ctx context.Context) error { return c.fleet.await(ctx, agents, v) })
+// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's
+// limit.
+func (c *caseRun) awaitVersion(agents []int, v version) {
+	c.runStep(func(ctx context.Context) error { return c.fleet.awaitVersion(ctx, agents, v) })
 }
 
-// record adds to the delays how long after begin the version was in force at each of the agents.
-func (c *caseRun) record(d *delays, agents []int, v version, begin func(agent int) time.Time) {
-	c.do(func(context.Context) error { return d.add(c.fleet, agents, v, begin) })
+// recordDelays adds to d the time from startOf until each of the agents applied the version.
+func (c *caseRun) recordDelays(d *delayStats, agents []int, v version, startOf func(agent int) time.Time) {
+	c.runStep(func(context.Context) error { return d.addVersion(c.fleet, agents, v, startOf) })
 }
 
-// measureChange makes a change and adds to the delays how long it takes to be in force at the agents.
-func (c *caseRun) measureChange(d *delays, agents []int, hosts ...endpointlist.Host) {
-	v := c.change(hosts...)
-	c.await(agents, v)
-	c.record(d, agents, v, since(v.since))
+// measureChange publishes a change and adds to d the time until each of the agents has applied it.
+func (c *caseRun) measureChange(d *delayStats, agents []int, hosts ...endpointlist.Host) {
+	v := c.publish(hosts...)
+	c.awaitVersion(agents, v)
+	c.recordDelays(d, agents, v, sameStart(v.notBefore))
 }
 
-// measureRecovery ends a fault: it adds how long after end a version is in force at agents that could not
-// get it before, and what that cost.
-func (c *caseRun) measureRecovery(prefix string, agents []int, v version, end time.Time) {
-	took := newDelays()
-	c.await(agents, v)
-	c.record(took, agents, v, since(end))
-	took.addTo(&c.result, prefix)
+// measureRecovery measures the recovery from a fault. It adds the delays from the end of the fault
+// until the agents that could not get a version before apply it, and the costs of the phase.
+func (c *caseRun) measureRecovery(prefix string, agents []int, v version, faultEnd time.Time) {
+	delays := newDelayStats()
+	c.awaitVersion(agents, v)
+	c.recordDelays(delays, agents, v, sameStart(faultEnd))
+	delays.addFigures(&c.result, prefix)
 	c.addCosts(prefix)
 }
 
-// since returns the same moment for every agent.
-func since(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
+// sameStart returns a function for recordDelays with which all delays start at t.
+func sameStart(t time.Time) func(agent int) time.Time { return func(int) time.Time { return t } }
 
-// sleep waits for d, or until the context is done, whose cause it returns then.
+// sleep waits for d. If the context is done before, it returns the context's cause.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -11,22 +11,25 @@
 	"time"
 )
 
-// Process is the bench's handle of one of its processes: a pipe for commands and one for replies.
+// Process is the bench's handle of one of its processes. It has a pipe for commands and a pipe for
+// replies.
 type Process struct {
-	name string
-	in   io.WriteCloser
-	out  *json.Decoder
-	end  func()       // ends it at once
-	wait func() error // returns when it has ended
-	once sync.Once
+	name      string
+	commands  io.WriteCloser
+	replies   *json.Decoder
+	terminate func()       // ends the process immediately
+	wait      func() error // returns after the process has ended
+	endOnce   sync.Once
 }
 
-// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill it.
+// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill the
+// process.
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
-// Command returns a Spawn that starts the program with the arguments, followed by the role. Each
-// process has one core for Go code, as the bench shares its machine. Errors of the Spawn name the role.
-func Command(program string, args ...string) Spawn {
+// SpawnProgram returns a Spawn that starts the program with the arguments, followed by the role.
+// Each process runs Go code on one core only, because all processes of the bench share one machine.
+// Errors of the Spawn name the role.
+func SpawnProgram(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
@@ -42,13 +45,13 @@
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("%s: %w", role, err)
 		}
-		return &Process{name: fmt.Sprintf("%s, process %d", role, cmd.Process.Pid), in: in, out: json.NewDecoder(out),
-			end: func() { _ = cmd.Process.Kill() }, wait: cmd.Wait}, nil
+		return &Process{name: fmt.Sprintf("%s, process %d", role, cmd.Process.Pid), commands: in, replies: json.NewDecoder(out),
+			terminate: func() { _ = cmd.Process.Kill() }, wait: cmd.Wait}, nil
 	}
 }
 
-// call sends a command and returns its reply. An error ends the run: the process may have ended, or be in
-// the middle of the command.
+// call sends a command and returns its reply. After an error the run has to end, because the
+// process may have ended or may still be executing the command.
 func (p *Process) call(ctx context.Context, cmd *command) (reply, error) {
 	type result struct {
 		reply
@@ -57,15 +60,15 @@
 	done := make(chan result, 1)
 	go func() {
 		var r result
-		if r.err = json.NewEncoder(p.in).Encode(cmd); r.err == nil {
-			r.err = p.out.Decode(&r.reply)
+		if r.err = json.NewEncoder(p.commands).Encode(cmd); r.err == nil {
+			r.err = p.replies.Decode(&r.reply)
 		}
 		done <- r
 	}()
 	select {
 	case r := <-done:
 		switch {
-		case r.err != nil && ctx.Err() != nil: // an interrupted process dies of it
+		case r.err != nil && ctx.Err() != nil: // the interrupt ended the process too
 			return r.reply, fmt.Errorf("%s: %s: %w", p.name, cmd.Op, context.Cause(ctx))
 		case r.err != nil:
 			return r.reply, fmt.Errorf("%s: %s: has died: %w", p.name, cmd.Op, r.err)
@@ -78,24 +81,26 @@
 	}
 }
 
-// kill ends the process at once, as the failure of its machine would.
+// kill ends the process immediately, like a failure of its machine.
 func (p *Process) kill() {
-	p.once.Do(func() {
-		p.end()
-		_ = p.wait() // it was killed
-		p.in.Close()
+	p.endOnce.Do(func() {
+		p.terminate()
+		_ = p.wait() // always an error, as the process was killed
+		p.commands.Close()
 	})
 }
 
-// shutdownGrace is how long a process may take to end after its commands have.
+// shutdownGrace bounds the time that a process may take to exit after its commands end. Then it is
+// killed.
 const shutdownGrace = 5 * time.Second
 
-// close lets the process end, and ends it if it does not.
+// close ends the commands of the process and waits until it exits. It kills the process after
+// shutdownGrace.
 func (p *Process) close() {
-	p.once.Do(func() {
-		p.in.Close()
-		late := time.AfterFunc(shutdownGrace, p.end)
-		defer late.Stop()
-		_ = p.wait() // its results have come, or the run's error is known
+	p.endOnce.Do(func() {
+		p.commands.Close()
+		timer := time.AfterFunc(shutdownGrace, p.terminate)
+		defer timer.Stop()
+		_ = p.wait() // the exit status is not needed: the replies were read, or the run has an error already
 	})
 }
