--- a/internal/agent/bad_clients_test.go
+++ b/internal/agent/bad_clients_test.go
@@ -13,11 +13,11 @@
 	"ploverreel/internal/clientconn"
 )
 
-// Clients that send one request and keep their connections without end must not use up all slots:
-// above the limit connections close with their response.
-func TestAgentClosesConnectionsAboveKeptLimit(t *testing.T) {
+// Clients that send one request and never close their connections must not take all slots: above
+// the limit, connections are closed with their response.
+func TestAgentClosesConnectionsAboveKeepAliveLimit(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	agent, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	slots, _ := agent.clients.Limits()
 	agent.clients.Resize(slots, 3)
 	kept := 0
@@ -38,11 +38,11 @@
 	}
 }
 
-// Malformed and ambiguous requests get an error or a close soon, and neither they nor what follows
-// on the connection reach a backend.
+// Malformed and ambiguous requests get an error or a close soon. Neither they nor the bytes that
+// follow on the connection reach a backend.
 func TestAgentRejectsMalformedRequests(t *testing.T) {
-	addr, came := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	addr, received := agenttest.IDBackend(t, 200, false)
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	head := func(extra ...string) string {
 		return "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: bad1\r\nRequest-Timeout: 30000m\r\n" +
 			strings.Join(extra, "\r\n") + "\r\n"
@@ -80,13 +80,13 @@
 				t.Errorf("got %q, want an error or nothing", got)
 			}
 			if strings.Count(got, "HTTP/1.1") > 1 {
-				t.Errorf("got %q, want no response to what follows", got)
+				t.Errorf("got %q, want at most one response", got)
 			}
 		})
 	}
 	t.Cleanup(func() {
-		if len(came) > 0 {
-			t.Errorf("the backend got request %q, want none", <-came)
+		if len(received) > 0 {
+			t.Errorf("the backend got request %q, want none", <-received)
 		}
 	})
 }
@@ -94,19 +94,19 @@
 // Silent connections and incomplete requests end within 3 s of connecting.
 func TestAgentClosesSilentConnections(t *testing.T) {
 	if got := clientconn.HeadTimeout + bodyTimeout; got > 2700*time.Millisecond {
-		t.Fatalf("got %v until a client that sends nothing is closed, want less than 3 s", got)
+		t.Fatalf("got %v until a silent client is closed, want at most 2.7 s", got)
 	}
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	_, base, _, _ := start(t, agenttest.Config(nowhere, addr))
+	_, base, _, _ := startAgent(t, agenttest.Config(refusingAddr, addr))
 	if got := agenttest.ReadToEnd(t, agenttest.Dial(t, base)); got != "" {
 		t.Fatalf("got %q, want nothing for a client that sent nothing", got)
 	}
 }
 
-// A graceful shutdown doesn't wait for incomplete requests and silent connections.
+// A graceful shutdown doesn't wait for incomplete requests or silent connections.
 func TestShutdownDoesNotWaitForIncompleteRequests(t *testing.T) {
 	addr, _ := agenttest.IDBackend(t, 200, false)
-	agent, base, stop, ended := start(t, agenttest.Config(nowhere, addr)) // the deadline of its classes is 30 s
+	agent, base, stop, ended := startAgent(t, agenttest.Config(refusingAddr, addr)) // its classes have a deadline of 30 s
 	agenttest.Dial(t, base)
 	half := agenttest.Dial(t, base)
 	io.WriteString(half, "POST /order/u1 HTTP/1.1\r\nHost: b\r\nRequest-Id: h\r\nRequest-Timeout: 30000m\r\nContent-Length: 9\r\n\r\nhalf")
@@ -118,6 +118,6 @@
 			t.Fatalf("got %v, want no error", err)
 		}
 	case <-time.After(20 * time.Second): // before that deadline
-		t.Fatal("got no end of the agent, want one in spite of the incomplete request")
+		t.Fatal("the agent has not ended, want it to end despite the incomplete request")
 	}
 }
