--- a/internal/fleet/datapath/agent_config.go
+++ b/internal/fleet/datapath/agent_config.go
@@ -11,33 +11,33 @@
 const (
 	// What an agent is allowed: one core, and the most that a deployment gives.
 	agentCores, agentMemoryMB, agentSockets = 1, 192, 1024
-	keepalive                               = time.Minute
+	keepaliveTimeout                        = time.Minute
 	connectTimeout                          = 600 * time.Millisecond
-	class                                   = "look"
-	tenant                                  = "all"
+	className                               = "look"
+	tenantName                              = "all"
 )
 
 // agentConfig returns the configuration of an agent that listens there.
-func (p *Plan) agentConfig(s scenario, index int, listen, discovery string, list endpointlist.List) ([]byte, error) {
+func (p *Plan) agentConfig(s scenario, index int, listenAddr, discoveryAddr string, list endpointlist.List) ([]byte, error) {
 	return json.Marshal(map[string]any{
-		"name": fmt.Sprint("n", index), "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%x", p.Size.Seed+uint64(index)),
+		"name": fmt.Sprint("n", index), "listen": listenAddr, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", p.Size.Seed+uint64(index)),
 		"limits":   map[string]any{"cores": agentCores, "memory_mb": agentMemoryMB, "sockets": agentSockets},
-		"settings": p.settings(s, index), "known": list})
+		"settings": p.agentSettings(s, index), "known": list})
 }
 
-// settings returns those of a usual deployment: one class that is safe to repeat, no health checks, no
+// agentSettings returns those of a usual deployment: one class that is safe to repeat, no health checks, no
 // load reports, quota and zones of the fleet.
-func (p *Plan) settings(s scenario, index int) map[string]any {
+func (p *Plan) agentSettings(s scenario, index int) map[string]any {
 	var zones []string
 	for z := range p.Size.Zones {
-		zones = append(zones, zone(z))
+		zones = append(zones, zoneName(z))
 	}
 	return map[string]any{
-		"classes": []any{map[string]any{"name": class, "aimMs": s.objective.Milliseconds(), "giveUpMs": s.giveUp().Milliseconds(),
+		"classes": []any{map[string]any{"name": className, "aimMs": s.objective.Milliseconds(), "giveUpMs": s.timeout().Milliseconds(),
 			"credit": 1, "lateShare": 0.2, "effect": "free"}},
-		"tenants": []any{map[string]any{"name": tenant, "portion": 1, "quotaPerS": p.rate() * float64(s.replicas)}},
+		"tenants": []any{map[string]any{"name": tenantName, "portion": 1, "quotaPerS": p.ratePerAgent() * float64(s.replicas)}},
 		"limits": map[string]any{"cancelling": true, "maxAttempts": 3, "connectTimeoutMs": connectTimeout.Milliseconds(),
-			"keepaliveMs": keepalive.Milliseconds(), "maxRetryAfterMs": 600, "retryAfter": true},
+			"keepaliveMs": keepaliveTimeout.Milliseconds(), "maxRetryAfterMs": 600, "retryAfter": true},
 		"contract": map[string]any{"answerSlackMs": 20, "askWithinMs": 10000, "coldFrom": 0.3, "coldMs": 8000,
 			"drainGraceMs": 1000, "fallMultiple": 2.5, "tipAfterMs": 1000},
 		"prices":       map[string]any{"crossZone": 0.03, "lateFail": 0.03, "probe": 0.04, "waste": 0.1},
@@ -49,15 +49,15 @@
 	}
 }
 
-// zone returns a zone's name.
-func zone(i int) string { return fmt.Sprint("z", i) }
+// zoneName returns a zone's name.
+func zoneName(i int) string { return fmt.Sprint("z", i) }
 
-// list returns the endpoint list of a hop's servers, dealt out over the zones.
-func (p *Plan) list(addrs []string) endpointlist.List {
-	l := endpointlist.List{Seq: 1, Whole: true}
+// endpointList returns the endpoint list of a hop's servers, dealt out over the zones.
+func (p *Plan) endpointList(addrs []string) endpointlist.List {
+	list := endpointlist.List{Seq: 1, Whole: true}
 	for i, addr := range addrs {
-		l.Hosts = append(l.Hosts, endpointlist.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zone(i % p.Size.Zones),
+		list.Hosts = append(list.Hosts, endpointlist.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zoneName(i % p.Size.Zones),
 			Class: "k", Block: i % 64, Health: "ready", Share: 1})
 	}
-	return l
+	return list
 }
--- /dev/null
+++ b/internal/fleet/datapath/agent_process.go
@@ -0,0 +1,167 @@
+package datapath
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"ploverreel/internal/endpointlist"
+)
+
+const (
+	// startTimeout is how long an agent may take to start, shutdownTimeout to end after SIGTERM:
+	// it holds nothing by then.
+	startTimeout, shutdownTimeout = 30 * time.Second, 10 * time.Second
+	readyPollInterval             = 10 * time.Millisecond
+	// maxStartAttempts is how often an agent is started where another process took its port first.
+	maxStartAttempts = 5
+	maxStderrBytes   = 4 << 10 // kept of an agent's standard error
+)
+
+// agentProcess is one agent that runs.
+type agentProcess struct {
+	cmd     *exec.Cmd
+	addr    string
+	stderr  tailBuffer
+	exited  chan struct{} // closed after err is set
+	exitErr error
+}
+
+// startAgent starts an agent and waits until it is ready. The port is free when it is chosen; an
+// agent that finds it taken is started again with another.
+func (p *Plan) startAgent(ctx context.Context, dir string, s scenario, index int, discovery string, list endpointlist.List) (*agentProcess, error) {
+	var err error
+	for range maxStartAttempts {
+		var a *agentProcess
+		a, err = p.startAgentOnFreePort(dir, s, index, discovery, list)
+		if err != nil {
+			return nil, err
+		}
+		if err = a.awaitReady(ctx); err == nil {
+			return a, nil
+		}
+		a.kill()
+		if !strings.Contains(a.stderr.String(), syscall.EADDRINUSE.Error()) {
+			break
+		}
+	}
+	return nil, err
+}
+
+// startAgentOnFreePort starts an agent on a port that is free.
+func (p *Plan) startAgentOnFreePort(dir string, s scenario, index int, discovery string, list endpointlist.List) (*agentProcess, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, fmt.Errorf("agent: %w", err)
+	}
+	a := &agentProcess{addr: listener.Addr().String(), exited: make(chan struct{})}
+	listener.Close()
+	config, err := p.agentConfig(s, index, a.addr, discovery, list)
+	if err != nil {
+		return nil, fmt.Errorf("agent: %w", err)
+	}
+	path := filepath.Join(dir, fmt.Sprintf("n%d.json", index))
+	if err := os.WriteFile(path, config, 0o600); err != nil {
+		return nil, fmt.Errorf("agent: %w", err)
+	}
+	a.cmd = exec.Command(p.Agent)
+	a.cmd.Env = append(os.Environ(), "EDGE_CONFIG="+path)
+	a.cmd.Stderr = &a.stderr
+	// A key that ends the bench must not reach the agents: the bench ends them itself.
+	a.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	if err := a.cmd.Start(); err != nil {
+		return nil, fmt.Errorf("agent: %w", err)
+	}
+	go func() {
+		a.exitErr = a.cmd.Wait()
+		close(a.exited)
+	}()
+	return a, nil
+}
+
+// awaitReady waits until the agent has a server to send to.
+func (a *agentProcess) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
+	defer cancel()
+	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	for {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.addr+"/ready", nil)
+		if err != nil {
+			return fmt.Errorf("agent: %w", err)
+		}
+		if resp, err := client.Do(req); err == nil {
+			resp.Body.Close()
+			if resp.StatusCode == http.StatusOK {
+				return nil
+			}
+		}
+		select {
+		case <-a.exited:
+			return a.exitError()
+		case <-ctx.Done():
+			return fmt.Errorf("agent: not ready: %w", context.Cause(ctx))
+		case <-time.After(readyPollInterval):
+		}
+	}
+}
+
+// exitError returns the error of an agent that has ended by itself.
+func (a *agentProcess) exitError() error {
+	return fmt.Errorf("an agent ended: %w; it said: %s", errors.Join(errAgentDied, a.exitErr), strings.TrimSpace(a.stderr.String()))
+}
+
+var errAgentDied = errors.New("died")
+
+// kill ends the agent at once and waits until it has ended.
+func (a *agentProcess) kill() {
+	_ = a.cmd.Process.Kill() // an error means that it has ended
+	<-a.exited
+}
+
+// stop ends the agent in order; one that does not end in time is killed.
+func (a *agentProcess) stop() error {
+	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		return a.exitError()
+	}
+	select {
+	case <-a.exited:
+	case <-time.After(shutdownTimeout):
+		a.kill()
+		return errors.New("an agent did not end after SIGTERM and was killed")
+	}
+	if a.exitErr != nil {
+		return a.exitError()
+	}
+	return nil
+}
+
+// tailBuffer keeps the end of what is written to it.
+type tailBuffer struct {
+	mu   sync.Mutex
+	text []byte
+}
+
+func (t *tailBuffer) Write(p []byte) (int, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.text = append(t.text, p...)
+	if over := len(t.text) - maxStderrBytes; over > 0 {
+		t.text = append(t.text[:0], t.text[over:]...)
+	}
+	return len(p), nil
+}
+
+func (t *tailBuffer) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return string(t.text)
+}
--- a/internal/fleet/datapath/datapath_test.go
+++ b/internal/fleet/datapath/datapath_test.go
@@ -18,20 +18,20 @@
 	"ploverreel/internal/fleet"
 )
 
-// binary is the path of the agent's program, built for the tests.
-var binary string
+// agentBinary is the path of the agent's program, built for the tests.
+var agentBinary string
 
 // TestMain builds the agent, or makes the test binary an agent that dies at its first call.
 func TestMain(m *testing.M) {
 	if os.Getenv("PATH_TEST_DIES") == "1" {
-		dieAtFirstCall()
+		exitAtFirstCall()
 	}
 	dir, err := os.MkdirTemp("", "path-test-")
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "ploverreel")
-	if output, err := exec.Command("go", "build", "-o", binary, "ploverreel/cmd/ploverreel").CombinedOutput(); err != nil {
+	agentBinary = filepath.Join(dir, "ploverreel")
+	if output, err := exec.Command("go", "build", "-o", agentBinary, "ploverreel/cmd/ploverreel").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("build: %v: %s", err, output))
 	}
 	code := m.Run()
@@ -39,8 +39,8 @@
 	os.Exit(code)
 }
 
-// dieAtFirstCall is the program of an agent that is ready and exits at its first request.
-func dieAtFirstCall() {
+// exitAtFirstCall is the program of an agent that is ready and exits at its first request.
+func exitAtFirstCall() {
 	conf, err := config.Load(os.Getenv("EDGE_CONFIG"))
 	if err != nil {
 		panic(err)
@@ -61,12 +61,12 @@
 // tinyPlan returns a plan of four short cases, with a latency objective that no machine misses.
 func tinyPlan() *Plan {
 	return &Plan{Size: fleet.Size{Agents: 2, Servers: 8, Services: 4, Regions: 1, Zones: 2, Rate: 400, Depth: 2, Seed: 7},
-		Agent: binary, Lists: []int{2, 5}, Replicas: []int{1}, Open: []int{2}, Chains: 2,
+		Agent: agentBinary, Lists: []int{2, 5}, Replicas: []int{1}, Open: []int{2}, Chains: 2,
 		Answer: time.Millisecond, Objective: time.Minute, Calls: 20, Warmup: 5}
 }
 
-// expectNoChild fails the test if this process has a child that was not waited for.
-func expectNoChild(t *testing.T) {
+// expectNoChildProcess fails the test if this process has a child that was not waited for.
+func expectNoChildProcess(t *testing.T) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil {
@@ -127,7 +127,7 @@
 			t.Errorf("%s: got %+v, want memory, connections and open calls", c.Name, c.Figures)
 		}
 	}
-	expectNoChild(t)
+	expectNoChildProcess(t)
 }
 
 // The error of a run whose agent dies has the end of the agent's log.
@@ -137,22 +137,22 @@
 	p.Agent, p.Calls = os.Args[0], 1e6
 	r := fleet.NewResult("path", nil, p.Size)
 	err := p.Run(t.Context(), slog.New(slog.DiscardHandler), r)
-	if !errors.Is(err, errDied) || !strings.Contains(err.Error(), "fatal: first call") || len(r.Cases) > 0 {
-		t.Errorf("got error %v and %d cases, want %v with the log and no case", err, len(r.Cases), errDied)
+	if !errors.Is(err, errAgentDied) || !strings.Contains(err.Error(), "fatal: first call") || len(r.Cases) > 0 {
+		t.Errorf("got error %v and %d cases, want %v with the log and no case", err, len(r.Cases), errAgentDied)
 	}
-	expectNoChild(t)
+	expectNoChildProcess(t)
 }
 
-// cancelAt is a log handler that calls cancel when the message is logged.
-type cancelAt struct {
+// cancelAtMessage is a log handler that calls cancel when the message is logged.
+type cancelAtMessage struct {
 	slog.Handler
 	message string
 	cancel  context.CancelFunc
 }
 
-func (s cancelAt) Enabled(context.Context, slog.Level) bool { return true }
+func (s cancelAtMessage) Enabled(context.Context, slog.Level) bool { return true }
 
-func (s cancelAt) Handle(_ context.Context, r slog.Record) error {
+func (s cancelAtMessage) Handle(_ context.Context, r slog.Record) error {
 	if r.Message == s.message {
 		s.cancel()
 	}
@@ -166,11 +166,11 @@
 		p := tinyPlan()
 		p.Calls = 1e6
 		r := fleet.NewResult("path", nil, p.Size)
-		err := p.Run(ctx, slog.New(cancelAt{slog.DiscardHandler, when, cancel}), r)
+		err := p.Run(ctx, slog.New(cancelAtMessage{slog.DiscardHandler, when, cancel}), r)
 		if !errors.Is(err, context.Canceled) || len(r.Cases) > 0 {
 			t.Errorf("interrupted while %s: got error %v and %d cases, want %v and none", when, err, len(r.Cases), context.Canceled)
 		}
-		expectNoChild(t)
+		expectNoChildProcess(t)
 		cancel()
 	}
 }
--- a/internal/fleet/datapath/load.go
+++ b/internal/fleet/datapath/load.go
@@ -13,9 +13,9 @@
 
 // The histograms' range and precision: a microsecond to ten minutes, three digits.
 const (
-	longestUs = 600_000_000
-	digits    = 3
-	keys      = 10_000 // of the calls
+	maxLatencyUs      = 600_000_000
+	significantDigits = 3
+	keyCount          = 10_000 // of the calls
 )
 
 // callStats counts how the calls of one kind ended, and their latencies.
@@ -27,57 +27,57 @@
 	refused   int
 	failed    int
 	open      int
-	peak      int // the most open at one time
+	peakOpen  int // the most open at one time
 	firstErr  error
 }
 
 // newCallStats returns counts without a call.
 func newCallStats() *callStats {
-	return &callStats{latency: hdrhistogram.New(1, longestUs, digits), sendDelay: hdrhistogram.New(1, longestUs, digits)}
+	return &callStats{latency: hdrhistogram.New(1, maxLatencyUs, significantDigits), sendDelay: hdrhistogram.New(1, maxLatencyUs, significantDigits)}
 }
 
 // begin counts a call that is sent, so long after it was due.
-func (t *callStats) begin(sendDelay time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	_ = t.sendDelay.RecordValue(min(sendDelay.Microseconds(), longestUs))
-	t.open++
-	t.peak = max(t.peak, t.open)
+func (s *callStats) begin(sendDelay time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_ = s.sendDelay.RecordValue(min(sendDelay.Microseconds(), maxLatencyUs))
+	s.open++
+	s.peakOpen = max(s.peakOpen, s.open)
 }
 
 // end counts how a call ended.
-func (t *callStats) end(status int, err error, took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.open--
+func (s *callStats) end(status int, err error, took time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.open--
 	switch {
 	case err == nil && status == http.StatusOK:
-		t.served++
-		_ = t.latency.RecordValue(min(took.Microseconds(), longestUs))
+		s.served++
+		_ = s.latency.RecordValue(min(took.Microseconds(), maxLatencyUs))
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		t.refused++
+		s.refused++
 	default:
-		t.failed++
+		s.failed++
 		if err == nil {
 			err = fmt.Errorf("status %d", status)
 		}
-		if t.firstErr == nil {
-			t.firstErr = err
+		if s.firstErr == nil {
+			s.firstErr = err
 		}
 	}
 }
 
-// ms returns a quantile, in percent, of the served calls' latencies, in ms.
-func (t *callStats) ms(quantile float64) float64 {
-	return float64(t.latency.ValueAtQuantile(quantile)) / 1000
+// latencyMs returns a quantile, in percent, of the served calls' latencies, in ms.
+func (s *callStats) latencyMs(percentile float64) float64 {
+	return float64(s.latency.ValueAtQuantile(percentile)) / 1000
 }
 
-// stream sends calls at random times, whether earlier ones are answered or not (an open loop), and waits for all.
+// sendOpenLoop sends calls at random times, whether earlier ones are answered or not (an open loop), and waits for all.
 // A call's latency counts from when it was sent. As no call waits for another, that hides nothing: a late send
 // is the load generator's delay, which sendDelay has.
-func (t *callStats) stream(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
-	var wait sync.WaitGroup
-	defer wait.Wait()
+func (s *callStats) sendOpenLoop(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
+	var calling sync.WaitGroup
+	defer calling.Wait()
 	last := time.Now()
 	for range calls {
 		due := last.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
@@ -85,14 +85,14 @@
 		if !sleep(ctx, time.Until(due)) {
 			return
 		}
-		path := fmt.Sprintf("/%s/u%d", class, rng.IntN(keys))
-		wait.Add(1)
+		path := fmt.Sprintf("/%s/u%d", className, rng.IntN(keyCount))
+		calling.Add(1)
 		go func() {
-			defer wait.Done()
+			defer calling.Done()
 			sent := time.Now()
-			t.begin(sent.Sub(due))
+			s.begin(sent.Sub(due))
 			status, err := c.call(ctx, path, timeout)
-			t.end(status, err, time.Since(sent))
+			s.end(status, err, time.Since(sent))
 		}()
 	}
 }
--- a/internal/fleet/datapath/run.go
+++ b/internal/fleet/datapath/run.go
@@ -21,39 +21,39 @@
 	all := p.scenarios()
 	families := map[string][]fleet.Case{}
 	for i, s := range all {
-		c, err := p.play(ctx, log, s)
+		c, err := p.runScenario(ctx, log, s)
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 		r.Cases = append(r.Cases, c)
 		families[fmt.Sprint(s.family, s.replicas)] = append(families[fmt.Sprint(s.family, s.replicas)], c)
 		log.Info("case", "n", i+1, "of", len(all), "name", c.Name,
-			"served", value(c, "served_share"), "added_p50_ms", value(c, "added_p50"), "added_p99_ms", value(c, "added_p99"),
-			"cpu_ms_per_1000", value(c, "cpu_per_1000"), "rss_mb", value(c, "rss")/(1<<20))
+			"served", figureValue(c, "served_share"), "added_p50_ms", figureValue(c, "added_p50"), "added_p99_ms", figureValue(c, "added_p99"),
+			"cpu_ms_per_1000", figureValue(c, "cpu_per_1000"), "rss_mb", figureValue(c, "rss")/(1<<20))
 	}
 	for _, replicas := range p.Replicas {
 		for _, figure := range []string{"rss", "rss_peak", "cpu_per_1000"} {
-			addFit(log, r, families[fmt.Sprint(byList, replicas)], figure, "listed", float64(p.Size.Servers), replicas)
+			addFit(log, r, families[fmt.Sprint(familyList, replicas)], figure, "listed", float64(p.Size.Servers), replicas)
 		}
 	}
-	addFit(log, r, families[fmt.Sprint(byOpen, 1)], "rss_peak", "open", float64(p.Open[len(p.Open)-1]), 1)
-	addFit(log, r, families[fmt.Sprint(byOpen, 1)], "cpu_per_1000", "open", float64(p.Open[len(p.Open)-1]), 1)
+	addFit(log, r, families[fmt.Sprint(familyOpen, 1)], "rss_peak", "open", float64(p.Open[len(p.Open)-1]), 1)
+	addFit(log, r, families[fmt.Sprint(familyOpen, 1)], "cpu_per_1000", "open", float64(p.Open[len(p.Open)-1]), 1)
 	return nil
 }
 
 // addFit adds the line of a family's figure, unless there are too few sizes for one.
-func addFit(log *slog.Logger, r *fleet.Result, cases []fleet.Case, figure, over string, target float64, replicas int) {
-	f, err := fleet.FitLine(cases, figure, over, target)
+func addFit(log *slog.Logger, r *fleet.Result, cases []fleet.Case, figure, param string, target float64, replicas int) {
+	fit, err := fleet.FitLine(cases, figure, param, target)
 	if err != nil {
 		log.Info("no slope", "why", err)
 		return
 	}
-	f.Figure = fmt.Sprintf("%s, %d replicas", figure, replicas)
-	r.Fits = append(r.Fits, f)
+	fit.Figure = fmt.Sprintf("%s, %d replicas", figure, replicas)
+	r.Fits = append(r.Fits, fit)
 }
 
-// value returns a figure of a case, 0 if it has none.
-func value(c fleet.Case, name string) float64 {
+// figureValue returns a figure of a case, 0 if it has none.
+func figureValue(c fleet.Case, name string) float64 {
 	v, _ := c.Figure(name)
 	return v
 }
--- a/internal/fleet/datapath/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// heartbeatEvery is how often discovery writes an empty line to a watch.
-	heartbeatEvery = 2 * time.Second
-	bodyBytes      = 256 // of a server's answer
-	maxAnswerBytes = 64 << 10
+	// heartbeatInterval is how often discovery writes an empty line to a watch.
+	heartbeatInterval = 2 * time.Second
+	responseBodyBytes = 256 // of a server's answer
+	maxResponseBytes  = 64 << 10
 )
 
-var answerBody = strings.Repeat("x", bodyBytes)
-
-// standIns are the stand-in servers of one hop: one HTTP server on a listener each.
-type standIns struct {
-	addrs    []string
-	server   *http.Server
-	answer   time.Duration
-	next     *caller // who is called for each request; nil: nobody
-	requests atomic.Int64
-
-	mu    sync.Mutex
-	open  int // connections
-	peak  int
-	begun int
-	used  map[string]bool // addresses that had a connection
+var responseBody = strings.Repeat("x", responseBodyBytes)
+
+// standInServers are the stand-in servers of one hop: one HTTP server on a listener each.
+type standInServers struct {
+	addrs      []string
+	server     *http.Server
+	answerTime time.Duration
+	nextHop    *caller // who is called for each request; nil: nobody
+	requests   atomic.Int64
+
+	mu        sync.Mutex
+	open      int // connections
+	peakOpen  int
+	opened    int
+	usedAddrs map[string]bool // addresses that had a connection
 }
 
-// newStandIns starts n servers that end with the context.
-func newStandIns(ctx context.Context, n int, answer time.Duration, next *caller) (*standIns, error) {
-	s := &standIns{answer: answer, next: next, used: map[string]bool{}}
-	s.server = &http.Server{Handler: s, ConnState: s.track, IdleTimeout: keepalive,
+// startStandInServers starts n servers that end with the context.
+func startStandInServers(ctx context.Context, n int, answer time.Duration, next *caller) (*standInServers, error) {
+	s := &standInServers{answerTime: answer, nextHop: next, usedAddrs: map[string]bool{}}
+	s.server = &http.Server{Handler: s, ConnState: s.trackConnection, IdleTimeout: keepaliveTimeout,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
 	context.AfterFunc(ctx, func() { s.server.Close() })
 	for range n {
@@ -59,16 +59,16 @@
 	return s, nil
 }
 
-// track counts the connections.
-func (s *standIns) track(c net.Conn, state http.ConnState) {
+// trackConnection counts the connections.
+func (s *standInServers) trackConnection(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
-		s.begun++
+		s.opened++
 		s.open++
-		s.peak = max(s.peak, s.open)
-		s.used[c.LocalAddr().String()] = true
+		s.peakOpen = max(s.peakOpen, s.open)
+		s.usedAddrs[c.LocalAddr().String()] = true
 	case http.StateClosed, http.StateHijacked:
 		s.open--
 	}
@@ -76,36 +76,36 @@
 
 // connections returns how many are open, how many were opened so far, the most at one time,
 // and how many servers had any.
-func (s *standIns) connections() (open, begun, peak, used int) {
+func (s *standInServers) connections() (open, opened, peakOpen, usedServers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open, s.begun, s.peak, len(s.used)
+	return s.open, s.opened, s.peakOpen, len(s.usedAddrs)
 }
 
 // ServeHTTP answers after the answer time and, where there is a next hop, its answer. A call
 // there that is not served has failed here: the server may have done part of its work.
-func (s *standIns) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
+func (s *standInServers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	arrivedAt := time.Now()
 	s.requests.Add(1)
-	left, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"))
+	timeLeftMs, err := strconv.Atoi(strings.TrimSuffix(r.Header.Get("Request-Timeout"), "m"))
 	if err != nil || r.Header.Get("Request-Id") == "" {
 		http.Error(w, "Request-Id or Request-Timeout: missing", http.StatusNotFound)
 		return
 	}
-	if !sleep(r.Context(), s.answer) {
+	if !sleep(r.Context(), s.answerTime) {
 		return
 	}
 	status := http.StatusOK
-	if s.next != nil {
-		status, err = s.next.call(r.Context(), r.URL.Path, time.Duration(left)*time.Millisecond-time.Since(came))
+	if s.nextHop != nil {
+		status, err = s.nextHop.call(r.Context(), r.URL.Path, time.Duration(timeLeftMs)*time.Millisecond-time.Since(arrivedAt))
 		if err != nil || status != http.StatusOK {
 			status = http.StatusInternalServerError
 		}
 	}
 	w.Header()["Date"] = nil
-	w.Header().Set("Content-Length", strconv.Itoa(bodyBytes))
+	w.Header().Set("Content-Length", strconv.Itoa(responseBodyBytes))
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, answerBody) // an error means that the caller has disconnected
+	_, _ = io.WriteString(w, responseBody) // an error means that the caller has disconnected
 }
 
 // sleep reports false if the context ended first.
@@ -120,9 +120,9 @@
 	}
 }
 
-// newDiscovery starts a stand-in of discovery that serves one list, which never changes, and
+// startDiscovery starts a stand-in of discovery that serves one list, which never changes, and
 // returns its address. It ends with the context.
-func newDiscovery(ctx context.Context, list endpointlist.List) (addr string, err error) {
+func startDiscovery(ctx context.Context, list endpointlist.List) (addr string, err error) {
 	text, err := json.Marshal(list)
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
@@ -134,7 +134,7 @@
 				return
 			}
 			flush := http.NewResponseController(w)
-			for flush.Flush() == nil && sleep(r.Context(), heartbeatEvery) {
+			for flush.Flush() == nil && sleep(r.Context(), heartbeatInterval) {
 				if _, err := io.WriteString(w, "\n"); err != nil {
 					return
 				}
@@ -152,25 +152,25 @@
 // caller calls agents or servers in turn, as an application does: kept connections, more
 // where all are busy.
 type caller struct {
-	client *http.Client
-	bases  []string
-	turn   atomic.Uint64
-	ids    *atomic.Uint64 // of all callers: an id is never used twice
-	opened atomic.Int64   // connections
+	client            *http.Client
+	baseURLs          []string
+	roundRobin        atomic.Uint64
+	requestIDs        *atomic.Uint64 // of all callers: an id is never used twice
+	connectionsOpened atomic.Int64   // connections
 }
 
 // newCaller returns a caller of the addresses.
-func newCaller(ids *atomic.Uint64, addrs []string) *caller {
-	c := &caller{ids: ids}
+func newCaller(requestIDs *atomic.Uint64, addrs []string) *caller {
+	c := &caller{requestIDs: requestIDs}
 	dialer := net.Dialer{}
 	c.client = &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			c.opened.Add(1)
+			c.connectionsOpened.Add(1)
 			return dialer.DialContext(ctx, network, addr)
 		},
 		MaxIdleConnsPerHost: agentSockets, DisableCompression: true}}
 	for _, a := range addrs {
-		c.bases = append(c.bases, "http://"+a)
+		c.baseURLs = append(c.baseURLs, "http://"+a)
 	}
 	return c
 }
@@ -183,24 +183,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout+time.Second)
 	defer cancel()
-	base := c.bases[c.turn.Add(1)%uint64(len(c.bases))]
+	base := c.baseURLs[c.roundRobin.Add(1)%uint64(len(c.baseURLs))]
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+path, nil)
 	if err != nil {
 		return 0, err
 	}
-	req.Header.Set("Request-Id", fmt.Sprintf("%016x", c.ids.Add(1)))
+	req.Header.Set("Request-Id", fmt.Sprintf("%016x", c.requestIDs.Add(1)))
 	req.Header.Set("Request-Timeout", fmt.Sprintf("%dm", timeout.Milliseconds()))
-	req.Header.Set("Tenant", tenant)
+	req.Header.Set("Tenant", tenantName)
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
 		return 0, err
 	}
 	return resp.StatusCode, nil
 }
 
-// close ends the idle connections.
-func (c *caller) close() { c.client.CloseIdleConnections() }
+// closeIdleConnections ends the idle connections.
+func (c *caller) closeIdleConnections() { c.client.CloseIdleConnections() }
--- a/internal/fleet/datapath/testbed.go
+++ b/internal/fleet/datapath/testbed.go
@@ -10,49 +10,49 @@
 
 // testbed holds the agents, servers and callers of one scenario.
 type testbed struct {
-	agents       []*process
-	hops         []*standIns // behind agents, the first hop first
-	direct       []*standIns
-	through      []*caller // one a chain
-	directCaller *caller
+	agents        []*agentProcess
+	hopServers    []*standInServers // behind agents, the first hop first
+	directServers []*standInServers
+	chainCallers  []*caller // one a chain
+	directCaller  *caller
 }
 
-// build starts the servers and the agents, the last hop first.
-func (p *Plan) build(ctx context.Context, t *testbed, dir string, s scenario) error {
-	ids := new(atomic.Uint64)
-	t.hops, t.direct = make([]*standIns, s.hops), make([]*standIns, s.hops)
-	var through, directCaller *caller
-	near := min(s.listed, p.service()) // direct calls go to as many servers as a service has
+// startTestbed starts the servers and the agents, the last hop first.
+func (p *Plan) startTestbed(ctx context.Context, t *testbed, dir string, s scenario) error {
+	requestIDs := new(atomic.Uint64)
+	t.hopServers, t.directServers = make([]*standInServers, s.hops), make([]*standInServers, s.hops)
+	var agentCaller, directCaller *caller
+	directServerCount := min(s.listedServers, p.serversPerService()) // direct calls go to as many servers as a service has
 	for hop := s.hops - 1; hop >= 0; hop-- {
 		var err error
-		if t.hops[hop], err = newStandIns(ctx, s.listed, s.answer, through); err != nil {
+		if t.hopServers[hop], err = startStandInServers(ctx, s.listedServers, s.answerTime, agentCaller); err != nil {
 			return err
 		}
-		if t.direct[hop], err = newStandIns(ctx, near, s.answer, directCaller); err != nil {
+		if t.directServers[hop], err = startStandInServers(ctx, directServerCount, s.answerTime, directCaller); err != nil {
 			return err
 		}
-		list := p.list(t.hops[hop].addrs)
-		discovery, err := newDiscovery(ctx, list)
+		list := p.endpointList(t.hopServers[hop].addrs)
+		discovery, err := startDiscovery(ctx, list)
 		if err != nil {
 			return err
 		}
-		var listens []string
+		var agentAddrs []string
 		for range s.chains {
-			a, err := p.start(ctx, dir, s, len(t.agents), discovery, list)
+			agent, err := p.startAgent(ctx, dir, s, len(t.agents), discovery, list)
 			if err != nil {
 				return err
 			}
-			t.agents = append(t.agents, a)
-			listens = append(listens, a.listen)
+			t.agents = append(t.agents, agent)
+			agentAddrs = append(agentAddrs, agent.addr)
 		}
-		through, directCaller = newCaller(ids, listens), newCaller(ids, t.direct[hop].addrs)
-		context.AfterFunc(ctx, through.close)
-		context.AfterFunc(ctx, directCaller.close)
+		agentCaller, directCaller = newCaller(requestIDs, agentAddrs), newCaller(requestIDs, t.directServers[hop].addrs)
+		context.AfterFunc(ctx, agentCaller.closeIdleConnections)
+		context.AfterFunc(ctx, directCaller.closeIdleConnections)
 		if hop == 0 {
-			for _, l := range listens {
-				c := newCaller(ids, []string{l})
-				context.AfterFunc(ctx, c.close)
-				t.through = append(t.through, c)
+			for _, addr := range agentAddrs {
+				c := newCaller(requestIDs, []string{addr})
+				context.AfterFunc(ctx, c.closeIdleConnections)
+				t.chainCallers = append(t.chainCallers, c)
 			}
 			t.directCaller = directCaller
 		}
@@ -61,57 +61,57 @@
 }
 
 // stop ends the agents, in order or at once, all at the same time.
-func (t *testbed) stop(inOrder bool) error {
-	var wait sync.WaitGroup
+func (t *testbed) stop(graceful bool) error {
+	var stopping sync.WaitGroup
 	errs := make([]error, len(t.agents))
 	for i, a := range t.agents {
-		wait.Add(1)
+		stopping.Add(1)
 		go func() {
-			defer wait.Done()
-			if inOrder {
+			defer stopping.Done()
+			if graceful {
 				errs[i] = a.stop()
 			} else {
 				a.kill()
 			}
 		}()
 	}
-	wait.Wait()
+	stopping.Wait()
 	return errors.Join(errs...)
 }
 
 // counts are what was counted up to a moment.
-type counts struct {
-	at               time.Time
-	cpu              time.Duration // all agents
-	rss, peak        float64       // bytes, all agents
-	begun, byClients int64
-	requests         int64 // requests at the servers
-	handled          int64 // calls that servers made to the agents of the next hop
+type counters struct {
+	readAt                                     time.Time
+	cpu                                        time.Duration // all agents
+	rss, rssPeak                               float64       // bytes, all agents
+	connectionsOpened, clientConnectionsOpened int64
+	serverRequests                             int64 // requests at the servers
+	nextHopCalls                               int64 // calls that servers made to the agents of the next hop
 }
 
-// counts returns what was counted up to now.
-func (t *testbed) counts() (counts, error) {
-	n := counts{at: time.Now()}
+// readCounters returns what was counted up to now.
+func (t *testbed) readCounters() (counters, error) {
+	n := counters{readAt: time.Now()}
 	for _, a := range t.agents {
-		u, err := a.usage()
+		u, err := a.readUsage()
 		if err != nil {
 			return n, err
 		}
 		n.cpu += u.cpu
 		n.rss += u.rss
-		n.peak += u.peak
+		n.rssPeak += u.rssPeak
 	}
-	for i, h := range t.hops {
+	for i, h := range t.hopServers {
 		_, begun, _, _ := h.connections()
-		n.begun += int64(begun)
+		n.connectionsOpened += int64(begun)
 		arrived := h.requests.Load()
-		n.requests += arrived
-		if i < len(t.hops)-1 {
-			n.handled += arrived
+		n.serverRequests += arrived
+		if i < len(t.hopServers)-1 {
+			n.nextHopCalls += arrived
 		}
 	}
-	for _, c := range t.through {
-		n.byClients += c.opened.Load()
+	for _, c := range t.chainCallers {
+		n.clientConnectionsOpened += c.connectionsOpened.Load()
 	}
 	return n, nil
 }
--- a/internal/fleet/datapath/usage.go
+++ b/internal/fleet/datapath/usage.go
@@ -14,12 +14,12 @@
 
 // usage holds the resources that an agent has used so far.
 type usage struct {
-	cpu       time.Duration
-	rss, peak float64 // bytes
+	cpu          time.Duration
+	rss, rssPeak float64 // bytes
 }
 
-// usage reads the processor time and the memory of the agent from /proc.
-func (a *process) usage() (usage, error) {
+// readUsage reads the processor time and the memory of the agent from /proc.
+func (a *agentProcess) readUsage() (usage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(a.cmd.Process.Pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
@@ -34,21 +34,21 @@
 		return u, fmt.Errorf("agent's usage: %w", err)
 	}
 	for line := range strings.Lines(string(status)) {
-		name, rest, _ := strings.Cut(line, ":")
-		var to *float64
+		name, text, _ := strings.Cut(line, ":")
+		var value *float64
 		switch name {
 		case "VmRSS":
-			to = &u.rss
+			value = &u.rss
 		case "VmHWM":
-			to = &u.peak
+			value = &u.rssPeak
 		default:
 			continue
 		}
-		kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(rest), " kB"), 64)
+		kb, err := strconv.ParseFloat(strings.TrimSuffix(strings.TrimSpace(text), " kB"), 64)
 		if err != nil {
 			return u, fmt.Errorf("agent's usage: %s: %w", name, err)
 		}
-		*to = kb * 1024
+		*value = kb * 1024
 	}
 	return u, nil
 }
@@ -56,9 +56,9 @@
 // parseCPU returns the user and system time in the text of /proc/PID/stat.
 func parseCPU(stat string) (time.Duration, error) {
 	// The second field is the name, in parentheses, and may hold anything.
-	at := strings.LastIndexByte(stat, ')')
-	fields := strings.Fields(stat[at+1:])
-	if at < 0 || len(fields) < 13 {
+	nameEnd := strings.LastIndexByte(stat, ')')
+	fields := strings.Fields(stat[nameEnd+1:])
+	if nameEnd < 0 || len(fields) < 13 {
 		return 0, fmt.Errorf("%q", stat)
 	}
 	ticks := 0
