--- a/internal/fleet/decisions/decisions_test.go
+++ b/internal/fleet/decisions/decisions_test.go
@@ -11,58 +11,58 @@
 	"ploverreel/internal/fleet"
 )
 
-// easyLoad returns a workload that queues nothing.
-func easyLoad(servers int) workload {
-	return workload{servers: servers, replicas: servers, perAgent: 110, zones: 9, seed: 1}
+// uncongestedLoad returns a workload that queues nothing.
+func uncongestedLoad(servers int) workload {
+	return workload{servers: servers, replicas: servers, ratePerAgent: 110, zones: 9, seed: 1}
 }
 
-// started returns a player that has played some requests.
-func started(t *testing.T, l workload) *player {
+// startedDriver returns a player that has played some requests.
+func startedDriver(t *testing.T, w workload) *driver {
 	t.Helper()
-	p, err := newPlayer(l)
+	d, err := newDriver(w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.advance(600)
-	return p
+	d.advance(600)
+	return d
 }
 
-// workOf returns the balancer's work for a call of do, the mean of n calls.
-func workOf(p *player, n int, do func()) float64 {
-	before := p.balancer.Work()
+// meanWork returns the balancer's work for a call of handle, the mean of n calls.
+func meanWork(d *driver, n int, handle func()) float64 {
+	before := d.balancer.Work()
 	for range n {
-		do()
+		handle()
 	}
-	return float64(p.balancer.Work()-before) / float64(n)
+	return float64(d.balancer.Work()-before) / float64(n)
 }
 
 // The work of a decision grows at most as fast as the list, or as the queue.
 func TestBalancerWorkGrowsNoFasterThanSize(t *testing.T) {
-	call := func(p *player) func() { return func() { p.advance(1) } }
-	replacement := func(p *player) func() { return p.replace }
+	call := func(d *driver) func() { return func() { d.advance(1) } }
+	replacement := func(d *driver) func() { return d.replaceServer }
 	for _, c := range []struct {
 		name         string
 		small, large workload
-		do           func(*player) func()
-		most         float64
+		event        func(*driver) func()
+		maxRatio     float64
 	}{
-		{"a call, by servers", easyLoad(200), easyLoad(2000), call, 10},
-		{"a replacement, by servers", easyLoad(200), easyLoad(2000), replacement, 10},
-		{"a call, by queued requests", workload{servers: 20, replicas: 20, perAgent: 110, queued: 64, seed: 1},
-			workload{servers: 20, replicas: 20, perAgent: 110, queued: 512, seed: 1}, call, 8},
-		{"a call in a list beyond the subset, by servers", easyLoad(1000), easyLoad(2000), call, 1.1},
+		{"a call, by servers", uncongestedLoad(200), uncongestedLoad(2000), call, 10},
+		{"a replacement, by servers", uncongestedLoad(200), uncongestedLoad(2000), replacement, 10},
+		{"a call, by queued requests", workload{servers: 20, replicas: 20, ratePerAgent: 110, queued: 64, seed: 1},
+			workload{servers: 20, replicas: 20, ratePerAgent: 110, queued: 512, seed: 1}, call, 8},
+		{"a call in a list beyond the subset, by servers", uncongestedLoad(1000), uncongestedLoad(2000), call, 1.1},
 	} {
-		small, large := started(t, c.small), started(t, c.large)
-		before, after := workOf(small, 200, c.do(small)), workOf(large, 200, c.do(large))
-		if before <= 0 || after > c.most*before {
-			t.Errorf("%s: got work %.0f and then %.0f, want at most %v times as much", c.name, before, after, c.most)
+		small, large := startedDriver(t, c.small), startedDriver(t, c.large)
+		before, after := meanWork(small, 200, c.event(small)), meanWork(large, 200, c.event(large))
+		if before <= 0 || after > c.maxRatio*before {
+			t.Errorf("%s: got work %.0f and then %.0f, want at most %v times as much", c.name, before, after, c.maxRatio)
 		}
 	}
 }
 
 // The allocations of a call do not grow with the list.
 func TestBalancerAllocationsDoNotGrowWithList(t *testing.T) {
-	small, large := started(t, easyLoad(200)), started(t, easyLoad(2000))
+	small, large := startedDriver(t, uncongestedLoad(200)), startedDriver(t, uncongestedLoad(2000))
 	before := testing.AllocsPerRun(300, func() { small.advance(1) })
 	after := testing.AllocsPerRun(300, func() { large.advance(1) })
 	if after > before+1 {
@@ -71,40 +71,40 @@
 }
 
 // A play is the same for the same seed, and another for another seed.
-func TestPlayerRepeatsPlayOfSameSeed(t *testing.T) {
-	l := workload{servers: 60, replicas: 2000, perAgent: 110, unhealthy: 0.1, warming: 0.1, zones: 3, seed: 7}
-	a, b := started(t, l), started(t, l)
-	if a.balancer.Work() != b.balancer.Work() || a.now != b.now || !slices.Equal(a.counts.waits, b.counts.waits) {
+func TestDriverRepeatsRunOfSameSeed(t *testing.T) {
+	w := workload{servers: 60, replicas: 2000, ratePerAgent: 110, refusingShare: 0.1, warmingShare: 0.1, zones: 3, seed: 7}
+	a, b := startedDriver(t, w), startedDriver(t, w)
+	if a.balancer.Work() != b.balancer.Work() || a.nowMs != b.nowMs || !slices.Equal(a.counts.waitsMs, b.counts.waitsMs) {
 		t.Error("got two plays of one seed that differ, want the same")
 	}
-	l.seed++
-	if c := started(t, l); c.now == a.now {
+	w.seed++
+	if c := startedDriver(t, w); c.nowMs == a.nowMs {
 		t.Error("got the same play for another seed, want another")
 	}
 }
 
 // A player keeps its queue full, has servers refuse, or plays an easy load, as its workload says.
-func TestPlayerKeepsItsWorkload(t *testing.T) {
-	p := started(t, workload{servers: 20, replicas: 20, perAgent: 110, queued: 64, seed: 1})
+func TestDriverKeepsItsWorkload(t *testing.T) {
+	d := startedDriver(t, workload{servers: 20, replicas: 20, ratePerAgent: 110, queued: 64, seed: 1})
 	for range 500 {
-		last, short := p.last, p.waiting < 64
-		if p.step(); p.waiting > 64 || short != (p.last > last) {
-			t.Fatalf("got %d requests queued, want 64 before another event", p.waiting)
+		lastRequest, short := d.lastRequest, d.queuedRequests < 64
+		if d.step(); d.queuedRequests > 64 || short != (d.lastRequest > lastRequest) {
+			t.Fatalf("got %d requests queued, want 64 before another event", d.queuedRequests)
 		}
 	}
-	p = started(t, workload{servers: 100, replicas: 100, perAgent: 110, unhealthy: 0.5, seed: 1})
-	if len(p.refusing) != 50 || len(p.untried) != 0 {
-		t.Errorf("got %d servers that refuse, %d of them not tried, want 50 and none", len(p.refusing), len(p.untried))
+	d = startedDriver(t, workload{servers: 100, replicas: 100, ratePerAgent: 110, refusingShare: 0.5, seed: 1})
+	if len(d.refusing) != 50 || len(d.notYetTried) != 0 {
+		t.Errorf("got %d servers that refuse, %d of them not tried, want 50 and none", len(d.refusing), len(d.notYetTried))
 	}
-	p = started(t, easyLoad(200))
-	p.counts = requestCounts{}
-	p.advance(400)
-	if r := p.counts; r.requests != 400 || r.rejected != 0 || r.attempts < 399 || r.served < 398 {
+	d = startedDriver(t, uncongestedLoad(200))
+	d.counts = requestCounts{}
+	d.advance(400)
+	if r := d.counts; r.requests != 400 || r.rejected != 0 || r.attempts < 399 || r.served < 398 {
 		t.Errorf("easy load: got %d requests, %d rejected, %d attempts, %d served, want 400, none, and all but a few",
 			r.requests, r.rejected, r.attempts, r.served)
 	}
-	if p.waiting+p.counts.attempts < 400 || len(p.open) > 5 {
-		t.Errorf("easy load: got %d queued and %d open, want 400 queued or sent and 5 open at most", p.waiting, len(p.open))
+	if d.queuedRequests+d.counts.attempts < 400 || len(d.open) > 5 {
+		t.Errorf("easy load: got %d queued and %d open, want 400 queued or sent and 5 open at most", d.queuedRequests, len(d.open))
 	}
 }
 
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -14,30 +14,30 @@
 type eventKind uint8
 
 const (
-	newRequest eventKind = iota
-	outcome              // of an attempt or a health check
+	newRequest     eventKind = iota
+	outcomeArrived           // of an attempt or a health check
 	timerFired
-	delta // a change of one entry of the list
+	listDelta // a change of one entry of the list
 	wholeList
-	eventKinds
+	eventKindCount
 )
 
 // meter measures what events cost the balancer: processor time of this thread, which other
 // processes don't lengthen, or bytes allocated.
 type meter struct {
-	mode       meterMode
-	readNs     float64 // what reading the clock takes, not counted
-	perKind    [eventKinds]struct{ events, ns, bytes float64 }
-	workBefore uint64
+	mode        meterMode
+	clockReadNs float64 // what reading the clock takes, not counted
+	perKind     [eventKindCount]struct{ events, ns, bytes float64 }
+	workBefore  uint64
 }
 
 // meterMode says which quantity a meter measures.
 type meterMode uint8
 
 const (
-	off meterMode = iota
-	timing
-	counting // of bytes; too slow for times
+	measureNothing meterMode = iota
+	measureTime
+	measureBytesAllocated // of bytes; too slow for times
 )
 
 // handle passes the event to the balancer and measures its cost.
@@ -46,70 +46,70 @@
 	k := &m.perKind[kind]
 	k.events++
 	switch m.mode {
-	case timing:
-		from := threadNs()
+	case measureTime:
+		before := threadCPUNs()
 		out = b.Handle(now, event, out)
-		k.ns += max(float64(threadNs()-from)-m.readNs, 0)
-	case counting:
-		from := allocated()
+		k.ns += max(float64(threadCPUNs()-before)-m.clockReadNs, 0)
+	case measureBytesAllocated:
+		before := allocatedBytes()
 		out = b.Handle(now, event, out)
-		k.bytes += float64(allocated() - from)
+		k.bytes += float64(allocatedBytes() - before)
 	default:
 		out = b.Handle(now, event, out)
 	}
 	return out
 }
 
-// begin empties the meter, which measures from here on.
-func (m *meter) begin(mode meterMode, readNs float64, b *policy.Balancer) {
-	*m = meter{mode: mode, readNs: readNs, workBefore: b.Work()}
+// reset empties the meter, which measures from here on.
+func (m *meter) reset(mode meterMode, clockReadNs float64, b *policy.Balancer) {
+	*m = meter{mode: mode, clockReadNs: clockReadNs, workBefore: b.Work()}
 }
 
-// us returns the mean processor time of an event of the kind.
-func (m *meter) us(kind eventKind) float64 {
+// meanUs returns the mean processor time of an event of the kind.
+func (m *meter) meanUs(kind eventKind) float64 {
 	k := m.perKind[kind]
 	return k.ns / 1000 / max(k.events, 1)
 }
 
-// bytes returns the mean number of bytes that an event of the kind allocates.
-func (m *meter) bytes(kind eventKind) float64 {
+// meanBytes returns the mean number of bytes that an event of the kind allocates.
+func (m *meter) meanBytes(kind eventKind) float64 {
 	k := m.perKind[kind]
 	return k.bytes / max(k.events, 1)
 }
 
-// threadNs returns the processor time of the thread. The caller has locked its goroutine to it.
-func threadNs() int64 {
+// threadCPUNs returns the processor time of the thread. The caller has locked its goroutine to it.
+func threadCPUNs() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(fmt.Sprintf("decide: the thread's clock: %v", err)) // checked by clockCost
+		panic(fmt.Sprintf("decide: the thread's clock: %v", err)) // checked by measureClockReadNs
 	}
 	return t.Nano()
 }
 
-// clockCost returns how long the clock takes to read, in ns: the median of many. Its error is that the clock can't be
+// measureClockReadNs returns how long the clock takes to read, in ns: the median of many. Its error is that the clock can't be
 // read.
-func clockCost() (float64, error) {
+func measureClockReadNs() (float64, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
 		return 0, fmt.Errorf("decide: the thread's clock of processor time: %w", err)
 	}
 	costs := make([]float64, 1001)
 	for i := range costs {
-		from := threadNs()
-		costs[i] = float64(threadNs() - from)
+		before := threadCPUNs()
+		costs[i] = float64(threadCPUNs() - before)
 	}
 	return median(costs), nil
 }
 
-// allocated returns how many bytes the program has allocated so far.
-func allocated() uint64 {
+// allocatedBytes returns how many bytes the program has allocated so far.
+func allocatedBytes() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.TotalAlloc
 }
 
-// inUse returns how many bytes are in use after a collection.
-func inUse() float64 {
+// heapBytesInUse returns how many bytes are in use after a collection.
+func heapBytesInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
