--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -64,7 +64,7 @@
 // attributes returns the attributes of one line. Counts are differences from the last line.
 func (t *tracer) attributes(state policy.Snapshot) []any {
 	all := []any{"limit", truncated(state.Limit), "floor", truncated(state.Floor),
-		"inFlight", state.Inflight, "stalled", state.Stalled, "queued", state.Queued,
+		"inFlight", state.InFlight, "stalled", state.Stalled, "queued", state.Queued,
 		"retryBudget", truncated(state.RetryBudget), "uncontendedLatency", truncated(state.UncontendedLatency),
 		"latency", truncated(state.Latency), t.outcomeAttr(state.Outcomes)}
 	for rank, tier := range state.Tiers {
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -1,73 +1,73 @@
-// This file holds the way of an attempt: it is sent, its response may start, and it ends, after which
-// what its end says is learnt.
+// This file holds the lifecycle of an attempt: it is sent, its response may start, and it ends. The
+// outcome then updates the statistics of its endpoint and its class.
 
 package policy
 
-// send sends a request to an endpoint, and reports whether that is allowed.
+// send sends a request to an endpoint if the retry policy allows it, and reports whether it did.
 func (b *Balancer) send(request *request, endpoint *endpoint) bool {
 	if !b.retries.maySend(request, endpoint) {
 		return false
 	}
-	sent := &attempt{request: request, endpoint: endpoint, index: request.tries.sent,
+	sent := &attempt{request: request, endpoint: endpoint, index: request.attempts.sent,
 		alone: len(endpoint.traffic.inFlight) == 0, sentAt: b.now, cost: b.latency.hints.cost(request)}
 	beginWithinMs := b.retries.beginWithinMs(request)
-	request.tries.add(sent)
+	request.attempts.add(sent)
 	request.idempotency.attemptSent(sent)
 	request.class.countAttempt()
-	b.local.attemptSent(sent)
+	b.localFailure.attemptSent(sent)
 	b.endpoints.attemptSent(sent)
 	b.limiter.attemptSent()
 	b.slowStart.charge(sent)
-	b.do(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
+	b.emit(SendAttempt(request.id, endpoint.id, request.timing.deadline-b.now, beginWithinMs))
 	return true
 }
 
-// onResponseStarted notes that a streamed response has begun: its request is not sent again.
+// onResponseStarted records that a streamed response has begun. Its request is not sent again.
 func (b *Balancer) onResponseStarted(event *ResponseStarted) {
 	request := b.queue.open[event.Request]
 	if request == nil || request.closed {
 		return
 	}
-	request.started = true
+	request.responseStarted = true
 	if attempt := request.attempt(event.Attempt); attempt != nil {
 		attempt.endpoint.traffic.recordResponse(b.now)
 	}
 }
 
-// onAttemptEnded learns from the end of an attempt, and closes its request or sends it again.
+// onAttemptEnded applies the outcome of an attempt and closes or retries its request.
 func (b *Balancer) onAttemptEnded(event *AttemptEnded) {
 	request := b.queue.open[event.Request]
 	if request == nil {
 		return
 	}
 	attempt := request.attempt(event.Attempt)
-	if attempt == nil || attempt.done {
+	if attempt == nil || attempt.ended {
 		return
 	}
 	b.outcomes.add(event.Status)
-	status := b.local.attribute(attempt, event.Status)
-	b.settleAttempt(attempt, event.Status)
+	status := b.localFailure.attribute(attempt, event.Status)
+	b.releaseAttempt(attempt, event.Status)
 	if status == StatusLocalFailure {
-		b.takeBackAttempt(attempt)
+		b.revertAttempt(attempt)
 	} else {
-		b.local.attemptSucceeded(attempt)
-		b.learn(attempt, status, finite(event.LatencyMs))
+		b.localFailure.attemptSucceeded(attempt)
+		b.applyOutcome(attempt, status, clampFinite(event.LatencyMs))
 	}
 	switch {
-	case request.closed || request.started || event.Final || status == StatusOK:
-		b.close(request)
+	case request.closed || request.responseStarted || event.Final || status == StatusOK:
+		b.closeRequest(request)
 	case status == StatusLocalFailure:
-		b.retryLocally(request)
+		b.retryAfterLocalFailure(request)
 	default:
 		b.retry(request, status)
 	}
 }
 
-// settleAttempt takes an attempt that has ended from all that counts it as in flight.
-func (b *Balancer) settleAttempt(attempt *attempt, status Status) {
+// releaseAttempt removes an ended attempt from all counts of attempts in flight.
+func (b *Balancer) releaseAttempt(attempt *attempt, status Status) {
 	request := attempt.request
-	attempt.done = true
-	request.tries.attemptEnded()
+	attempt.ended = true
+	request.attempts.attemptEnded()
 	b.limiter.attemptEnded(attempt)
 	b.endpoints.attemptEnded(attempt)
 	if status.NeverRan() {
@@ -75,25 +75,26 @@
 	}
 }
 
-// takeBackAttempt takes back an attempt that this machine could not make: no endpoint has seen
-// anything of it.
-func (b *Balancer) takeBackAttempt(attempt *attempt) {
-	b.local.attemptFailed(attempt)
+// revertAttempt reverts the accounting of an attempt that failed on the agent's own machine. No
+// endpoint has received any of it.
+func (b *Balancer) revertAttempt(attempt *attempt) {
+	b.localFailure.attemptFailed(attempt)
 	b.slowStart.refund(attempt)
-	attempt.request.tries.uncount(attempt)
+	attempt.request.attempts.uncount(attempt)
 }
 
-// learn takes what an attempt's end after rttMs says into all that learns from attempts.
-func (b *Balancer) learn(attempt *attempt, status Status, rttMs float64) {
+// applyOutcome updates the outlier detector, the concurrency limit, the retry budget and the
+// statistics with the end of an attempt after rttMs.
+func (b *Balancer) applyOutcome(attempt *attempt, status Status, rttMs float64) {
 	b.outliers.recordUnanswered(attempt, status)
-	b.closeIdle(attempt.endpoint)
+	b.closeIdleConnections(attempt.endpoint)
 	if b.limiter.adapt(attempt, status, rttMs) {
-		b.retries.earn()
+		b.retries.refill()
 	}
 	b.recordOutcome(attempt, status, rttMs)
 }
 
-// recordOutcome takes what an attempt's end after rttMs says about its endpoint and class.
+// recordOutcome updates the state of an attempt's endpoint and class with its end after rttMs.
 func (b *Balancer) recordOutcome(attempt *attempt, status Status, rttMs float64) {
 	endpoint := attempt.endpoint
 	switch status {
@@ -114,13 +115,13 @@
 	}
 }
 
-// recordServed learns from an answer that came after rttMs.
+// recordServed updates the statistics with an answer that arrived after rttMs.
 func (b *Balancer) recordServed(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	endpoint.health.recordSuccess()
 	b.latency.hints.observeAnswer(request, rttMs)
 	b.endpointAnswered(endpoint)
-	b.limiter.abandoned.answered(rttMs)
+	b.limiter.abandoned.observeAnswered(rttMs)
 	endpoint.traffic.attemptAnswered(attempt)
 	endpoint.latency.recordLast(rttMs)
 	request.class.observeServed(b.now, rttMs, request.timing.objectiveAt)
@@ -132,13 +133,14 @@
 	}
 }
 
-// recordTimeout learns from an attempt that was given up on after rttMs. An endpoint that answered
-// others meanwhile is not to blame for a costly request; it counts as slow.
+// recordTimeout updates the statistics with an attempt that timed out after rttMs. If the endpoint
+// has answered anything since the attempt was sent, the request may just be expensive: rttMs is then
+// recorded as its answer time, so that the endpoint appears slow. Otherwise the endpoint is ejected.
 func (b *Balancer) recordTimeout(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
-	b.limiter.abandoned.unanswered(rttMs, maxAbandonedDeadlines*b.classes.longestDeadlineMs)
+	b.limiter.abandoned.observeUnanswered(rttMs, maxSojournDeadlines*b.classes.longestDeadlineMs)
 	request.class.observeUnanswered(b.now, rttMs)
-	if !b.set.Limits.Cancellation && rttMs > 0 {
+	if !b.settings.Limits.Cancellation && rttMs > 0 {
 		b.limiter.abandoned.add(attempt)
 	}
 	if endpoint.traffic.respondedSince(attempt) {
@@ -149,8 +151,8 @@
 	}
 }
 
-// recordCancelled learns from an attempt that was cancelled after rttMs, as its client disconnected
-// or it was late: so long at least it would have taken.
+// recordCancelled updates the statistics with an attempt that was cancelled after rttMs because its
+// client disconnected or it was late. rttMs is a lower bound of its answer time.
 func (b *Balancer) recordCancelled(attempt *attempt, rttMs float64) {
 	endpoint, request := attempt.endpoint, attempt.request
 	request.class.observeUnanswered(b.now, rttMs)
@@ -163,25 +165,28 @@
 	}
 }
 
-// observeEndpoint takes an answer time, as a part of the objective, into the means of its
+// observeEndpoint adds an answer time, as a fraction of the latency objective, to the averages of its
 // endpoint, zone and machine kind.
 func (b *Balancer) observeEndpoint(endpoint *endpoint, fraction float64) {
 	b.latency.observeEndpoint(endpoint, fraction)
 	b.selector.observe(endpoint, fraction)
 }
 
-// closeIdle closes an endpoint's idle connections where keeping them costs more than opening one
-// again, when this agent comes back to the endpoint as seldom as its last sends say. All agents'
-// requests are taken for this one's times their number: where a thousand agents each meet every
-// endpoint, they would keep hundreds of connections an endpoint open.
-func (b *Balancer) closeIdle(endpoint *endpoint) {
-	prices, gapMs := &b.set.Prices, endpoint.traffic.meanIntervalMs
+// closeIdleConnections closes an endpoint's idle connections if keeping them costs more than a new
+// handshake. The expected idle time is the mean gap between this agent's attempts at the endpoint.
+// The request rate of all agents is estimated as this agent's rate times their number. Without
+// this, a thousand agents that each use every endpoint would keep hundreds of connections open
+// to each.
+func (b *Balancer) closeIdleConnections(endpoint *endpoint) {
+	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanIntervalMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
-	requestsPerMs := b.traffic.lifetimePerMs() * float64(b.set.Replicas)
+	// Prices.Connection applies to open connections per 100 endpoints, Prices.Handshake to new
+	// connections per request.
+	requestsPerMs := b.requestRate.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
 	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
-		b.do(CloseIdleConnections(endpoint.id))
+		b.emit(CloseIdleConnections(endpoint.id))
 	}
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -52,12 +52,14 @@
 // grace.
 func (w *watchScheduler) start() {
 	w.startedAt = w.now
-	switch w.set.Membership {
+	switch w.settings.Membership {
 	case MembershipWatched:
 		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
-		position := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
-		maxSpreadMs := min(w.set.Contract.DrainGraceMs, notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
+		position := (float64(w.settings.Index) + w.rng.Float64()) /
+			float64(max(w.settings.Replicas, w.settings.Index+1))
+		maxSpreadMs := min(w.settings.Contract.DrainGraceMs,
+			notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
 		w.scheduleWatch(position * w.spreadMs(maxSpreadMs))
 	}
 }
@@ -65,7 +67,7 @@
 // openWatch opens the scheduled watch.
 func (w *watchScheduler) openWatch() {
 	w.startedAt = w.now
-	w.do(OpenWatch())
+	w.emit(OpenWatch())
 }
 
 // onDelivered resets the failures, because discovery has delivered a list.
@@ -89,7 +91,7 @@
 	switch {
 	case w.shortWatches > 1:
 		w.scheduleRetry(w.shortWatches-1, watchEndedBackoffMs)
-	case w.set.Membership == MembershipWatched:
+	case w.settings.Membership == MembershipWatched:
 		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	default:
 		w.scheduleWatch(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
@@ -101,7 +103,7 @@
 // discovery recovered. Therefore the duration of that call, the backoff and the next call together
 // stay below notifyDeadlineMs.
 func (w *watchScheduler) scheduleRetry(failures int, backoffMs float64) {
-	if w.set.Membership == MembershipWatched {
+	if w.settings.Membership == MembershipWatched {
 		maxBackoffMs := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
 		w.scheduleWatch(w.rng.Float64() * maxBackoffMs)
 		return
@@ -113,23 +115,23 @@
 
 // spreadMs returns the time over which the calls of all agents are spread, at most limitMs.
 func (w *watchScheduler) spreadMs(limitMs float64) float64 {
-	return min(watchStaggerMs*float64(w.set.Replicas), limitMs)
+	return min(watchStaggerMs*float64(w.settings.Replicas), limitMs)
 }
 
 // scheduleWatch schedules the next watch.
 func (w *watchScheduler) scheduleWatch(delayMs float64) {
-	w.do(SetTimer(delayMs, timerWatch))
+	w.emit(SetTimer(delayMs, timerWatch))
 }
 
 // fetch fetches the whole list, at a limited rate because every call is load for discovery. It does
 // nothing in the modes in which the agent watches the list: the list is then up to date, or the next
 // watch is already scheduled.
 func (w *watchScheduler) fetch() {
-	if w.set.Membership != MembershipPushed {
+	if w.settings.Membership != MembershipPushed {
 		return
 	}
-	if w.now-w.fetchedAt >= max(w.set.Contract.MaxListAgeMs, minFetchIntervalMs) {
+	if w.now-w.fetchedAt >= max(w.settings.Contract.MaxListAgeMs, minFetchIntervalMs) {
 		w.fetchedAt = w.now
-		w.do(FetchEndpoints())
+		w.emit(FetchEndpoints())
 	}
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -67,8 +67,8 @@
 // smaller request is not scaled up, because most of it is spent on the network.
 func (l *latencyTracker) objectiveFraction(request *request, rttMs float64) float64 {
 	fraction := rttMs / request.class.LatencyObjectiveMs
-	if request.hint > 0 {
-		fraction *= min(l.hints.meanHint/request.hint, 1)
+	if request.workHintMs > 0 {
+		fraction *= min(l.hints.meanHint/request.workHintMs, 1)
 	}
 	return min(fraction, maxObjectiveFraction)
 }
@@ -107,7 +107,8 @@
 // first answers happened to be quick would leave its endpoints idle.
 func (l *latencyTracker) uncontendedSmoothing(alone bool) float64 {
 	if alone {
-		return fleetSmoothing / min(2*math.Pow(float64(max(l.set.Replicas, 1)), 3), uncontendedRiseDivisor)
+		return fleetSmoothing /
+			min(2*math.Pow(float64(max(l.settings.Replicas, 1)), 3), uncontendedRiseDivisor)
 	}
 	return fleetSmoothing / uncontendedRiseDivisor
 }
@@ -160,7 +161,7 @@
 // well within the objective. An endpoint that is warming up has a higher threshold, because it is
 // slow before it is congested.
 func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
-	least := 2 * congestedFraction / (2 + float64(l.set.Replicas))
+	least := 2 * congestedFraction / (2 + float64(l.settings.Replicas))
 	return min(congestedFraction, max(congestedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
@@ -200,12 +201,12 @@
 
 // observeAnswer updates the regression with the answer time of a request, if that has a hint.
 func (h *hintRegression) observeAnswer(request *request, rttMs float64) {
-	if request.hint <= 0 {
+	if request.workHintMs <= 0 {
 		return
 	}
 	h.samples++
 	weight := max(fleetSmoothing, 1/h.samples)
-	hintDelta, timeDelta := request.hint-h.meanAnsweredHint, rttMs-h.meanAnswerMs
+	hintDelta, timeDelta := request.workHintMs-h.meanAnsweredHint, rttMs-h.meanAnswerMs
 	h.meanAnsweredHint += weight * hintDelta
 	h.meanAnswerMs += weight * timeDelta
 	h.hintVariance += weight * (hintDelta*hintDelta*(1-weight) - h.hintVariance)
@@ -215,18 +216,18 @@
 // expectedMs returns the answer time that the regression predicts for the request; 0 if the request
 // has no hint or there are too few samples.
 func (h *hintRegression) expectedMs(request *request) float64 {
-	if request.hint <= 0 || h.samples < minHintSamples || h.hintVariance <= 0 {
+	if request.workHintMs <= 0 || h.samples < minHintSamples || h.hintVariance <= 0 {
 		return 0
 	}
-	return max(h.meanAnswerMs+h.covariance/h.hintVariance*(request.hint-h.meanAnsweredHint), 0)
+	return max(h.meanAnswerMs+h.covariance/h.hintVariance*(request.workHintMs-h.meanAnsweredHint), 0)
 }
 
 // cost returns the work of a request as a multiple of the mean, at least 1. Hints are inaccurate,
 // and with costs below 1 an endpoint that is warming up would be sent the requests whose hints are
 // too small.
 func (h *hintRegression) cost(request *request) float64 {
-	if request.hint > h.meanHint {
-		return request.hint / h.meanHint
+	if request.workHintMs > h.meanHint {
+		return request.workHintMs / h.meanHint
 	}
 	return 1
 }
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -27,7 +27,7 @@
 // decayMs returns the time constant of recentCount, in ms: the time for which idle connections are
 // kept or, if none are, the time in which an endpoint may become overloaded.
 func (r *requestRate) decayMs() float64 {
-	return max(r.set.Limits.KeepaliveMs, r.set.Contract.OverloadWindowMs, 1)
+	return max(r.settings.Limits.KeepaliveMs, r.settings.Contract.OverloadWindowMs, 1)
 }
 
 // count counts a request. Retries are left out of the recent rate: their number rises with failures,
