--- a/internal/fleet/datapath/measurement.go
+++ b/internal/fleet/datapath/measurement.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	if m.direct.served == 0 {
-		return nil, fmt.Errorf("%d direct calls, none served, the first: %w", m.directLost(), m.direct.firstErr)
+		return nil, fmt.Errorf("none of %d direct calls was served; the first error: %w", m.directLost(), m.direct.firstErr)
 	}
 	return m, nil
 }
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	if info, err := os.Stat(p.Agent); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return fleet.NewUsageError("agent", "no program at %s; deploy/balancer.toml tells how to build it", p.Agent)
+		return fleet.NewUsageError("agent", "no executable file at %s; deploy/balancer.toml says how to build it", p.Agent)
 	}
 	for _, check := range []func() error{p.checkLists, p.checkDurations, p.checkMachine} {
 		if err := check(); err != nil {
@@ -79,7 +79,7 @@
 		values []int
 	}{{"list", p.Lists}, {"replicas", p.Replicas}, {"open", p.Open}} {
 		if len(list.values) == 0 {
-			return fleet.NewUsageError(list.arg, "none given")
+			return fleet.NewUsageError(list.arg, "no value given")
 		}
 		for _, v := range list.values {
 			if v < 1 || v > maxListedValue {
@@ -108,7 +108,7 @@
 	}
 	for _, s := range p.scenarios() {
 		if s.answerTime > maxAnswerTime {
-			return fleet.NewUsageError("open", "%d at %.0f calls a second need answers of %v, over %v", s.openRequests, p.ratePerAgent(), s.answerTime, maxAnswerTime)
+			return fleet.NewUsageError("open", "%d open requests at %.0f calls a second need an answer time of %v, the maximum is %v", s.openRequests, p.ratePerAgent(), s.answerTime, maxAnswerTime)
 		}
 	}
 	return nil
@@ -120,10 +120,10 @@
 	// Descriptors are needed for a listener per server and for both ends of the connections.
 	var fileLimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fileLimit); err != nil {
-		return fmt.Errorf("descriptors: %w", err)
+		return fmt.Errorf("limit on file descriptors: %w", err)
 	}
 	if neededDescriptors := uint64(2*max(longestList, p.serversPerService()*p.Size.Depth) + p.Chains*agentSockets); neededDescriptors > fileLimit.Cur {
-		return fleet.NewUsageError("list", "%d servers need some %d descriptors of %d", longestList, neededDescriptors, fileLimit.Cur)
+		return fleet.NewUsageError("list", "%d servers need about %d file descriptors, the limit is %d", longestList, neededDescriptors, fileLimit.Cur)
 	}
 	processes := max(p.Chains, p.Size.Depth)
 	return fleet.CheckMemory("list", float64(processes)*agentProcessBytes+float64(longestList)*standInServerBytes)
--- a/internal/fleet/datapath/usage.go
+++ b/internal/fleet/datapath/usage.go
@@ -60,7 +60,7 @@
 	nameEnd := strings.LastIndexByte(stat, ')')
 	fields := strings.Fields(stat[nameEnd+1:])
 	if nameEnd < 0 || len(fields) < 13 {
-		return 0, fmt.Errorf("%q", stat)
+		return 0, fmt.Errorf("too few fields in %q", stat)
 	}
 	ticks := 0
 	for _, f := range fields[11:13] { // utime, stime
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -82,7 +82,7 @@
 func threadCPUNs() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(fmt.Sprintf("decide: the thread's clock: %v", err)) // measureClockReadNs returns this error
+		panic(fmt.Sprintf("decide: read the thread's processor time: %v", err)) // measureClockReadNs returns this error
 	}
 	return t.Nano()
 }
@@ -92,7 +92,7 @@
 func measureClockReadNs() (float64, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		return 0, fmt.Errorf("decide: the thread's clock of processor time: %w", err)
+		return 0, fmt.Errorf("decide: read the thread's processor time: %w", err)
 	}
 	costs := make([]float64, 1001)
 	for i := range costs {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -39,7 +39,7 @@
 // machine's memory. It returns nil if the size of the memory is unknown.
 func CheckMemory(arg string, neededBytes float64) error {
 	if totalBytes := MemoryBytes(); totalBytes > 0 && neededBytes > float64(totalBytes)/2 {
-		return NewUsageError(arg, "would need some %.1f GB, over half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
+		return NewUsageError(arg, "would need about %.1f GB, more than half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
 	}
 	return nil
 }
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -102,7 +102,7 @@
 	}
 	switch {
 	case r.Format != resultFormat:
-		return nil, fmt.Errorf("result %s: not of this bench: form %q", path, r.Format)
+		return nil, fmt.Errorf("result %s: unknown format %q", path, r.Format)
 	case !r.Finished:
 		return nil, fmt.Errorf("result %s: unfinished: %s", path, r.Cause)
 	case len(r.Cases) == 0:
