--- a/internal/fleet/datapath/agent_config.go
+++ b/internal/fleet/datapath/agent_config.go
@@ -16,6 +16,8 @@
 	keepaliveTimeout = time.Minute
 	// connectTimeout is how long an agent waits for a connection to be established.
 	connectTimeout = 600 * time.Millisecond
+	// cellCount is the number of cells that the listed servers are assigned to in turn.
+	cellCount = 64
 	// className and tenantName are the class and the tenant of all calls.
 	className  = "look"
 	tenantName = "all"
@@ -57,12 +59,13 @@
 // zoneName returns the name of the zone with that index.
 func zoneName(i int) string { return fmt.Sprint("z", i) }
 
-// endpointList returns an endpoint list of the servers, which are assigned to the zones in turn.
+// endpointList returns an endpoint list of the servers, which are assigned to the zones and cells
+// in turn.
 func (p *Plan) endpointList(addrs []string) endpointlist.List {
 	list := endpointlist.List{Seq: 1, Whole: true}
 	for i, addr := range addrs {
 		list.Hosts = append(list.Hosts, endpointlist.Host{Host: fmt.Sprintf("s-%08x", i), Dial: addr, Site: zoneName(i % p.Size.Zones),
-			Class: "k", Block: i % 64, Health: "ready", Share: 1})
+			Class: "k", Block: i % cellCount, Health: "ready", Share: 1})
 	}
 	return list
 }
--- a/internal/fleet/datapath/measurement.go
+++ b/internal/fleet/datapath/measurement.go
@@ -29,7 +29,7 @@
 	if m.before, err = t.readCounters(); err != nil {
 		return nil, errors.Join(context.Cause(ctx), err)
 	}
-	p.sendCalls(ctx, t, s, p.Calls, 1, m.throughAgents, m.direct)
+	p.sendCalls(ctx, t, s, p.Calls, measuredPhase, m.throughAgents, m.direct)
 	m.after, err = t.readCounters()
 	if err := errors.Join(context.Cause(ctx), err); err != nil {
 		return nil, err
--- a/internal/fleet/datapath/run_scenario.go
+++ b/internal/fleet/datapath/run_scenario.go
@@ -10,6 +10,12 @@
 	"ploverreel/internal/fleet"
 )
 
+// Phases of a scenario.
+const (
+	warmupPhase = iota
+	measuredPhase
+)
+
 // runScenario runs one scenario and returns its case. All processes that it started have ended when
 // it returns. If an agent exits by itself, runScenario stops and returns the agent's error.
 func (p *Plan) runScenario(ctx context.Context, log *slog.Logger, s scenario) (c fleet.Case, err error) {
@@ -46,7 +52,7 @@
 // direct calls.
 func (p *Plan) warmUpAndMeasure(ctx context.Context, log *slog.Logger, t *testbed, s scenario) (fleet.Case, error) {
 	c := s.newCase(p.ratePerAgent())
-	p.sendCalls(ctx, t, s, s.warmupCalls, 0, newCallStats(), newCallStats())
+	p.sendCalls(ctx, t, s, s.warmupCalls, warmupPhase, newCallStats(), newCallStats())
 	log.Debug("measuring", "case", s.name)
 	m, err := p.measure(ctx, t, s)
 	if err != nil {
@@ -61,8 +67,7 @@
 }
 
 // sendCalls sends one stream of calls through each chain and, at the same time, as many streams of
-// direct calls. phase is 0 for the warmup and 1 for the measurement; each stream has its own random
-// numbers.
+// direct calls. Each stream of each phase has its own random numbers.
 func (p *Plan) sendCalls(ctx context.Context, t *testbed, s scenario, calls, phase int, through, direct *callStats) {
 	var streams sync.WaitGroup
 	defer streams.Wait()
--- a/internal/fleet/datapath/scenario.go
+++ b/internal/fleet/datapath/scenario.go
@@ -24,6 +24,9 @@
 // timeout returns the timeout of a call.
 func (s *scenario) timeout() time.Duration { return objectivesPerTimeout * s.objective }
 
+// minWarmupAnswerTimes multiplies the answer time. The warmup lasts at least that long.
+const minWarmupAnswerTimes = 2
+
 // Families of cases, by the parameter that differs between the cases.
 const (
 	familyList = "list"
@@ -45,7 +48,7 @@
 func (p *Plan) scenarios() []scenario {
 	var all []scenario
 	add := func(s scenario) {
-		s.warmupCalls = max(p.Warmup, int(2*s.answerTime.Seconds()*p.ratePerAgent()))
+		s.warmupCalls = max(p.Warmup, int(minWarmupAnswerTimes*s.answerTime.Seconds()*p.ratePerAgent()))
 		s.objective = p.Objective + objectiveAnswerTimesPerHop*time.Duration(s.hops)*s.answerTime
 		s.name = fmt.Sprintf("hops %d, listed %d, replicas %d", s.hops, s.listedServers, s.replicas)
 		if s.openRequests > 0 {
