--- a/internal/fleet/decisions/driver.go
+++ b/internal/fleet/decisions/driver.go
@@ -13,6 +13,10 @@
 	answerTimeMs     = 5.0  // time from an attempt to its answer
 	connectRefusedMs = 1.0  // time to the outcome of a health check or of a refused connection
 	keyCount         = 1000 // different keys of the requests
+	serversPerCell   = 8    // consecutive servers with the same cell
+	// maxRequestsPerRefusingServer multiplies the number of refusing servers. The product bounds the
+	// requests that are sent until each of these servers had an attempt.
+	maxRequestsPerRefusingServer = 20
 )
 
 // driver drives one balancer through virtual time. It sends requests, schedules the outcomes of
@@ -77,7 +81,7 @@
 	d.perform(d.balancer.Start(d.nowMs, nil))
 	if refusingCount > 0 {
 		d.updateList(policy.ListFull, d.entries[:refusingCount], wholeList)
-		for i := 0; len(d.notYetTried) > 0 && i < 20*refusingCount; i++ {
+		for i := 0; len(d.notYetTried) > 0 && i < maxRequestsPerRefusingServer*refusingCount; i++ {
 			d.sendRequest()
 			for until := d.nowMs + connectRefusedMs; len(d.scheduled) > 0 && d.scheduled[0].atMs <= until; {
 				d.handleNextScheduled()
@@ -94,7 +98,7 @@
 	id := d.entriesCreated
 	d.entriesCreated++
 	return policy.Entry{Server: policy.Addr{10, byte(id >> 16), byte(id >> 8), byte(id), 0x1f, 0x90},
-		Zone: id % max(d.zones, 1), Cell: id / 8, Health: policy.HealthReady, Weight: 1}
+		Zone: id % max(d.zones, 1), Cell: id / serversPerCell, Health: policy.HealthReady, Weight: 1}
 }
 
 // advance handles events until n more requests have arrived.
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -77,6 +77,9 @@
 	return k.bytes / max(k.events, 1)
 }
 
+// clockReadings is the number of readings of the clock that measureClockReadNs takes the median of.
+const clockReadings = 1001
+
 // threadCPUNs returns the processor time of the current thread, in ns. The caller must have locked
 // its goroutine to the thread.
 func threadCPUNs() int64 {
@@ -94,7 +97,7 @@
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
 		return 0, fmt.Errorf("decide: read the thread's processor time: %w", err)
 	}
-	costs := make([]float64, 1001)
+	costs := make([]float64, clockReadings)
 	for i := range costs {
 		before := threadCPUNs()
 		costs[i] = float64(threadCPUNs() - before)
