--- a/internal/docs/log_reader_test.go
+++ b/internal/docs/log_reader_test.go
@@ -11,65 +11,66 @@
 	"strings"
 )
 
-// logReader collects the log lines of one package.
+// logReader collects the log lines of packages, one package after the other.
 type logReader struct {
-	all       *tree
-	constants map[string]string          // of the package, by name
-	functions map[string][]*ast.FuncDecl // of the package, methods too, by name
-	imports   map[string]bool            // names of packages that the file imports, but for log/slog
-	enclosing *ast.FuncDecl              // function whose body is read
-	lines     map[string]logLine
-	common    map[string]bool // keys that a logger adds to each line
-	problems  []string
+	repo       *repository
+	constants  map[string]string          // string constants of the package, by name
+	functions  map[string][]*ast.FuncDecl // functions and methods of the package, by name
+	imports    map[string]bool            // names of the packages that the file imports, except log/slog
+	enclosing  *ast.FuncDecl              // function that is being read
+	lines      map[string]logLine         // by message
+	commonKeys map[string]bool            // keys that the logger adds to each line
+	problems   []string
 }
 
-// logLines returns the lines that the packages in the folders may log, by message, the keys that are
-// on every line, and what is wrong with calls.
-func (all *tree) logLines(folders []string) (lines map[string]logLine, common, problems []string) {
-	reader := &logReader{all: all, lines: map[string]logLine{}, common: map[string]bool{}}
-	for _, folder := range folders {
-		files := all.folder(folder)
+// logLines returns the lines that the packages in the directories can log, by message, the keys
+// that every line has, and the problems with log calls.
+func (repo *repository) logLines(dirs []string) (lines map[string]logLine, commonKeys, problems []string) {
+	reader := &logReader{repo: repo, lines: map[string]logLine{}, commonKeys: map[string]bool{}}
+	for _, dir := range dirs {
+		files := repo.goFilesIn(dir)
 		reader.constants, reader.functions = map[string]string{}, map[string][]*ast.FuncDecl{}
 		for _, file := range files {
-			reader.declare(file)
+			reader.addDeclarations(file)
 		}
 		for _, name := range slices.Sorted(maps.Keys(files)) {
 			reader.readFile(files[name])
 		}
 	}
-	return reader.lines, slices.Sorted(maps.Keys(reader.common)), reader.problems
+	return reader.lines, slices.Sorted(maps.Keys(reader.commonKeys)), reader.problems
 }
 
-// packagesOf returns the folders of the module's packages that a program is made of, its own first.
-func (all *tree) packagesOf(program string) []string {
-	folders, seen := []string{program}, map[string]bool{program: true}
-	for i := 0; i < len(folders); i++ {
-		for _, file := range all.folder(folders[i]) {
-			for _, imported := range importsOf(file) {
-				folder, ours := strings.CutPrefix(imported, module+"/")
-				if ours && !seen[folder] {
-					seen[folder] = true
-					folders = append(folders, folder)
+// packageDirs returns the directories of the module's packages that a program consists of, starting
+// with the program's own.
+func (repo *repository) packageDirs(program string) []string {
+	dirs, seen := []string{program}, map[string]bool{program: true}
+	for i := 0; i < len(dirs); i++ {
+		for _, file := range repo.goFilesIn(dirs[i]) {
+			for _, imported := range importPaths(file) {
+				dir, inModule := strings.CutPrefix(imported, module+"/")
+				if inModule && !seen[dir] {
+					seen[dir] = true
+					dirs = append(dirs, dir)
 				}
 			}
 		}
 	}
-	return folders
+	return dirs
 }
 
-// folder returns the files of one folder that are no tests, by name.
-func (all *tree) folder(folder string) map[string]*ast.File {
+// goFilesIn returns the Go files of one directory except tests, by path.
+func (repo *repository) goFilesIn(dir string) map[string]*ast.File {
 	files := map[string]*ast.File{}
-	for name, file := range all.sources {
-		if path.Dir(name) == folder && !isTest(name) {
+	for name, file := range repo.goFiles {
+		if path.Dir(name) == dir && !isTest(name) {
 			files[name] = file
 		}
 	}
 	return files
 }
 
-// declare notes a file's functions and the constants that are texts.
-func (r *logReader) declare(file *ast.File) {
+// addDeclarations adds the functions and the string constants of a file.
+func (r *logReader) addDeclarations(file *ast.File) {
 	for _, declaration := range file.Decls {
 		switch declaration := declaration.(type) {
 		case *ast.FuncDecl:
@@ -81,7 +82,7 @@
 			for _, spec := range declaration.Specs {
 				spec := spec.(*ast.ValueSpec)
 				for i, value := range spec.Values {
-					if text, ok := textOf(value); ok {
+					if text, ok := stringLiteral(value); ok {
 						r.constants[spec.Names[i].Name] = text
 					}
 				}
@@ -93,7 +94,7 @@
 // readFile reads the log calls of a file.
 func (r *logReader) readFile(file *ast.File) {
 	r.imports = map[string]bool{}
-	for _, imported := range importsOf(file) {
+	for _, imported := range importPaths(file) {
 		if imported != "log/slog" {
 			r.imports[path.Base(imported)] = true
 		}
@@ -109,8 +110,9 @@
 	}
 }
 
-// readCall reads a call if it is one of a logger: a method of a logger's name that is given an
-// argument, and no function of an imported package.
+// readCall reads a call of a logger and ignores any other call. A call is one of a logger if it has
+// an argument and its method has the name of a logger's method. A function of an imported package
+// isn't one.
 func (r *logReader) readCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -122,28 +124,28 @@
 	level, writes := logLevels[method.Sel.Name]
 	switch {
 	case slices.Contains(otherLogMethods, method.Sel.Name):
-		r.problem(call, "use Debug, Info, Warn or Error, not "+method.Sel.Name)
+		r.addProblem(call, "use Debug, Info, Warn or Error, not "+method.Sel.Name)
 	case method.Sel.Name == "With":
-		for _, key := range r.attributes(call.Args, false) {
-			r.common[key] = true
+		for _, key := range r.attributeKeys(call.Args, false) {
+			r.commonKeys[key] = true
 		}
 	case writes:
 		r.readLine(call, level)
 	}
 }
 
-// readLine reads a call that writes a line.
+// readLine adds the line that a log call writes.
 func (r *logReader) readLine(call *ast.CallExpr, level string) {
-	message, ok := r.constant(call.Args[0])
+	message, ok := r.constantText(call.Args[0])
 	if !ok {
-		r.problem(call, "message is no constant")
+		r.addProblem(call, "message isn't a constant")
 		return
 	}
-	line := logLine{level: level, attributes: r.attributes(call.Args[1:], call.Ellipsis.IsValid()),
-		at: r.all.fset.Position(call.Pos()).String()}
-	if other, again := r.lines[message]; again {
+	line := logLine{level: level, attributes: r.attributeKeys(call.Args[1:], call.Ellipsis.IsValid()),
+		position: r.repo.fset.Position(call.Pos()).String()}
+	if other, exists := r.lines[message]; exists {
 		if other.level != level {
-			r.problem(call, fmt.Sprintf("%q has another level at %s", message, other.at))
+			r.addProblem(call, fmt.Sprintf("%q has another level at %s", message, other.position))
 		}
 		line.attributes = append(line.attributes, other.attributes...)
 	}
@@ -152,22 +154,22 @@
 	r.lines[message] = line
 }
 
-// constant returns the text of an expression if that is constant.
-func (r *logReader) constant(expr ast.Expr) (text string, ok bool) {
+// constantText returns the value of an expression that is a string literal or constant.
+func (r *logReader) constantText(expr ast.Expr) (text string, ok bool) {
 	if name, isName := expr.(*ast.Ident); isName {
 		text, ok = r.constants[name.Name]
 		return text, ok
 	}
-	return textOf(expr)
+	return stringLiteral(expr)
 }
 
-// problem notes what is wrong at a place in the code.
-func (r *logReader) problem(at ast.Node, text string) {
-	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.all.fset.Position(at.Pos()), text))
+// addProblem adds a problem with the log call at a node.
+func (r *logReader) addProblem(node ast.Node, text string) {
+	r.problems = append(r.problems, fmt.Sprintf("%s: log call: %s", r.repo.fset.Position(node.Pos()), text))
 }
 
-// textOf returns the text of a literal.
-func textOf(expr ast.Expr) (text string, ok bool) {
+// stringLiteral returns the value of a string literal.
+func stringLiteral(expr ast.Expr) (text string, ok bool) {
 	literal, ok := expr.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
@@ -176,7 +178,7 @@
 	return text, err == nil
 }
 
-// selection returns the names of an expression of the form owner.name.
+// selection returns the two names of an expression of the form owner.name.
 func selection(expr ast.Expr) (owner, name string, ok bool) {
 	selector, ok := expr.(*ast.SelectorExpr)
 	if !ok {
@@ -189,7 +191,7 @@
 	return x.Name, selector.Sel.Name, true
 }
 
-// calleeOf returns the name of the function or method that is called.
+// calleeOf returns the name of the function or method that a call calls.
 func calleeOf(call *ast.CallExpr) string {
 	switch function := call.Fun.(type) {
 	case *ast.Ident:
