--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -7,6 +7,10 @@
 // minSubset is the smallest number of endpoints that an agent sends to, unless fewer are listed.
 const minSubset = 16
 
+// requestsPerConnection divides the recent request count if new connections have a price: each
+// endpoint of the subset is then sent several requests in the time for which it is kept connected.
+const requestsPerConnection = 4
+
 // endpointSubset determines the size of the subset of endpoints that the agent sends to.
 type endpointSubset struct {
 	*environment
@@ -30,7 +34,7 @@
 	if s.settings.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
 	} else if s.settings.Prices.Handshake > 0 {
-		size /= 4 // each endpoint is sent several requests in the time for which it is kept connected
+		size /= requestsPerConnection
 	}
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -29,6 +29,8 @@
 	// endpointSmoothing is the smoothing factor of an endpoint's moving averages, fleetSmoothing
 	// that of averages over all endpoints.
 	endpointSmoothing, fleetSmoothing = 0.2, 0.005
+	// classSmoothing is the smallest smoothing factor of a class's mean answer time.
+	classSmoothing = 4 * fleetSmoothing
 	// shareDecay is the factor by which a request's weight in a share of the requests decays with
 	// each later request. Shares thus cover about the last 500 requests.
 	shareDecay = 0.998
@@ -43,6 +45,16 @@
 	// uncontendedRiseDivisor divides fleetSmoothing while the uncontended answer time rises, so that
 	// it rises this much more slowly than the fleet's mean.
 	uncontendedRiseDivisor = 250
+	// aloneRiseDivisor and aloneRiseExponent give a smaller divisor for an attempt that was this
+	// agent's only one at its endpoint: aloneRiseDivisor times the number of agents to the power of
+	// aloneRiseExponent. The divisor is at most uncontendedRiseDivisor.
+	aloneRiseDivisor, aloneRiseExponent = 2, 3
+	// halvingReplicas is the number of agents at which the lower bound of the congestion threshold
+	// is half of congestedFraction. With fewer agents it is higher, with more it is lower.
+	halvingReplicas = 2
+	// windowGrowthSlack is the number of attempts by which an endpoint's window must exceed those in
+	// flight for it to stop growing. The attempt that was just answered is no longer in flight.
+	windowGrowthSlack = 2
 	// minHintSamples is the number of answers to hinted requests that are needed before hints are
 	// used to predict answer times.
 	minHintSamples = 1 / (4 * fleetSmoothing)
@@ -108,7 +120,8 @@
 func (l *latencyTracker) uncontendedSmoothing(alone bool) float64 {
 	if alone {
 		return fleetSmoothing /
-			min(2*math.Pow(float64(max(l.settings.Replicas, 1)), 3), uncontendedRiseDivisor)
+			min(aloneRiseDivisor*math.Pow(float64(max(l.settings.Replicas, 1)), aloneRiseExponent),
+				uncontendedRiseDivisor)
 	}
 	return fleetSmoothing / uncontendedRiseDivisor
 }
@@ -161,7 +174,7 @@
 // well within the objective. An endpoint that is warming up has a higher threshold, because it is
 // slow before it is congested.
 func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
-	least := 2 * congestedFraction / (2 + float64(l.settings.Replicas))
+	least := halvingReplicas * congestedFraction / (halvingReplicas + float64(l.settings.Replicas))
 	return min(congestedFraction, max(congestedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
 }
 
@@ -177,7 +190,7 @@
 			least = minWindow
 		}
 		window.decrease(l.now, windowDecreaseFactor, least)
-	case mean < threshold && float64(len(endpoint.traffic.inFlight)+2) > window.size &&
+	case mean < threshold && float64(len(endpoint.traffic.inFlight)+windowGrowthSlack) > window.size &&
 		l.samples > minUncontendedSamples:
 		window.increase()
 	}
--- a/policy/service_level.go
+++ b/policy/service_level.go
@@ -20,18 +20,19 @@
 	counts       ClassCounts
 }
 
-// uncontendedMs returns the answer time that is assumed for a class before the first answer, and
-// towards which longer ones decay.
+// uncontendedMs returns the answer time that is assumed for a class before its first answer: half of
+// the one that indicates congestion. A mean above it decays towards it.
 func (c *class) uncontendedMs() float64 { return c.LatencyObjectiveMs * congestedFraction / 2 }
 
 // observeLatency updates the class's mean with an answer time. The longer ago the last one, the more
 // the new one weighs; the time constant is the class's deadline, after which its clients give up.
 func (c *class) observeLatency(now, rttMs float64) {
-	weight := max(4*fleetSmoothing, 1/(c.samples+2))
+	// The initial mean has the weight of one answer.
+	weight := max(classSmoothing, 1/(c.samples+2))
 	if c.samples > 0 {
 		weight = max(weight, 1-math.Exp((c.meanAt-now)/c.DeadlineMs))
 	}
-	c.meanMs = ewma(c.meanMs, min(rttMs, 2*c.LatencyObjectiveMs), weight)
+	c.meanMs = ewma(c.meanMs, min(rttMs, maxObjectiveFraction*c.LatencyObjectiveMs), weight)
 	c.samples++
 	c.meanAt = now
 }
