--- a/policy/abandoned.go
+++ b/policy/abandoned.go
@@ -28,9 +28,9 @@
 }
 
 // observeUnanswered updates the sojourn estimate with an attempt that timed out at the age ageMs. The
-// sample is at most mostMs.
-func (a *abandonedAttempts) observeUnanswered(ageMs, mostMs float64) {
-	a.sojournMs = ewma(a.sojournMs, min(2*max(ageMs, a.sojournMs), mostMs), endpointSmoothing)
+// sample is at most maxSampleMs.
+func (a *abandonedAttempts) observeUnanswered(ageMs, maxSampleMs float64) {
+	a.sojournMs = ewma(a.sojournMs, min(2*max(ageMs, a.sojournMs), maxSampleMs), endpointSmoothing)
 }
 
 // add records an attempt that the agent has stopped waiting for.
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -97,7 +97,7 @@
 // flight, by Limits.MaxOpenRequests. Beyond the latter clients would wait for a connection to the
 // agent and get no answer.
 func (q *admissionQueue) overLimit(inFlight int) bool {
-	most := q.settings.Limits.MaxOpenRequests
+	maxOpen := q.settings.Limits.MaxOpenRequests
 	return len(q.queued) > maxQueued ||
-		len(q.queued) > 0 && most > 0 && len(q.queued)+inFlight > most
+		len(q.queued) > 0 && maxOpen > 0 && len(q.queued)+inFlight > maxOpen
 }
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -50,7 +50,7 @@
 	if status == StatusLocalFailure {
 		b.revertAttempt(attempt)
 	} else {
-		b.localFailure.attemptSucceeded(attempt)
+		b.localFailure.trialSucceeded(attempt)
 		b.applyOutcome(attempt, status, clampFinite(event.LatencyMs))
 	}
 	switch {
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -30,11 +30,11 @@
 // idle and overload.
 type concurrencyLimiter struct {
 	*environment
-	endpoints *endpointSet
-	slowStart *slowStart
-	traffic   *requestRate
-	latency   *latencyTracker
-	classes   *classStats
+	endpoints   *endpointSet
+	slowStart   *slowStart
+	requestRate *requestRate
+	latency     *latencyTracker
+	classes     *classStats
 
 	scale         float64 // limit as a multiple of floor
 	inFlight      int     // attempts in flight, stalled ones included
@@ -46,9 +46,9 @@
 
 // newConcurrencyLimiter returns a limiter whose limit is at its floor.
 func newConcurrencyLimiter(env *environment, endpoints *endpointSet, slowStart *slowStart,
-	traffic *requestRate, latency *latencyTracker, classes *classStats) concurrencyLimiter {
+	requestRate *requestRate, latency *latencyTracker, classes *classStats) concurrencyLimiter {
 	return concurrencyLimiter{environment: env, endpoints: endpoints, slowStart: slowStart,
-		traffic: traffic, latency: latency, classes: classes, scale: 1}
+		requestRate: requestRate, latency: latency, classes: classes, scale: 1}
 }
 
 // attemptSent records an attempt that is sent now.
@@ -106,9 +106,9 @@
 	evenPart := fleetFloor / float64(max(l.settings.Replicas, 1))
 	quota := totalQuotaPerMs(l.settings.Tenants)
 	if quota == 0 {
-		return max(evenPart, fleetFloor*l.traffic.perMs()/l.capAtCapacity(math.Inf(1)))
+		return max(evenPart, fleetFloor*l.requestRate.perMs()/l.capAtCapacity(math.Inf(1)))
 	}
-	return max(fleetFloor*l.traffic.perMs()/l.capAtCapacity(quota), min(evenPart, 1))
+	return max(fleetFloor*l.requestRate.perMs()/l.capAtCapacity(quota), min(evenPart, 1))
 }
 
 // capAtCapacity caps the rate that the settings announce for all agents, in requests per ms, at the
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -57,14 +57,14 @@
 
 // endpointHealth is an endpoint's state and the history behind it. It belongs to outlierDetector.
 type endpointHealth struct {
-	state                State
-	since                float64 // time at which the state was entered
-	silent               bool    // ejected because it did not answer, not because of an answer
-	unreachableSince     float64 // time of the first failed connect since its last answer; 0: none
-	consecutiveEjections int     // number of recent ejections; determines the ejection time
-	failureRate          float64 // moving average of the attempts that failed after they may have run
-	served               int     // requests served since consecutiveEjections last changed
-	checkInProgress      bool    // a health check is in progress
+	state            State
+	since            float64 // time at which the state was entered
+	silent           bool    // ejected because it did not answer, not because of an answer
+	unreachableSince float64 // time of the first failed connect since its last answer; 0: none
+	ejectionCount    int     // recent ejections; served requests reduce it, see servedPerEjection
+	failureRate      float64 // moving average of the attempts that failed after they may have run
+	served           int     // requests served towards the next reduction of ejectionCount
+	checkInProgress  bool    // a health check is in progress
 }
 
 // recordSuccess updates the failure rate after an answer.
@@ -75,7 +75,7 @@
 
 // decrementEjections reduces the ejection count by one.
 func (h *endpointHealth) decrementEjections() {
-	h.consecutiveEjections = max(h.consecutiveEjections-1, 0)
+	h.ejectionCount = max(h.ejectionCount-1, 0)
 }
 
 // endpointTraffic records this agent's attempts at an endpoint and the times of its answers.
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -89,8 +89,8 @@
 // unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
 // for factor times the expected answer time.
 func (b *Balancer) unansweredFor(attempt *attempt, factor float64) bool {
-	quietMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
-	return quietMs >= b.latency.expectedMs(attempt.request)*factor
+	silentMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
+	return silentMs >= b.latency.expectedMs(attempt.request)*factor
 }
 
 // releaseStalled releases an attempt in flight at an endpoint that stopped answering. The concurrency
@@ -98,11 +98,11 @@
 // of a minute and more, stalled attempts would use up the whole limit, and nothing would be sent to
 // the endpoints that are alive. If the request can be sent elsewhere in time, the attempt is
 // cancelled. Otherwise the request ends when its answer is no longer worth anything, as queued
-// requests do. The limit releases the attempt only if sure is set: overloaded endpoints seem silent
-// for a while too, and they need the limit most.
-func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
+// requests do. The concurrency limit stops counting the attempt only if excludeFromLimit is set:
+// overloaded endpoints seem silent for a while too, and they need the limit most.
+func (b *Balancer) releaseStalled(attempt *attempt, excludeFromLimit bool) {
 	request := attempt.request
-	if sure {
+	if excludeFromLimit {
 		b.limiter.markStalled(attempt)
 	}
 	objectiveAt := request.timing.objectiveAt
--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -14,13 +14,13 @@
 // endpointSubset determines the size of the subset of endpoints that the agent sends to.
 type endpointSubset struct {
 	*environment
-	endpoints *endpointSet
-	traffic   *requestRate
+	endpoints   *endpointSet
+	requestRate *requestRate
 }
 
 // newEndpointSubset returns a subset of the endpoints whose size follows the traffic.
-func newEndpointSubset(env *environment, endpoints *endpointSet, traffic *requestRate) endpointSubset {
-	return endpointSubset{environment: env, endpoints: endpoints, traffic: traffic}
+func newEndpointSubset(env *environment, endpoints *endpointSet, requestRate *requestRate) endpointSubset {
+	return endpointSubset{environment: env, endpoints: endpoints, requestRate: requestRate}
 }
 
 // size returns the number of endpoints of a tier that an agent sends to. They are the first ones in
@@ -30,7 +30,7 @@
 // a key applies within the subset. If connections have no price, the subset is larger, so that more
 // keys stay warm.
 func (s *endpointSubset) size() int {
-	size := s.traffic.recentCount
+	size := s.requestRate.recentCount
 	if s.settings.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
 	} else if s.settings.Prices.Handshake > 0 {
@@ -42,5 +42,5 @@
 // revisitIntervalMs returns the mean time between two requests of this agent at the same endpoint of
 // the subset, in ms.
 func (s *endpointSubset) revisitIntervalMs() float64 {
-	return s.settings.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recentCount, 1)
+	return s.settings.Limits.KeepaliveMs * float64(s.size()) / max(s.requestRate.recentCount, 1)
 }
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -35,7 +35,7 @@
 type watchScheduler struct {
 	*environment
 	fetchedAt    float64 // time of the last fetch of the whole list, in ms
-	startedAt    float64 // time at which the last watch was opened, in ms
+	openedAt     float64 // time of the last opening of a watch, or of the start, in ms
 	failures     int     // consecutive failed calls
 	shortWatches int     // consecutive watches that ended soon after they had delivered something
 }
@@ -51,7 +51,7 @@
 // be treated as notified of the changes since. Therefore all first calls are made within the drain
 // grace.
 func (w *watchScheduler) start() {
-	w.startedAt = w.now
+	w.openedAt = w.now
 	switch w.settings.Membership {
 	case MembershipWatched:
 		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
@@ -66,7 +66,7 @@
 
 // openWatch opens the scheduled watch.
 func (w *watchScheduler) openWatch() {
-	w.startedAt = w.now
+	w.openedAt = w.now
 	w.emit(OpenWatch())
 }
 
@@ -83,7 +83,7 @@
 // watches that end soon after they have delivered are backed off like failed calls.
 func (w *watchScheduler) onEnded() {
 	w.failures = 0
-	if w.now-w.startedAt < notifyDeadlineMs/2 {
+	if w.now-w.openedAt < notifyDeadlineMs/2 {
 		w.shortWatches++
 	} else {
 		w.shortWatches = 1
@@ -108,7 +108,7 @@
 		w.scheduleWatch(w.rng.Float64() * maxBackoffMs)
 		return
 	}
-	maxBackoffMs := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.startedAt)
+	maxBackoffMs := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.openedAt)
 	backoffMs = min(backoffMs*math.Pow(2, float64(failures-1)), max(maxBackoffMs, initialWatchBackoffMs))
 	w.scheduleWatch(backoffMs * (0.5 + w.rng.Float64()/2))
 }
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -35,9 +35,9 @@
 		latency = &z.localLatency
 	}
 	*latency = ewma(*latency, fraction, weightStep)
-	most := max(maxZoneWeightPerPrice*crossZonePrice, minLocalZoneWeight)
+	maxWeight := max(maxZoneWeightPerPrice*crossZonePrice, minLocalZoneWeight)
 	slower := z.localLatency > z.remoteLatency*(1+crossZonePrice)
-	z.weight = stepWeight(z.weight, slower, minLocalZoneWeight, most)
+	z.weight = stepWeight(z.weight, slower, minLocalZoneWeight, maxWeight)
 }
 
 // machineKindWeights holds a weight for each kind of machine. Latencies are moving averages, as
@@ -72,9 +72,9 @@
 }
 
 // stepWeight returns the weight after a decrease or an increase by weightStep within its bounds.
-func stepWeight(weight float64, down bool, least, most float64) float64 {
+func stepWeight(weight float64, down bool, minWeight, maxWeight float64) float64 {
 	if down {
-		return max(weight/(1+weightStep), least)
+		return max(weight/(1+weightStep), minWeight)
 	}
-	return min(weight*(1+weightStep), most)
+	return min(weight*(1+weightStep), maxWeight)
 }
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -174,8 +174,9 @@
 // well within the objective. An endpoint that is warming up has a higher threshold, because it is
 // slow before it is congested.
 func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
-	least := halvingReplicas * congestedFraction / (halvingReplicas + float64(l.settings.Replicas))
-	return min(congestedFraction, max(congestedFactor*l.uncontended, least)) / l.capacityFraction(endpoint)
+	minThreshold := halvingReplicas * congestedFraction / (halvingReplicas + float64(l.settings.Replicas))
+	return min(congestedFraction, max(congestedFactor*l.uncontended, minThreshold)) /
+		l.capacityFraction(endpoint)
 }
 
 // adjustWindow adjusts an endpoint's window to its mean answer time after an answer that took
@@ -185,11 +186,11 @@
 	threshold, mean, window := l.congestionThreshold(endpoint), endpoint.latency.mean, &endpoint.window
 	switch {
 	case mean > threshold && l.now-window.decreasedAt > rttMs:
-		least := 1.0
+		minSize := 1.0
 		if mean > overloadFactor*threshold {
-			least = minWindow
+			minSize = minWindow
 		}
-		window.decrease(l.now, windowDecreaseFactor, least)
+		window.decrease(l.now, windowDecreaseFactor, minSize)
 	case mean < threshold && float64(len(endpoint.traffic.inFlight)+windowGrowthSlack) > window.size &&
 		l.samples > minUncontendedSamples:
 		window.increase()
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -75,7 +75,7 @@
 	}
 	for i := 0; i < len(l.trials); {
 		if trial := l.trials[i]; l.now-trial.sentAt >= connectedAfterMs {
-			l.attemptSucceeded(trial)
+			l.trialSucceeded(trial)
 		} else {
 			i++
 		}
@@ -93,9 +93,9 @@
 	}
 }
 
-// attemptSucceeded records that an attempt did not fail on this machine, and doubles the window if
-// the attempt was a trial.
-func (l *localFailureLimiter) attemptSucceeded(attempt *attempt) {
+// trialSucceeded records that an attempt did not fail on this machine, whatever its endpoint did with
+// it. It doubles the window if the attempt is a trial, and does nothing otherwise.
+func (l *localFailureLimiter) trialSucceeded(attempt *attempt) {
 	if !l.removeTrial(attempt) {
 		return
 	}
@@ -153,7 +153,7 @@
 	}
 	for _, result := range l.reachResults {
 		if !result.reached && l.endpoints.contains(result.endpoint) {
-			l.outliers.revertBlame(result.endpoint, result.unreachableSince)
+			l.outliers.revertUnreachable(result.endpoint, result.unreachableSince)
 		}
 	}
 	return StatusLocalFailure
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -94,7 +94,7 @@
 				for _, listed := range m.b.endpoints.all {
 					health := &listed.health
 					if health.state > StateUnknown || health.unreachableSince != 0 || health.failureRate != 0 ||
-						health.consecutiveEjections != 0 || listed.traffic.abandoned != 0 {
+						health.ejectionCount != 0 || listed.traffic.abandoned != 0 {
 						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
 					}
 				}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -25,11 +25,11 @@
 	maxUnansweredShare = 0.5
 	// maxHealthChecks bounds the number of concurrent health checks.
 	maxHealthChecks = 2
-	// maxConsecutiveEjections bounds the ejection count, and so how often the ejection time doubles.
+	// maxEjectionCount bounds the ejection count, and so how often the ejection time doubles.
 	// maxEjectionMs bounds the ejection time, in ms.
-	maxConsecutiveEjections, maxEjectionMs = 5, 60000.0
-	// servedPerEjection times the ejection count is the number of served requests after which the
-	// ejection count is reduced by one.
+	maxEjectionCount, maxEjectionMs = 5, 60000.0
+	// servedPerEjection multiplies the ejection count. When an endpoint has served that many requests,
+	// its ejection count is reduced by one.
 	servedPerEjection = 16
 	// rejectedWindowFactor multiplies the window of an endpoint that rejected an attempt.
 	rejectedWindowFactor = 0.7
@@ -67,7 +67,7 @@
 	d.endpoints.setEjected(endpoint, false)
 	health := &endpoint.health
 	health.state, health.since, health.silent = StateUnknown, d.now, false
-	health.consecutiveEjections, health.served, health.failureRate = 0, 0, 0
+	health.ejectionCount, health.served, health.failureRate = 0, 0, 0
 }
 
 // onError handles an answer of failure from an endpoint, or a connection that it broke.
@@ -113,7 +113,7 @@
 		health.silent = false
 		health.decrementEjections()
 	}
-	if health.served++; health.served >= servedPerEjection*health.consecutiveEjections {
+	if health.served++; health.served >= servedPerEjection*health.ejectionCount {
 		health.served = 0
 		health.decrementEjections()
 	}
@@ -179,7 +179,7 @@
 func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
 	health := &endpoint.health
 	if health.state != StateUnhealthy {
-		health.consecutiveEjections = min(health.consecutiveEjections+1, maxConsecutiveEjections)
+		health.ejectionCount = min(health.ejectionCount+1, maxEjectionCount)
 		d.setState(endpoint, StateUnhealthy)
 		health.silent, health.served = silent, 0
 		endpoint.latency.resetMean()
@@ -188,10 +188,10 @@
 	d.list.fetch()
 }
 
-// revertBlame reverts the effects, an ejection included, that failed connects have had on an endpoint
-// since the given time, because this machine had lost its network. The next attempt validates the
-// endpoint.
-func (d *outlierDetector) revertBlame(endpoint *endpoint, since float64) {
+// revertUnreachable reverts the effects that failed connects have had on an endpoint since the given
+// time, an ejection included. It is called when this machine turns out to have lost its network. The
+// next attempt validates the endpoint.
+func (d *outlierDetector) revertUnreachable(endpoint *endpoint, since float64) {
 	health := &endpoint.health
 	if health.unreachableSince >= since {
 		health.unreachableSince = 0
@@ -220,7 +220,7 @@
 	if scarce && !endpoint.health.silent {
 		return 0
 	}
-	doublings := max(endpoint.health.consecutiveEjections-1, 0)
+	doublings := max(endpoint.health.ejectionCount-1, 0)
 	firstMs := max(d.classes.shortestObjectiveMs, d.subset.revisitIntervalMs())
 	return min(firstMs*float64(int(1)<<doublings), maxEjectionMs)
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -141,19 +141,19 @@
 	}
 	id, server := h.mustSend(nonIdempotentClass, 0)
 	target := h.endpointAt(server)
-	ejections, window := target.health.consecutiveEjections, target.window.size
+	ejections, window := target.health.ejectionCount, target.window.size
 	h.now += 20
 	h.endAttempt(id, 0, server, StatusReset, 20)
-	if target.health.state != StateUnhealthyPending || target.health.consecutiveEjections != ejections || target.window.size != window {
+	if target.health.state != StateUnhealthyPending || target.health.ejectionCount != ejections || target.window.size != window {
 		t.Fatalf("after a common failure got state %d, %d ejections and a window of %v, want %d, %d and %v", target.health.state,
-			target.health.consecutiveEjections, target.window.size, StateUnhealthyPending, ejections, window)
+			target.health.ejectionCount, target.window.size, StateUnhealthyPending, ejections, window)
 	}
 	target.health.failureRate = 0.5
 	h.b.outliers.setState(target, StateConnected)
 	h.b.recordOutcome(&attempt{endpoint: target}, StatusReset, 20)
-	if target.health.state != StateUnhealthy || target.health.consecutiveEjections != ejections+1 {
+	if target.health.state != StateUnhealthy || target.health.ejectionCount != ejections+1 {
 		t.Fatalf("with a failure rate of one half got state %d and %d ejections, want %d and %d", target.health.state,
-			target.health.consecutiveEjections, StateUnhealthy, ejections+1)
+			target.health.ejectionCount, StateUnhealthy, ejections+1)
 	}
 }
 
@@ -176,7 +176,7 @@
 			if got := h.ejectionTime(target); got < 1000 {
 				t.Errorf("two requests a second over 20 endpoints: got an ejection time of %.0f ms, want 1000 at least", got)
 			}
-			target.health.consecutiveEjections = maxConsecutiveEjections
+			target.health.ejectionCount = maxEjectionCount
 			h.b.requestRate.recentCount = 0.1
 			if got := h.ejectionTime(target); got > maxEjectionMs {
 				t.Errorf("after many ejections: got an ejection time of %.0f ms, want %.0f at most", got, maxEjectionMs)
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -28,7 +28,7 @@
 				fixed.key, fixed.old, fixed.new)
 		}
 	}
-	oldSpanMs, oldSlowStartMs := b.requestRate.decayMs(), b.settings.Contract.SlowStartMs
+	oldDecayMs, oldSlowStartMs := b.requestRate.decayMs(), b.settings.Contract.SlowStartMs
 	b.remapTenants(settings.Tenants)
 	b.settings = settings
 	b.queue.remapUnserved(b.classes.reload())
@@ -36,7 +36,7 @@
 		b.slowStart.markWarming(endpoint) // with a longer SlowStartMs it may be warming up again
 	}
 	// These counts decay over a time that may have changed. Rescaling keeps the rates they stand for.
-	b.requestRate.rescale(oldSpanMs)
+	b.requestRate.rescale(oldDecayMs)
 	b.slowStart.rescale(oldSlowStartMs)
 	return nil
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -100,7 +100,7 @@
 	h.mustReconfigure(withOtherNames(h.b.settings))
 	for _, got := range h.b.endpoints.all {
 		want := before[got.id]
-		if got.health.state != want.health.state || got.health.consecutiveEjections != want.health.consecutiveEjections ||
+		if got.health.state != want.health.state || got.health.ejectionCount != want.health.ejectionCount ||
 			got.slowStart.allowance != want.slowStart.allowance || got.slowStart.startedAt != want.slowStart.startedAt ||
 			got.window.size != want.window.size || got.latency.mean != want.latency.mean {
 			t.Errorf("got endpoint %+v, want it as before: %+v", *got, want)
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -107,8 +107,8 @@
 // the retry budget allow that, and ends it otherwise. The retry competes with first attempts in the
 // queue, so that failures don't multiply the load. The windows of the endpoints can't prevent that
 // where each of a thousand agents has one or two requests in flight and all of them retry at once.
-func (b *Balancer) retry(request *request, reason Status) {
-	if !b.retries.tryCharge(request, reason) {
+func (b *Balancer) retry(request *request, status Status) {
+	if !b.retries.tryCharge(request, status) {
 		b.finishUnserved(request)
 		return
 	}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -106,18 +106,18 @@
 func (p *retryPolicy) refill() { p.tokens = min(p.tokens+retryRatio, retryBurst) }
 
 // tryCharge reports whether a request that was not answered may be sent again, and takes a token from
-// the retry budget if so. reason is the status of the last attempt. A retry after an attempt that
+// the retry budget if so. status is the status of the last attempt. A retry after an attempt that
 // reached no endpoint is free.
-func (p *retryPolicy) tryCharge(request *request, reason Status) bool {
+func (p *retryPolicy) tryCharge(request *request, status Status) bool {
 	effect := request.class.Effect
 	repeatable := request.idempotency.mayHaveRun == 0 || effect == EffectIdempotent ||
 		effect == EffectIdempotentWithKey
 	cost := 1.0
-	if reason == StatusConnectFailed {
+	if status == StatusConnectFailed {
 		cost = 0
 	}
 	exhausted := p.tokens < cost || len(request.attempts.counted) >= request.attempts.limit
-	if !repeatable || exhausted || reason == StatusNotSent || p.now >= request.timing.deadline {
+	if !repeatable || exhausted || status == StatusNotSent || p.now >= request.timing.deadline {
 		return false
 	}
 	p.tokens -= cost
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -32,11 +32,11 @@
 // selector selects the endpoint of a request.
 type selector struct {
 	*environment
-	endpoints *endpointSet
-	subset    *endpointSubset
-	eligible  *eligibility
-	slowStart *slowStart
-	latency   *latencyTracker
+	endpoints   *endpointSet
+	subset      *endpointSubset
+	eligibility *eligibility
+	slowStart   *slowStart
+	latency     *latencyTracker
 
 	scratch    []*endpoint // buffer that candidates reuses
 	recentKeys keyCounter
@@ -46,8 +46,8 @@
 
 // newSelector returns a selector with initial weights, which has counted no key yet.
 func newSelector(env *environment, endpoints *endpointSet, subset *endpointSubset,
-	eligible *eligibility, slowStart *slowStart, latency *latencyTracker) selector {
-	return selector{environment: env, endpoints: endpoints, subset: subset, eligible: eligible,
+	eligibility *eligibility, slowStart *slowStart, latency *latencyTracker) selector {
+	return selector{environment: env, endpoints: endpoints, subset: subset, eligibility: eligibility,
 		slowStart: slowStart, latency: latency, recentKeys: newKeyCounter(),
 		zones: newZoneWeights(), kinds: newMachineKindWeights()}
 }
@@ -83,14 +83,14 @@
 	request.placement.tierWeight = 0
 	for _, endpoint := range s.endpoints.all {
 		seen++
-		if s.eligible.tierOf(endpoint, request) != tier || !s.eligible.maySend(request, endpoint) {
+		if s.eligibility.tierOf(endpoint, request) != tier || !s.eligibility.maySend(request, endpoint) {
 			continue
 		}
 		if inTier++; inTier > subset && len(scored) > 0 {
 			break
 		}
 		request.placement.tierWeight += endpoint.weight * s.capacityFraction(endpoint)
-		if !waits && !s.eligible.hasCapacity(endpoint, request) {
+		if !waits && !s.eligibility.hasCapacity(endpoint, request) {
 			continue
 		}
 		endpoint.score = s.score(request, endpoint)
@@ -118,11 +118,11 @@
 }
 
 // accepts reports whether the endpoint is below its load bound and has capacity. The bound is that
-// of the tier of the request's last selection.
+// for the tier of the request's last selection.
 func (s *selector) accepts(endpoint *endpoint, request *request, inFlight int) bool {
 	share := endpoint.weight * s.capacityFraction(endpoint) / request.placement.tierWeight
-	most := math.Ceil(boundedLoadFactor * float64(inFlight+1) * share)
-	return float64(endpoint.load()) < most && s.eligible.hasCapacity(endpoint, request)
+	maxLoad := math.Ceil(boundedLoadFactor * float64(inFlight+1) * share)
+	return float64(endpoint.load()) < maxLoad && s.eligibility.hasCapacity(endpoint, request)
 }
 
 // waitsForKey reports whether the request still waits for the first endpoints in its key's order.
