--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// maxCallMs is how long, in ms, a call waits for its turn at discovery before it fails.
-const maxCallMs = 2000.0
+// discoveryTimeoutMs is the timeout of a call to discovery in ms, including its wait in the queue.
+const discoveryTimeoutMs = 2000.0
 
 // callDiscovery fetches the endpoint list. A call that would wait too long at discovery fails, and
 // takes none of its time.
@@ -88,8 +88,8 @@
 	model := a.m
 	model.second().DiscoveryCalls++
 	done := max(model.discovery.freeAt, model.now) + model.cfg.CallMs
-	if done-model.now > maxCallMs {
-		model.after(maxCallMs, func() { a.handle(&policy.DiscoveryFailed{}) })
+	if done-model.now > discoveryTimeoutMs {
+		model.after(discoveryTimeoutMs, func() { a.handle(&policy.DiscoveryFailed{}) })
 		return
 	}
 	model.discovery.freeAt = done
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -119,10 +119,14 @@
 	return c.service.list()
 }
 
+// A client waits minRetryDelayMs plus a uniform jitter of up to retryJitterMs before it retries a
+// request.
+const minRetryDelayMs, retryJitterMs = 30, 200
+
 // retry has the client retry an unserved request, after 30 to 230 ms and within the class's deadline.
 func (c *client) retry(unserved *request) {
 	model := c.m
-	waitMs := 30 + 200*model.rng.Float64()
+	waitMs := minRetryDelayMs + retryJitterMs*model.rng.Float64()
 	if unserved.retries >= model.maxRetries() || model.now+waitMs >= unserved.arrivedAt+model.cfg.Settings.Classes[unserved.class].DeadlineMs {
 		return
 	}
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -8,10 +8,13 @@
 )
 
 const (
-	// viewIntervalMs is the greatest age, in ms, of what agents see of the servers.
-	viewIntervalMs = 250.0
-	// viewDraws is the number of servers among which an agent chooses.
-	viewDraws = 4
+	// viewRefreshMs is the maximum age in ms of the servers' state that the baseline sees.
+	viewRefreshMs = 250.0
+	// viewCandidates is the number of servers drawn at random among which the baseline chooses.
+	viewCandidates = 4
+	// maxDrawsPerServer multiplies the number of the service's servers. The product bounds the draws
+	// for one request, as too few servers may be up to find viewCandidates of them.
+	maxDrawsPerServer = 4
 )
 
 // decider decides for an agent: a policy.Balancer or, to compare with, a delayedView.
@@ -41,7 +44,7 @@
 
 // refreshViews refreshes the view of all servers if it is older than viewIntervalMs.
 func (m *Model) refreshViews() {
-	if m.now-m.viewsAt < viewIntervalMs {
+	if m.now-m.viewsAt < viewRefreshMs {
 		return
 	}
 	m.viewsAt = m.now
@@ -127,7 +130,7 @@
 	var best *server
 	least := math.Inf(1)
 	all := d.servers.servers
-	for drawn, tries := 0, 0; drawn < viewDraws && tries < 4*len(all); tries++ {
+	for drawn, tries := 0, 0; drawn < viewCandidates && tries < maxDrawsPerServer*len(all); tries++ {
 		server := all[d.rng.IntN(len(all))]
 		if !server.view.up {
 			continue
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -4,25 +4,28 @@
 	"ploverreel/policy"
 )
 
-// The sizes and times of the scenarios' faults.
+// The sizes and durations of the scenarios' faults.
 const (
-	// SettleS is how many seconds a scenario plays before its fault and before it is counted.
+	// SettleS is the time in seconds that a scenario runs before its fault begins. Figures leave it out.
 	SettleS = 2.0
-	// detectionMs is after what time discovery reports a machine that went silent.
-	detectionMs = 2000.0
-	// zoneLossMs is how long a zone is lost, partitionMs how long a region is partitioned off.
-	zoneLossMs, partitionMs = 4000.0, 6000.0
-	// halfLossMs is for how long half of the servers are lost.
-	halfLossMs = 5000.0
-	// racks is how many racks a zone's machines stand in, lostRack the index of the one that is lost.
-	racks, lostRack = 14, 3
-	// replacedShare is the part of the servers replaced in an ordinary deployment, here all within replaceMs.
-	replacedShare, replaceMs = 0.08, 3000.0
-	// burstFactor multiplies the rate for burstMs while a zone warms up; restartedShare is the part
-	// of the agents that start anew then.
-	burstFactor, burstMs, restartedShare = 1.5, 3000.0, 0.1
-	// drainS is how many seconds a scenario plays after its last request.
-	drainS = 1.5
+	// failureDetectionMs is the delay in ms after which discovery reports a failed machine as gone.
+	failureDetectionMs = 2000.0
+	// zoneOutageMs is the duration of a zone's failure in ms, and partitionMs that of a region's
+	// partition.
+	zoneOutageMs, partitionMs = 4000.0, 6000.0
+	// halfOutageMs is the duration in ms of the failure of half of the servers.
+	halfOutageMs = 5000.0
+	// racksPerZone is the number of racks in a zone. failedRack is the index of the rack that fails.
+	racksPerZone, failedRack = 14, 3
+	// replacedShare is the share of the servers that an ordinary deployment replaces. The scenario
+	// replaces all of them within replacementWindowMs.
+	replacedShare, replacementWindowMs = 0.08, 3000.0
+	// burstRateFactor multiplies the rate of requests for burstMs while a zone warms up.
+	// restartedAgentShare is the share of the agents that restart when the burst begins.
+	burstRateFactor, burstMs, restartedAgentShare = 1.5, 3000.0, 0.1
+	// finishS is the time in seconds that a scenario runs on after its last request, so that the
+	// requests in flight end.
+	finishS = 1.5
 )
 
 // inZone returns the servers of a zone that are up.
@@ -41,7 +44,7 @@
 	for _, server := range servers {
 		server.failSilently()
 	}
-	m.after(detectionMs, func() {
+	m.after(failureDetectionMs, func() {
 		for _, server := range servers {
 			server.listed = policy.HealthGone
 		}
@@ -53,7 +56,7 @@
 func (m *Model) loseRack() {
 	var rack []*server
 	for i, server := range m.inZone(0) {
-		if i%racks == lostRack {
+		if i%racksPerZone == failedRack {
 			rack = append(rack, server)
 		}
 	}
@@ -73,7 +76,7 @@
 		}
 	}
 	m.rateFactor = lostZonePeak(&m.cfg)
-	m.after(zoneLossMs, func() {
+	m.after(zoneOutageMs, func() {
 		m.rateFactor = 1
 		m.restart(lost)
 		for _, client := range m.clients {
@@ -103,7 +106,7 @@
 		}
 	}
 	m.loseMachines(half)
-	m.after(halfLossMs, func() { m.restart(half) })
+	m.after(halfOutageMs, func() { m.restart(half) })
 }
 
 // cutRegion partitions the first region from all others.
@@ -117,7 +120,7 @@
 	count := max(int(part*float64(len(m.servers))), 1)
 	for _, i := range m.rng.Perm(len(m.servers))[:count] {
 		old := m.servers[i]
-		m.after(m.rng.Float64()*replaceMs, func() {
+		m.after(m.rng.Float64()*replacementWindowMs, func() {
 			fresh := m.addServer(old.service, old.zone)
 			fresh.start()
 			old.listed = policy.HealthDraining
@@ -138,10 +141,10 @@
 		server.stop()
 	}
 	m.restart(zone)
-	m.rateFactor = burstFactor
+	m.rateFactor = burstRateFactor
 	m.after(burstMs, func() { m.rateFactor = 1 })
 	for _, client := range m.clients {
-		if m.rng.Float64() < restartedShare {
+		if m.rng.Float64() < restartedAgentShare {
 			client.restart()
 		}
 	}
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -55,7 +55,7 @@
 
 // secondOf returns the count of the second of that time.
 func (m *Model) secondOf(at float64) *Count {
-	i := int((at - Start) / 1000)
+	i := int((at - StartMs) / 1000)
 	for len(m.seconds) <= i {
 		m.seconds = append(m.seconds, Count{})
 	}
--- a/internal/fleet/model/goodput.go
+++ b/internal/fleet/model/goodput.go
@@ -61,25 +61,25 @@
 	}
 }
 
-// servedOf is the prefix of the names of the figures of classes, effects and tenants.
-const servedOf = "served of "
+// servedPrefix starts the names of the figures for the goodput of a class, an effect or a tenant.
+const servedPrefix = "served of "
 
 // addGoodputs adds the goodput of each class, tenant and effect, where there are several.
 func (m *Model) addGoodputs(result *fleet.Case) {
 	settings := &m.cfg.Settings
 	if len(settings.Classes) > 1 {
 		for i, class := range settings.Classes {
-			result.Add(servedOf+"class "+class.Name, "share", m.goodputs.class[i].share())
+			result.Add(servedPrefix+"class "+class.Name, "share", m.goodputs.class[i].share())
 		}
 		for _, effect := range []policy.Effect{policy.EffectIdempotent, policy.EffectIdempotentWithKey, policy.EffectNonIdempotent} {
 			if counted := m.goodputs.effect[effect]; counted != nil {
-				result.Add(servedOf+"effect "+string(effect), "share", counted.share())
+				result.Add(servedPrefix+"effect "+string(effect), "share", counted.share())
 			}
 		}
 	}
 	if len(settings.Tenants) > 1 {
 		for i, tenant := range settings.Tenants {
-			result.Add(servedOf+"tenant "+tenant.Name, "share", m.goodputs.tenant[i].share())
+			result.Add(servedPrefix+"tenant "+tenant.Name, "share", m.goodputs.tenant[i].share())
 		}
 	}
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -18,8 +18,9 @@
 	"ploverreel/policy"
 )
 
-// Start is the clock's time in ms at which a model begins.
-const Start = 1e6
+// StartMs is the virtual time in ms at which every model starts. It is above 0 because a start time
+// of 0 marks a server that is already warm.
+const StartMs = 1e6
 
 // service is servers that do the same, and the clients that call them.
 type service struct {
@@ -64,7 +65,7 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
-	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), now: Start, rateFactor: 1,
+	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), now: StartMs, rateFactor: 1,
 		isolated: make([]bool, cfg.Regions), waits: newWaitHistogram(), goodputs: newGoodputs(&cfg), viewsAt: math.Inf(-1)}
 	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // apart, so that the layout leaves the play's draws alone
 	servers, agents := divide(cfg.Servers, cfg.Services), divide(cfg.Agents, cfg.Services)
@@ -102,18 +103,21 @@
 	return nil
 }
 
+// zipfExponent is the exponent of Zipf's law by which agents and servers are divided among services.
+const zipfExponent = 0.8
+
 // divide deals things to services by Zipf's law with exponent 0.8, at least two each if there are
 // enough.
 func divide(things, services int) []int {
 	least := min(2, things/services)
 	sum := 0.0
 	for k := range services {
-		sum += math.Pow(float64(k+1), -0.8)
+		sum += math.Pow(float64(k+1), -zipfExponent)
 	}
 	parts := make([]int, services)
 	left := things - least*services
 	for k := range parts {
-		n := int(float64(things-least*services) * math.Pow(float64(k+1), -0.8) / sum)
+		n := int(float64(things-least*services) * math.Pow(float64(k+1), -zipfExponent) / sum)
 		parts[k], left = least+n, left-n
 	}
 	for k := 0; left > 0; k, left = k+1, left-1 {
@@ -208,8 +212,8 @@
 	}
 }
 
-// eventsPerCheck is after how many events a play checks its context.
-const eventsPerCheck = 1 << 14
+// eventsPerContextCheck is the number of events between two checks whether the context has ended.
+const eventsPerContextCheck = 1 << 14
 
 // play runs the fleet for so many virtual seconds, or until ctx ends, whose cause it returns then.
 func (m *Model) play(ctx context.Context, seconds float64) error {
@@ -218,8 +222,8 @@
 		event := m.queue.pop()
 		m.now = event.at
 		event.action.fire(m)
-		if n%eventsPerCheck == 0 && ctx.Err() != nil {
-			return fmt.Errorf("model: ended at %.1f s: %w", (m.now-Start)/1000, context.Cause(ctx))
+		if n%eventsPerContextCheck == 0 && ctx.Err() != nil {
+			return fmt.Errorf("model: ended at %.1f s: %w", (m.now-StartMs)/1000, context.Cause(ctx))
 		}
 	}
 	m.now = end
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -127,7 +127,7 @@
 		if m.discovery.answered != agents {
 			t.Errorf("seed %d: got %d agents with the list within 6 s, want %d", seed, m.discovery.answered, agents)
 		}
-		if idle := m.discovery.freeAt - Start - agents*callMs; idle > mostIdleMs {
+		if idle := m.discovery.freeAt - StartMs - agents*callMs; idle > mostIdleMs {
 			t.Errorf("seed %d: got discovery idle for %.0f ms while agents had no list, want %.0f at most", seed, idle, mostIdleMs)
 		}
 		play(t, m, 6)
@@ -138,7 +138,7 @@
 		for _, s := range m.seconds {
 			calls += s.DiscoveryCalls
 		}
-		inTime := int((cfg.Settings.Contract.DrainGraceMs + maxCallMs) / callMs)
+		inTime := int((cfg.Settings.Contract.DrainGraceMs + discoveryTimeoutMs) / callMs)
 		if failed, most := calls-m.discovery.answered, agents-inTime; failed > most {
 			t.Errorf("seed %d: got %d failed calls, want %d at most", seed, failed, most)
 		}
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -22,6 +22,9 @@
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
 
+// heapArity is the number of children of a node in the heap.
+const heapArity = 4
+
 // queue has the events to come: a heap of four children a node, and a lane in the order of time for
 // what comes a fixed time after its cause, as the many deadlines do.
 type queue struct {
@@ -41,7 +44,7 @@
 	index := len(q.heap)
 	q.heap = append(q.heap, added)
 	for index > 0 {
-		parent := (index - 1) / 4
+		parent := (index - 1) / heapArity
 		if !added.before(&q.heap[parent]) {
 			break
 		}
@@ -85,12 +88,12 @@
 	q.heap[count].action = nil
 	q.heap = q.heap[:count]
 	for i := 0; count > 0; {
-		least := 4*i + 1
+		least := heapArity*i + 1
 		if least >= count {
 			q.heap[i] = last
 			break
 		}
-		for j := least + 1; j < min(4*i+5, count); j++ {
+		for j := least + 1; j < min(heapArity*i+heapArity+1, count); j++ {
 			if q.heap[j].before(&q.heap[least]) {
 				least = j
 			}
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -29,7 +29,7 @@
 		{"replace", "8% of the servers are replaced within 3 s by new ones, which are cold", nil,
 			func(m *Model) { m.replace(replacedShare) }},
 		{"cold", "a zone's servers all start anew at once, a tenth of the agents as well, under a burst of half as " +
-			"much again", func(*Config) float64 { return burstFactor }, (*Model).coldZone},
+			"much again", func(*Config) float64 { return burstRateFactor }, (*Model).coldZone},
 		{"start", "all servers and all agents start anew at once", nil, (*Model).startAll},
 	}
 }
@@ -74,7 +74,7 @@
 			"withinObjective", second.WithinObjective, "attempts", second.Attempts)
 	}
 	m.stopped = true
-	if err := m.play(ctx, drainS); err != nil {
+	if err := m.play(ctx, finishS); err != nil {
 		return nil, err
 	}
 	return m.figures(s.Name), nil
@@ -88,7 +88,7 @@
 		return err
 	}
 	for _, figure := range other.Figures {
-		if figure.Name == FigureGoodput || strings.HasPrefix(figure.Name, servedOf) {
+		if figure.Name == FigureGoodput || strings.HasPrefix(figure.Name, servedPrefix) {
 			result.Add(figure.Name+", seen late", figure.Unit, figure.Value)
 		}
 	}
@@ -96,4 +96,4 @@
 }
 
 // sinceStart returns the seconds since Start.
-func (m *Model) sinceStart() float64 { return (m.now - Start) / 1000 }
+func (m *Model) sinceStart() float64 { return (m.now - StartMs) / 1000 }
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -7,15 +7,16 @@
 )
 
 const (
-	// A server with maxPendingPerCore requests for each core, served and waiting, for overloadMs
-	// works overloadSlowdown times slower until it has been empty.
+	// A server is overloaded while it has at least maxPendingPerCore pending requests per core, in
+	// service and queued. After more than overloadMs of this it takes overloadSlowdown times as long
+	// for a request, until it has no pending request.
 	maxPendingPerCore, overloadMs, overloadSlowdown = 7, 2000.0, 3.0
-	// notifiedShare is the part of a failed server's load from agents that were notified of its
-	// start above which its failure is put down to them.
+	// notifiedShare bounds the share of a warming server's load that comes from agents notified of its
+	// start. If the server fails with a larger share, the failure is attributed to these agents.
 	notifiedShare = 2.0 / 3
-	// smallBudget is the number of requests under which the budget of a server that is warming up
-	// has the larger allowance for chance.
-	smallBudget = 30.0
+	// smallBudgetRequests bounds the mean budget of a warming server, in requests of mean work. A
+	// smaller budget has a larger allowance for the variance of the arrivals.
+	smallBudgetRequests = 30.0
 )
 
 // server serves as many requests at once as it has cores, first come, first served.
@@ -154,7 +155,7 @@
 func (s *server) budget(began float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	mean := contract.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
-	if mean < smallBudget-1e-9 { // 30 as a product of fractions may come out below it
+	if mean < smallBudgetRequests-1e-9 { // 30 as a product of fractions may come out below it
 		return mean + 3*math.Sqrt(mean) + 3
 	}
 	return mean + 2*math.Sqrt(mean) + 2
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -8,14 +8,19 @@
 )
 
 const (
-	// maxWorkSpread is the largest Config.WorkSpread.
+	// maxWorkSpread is the upper bound of Variant.WorkSpread.
 	maxWorkSpread = 3.0
-	// hintSpread is the standard deviation of the logarithm of a client's estimate over the work.
+	// hintSpread is the standard deviation of the logarithm of a work hint divided by the actual work:
+	// the error of a client's estimate is lognormal.
 	hintSpread = 0.3
+	// idempotencyKeys is the number of idempotency keys from which a request's key is drawn.
+	idempotencyKeys = 400
+	// sumTolerance is the rounding error that is allowed in the sums of the traffic's shares and work.
+	sumTolerance = 1e-6
 )
 
-// deadlineMs is the time that a client gives a request where the configuration has no traffic.
-const deadlineMs = 1000
+// defaultDeadlineMs is the timeout in ms of a client's attempt if Config.Traffic is empty.
+const defaultDeadlineMs = 1000
 
 // Traffic is the requests of one class.
 type Traffic struct {
@@ -39,7 +44,7 @@
 		shares += traffic.Share
 		work += traffic.Share * traffic.Work
 	}
-	if math.Abs(shares-1) > 1e-6 || math.Abs(work-1) > 1e-6 {
+	if math.Abs(shares-1) > sumTolerance || math.Abs(work-1) > sumTolerance {
 		return fleet.Usage("traffic", "shares must add up to 1 and mean work be 1, are %v and %v", shares, work)
 	}
 	return nil
@@ -65,7 +70,7 @@
 
 // newRequest draws a client's new request.
 func (m *Model) newRequest() *request {
-	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(400), arrivedAt: m.now, workFactor: 1}
+	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(idempotencyKeys), arrivedAt: m.now, workFactor: 1}
 	if spread := m.cfg.WorkSpread; spread > 0 {
 		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
 		if m.cfg.Hinted {
@@ -101,8 +106,9 @@
 	return n - 1
 }
 
-// attemptTimeShare is the part of a class's deadline that a client waits for one of its own attempts.
-const attemptTimeShare = 0.6
+// attemptTimeoutShare is a client's timeout for one of its own attempts, as a fraction of the class's
+// deadline.
+const attemptTimeoutShare = 0.6
 
 // maxRetries returns how often a client retries a request that is not served.
 func (m *Model) maxRetries() int { return max(m.cfg.Retries, 1) }
@@ -110,9 +116,9 @@
 // clientTimeoutMs returns how long a client waits for one of its own attempts.
 func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
-		return deadlineMs
+		return defaultDeadlineMs
 	}
-	return attemptTimeShare * m.cfg.Settings.Classes[class].DeadlineMs
+	return attemptTimeoutShare * m.cfg.Settings.Classes[class].DeadlineMs
 }
 
 // workOf returns the mean work of a request in ms, and where work is heavy-tailed its actual work.
--- a/internal/fleet/model/wait_histogram.go
+++ b/internal/fleet/model/wait_histogram.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// maxWaitUs is the longest wait that is resolved, in µs.
+// maxWaitUs is the longest wait in µs that the histogram resolves. Longer waits are recorded as this.
 const maxWaitUs = 2_000_000
 
 // waitHistogram is how long requests waited in their agents before their first attempt, to three
