--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -4,17 +4,17 @@
 	"ploverreel/policy"
 )
 
-// agent is one process of the agent. Its clock and its sockets are those of the model.
+// agent is one process of the agent. The model simulates its clock and its sockets.
 type agent struct {
 	m           *Model
 	client      *client
 	decider     decider
 	requests    map[policy.RequestID]*request
 	inFlight    int                   // attempts that have not ended
-	conns       map[*server]int       // number of the server's process that it has a connection to
-	idle        map[*server]idleSince // its idle connections
-	knownStarts map[*server]bool      // servers that warm up of whose start it was notified
-	timers      []*timer              // one for each token that was ever used
+	conns       map[*server]int       // number of the server's process to which a connection is open
+	idle        map[*server]idleSince // idle connections
+	knownStarts map[*server]bool      // servers of whose latest start it was notified
+	timers      []*timer              // one for each token used so far
 	ended       bool                  // the process has ended
 }
 
@@ -24,8 +24,8 @@
 	a.handle(&policy.EndpointsUpdated{Kind: policy.ListCached, Entries: a.client.list()})
 }
 
-// handle passes an event to the decider and performs its actions. These may end attempts, and so call
-// handle again: each depth has its own slice of actions.
+// handle passes an event to the decider and performs the returned actions. An action may end an
+// attempt, which calls handle recursively, so each level of recursion has its own slice of actions.
 func (a *agent) handle(event policy.Event) {
 	if a.ended {
 		return
@@ -43,7 +43,7 @@
 	model.spareActions = append(model.spareActions, actions)
 }
 
-// noteStarts notes the servers whose latest start the agent is notified of.
+// noteStarts records the servers whose latest start is in entries: the agent is now notified of it.
 func (a *agent) noteStarts(entries []policy.Entry) {
 	for i := range entries {
 		if server := a.m.serverAt(entries[i].Server); server.startedAt > 0 && entries[i].StartedMs == server.startedAt {
@@ -52,7 +52,7 @@
 	}
 }
 
-// perform performs the actions of the decider. Kinds that the model has nothing for are skipped.
+// perform performs the actions of the decider. It ignores kinds that the model does not simulate.
 func (a *agent) perform(actions []policy.Action) {
 	model := a.m
 	for i := range actions {
@@ -82,8 +82,8 @@
 // discoveryTimeoutMs is the timeout of a call to discovery in ms, including its wait in the queue.
 const discoveryTimeoutMs = 2000.0
 
-// callDiscovery fetches the endpoint list. A call that would wait too long at discovery fails, and
-// takes none of its time.
+// callDiscovery fetches the endpoint list. A call that would take longer than discoveryTimeoutMs fails
+// and takes none of discovery's time.
 func (a *agent) callDiscovery() {
 	model := a.m
 	model.second().DiscoveryCalls++
@@ -99,7 +99,8 @@
 	}))
 }
 
-// timer returns the agent's timer of that token. It is made once, so that setting it again allocates nothing.
+// timer returns the agent's timer with a token. Each timer is allocated once and reused, so that
+// setting it again allocates nothing.
 func (a *agent) timer(token uint32) *timer {
 	for _, known := range a.timers {
 		if known.token == token {
@@ -113,8 +114,8 @@
 
 func (t *timer) fire(*Model) { t.agent.handle(&policy.TimerFired{Token: t.token}) }
 
-// healthCheck connects to a server and reports the outcome after a round trip, or after the connect
-// timeout.
+// healthCheck opens a connection to a server. The agent is told the outcome after one round trip, or
+// after the connect timeout if the server can't be reached.
 func (a *agent) healthCheck(addr policy.Addr) {
 	model, server := a.m, a.m.serverAt(addr)
 	if server == nil {
--- a/internal/fleet/model/config.go
+++ b/internal/fleet/model/config.go
@@ -5,57 +5,59 @@
 	"ploverreel/policy"
 )
 
-// Config is the size of a fleet, its load and its settings.
+// Config holds the size of a fleet, its load and the settings of its agents.
 type Config struct {
 	Variant
-	Agents     int // at least as many as services
-	Servers    int // at least as many as services
+	Agents     int // at least one per service
+	Servers    int // at least one per service
 	Services   int
 	Zones      int
 	Regions    int
-	Rate       float64 // requests a second, all agents together
-	RateSpread float64 // standard deviation of the logarithms of the agents' rates; 0: all alike
-	Peak       float64 // the most that a burst multiplies the rate by; 0: no bursts
-	Cores      int     // of a server
-	WorkMs     float64 // mean work of a request, on one core at full speed
-	// One way between two places, in ms.
+	Rate       float64 // requests per second of all clients together
+	RateSpread float64 // standard deviation of the logarithms of the clients' rates; 0: equal rates
+	Peak       float64 // maximum factor by which a burst multiplies the rate; 0: no bursts
+	Cores      int     // per server
+	WorkMs     float64 // mean work of a request in ms on one core at full speed
+	// One-way network delays in ms: within a zone, between zones of a region, and between regions.
 	ZoneMs, CrossZoneMs, CrossRegionMs float64
-	ListMs                             float64 // within which an agent is notified of a change of the list
-	CallMs                             float64 // discovery's work for a call; it takes calls in turn
+	ListMs                             float64 // maximum delay in ms of a notification of list changes
+	CallMs                             float64 // discovery's work per call in ms, one call at a time
 	Seed                               uint64
-	// Traffic is that of each of the settings' classes; none: all requests are of the first.
+	// Traffic describes the requests of each class of the settings, in the same order. If it is empty,
+	// all requests belong to the first class.
 	Traffic []Traffic
-	Retries int // of a client for a request that is not served; at least one
-	// Settings are those of each agent but for its index, its zone, the replicas and the quota.
+	Retries int // maximum retries by a client of a request that is not served; 0 is taken as one
+	// Settings holds the settings of all agents. Index, zone, replicas and quota are set per agent.
 	Settings policy.Settings
 }
 
-// Variant is how a fleet differs from the plain one. Its zero value is the plain one.
+// Variant holds the deviations of a fleet from the plain fleet. The zero value is the plain fleet.
 type Variant struct {
-	// WorkSpread is the standard deviation of the logarithm of the requests' work (lognormal). 0: a
-	// server's time for each request is exponential, and all count alike in its budget.
+	// WorkSpread is the standard deviation of the logarithm of a request's work, which is lognormal.
+	// 0: the service time of a request is exponential, and all requests of a class have equal weight
+	// in a server's budget.
 	WorkSpread float64
-	// Hinted has clients send an estimate of a request's work where WorkSpread is above 0.
+	// Hinted makes clients send an estimate of a request's work if WorkSpread is above 0.
 	Hinted bool
-	// StaleStart has an agent that starts anew in the start scenario use the endpoint list of before the
-	// start until it is notified of the change.
+	// StaleStart makes agents that restart in the start scenario use the endpoint list from before the
+	// restart until they are notified of the change.
 	StaleStart bool
-	// RestartS is within how many seconds of the start scenario's start each agent starts once more;
-	// 0: none does.
+	// RestartS is the time in seconds from the begin of the start scenario within which each agent
+	// restarts once more. 0: no agent does.
 	RestartS float64
-	// ServesAbandoned has servers work on attempts that no agent waits for any more.
+	// ServesAbandoned makes servers serve queued attempts for which no agent waits any more.
 	ServesAbandoned bool
-	// DelayedView has agents decide by the servers' true state, seen with a delay, in place of the
-	// decision module: the baseline that the module is compared with.
+	// DelayedView replaces the decision module in all agents by a baseline to compare it with. The
+	// baseline decides by the servers' true state, which it sees with a delay.
 	DelayedView bool
-	// QuotaOfService has the settings' replicas and quota be those of the agent's service, not of the
-	// whole fleet.
+	// QuotaOfService sets the replicas and the quota in an agent's settings to those of its service
+	// instead of the whole fleet.
 	QuotaOfService bool
-	// KeepArrivals has each server keep the times at which attempts arrived.
+	// KeepArrivals makes each server record the times at which attempts arrive.
 	KeepArrivals bool
 }
 
-// Settings returns those of a plain deployment: one class of idempotent requests.
+// Settings returns the settings of a plain deployment: one class of idempotent requests.
 func Settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{{Name: "free", LatencyObjectiveMs: 300, DeadlineMs: 1500, Effect: policy.EffectIdempotent, PriorityWeight: 1}},
@@ -70,8 +72,9 @@
 	return s
 }
 
-// ConfigOf returns the fleet of that size whose servers have so many cores and, under its whole rate, the load:
-// the part of their time in which they work. Its error is a *fleet.UsageError.
+// ConfigOf returns the configuration of a fleet with a given size, number of cores per server and load.
+// The load is the utilization of the servers under the fleet's total rate. It sets the mean work of a
+// request. An error is a *fleet.UsageError.
 func ConfigOf(size fleet.Size, cores int, load float64) (Config, error) {
 	switch {
 	case cores < 1 || cores > 1024:
@@ -83,12 +86,12 @@
 		Regions: size.Regions, Rate: size.Rate, RateSpread: 0.8, Cores: cores, Seed: size.Seed, ListMs: 2000,
 		ZoneMs: 0.1, CrossZoneMs: 0.5, CrossRegionMs: 10, Settings: Settings()}
 	cfg.WorkMs = load * float64(cores*size.Servers) * 1000 / size.Rate
-	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}} // whose quota is in each agent's settings
+	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}} // client.start sets its quota
 	return cfg, nil
 }
 
-// Validate returns a *fleet.UsageError for a fleet in which some service has no caller or no server, and for a
-// field that is out of range.
+// Validate returns a *fleet.UsageError if a service would have no agent or no server, or if a field is
+// out of range.
 func (cfg *Config) Validate() error {
 	switch {
 	case cfg.Agents < cfg.Services:
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -1,12 +1,16 @@
-// Package model simulates many agents and many servers in virtual time, to count what they do
-// together. Each agent is one policy.Balancer and knows nothing but its own events. All random
-// draws come from one seed: the same run gives the same figures.
+// Package model simulates many agents and many servers in virtual time and counts their combined
+// effect. Each agent is one policy.Balancer and sees only its own events. All random numbers come
+// from one seed: the same configuration and seed give the same figures.
 //
-// What it assumes: an agent calls one service, whose servers alone it has listed. Agents are
-// dealt to the services in proportion to the services' servers, and so is the traffic; within
-// a service the agents' parts of it may differ. A service's servers and its callers are spread
-// evenly over the zones. Connections cost nothing, but an open one hides for a while that its
-// server has failed silently. All times are in ms of virtual time, unless a name says otherwise.
+// The model assumes:
+//   - An agent calls one service. Its endpoint list holds only that service's servers.
+//   - Agents and traffic are divided among the services in proportion to the services' servers.
+//     Within a service the agents' rates may differ.
+//   - The servers of a service and its agents are spread evenly over the zones.
+//   - Connections cost nothing. An open connection to a server that has failed silently hides the
+//     failure for a while.
+//
+// All times are in ms of virtual time, unless a name says otherwise.
 package model
 
 import (
@@ -22,20 +26,20 @@
 // of 0 marks a server that is already warm.
 const StartMs = 1e6
 
-// service is servers that do the same, and the clients that call them.
+// service is a group of interchangeable servers and the clients that call them.
 type service struct {
 	servers []*server
 	clients []*client
-	before  []policy.Entry // its endpoint list before the start scenario's start, if agents may still use that
+	before  []policy.Entry // stale list that agents may use in the start scenario; nil: none
 }
 
-// discovery is the service that has the endpoint lists. It takes calls in turn.
+// discovery is the service that serves the endpoint lists, one call at a time.
 type discovery struct {
-	freeAt   float64 // when it has answered all calls, in ms
-	answered int     // calls that it has answered
+	freeAt   float64 // time in ms at which it has answered all accepted calls
+	answered int     // number of answered calls
 }
 
-// Model is one fleet. It may be used by one goroutine at a time.
+// Model is one simulated fleet. It is not safe for concurrent use.
 type Model struct {
 	cfg          Config
 	rng          *rand.Rand
@@ -47,19 +51,19 @@
 	seconds      []Count
 	waits        *waitHistogram
 	goodputs     *goodputs
-	viewsAt      float64 // when the delayed view was last refreshed
+	viewsAt      float64 // time in ms of the last refresh of the baseline's delayed view
 	lastRequest  policy.RequestID
-	rateFactor   float64 // by which the clients' rate is multiplied now
-	stopped      bool    // the clients send no more
-	isolated     []bool  // regions that are partitioned from all others
-	pending      int     // on all servers
-	maxQueued    int     // the most requests that an agent had queued at once
+	rateFactor   float64 // current multiple of the clients' rate
+	stopped      bool    // clients send no more requests
+	isolated     []bool  // by region: it is partitioned from all others
+	pending      int     // requests pending on all servers
+	maxQueued    int     // maximum number of requests queued in one agent at a time
 	discovery    discovery
-	spareActions [][]policy.Action // for agent.handle
-	err          error             // ends the play
+	spareActions [][]policy.Action // slices that agent.handle reuses
+	err          error             // ends the run
 }
 
-// New makes a fleet, which is idle until it is booted and played. Its error is that of Validate or of
+// New returns an idle fleet: its agents have not started. It returns an error of Config.Validate or of
 // policy.New.
 func New(cfg Config) (*Model, error) {
 	if err := cfg.Validate(); err != nil {
@@ -67,7 +71,7 @@
 	}
 	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), now: StartMs, rateFactor: 1,
 		isolated: make([]bool, cfg.Regions), waits: newWaitHistogram(), goodputs: newGoodputs(&cfg), viewsAt: math.Inf(-1)}
-	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // apart, so that the layout leaves the play's draws alone
+	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // separate, so that the layout does not shift the draws of the run
 	servers, agents := divide(cfg.Servers, cfg.Services), divide(cfg.Agents, cfg.Services)
 	for k := range cfg.Services {
 		service := &service{}
@@ -83,8 +87,8 @@
 	return m, nil
 }
 
-// addClients adds so many clients, with an agent each, to a service. Together they send rate requests
-// a ms, each its lognormal part of them; the first is in the zone firstZone and the others in turn.
+// addClients adds count clients to a service, each with an agent. Together they send rate requests per
+// ms. The shares of the clients are lognormal. Clients are placed in the zones in turn, from firstZone.
 func (m *Model) addClients(service *service, firstZone, count int, rate float64, layout *rand.Rand) error {
 	var parts []float64
 	sum := 0.0
@@ -106,8 +110,8 @@
 // zipfExponent is the exponent of Zipf's law by which agents and servers are divided among services.
 const zipfExponent = 0.8
 
-// divide deals things to services by Zipf's law with exponent 0.8, at least two each if there are
-// enough.
+// divide splits a number of agents or servers among services by Zipf's law with exponent zipfExponent.
+// Each service gets at least two if there are enough.
 func divide(things, services int) []int {
 	least := min(2, things/services)
 	sum := 0.0
@@ -126,10 +130,10 @@
 	return parts
 }
 
-// region returns the region of a zone.
+// region returns the index of a zone's region.
 func (m *Model) region(zone int) int { return zone * m.cfg.Regions / m.cfg.Zones }
 
-// hop returns the time in ms one way between two zones.
+// hop returns the one-way network delay between two zones in ms.
 func (m *Model) hop(from, to int) float64 {
 	switch {
 	case from == to:
@@ -140,7 +144,7 @@
 	return m.cfg.CrossRegionMs
 }
 
-// linked reports whether a message gets from a zone to another.
+// linked reports whether messages between two zones arrive: no partition separates their regions.
 func (m *Model) linked(from, to int) bool {
 	fromRegion, toRegion := m.region(from), m.region(to)
 	return fromRegion == toRegion || !m.isolated[fromRegion] && !m.isolated[toRegion]
@@ -153,12 +157,12 @@
 	return server
 }
 
-// addr returns the address of the server of that number, which serverAt takes back.
+// addr returns the address of the server with index i in Model.servers. serverAt is its inverse.
 func addr(i int) policy.Addr {
 	return policy.Addr{10, byte(i >> 16), byte(i >> 8), byte(i), 0x13, 0x8b}
 }
 
-// serverAt returns the server at an address. Where there is none it returns nil, and the play ends with
+// serverAt returns the server with an address. If there is none, it returns nil and ends the run with
 // an error.
 func (m *Model) serverAt(at policy.Addr) *server {
 	if number := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); number < len(m.servers) {
@@ -168,13 +172,13 @@
 	return nil
 }
 
-// schedule adds an event at a time, or now if that is past.
+// schedule adds an event at a time in ms, or now if that time is past.
 func (m *Model) schedule(at float64, what scheduled) { m.queue.push(max(at, m.now), what) }
 
-// after calls do so many ms from now.
+// after calls do after a delay in ms.
 func (m *Model) after(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
 
-// list returns the service's endpoint list now.
+// list returns the service's current endpoint list.
 func (v *service) list() []policy.Entry {
 	all := make([]policy.Entry, len(v.servers))
 	for i, s := range v.servers {
@@ -183,8 +187,8 @@
 	return all
 }
 
-// announce has discovery publish the servers as they are now; each agent that calls their service is
-// notified after a delay of its own.
+// announce publishes the current state of servers through discovery. Each agent that calls their
+// service is notified after its own delay, client.listMs.
 func (m *Model) announce(servers []*server) {
 	for _, service := range m.services {
 		var entries []policy.Entry
@@ -204,7 +208,7 @@
 	}
 }
 
-// boot starts all agents with the endpoint list as it is, and their clients.
+// boot starts all agents with the current endpoint list, and all clients.
 func (m *Model) boot() {
 	for _, client := range m.clients {
 		client.agent.boot()
@@ -215,7 +219,8 @@
 // eventsPerContextCheck is the number of events between two checks whether the context has ended.
 const eventsPerContextCheck = 1 << 14
 
-// play runs the fleet for so many virtual seconds, or until ctx ends, whose cause it returns then.
+// play runs the fleet for a number of virtual seconds. If ctx ends first, it returns an error that
+// wraps the cause.
 func (m *Model) play(ctx context.Context, seconds float64) error {
 	end := m.now + seconds*1000
 	for n := 0; !m.queue.empty() && m.queue.next().at <= end && m.err == nil; n++ {
