--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -4,25 +4,25 @@
 	"ploverreel/policy"
 )
 
-// attempt is one send of a request to a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	request       *request
-	index         int // among those of the request
+	index         int // among the request's attempts
 	server        *server
 	sentAt        float64 // in ms
-	serverProcess int     // number of the process of its server that serves it
-	ended         bool    // its agent no longer waits for it
-	queued        bool    // in its server's queue
+	serverProcess int     // number of the server process that serves it
+	ended         bool    // the agent no longer waits for it
+	queued        bool    // waits in the server's queue
 }
 
-// The events of requests, attempts and agents. Each is the thing itself under another type, so that
-// scheduling one allocates nothing.
+// The events of requests, attempts and agents. All but timer are the request or attempt itself,
+// converted to a type with its own method fire, so that scheduling one allocates nothing.
 type (
 	requestDeadline request
-	attemptArrived  attempt // at its server
-	attemptServed   attempt // its server has done its work
-	attemptAnswered attempt
-	attemptReset    attempt
+	attemptArrived  attempt // at the server
+	attemptServed   attempt // the server has finished its work
+	attemptAnswered attempt // the response has arrived at the agent
+	attemptReset    attempt // the agent sees a connection reset
 	attemptTimedOut attempt
 	connectFailed   attempt
 	timer           struct {
@@ -31,7 +31,7 @@
 	}
 )
 
-// send sends an attempt of a request.
+// send starts an attempt of a request at the action's server.
 func (a *agent) send(request *request, act *policy.Action) {
 	model, server := a.m, a.m.serverAt(act.Server)
 	if server == nil {
@@ -66,7 +66,8 @@
 func (t *attemptReset) fire(*Model)    { (*attempt)(t).end(policy.StatusReset) }
 func (t *attemptAnswered) fire(*Model) { (*attempt)(t).end(policy.StatusOK) }
 
-// end ends an attempt for its agent and reports the outcome. It does nothing the second time.
+// end ends an attempt and reports its outcome to the agent. If the attempt has already ended, it does
+// nothing.
 func (t *attempt) end(status policy.Status) {
 	if t.ended {
 		return
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -6,41 +6,41 @@
 	"ploverreel/policy"
 )
 
-// client sends requests to its agent at a rate of its own; it outlives the agent's process.
+// client sends requests to its agent at its own rate. It outlives the agent's process.
 type client struct {
 	m          *Model
 	agent      *agent
-	service    *service // that it calls
+	service    *service // the service that it calls
 	zone       int
-	number     int     // among all clients
-	inService  int     // its number among those that call the service
-	replicas   int     // clients that call the service
-	quota      float64 // requests a ms of all of them
-	rate       float64 // requests a ms of this one
-	listMs     float64 // after which its agent is notified of a change of the list
-	notifiedAt float64 // when its agent is notified of the start scenario's start, in ms
-	starts     uint64  // of its agent, so far
-	lost       bool    // with its machine: it sends nothing
+	number     int     // index among all clients
+	inService  int     // index among the service's clients
+	replicas   int     // number of the service's clients
+	quota      float64 // rate of all clients of the service together, in requests per ms
+	rate       float64 // rate of this client, in requests per ms
+	listMs     float64 // delay in ms until its agent is notified of a changed endpoint list
+	notifiedAt float64 // time in ms at which its agent is notified of the start scenario's restart
+	starts     uint64  // number of starts of its agent so far
+	lost       bool    // its machine has failed: it sends nothing
 }
 
-// request is one of a client. A retry of the client is a request of its own.
+// request is a request of a client to its agent. A client's retry is a separate request.
 type request struct {
 	agent      *agent
 	id         policy.RequestID
 	class      int
 	tenant     int
 	key        uint64
-	workFactor float64  // its work in requests of its class's mean work
-	hintMs     float64  // its work as its client estimates it; 0: it sends no hint
-	arrivedAt  float64  // when the client first sent it, in ms
-	attempts   int      // so far
-	final      bool     // it is answered or given up
-	retries    int      // of its client, so far
+	workFactor float64  // work as a multiple of the class's mean work
+	hintMs     float64  // the client's estimate of its work in ms; 0: no hint is sent
+	arrivedAt  float64  // time in ms at which the client first sent it
+	attempts   int      // number of attempts so far
+	final      bool     // it is answered, rejected, failed or abandoned by the client
+	retries    int      // number of the client's retries so far
 	inFlight   *attempt // nil: none
 }
 
-// start starts a new process of the client's agent, which has no state yet. Its error is that of
-// policy.New.
+// start creates a new process of the client's agent, without any state from an earlier process. It
+// returns an error of policy.New.
 func (c *client) start() error {
 	model := c.m
 	settings := model.cfg.Settings
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// restart ends the agent's process with all its requests and starts another.
+// restart ends the agent's process with all its requests and boots a new one.
 func (c *client) restart() {
 	old := c.agent
 	old.ended = true
@@ -78,8 +78,9 @@
 	c.agent.boot()
 }
 
-// nextDelay returns the time in ms to the client's next request: a Poisson process. Where there may be bursts
-// it has their rate, and fire leaves out the excess at other times (thinning).
+// nextDelay returns the time in ms until the client's next arrival in a Poisson process. If the rate
+// may burst, the process has the peak rate, and fire drops the excess arrivals at other times
+// (thinning).
 func (c *client) nextDelay() float64 { return c.m.rng.ExpFloat64() / (c.rate * max(c.m.cfg.Peak, 1)) }
 
 // fire sends the client's next request and schedules the one after it.
@@ -93,7 +94,7 @@
 	model.schedule(model.now+c.nextDelay(), c)
 }
 
-// sendRequest sends a request to the client's agent.
+// sendRequest sends a request to the client's agent and schedules the client's timeout.
 func (c *client) sendRequest(request *request) {
 	model, agent := c.m, c.agent
 	model.lastRequest++
@@ -111,7 +112,8 @@
 	model.queue.pushLate(model.now+timeLeftMs, (*requestDeadline)(request))
 }
 
-// list returns the endpoint list that discovery gives the client's agent now.
+// list returns the endpoint list that the client's agent receives from discovery now. It is the stale
+// list until the agent is notified of the start scenario's restart.
 func (c *client) list() []policy.Entry {
 	if c.m.now < c.notifiedAt && c.service.before != nil {
 		return c.service.before
@@ -123,7 +125,8 @@
 // request.
 const minRetryDelayMs, retryJitterMs = 30, 200
 
-// retry has the client retry an unserved request, after 30 to 230 ms and within the class's deadline.
+// retry makes the client retry an unserved request after 30 to 230 ms, unless its retries are used up
+// or the class's deadline would pass first.
 func (c *client) retry(unserved *request) {
 	model := c.m
 	waitMs := minRetryDelayMs + retryJitterMs*model.rng.Float64()
@@ -135,7 +138,7 @@
 	model.after(waitMs, func() { c.sendRequest(again) })
 }
 
-// fire has the client give up its request.
+// fire makes the client abandon its request if it has no outcome yet.
 func (d *requestDeadline) fire(*Model) {
 	request := (*request)(d)
 	if request.final {
@@ -143,21 +146,21 @@
 	}
 	request.final = true
 	request.agent.handle(&policy.ClientDisconnected{Request: request.id})
-	if len(request.agent.m.cfg.Traffic) > 0 { // plain clients retry only what was rejected
+	if len(request.agent.m.cfg.Traffic) > 0 { // clients of the plain fleet retry only rejected requests
 		request.agent.client.retry(request)
 	}
 	request.forget()
 }
 
-// forget drops a request that is final and has no attempt in flight.
+// forget removes a request from its agent once it is final and has no attempt in flight.
 func (r *request) forget() {
 	if r.final && r.inFlight == nil {
 		delete(r.agent.requests, r.id)
 	}
 }
 
-// reject ends a request that the decider does not serve. mayRetry is set if it was rejected, which a client
-// retries, and not failed.
+// reject ends a request that the decider has rejected or failed. mayRetry is true for a rejected
+// request: clients retry these, but not failed ones.
 func (r *request) reject(mayRetry bool) {
 	model := r.agent.m
 	r.final = true
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -1,23 +1,23 @@
 package model
 
-// event is an action at a virtual time in ms. Events of one time fire in the order in which they were
-// added.
+// event is an action at a virtual time in ms. Events with the same time fire in the order in which they
+// were added.
 type event struct {
 	at     float64
-	order  uint64
+	order  uint64 // sequence number of the push
 	action scheduled
 }
 
-// scheduled is the effect of an event. Its types are pointers, so that an event costs no allocation of
-// its own.
+// scheduled is the effect of an event. Types that implement it should be pointers: an event then needs
+// no allocation of its own.
 type scheduled interface{ fire(m *Model) }
 
-// call is an action of the scenarios and tests, of which there are few.
+// call is a function as an event, for rare events that need no type of their own.
 type call func()
 
 func (c call) fire(*Model) { c() }
 
-// before reports whether an event comes before another: by time, and then in the order of their adding.
+// before reports whether an event fires before another: by time, then by the order of the pushes.
 func (e *event) before(other *event) bool {
 	return e.at < other.at || e.at == other.at && e.order < other.order
 }
@@ -25,16 +25,17 @@
 // heapArity is the number of children of a node in the heap.
 const heapArity = 4
 
-// queue has the events to come: a heap of four children a node, and a lane in the order of time for
-// what comes a fixed time after its cause, as the many deadlines do.
+// queue is a priority queue of pending events. It is a heap plus a lane: a FIFO slice in the order of
+// time. The lane takes events that follow their cause after a fixed delay, such as the many deadlines,
+// at lower cost than the heap.
 type queue struct {
 	heap  []event
 	lane  []event
-	first int    // index of the lane's first event
-	order uint64 // of the event added last
+	first int    // index of the lane's first pending event
+	order uint64 // sequence number of the last push
 }
 
-// empty reports whether there is no event.
+// empty reports whether no event is pending.
 func (q *queue) empty() bool { return len(q.heap) == 0 && q.first == len(q.lane) }
 
 // push adds an event.
@@ -54,7 +55,8 @@
 	q.heap[index] = added
 }
 
-// pushLate adds an event that is likely to be later than those which it added before.
+// pushLate adds an event that is likely to fire after all events that were added by pushLate before. It
+// goes to the lane if it does, and to the heap otherwise.
 func (q *queue) pushLate(at float64, what scheduled) {
 	if n := len(q.lane); n > q.first && q.lane[n-1].at > at {
 		q.push(at, what)
@@ -64,7 +66,7 @@
 	q.lane = append(q.lane, event{at, q.order, what})
 }
 
-// next returns the first event, which stays; the queue must not be empty.
+// next returns the first event without removing it. The queue must not be empty.
 func (q *queue) next() *event {
 	if q.first == len(q.lane) || len(q.heap) > 0 && q.heap[0].before(&q.lane[q.first]) {
 		return &q.heap[0]
@@ -72,7 +74,7 @@
 	return &q.lane[q.first]
 }
 
-// pop takes the first event out; the queue must not be empty.
+// pop removes and returns the first event. The queue must not be empty.
 func (q *queue) pop() event {
 	first := *q.next()
 	if q.first < len(q.lane) && q.lane[q.first].order == first.order {
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -19,43 +19,46 @@
 	smallBudgetRequests = 30.0
 )
 
-// server serves as many requests at once as it has cores, first come, first served.
+// server serves one request per core at a time, in the order of arrival.
 type server struct {
 	m               *Model
 	service         *service
 	addr            policy.Addr
 	zone            int
-	speed           float64       // of a core, 1 is full speed
-	startedAt       float64       // in ms; it warms up from here on, as the contract says; 0: it is warm
-	down            bool          // refuses connections
-	silent          bool          // its machine has failed: what is sent to it is lost
-	listed          policy.Health // its health in the endpoint list, if it is not down
-	process         int           // number of its present process
-	queue           []*attempt    // waiting; those that are no longer queued are skipped
-	pending         int           // served and waiting
-	maxPending      int           // the most that it ever had pending
+	speed           float64       // of a core; 1 is full speed
+	startedAt       float64       // time in ms of the last start, when slow start began; 0: it is warm
+	down            bool          // it refuses connections
+	silent          bool          // its machine has failed: all messages to it are lost
+	listed          policy.Health // health in the endpoint list, unless it is down
+	process         int           // number of the current process
+	queue           []*attempt    // waiting attempts; entries with queued unset are skipped
+	pending         int           // requests in service and waiting
+	maxPending      int           // maximum of pending
 	busy            int           // cores in use
 	overloadedSince float64       // in ms; 0: it is not overloaded
-	slowed          bool
-	arrivalTimes    []float64 // in ms, if the configuration keeps them
+	slowed          bool          // overload has reduced its speed
+	arrivalTimes    []float64     // in ms, if Variant.KeepArrivals is set
 	warmup          warmupLoad
-	view            serverView // what agents with the delayed view see
+	view            serverView // state that the delayed-view baseline sees
 }
 
-// warmupLoad is the load of a server that warms up, in the last overload window of the contract.
+// warmupLoad is the load of a warming server in a sliding window of the contract's OverloadWindowMs,
+// with the maxima since the server's first start.
 type warmupLoad struct {
-	arrivals         []arrival
-	first            int     // index of the first arrival in the window
-	work             float64 // of all arrivals, in requests of mean work
-	actual           float64 // the same by their actual work
-	notified         float64 // the part of work from agents that were notified of the start
-	maxShare         float64 // the most that work ever was, as a share of the budget
-	maxActualShare   float64 // the same of actual, which no agent can know beforehand: no server fails by it
-	failed           bool
-	failedByNotified bool // see notifiedShare
+	arrivals []arrival
+	first    int     // index of the first arrival in the window
+	work     float64 // sum of the arrivals' work by the mean of their classes, in requests of mean work
+	actual   float64 // sum of the arrivals' actual work, in the same unit
+	notified float64 // the part of work from agents that were notified of the start
+	maxShare float64 // maximum of work as a share of the budget
+	// maxActualShare is the maximum of actual as a share of the budget. No server fails by it, as no
+	// agent can know the actual work beforehand.
+	maxActualShare   float64
+	failed           bool // work exceeded the budget
+	failedByNotified bool // the failure is attributed to notified agents, see notifiedShare
 }
 
-// arrival is an attempt that reached a server that warms up.
+// arrival is an attempt that reached a warming server.
 type arrival struct {
 	at       float64 // in ms
 	work     float64 // mean work of its class, in requests of mean work
@@ -63,7 +66,7 @@
 	notified bool    // its agent was notified of the start
 }
 
-// add counts an arrival in the window.
+// add adds an arrival to the window.
 func (l *warmupLoad) add(came arrival) {
 	l.arrivals = append(l.arrivals, came)
 	l.work += came.work
@@ -73,7 +76,7 @@
 	}
 }
 
-// dropFirst drops the arrival that left the window.
+// dropFirst removes the oldest arrival from the window.
 func (l *warmupLoad) dropFirst() {
 	first := l.arrivals[l.first]
 	l.first++
@@ -84,7 +87,7 @@
 	}
 }
 
-// entry returns the server's line in the endpoint list.
+// entry returns the server's entry in the endpoint list.
 func (s *server) entry() policy.Entry {
 	entry := policy.Entry{Server: s.addr, Zone: s.zone, Cell: s.zone, Health: s.listed, Weight: 1, StartedMs: s.startedAt}
 	if s.down {
@@ -93,8 +96,8 @@
 	return entry
 }
 
-// ramp returns the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
-// within SlowStartMs.
+// ramp returns the fraction of its full speed that a server has reached in slow start. The fraction
+// rises linearly from SlowStartFrom to 1 within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
@@ -103,7 +106,7 @@
 	return 1
 }
 
-// capacity returns the part of its full speed at which a server works now.
+// capacity returns a core's current speed, as a multiple of full speed, in slow start and overload.
 func (s *server) capacity(now float64) float64 {
 	speed := s.speed * s.ramp(now)
 	if s.slowed {
@@ -112,7 +115,9 @@
 	return speed
 }
 
-// fire queues the attempt at its server, or ends it where the server or the link to it is down.
+// fire queues an attempt that has arrived at its server. The attempt fails instead if the server is
+// down, if its connection is stale or if it exceeds a warming server's budget. If the machine is silent
+// or the network is partitioned, a connect times out, and on an open connection nothing happens.
 func (r *attemptArrived) fire(model *Model) {
 	attempt := (*attempt)(r)
 	server, agent := attempt.server, attempt.request.agent
@@ -121,7 +126,7 @@
 		if !connected {
 			model.schedule(attempt.sentAt+model.cfg.Settings.Limits.ConnectTimeoutMs, (*connectFailed)(attempt))
 		}
-		return // on an open connection the agent can't distinguish it from a slow answer
+		return // on an open connection the agent can't distinguish a lost message from a slow answer
 	}
 	if model.cfg.KeepArrivals {
 		server.arrivalTimes = append(server.arrivalTimes, model.now)
@@ -130,7 +135,7 @@
 		attempt.end(policy.StatusConnectFailed)
 		return
 	}
-	stale := connected && process != server.process // the machine knows the connection no more
+	stale := connected && process != server.process // the connection belongs to a process that has ended
 	if !stale {
 		server.countWarmup(attempt.request, agent.knownStarts[server])
 	}
@@ -149,20 +154,22 @@
 	server.serve()
 }
 
-// budget returns how many requests of mean work a server that warms up bears in a window that began at
-// began: the contract's multiple of what it can serve then, with two standard deviations of a Poisson
-// count for chance, three where the budget is small.
+// budget returns the number of requests of mean work that a warming server tolerates in a window. It is
+// OverloadMultiple times the number that the server can serve in the window at its speed at began, the
+// window's start. Two standard deviations of a Poisson count, and two requests, are added for random
+// variation; a mean below smallBudgetRequests gets three of each.
 func (s *server) budget(began float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	mean := contract.OverloadMultiple * s.ramp(began) * s.speed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
-	if mean < smallBudgetRequests-1e-9 { // 30 as a product of fractions may come out below it
+	if mean < smallBudgetRequests-1e-9 { // the product may be slightly below 30 due to rounding
 		return mean + 3*math.Sqrt(mean) + 3
 	}
 	return mean + 2*math.Sqrt(mean) + 2
 }
 
-// countWarmup counts an attempt that reached a server which warms up; one over its budget makes it
-// fail for good. The capacity at the beginning of the window counts, as it is the least.
+// countWarmup counts an attempt that reached the server, if it is warming up. If the load in the window
+// exceeds the budget, the server fails permanently. The budget uses the capacity at the start of the
+// window, which is the lowest in the window.
 func (s *server) countWarmup(request *request, notified bool) {
 	model, load := s.m, &s.warmup
 	if s.startedAt == 0 || s.ramp(model.now) == 1 {
@@ -184,8 +191,8 @@
 	}
 }
 
-// stop ends the server's process with all that is pending. Agents see its connections close, but
-// for those of a machine that went silent.
+// stop ends the server's process with all its pending requests. Agents see its connections close,
+// unless its machine has failed silently.
 func (s *server) stop() {
 	s.process++
 	for _, attempt := range s.queue {
@@ -205,13 +212,13 @@
 	s.queue, s.busy, s.overloadedSince, s.slowed = nil, 0, 0, false
 }
 
-// failSilently is the failure of a server's machine: nothing more comes from it.
+// failSilently makes the server's machine fail: it sends nothing from now on.
 func (s *server) failSilently() {
 	s.silent = true
 	s.stop()
 }
 
-// start starts a new process, which warms up.
+// start starts a new process in slow start. No agent knows of the start yet.
 func (s *server) start() {
 	s.silent, s.down, s.startedAt = false, false, s.m.now
 	s.warmup = warmupLoad{maxShare: s.warmup.maxShare, maxActualShare: s.warmup.maxActualShare}
@@ -220,14 +227,14 @@
 	}
 }
 
-// addPending changes the number of pending requests, here and in the fleet's sum.
+// addPending adds n, which may be negative, to the pending requests of the server and of the fleet.
 func (s *server) addPending(n int) {
 	s.pending += n
 	s.m.pending += n
 }
 
-// abandon takes an attempt that its agent no longer waits for out of the queue. One that is being
-// served is served to its end.
+// abandon removes an attempt from the queue when its agent no longer waits for it, unless
+// Variant.ServesAbandoned is set. An attempt that is already in service is served to its end.
 func (s *server) abandon(attempt *attempt) {
 	if attempt.queued && !s.m.cfg.ServesAbandoned {
 		attempt.queued = false
@@ -235,7 +242,7 @@
 	}
 }
 
-// serve starts the next attempts in the queue on free cores.
+// serve updates the overload state and starts queued attempts on free cores.
 func (s *server) serve() {
 	model := s.m
 	if s.pending < maxPendingPerCore*model.cfg.Cores {
@@ -264,7 +271,8 @@
 	}
 }
 
-// fire frees the core and sends the answer, or a reset where the process has ended meanwhile.
+// fire frees the core and sends the answer. If the process has ended meanwhile, the attempt ends with a
+// reset instead, or gets no response from a silent machine.
 func (f *attemptServed) fire(model *Model) {
 	attempt := (*attempt)(f)
 	server, zone := attempt.server, attempt.request.agent.client.zone
