--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -97,11 +97,11 @@
 }
 
 // ramp returns the fraction of its full speed that a server has reached in slow start. The fraction
-// rises linearly from SlowStartFrom to 1 within SlowStartMs.
+// rises linearly from InitialCapacity to 1 within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
-		return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+		return contract.InitialCapacity + (1-contract.InitialCapacity)*max(age, 0)/contract.SlowStartMs
 	}
 	return 1
 }
--- a/policy/endpoint_test.go
+++ b/policy/endpoint_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Under a window below one the pause follows the last answer: taken from the mean it would stay long
-// after a crowd has passed, and nothing would tell that the endpoint stands idle.
+// The pause for a window below 1 depends on the last answer time. A pause from the mean would stay
+// long after an overload has ended, and nothing would show that the endpoint is idle.
 func TestEndpointWindowPauseFollowsTheLastAnswer(t *testing.T) {
 	h := newHarness(t, testSettings(), 1)
 	target := h.endpoint(0)
@@ -14,34 +14,34 @@
 	}
 	target.window.size = 0.5
 	hasCapacityAfter := func(ms float64) bool {
-		h.b.now = target.traffic.sentAt + ms
+		h.b.now = target.traffic.lastSentAt + ms
 		return h.b.eligible.hasCapacity(target, &request{class: h.b.classes.all[idempotentClass]})
 	}
 	if hasCapacityAfter(59) {
-		t.Error("before two answer times got capacity, want a pause")
+		t.Error("before twice the last answer time: got capacity, want a pause")
 	}
 	if !hasCapacityAfter(61) {
-		t.Error("after two answer times got no capacity, want the pause over")
+		t.Error("after twice the last answer time: got no capacity, want the pause over")
 	}
 }
 
 func TestEndpointWindowBounds(t *testing.T) {
 	window := endpointWindow{size: 4}
-	window.cut(100, 0.5, 1)
-	if window.size != 2 || window.cutAt != 100 {
-		t.Errorf("cut by half: got %+v, want a size of 2, cut at 100", window)
+	window.decrease(100, 0.5, 1)
+	if window.size != 2 || window.decreasedAt != 100 {
+		t.Errorf("decreased by half: got %+v, want a size of 2, decreased at 100", window)
 	}
-	window.cut(200, 0.1, 1)
+	window.decrease(200, 0.1, 1)
 	if window.size != 1 {
-		t.Errorf("cut to less than its least: got a size of %v, want 1", window.size)
+		t.Errorf("decreased to less than minSize: got a size of %v, want 1", window.size)
 	}
-	window.grow()
+	window.increase()
 	if window.size != 2 {
-		t.Errorf("grown by one attempt a round trip: got a size of %v, want 2", window.size)
+		t.Errorf("increased by one attempt a round trip: got a size of %v, want 2", window.size)
 	}
 	window.size = 0.25
-	if window.grow(); window.size != 0.5 {
-		t.Errorf("grown from below one: got a size of %v, want it doubled to 0.5", window.size)
+	if window.increase(); window.size != 0.5 {
+		t.Errorf("increased from below one: got a size of %v, want it doubled to 0.5", window.size)
 	}
 	window.size = 1.5
 	if window.halve(); window.size != 1 {
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestEndpointUpdateTakesOverTheEntry(t *testing.T) {
+func TestEndpointUpdateAppliesTheEntry(t *testing.T) {
 	target := endpoint{weight: 3, usable: true}
 	target.update(&Entry{Zone: 1, Cell: 2, MachineKind: 3, Health: HealthDraining, Weight: -1})
 	if target.zone != 1 || target.cell != 2 || target.machineKind != 3 {
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -1,4 +1,4 @@
-// This file holds when discovery is called for the endpoint list.
+// This file schedules the calls to discovery for the endpoint list.
 
 package policy
 
@@ -7,33 +7,37 @@
 )
 
 const (
-	// A change of the list counts as notified after notifyWithinMs, whatever went wrong before.
-	// Discovery serves calls in turn, and one that has waited for watchCallMaxMs fails.
-	// watchCallMarginMs is the time that remains for the way and for what the list sets off.
-	notifyWithinMs, watchCallMaxMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
-	// watchStaggerMs is how far apart the agents of a small fleet call that start together: those
-	// of large fleets take all the time that they have.
+	// notifyDeadlineMs is the time, in ms, after which the contract treats an agent as notified of
+	// a change of the list, whatever failed before. maxWatchCallMs bounds how long a call waits, in
+	// ms: discovery serves calls in turn, and a call that has waited this long fails.
+	// watchCallMarginMs is the time reserved for network delay and for processing the list, in ms.
+	notifyDeadlineMs, maxWatchCallMs, watchCallMarginMs = 6000.0, 2000.0, 250.0
+	// watchStaggerMs times the number of agents is the time, in ms, over which a small fleet spreads
+	// its calls when its agents start together. Large fleets use all the time that is allowed.
 	watchStaggerMs = 75.0
-	// A watch on the agent's own machine costs nothing: localWatchDelayMs and
-	// localWatchMaxDelayMs only keep its calls from spinning.
+	// localWatchDelayMs and localWatchMaxDelayMs bound the first and the longest delay, in ms,
+	// before a call to discovery on the agent's own machine. Such calls cost nothing; the delays
+	// only prevent a busy loop.
 	localWatchDelayMs, localWatchMaxDelayMs = 100.0, 500.0
-	// firstWatchBackoffMs is the span of the wait after a first failed call: a shorter one would
-	// come back to a queue that is as long as it was.
-	firstWatchBackoffMs = 1000.0
-	// watchEndedBackoffMs is the same after a watch that had notified has ended: what it missed
-	// counts as notified some 2 s later, the call included.
+	// initialWatchBackoffMs bounds the backoff after the first failed call, in ms. The bound on later
+	// backoffs is never lower. After a shorter backoff the call would meet a queue that is still as
+	// long as before.
+	initialWatchBackoffMs = 1000.0
+	// watchEndedBackoffMs bounds the backoff, in ms, after the end of a watch that had delivered
+	// something. The agent is treated as notified of what the watch missed some 2 s later, and the
+	// next call has to end by then.
 	watchEndedBackoffMs = 1000.0
-	// minFetchGapMs is the shortest time between two fetches of the whole list.
-	minFetchGapMs = 1000.0
+	// minFetchIntervalMs is the minimum time between two fetches of the whole list, in ms.
+	minFetchIntervalMs = 1000.0
 )
 
-// watchScheduler decides when discovery is called.
+// watchScheduler decides when the agent calls discovery.
 type watchScheduler struct {
 	*environment
-	fetchedAt    float64 // last fetch of the whole list, in ms
-	startedAt    float64 // last call that watches the list, in ms
-	failures     int     // failed calls in a row
-	shortWatches int     // watches in a row that ended as soon as they had notified
+	fetchedAt    float64 // time of the last fetch of the whole list, in ms
+	startedAt    float64 // time at which the last watch was opened, in ms
+	failures     int     // consecutive failed calls
+	shortWatches int     // consecutive watches that ended soon after they had delivered something
 }
 
 // newWatchScheduler returns a scheduler that has never fetched the list.
@@ -41,87 +45,90 @@
 	return watchScheduler{environment: env, fetchedAt: never}
 }
 
-// start sets the time of the first call that watches the list. Where discovery is one service
-// for all, agents that start together have turns by their numbers, so that their calls don't wait
-// for each other. The list that an agent starts with is as old as its restart took, and what it
-// misses may count as notified already: all turns are within the grace of draining.
+// start schedules the first watch. If all agents share one discovery service, agents that start
+// together call it in the order of their indexes, so that their calls don't queue behind each other.
+// The cached list that an agent starts with is as old as its restart took, and the agent may already
+// be treated as notified of the changes since. Therefore all first calls are made within the drain
+// grace.
 func (w *watchScheduler) start() {
 	w.startedAt = w.now
 	switch w.set.Membership {
 	case MembershipWatched:
-		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
+		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	case MembershipOnRequest:
-		turn := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
-		most := min(w.set.Contract.DrainGraceMs, notifyWithinMs-watchCallMaxMs-watchCallMarginMs)
-		w.watchAfter(turn * w.spreadMs(most))
+		position := (float64(w.set.Index) + w.rng.Float64()) / float64(max(w.set.Replicas, w.set.Index+1))
+		maxSpreadMs := min(w.set.Contract.DrainGraceMs, notifyDeadlineMs-maxWatchCallMs-watchCallMarginMs)
+		w.scheduleWatch(position * w.spreadMs(maxSpreadMs))
 	}
 }
 
-// begin starts the call that was due.
-func (w *watchScheduler) begin() {
+// openWatch opens the scheduled watch.
+func (w *watchScheduler) openWatch() {
 	w.startedAt = w.now
 	w.do(OpenWatch())
 }
 
-// onDelivered notes that discovery has delivered a list.
+// onDelivered resets the failures, because discovery has delivered a list.
 func (w *watchScheduler) onDelivered() { w.failures = 0 }
 
-// onFailed sets the time of the next call after one that failed.
+// onFailed schedules the next call after a failed one.
 func (w *watchScheduler) onFailed() {
 	w.failures++
-	w.retry(w.failures, firstWatchBackoffMs)
+	w.scheduleRetry(w.failures, initialWatchBackoffMs)
 }
 
-// onEnded sets the time of the next call after a watch that had notified has ended. One that
-// ends again and again as soon as it has notified is no better than calls that fail.
+// onEnded schedules the next call after the end of a watch that had delivered something. Repeated
+// watches that end soon after they have delivered are backed off like failed calls.
 func (w *watchScheduler) onEnded() {
 	w.failures = 0
-	if w.now-w.startedAt < notifyWithinMs/2 {
+	if w.now-w.startedAt < notifyDeadlineMs/2 {
 		w.shortWatches++
 	} else {
 		w.shortWatches = 1
 	}
 	switch {
 	case w.shortWatches > 1:
-		w.retry(w.shortWatches-1, watchEndedBackoffMs)
+		w.scheduleRetry(w.shortWatches-1, watchEndedBackoffMs)
 	case w.set.Membership == MembershipWatched:
-		w.watchAfter(w.rng.Float64() * localWatchDelayMs)
+		w.scheduleWatch(w.rng.Float64() * localWatchDelayMs)
 	default:
-		w.watchAfter(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
+		w.scheduleWatch(w.rng.Float64() * w.spreadMs(watchEndedBackoffMs))
 	}
 }
 
-// retry sets the time of the next call after failures in a row: a backoff with jitter that
-// doubles from spanMs. The last call may have failed at the very moment in which discovery came
-// back, so what it took, the wait and the next call are together less than notifyWithinMs.
-func (w *watchScheduler) retry(failures int, spanMs float64) {
+// scheduleRetry schedules the next call after consecutive failures, with an exponential backoff that
+// starts at backoffMs, and with jitter. The last call may have failed at the very moment at which
+// discovery recovered. Therefore the duration of that call, the backoff and the next call together
+// stay below notifyDeadlineMs.
+func (w *watchScheduler) scheduleRetry(failures int, backoffMs float64) {
 	if w.set.Membership == MembershipWatched {
-		most := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
-		w.watchAfter(w.rng.Float64() * most)
+		maxBackoffMs := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
+		w.scheduleWatch(w.rng.Float64() * maxBackoffMs)
 		return
 	}
-	most := notifyWithinMs - watchCallMaxMs - watchCallMarginMs - (w.now - w.startedAt)
-	spanMs = min(spanMs*math.Pow(2, float64(failures-1)), max(most, firstWatchBackoffMs))
-	w.watchAfter(spanMs * (0.5 + w.rng.Float64()/2))
+	maxBackoffMs := notifyDeadlineMs - maxWatchCallMs - watchCallMarginMs - (w.now - w.startedAt)
+	backoffMs = min(backoffMs*math.Pow(2, float64(failures-1)), max(maxBackoffMs, initialWatchBackoffMs))
+	w.scheduleWatch(backoffMs * (0.5 + w.rng.Float64()/2))
 }
 
-// spreadMs returns the time over which all agents' calls are spread, at most mostMs.
-func (w *watchScheduler) spreadMs(mostMs float64) float64 {
-	return min(watchStaggerMs*float64(w.set.Replicas), mostMs)
+// spreadMs returns the time over which the calls of all agents are spread, at most limitMs.
+func (w *watchScheduler) spreadMs(limitMs float64) float64 {
+	return min(watchStaggerMs*float64(w.set.Replicas), limitMs)
 }
 
-// watchAfter sets the time of the next call that watches the list.
-func (w *watchScheduler) watchAfter(delayMs float64) {
+// scheduleWatch schedules the next watch.
+func (w *watchScheduler) scheduleWatch(delayMs float64) {
 	w.do(SetTimer(delayMs, timerWatch))
 }
 
-// fetch fetches the whole list, seldom: every call loads discovery. An agent that watches the
-// list has it as new as can be, or waits for its turn to call.
+// fetch fetches the whole list, at a limited rate because every call is load for discovery. It does
+// nothing in the modes in which the agent watches the list: the list is then up to date, or the next
+// watch is already scheduled.
 func (w *watchScheduler) fetch() {
 	if w.set.Membership != MembershipPushed {
 		return
 	}
-	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchGapMs) {
+	if w.now-w.fetchedAt >= max(w.set.Contract.MaxListAgeMs, minFetchIntervalMs) {
 		w.fetchedAt = w.now
 		w.do(FetchEndpoints())
 	}
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -1,101 +1,111 @@
-// This file holds what follows when this machine itself can't open connections.
+// This file limits attempts while this machine itself cannot open connections, and decides whether a
+// failed connect is the fault of the endpoint or of this machine.
 
 package policy
 
 import "slices"
 
 const (
-	// firstLocalBackoffMs is the time to the next attempt after this machine failed one: a table
-	// of the system or a range of ports has entries to give again as soon as anybody closes something.
-	// It doubles once, and up to as much again is added at random, since all agents of a machine
-	// fail together. At most 20 ms keeps what waits within a small part of the usual latency
-	// objectives.
-	firstLocalBackoffMs, lastLocalBackoffMs = 5.0, 10.0
-	// settledAfterMs is after how long an attempt that is still in flight is taken to have got its
-	// connection: errors of this machine come back from the system call, at once.
-	settledAfterMs = 2 * lastLocalBackoffMs
-	// unlimitedWindow is the window of trials from which on attempts are not bounded any more.
-	unlimitedWindow = 16
-	// localMemoryMs is after how long without a failure of this machine none is expected any more:
-	// many times the longest backoff.
-	localMemoryMs = 1000.0
-	// maxReachResults bounds the endpoints whose latest results are kept while some are unreachable.
+	// initialLocalBackoffMs is the backoff, in ms, after an attempt that failed on this machine. It
+	// is short because a system table or a range of ports has free entries again as soon as any
+	// process closes something. The backoff doubles once, up to maxLocalBackoffMs. Jitter of up to
+	// the same time is added, since all agents of a machine fail together. The total of at most 20 ms
+	// delays queued requests by a small part of the usual latency objectives.
+	initialLocalBackoffMs, maxLocalBackoffMs = 5.0, 10.0
+	// connectedAfterMs is the age, in ms, at which an attempt in flight is assumed to have its
+	// connection: the system call reports errors of this machine at once.
+	connectedAfterMs = 2 * maxLocalBackoffMs
+	// maxTrialWindow is the window of trials, in attempts, at which attempts are no longer limited.
+	maxTrialWindow = 16
+	// localFailureExpiryMs is the time, in ms, after the latest failure of this machine at which the
+	// limit ends without a trial. It is many times the longest backoff.
+	localFailureExpiryMs = 1000.0
+	// maxReachResults bounds the number of endpoints whose latest results are kept while some
+	// endpoint is unreachable.
 	maxReachResults = 16
-	// defaultReachMs is for how long an endpoint counts as unreachable where no connect timeout is set.
-	defaultReachMs = 1000.0
+	// defaultReachExpiryMs is the time, in ms, for which a result is kept if no connect timeout is
+	// set.
+	defaultReachExpiryMs = 1000.0
+	// minUnreachableEndpoints is the number of unreachable endpoints below which the failure is
+	// attributed to the endpoints and not to this machine.
+	minUnreachableEndpoints = 2
 )
 
-// localFailure bounds the attempts while this machine fails them. All requests share one backoff
-// and one window: after a failure one attempt is sent as a trial, and each that does not fail in
-// that way doubles the window, until attempts are not bounded any more. So the attempts in that
-// time are bounded by the backoff, whatever the number of requests that wait.
-type localFailure struct {
+// localFailureLimiter limits the attempts while this machine fails them. All requests share one
+// backoff and one window. After a failure and its backoff a single attempt is sent as a trial. Each
+// trial that does not fail on this machine doubles the window, until attempts are no longer limited.
+// The backoff thus bounds the number of attempts while the machine fails, however many requests are
+// queued.
+type localFailureLimiter struct {
 	*environment
 	endpoints *endpointSet
 	outliers  *outlierDetector
 
-	row      int        // failures one after the other; 0: attempts are not bounded
-	failedAt float64    // the latest, in ms
-	until    float64    // no attempt is sent before, in ms
-	window   int        // trials that may be in flight
-	trials   []*attempt // attempts in flight of which it isn't known whether they got a connection
-	reach    []reachResult
+	failures     int           // consecutive failures; 0: attempts are not limited
+	failedAt     float64       // time of the latest failure, in ms
+	backoffUntil float64       // end of the backoff: no attempt is sent before, in ms
+	window       int           // maximum number of trials in flight
+	trials       []*attempt    // attempts in flight that may not have a connection yet
+	reachResults []reachResult // ordered from old to new
 }
 
-// reachResult is how the latest attempt at an endpoint ended while some endpoint was unreachable.
+// reachResult is the result of the latest attempt at an endpoint. Results are kept while some endpoint
+// is unreachable.
 type reachResult struct {
-	endpoint *endpoint
-	at       float64 // ms
-	reached  bool
-	since    float64 // if not reached: time of the first such result in a row, in ms
+	endpoint         *endpoint
+	at               float64 // time of the result, in ms
+	reached          bool
+	unreachableSince float64 // if not reached: time of the first of the consecutive failures, in ms
 }
 
-// newLocalFailure returns a localFailure that bounds nothing yet.
-func newLocalFailure(env *environment, endpoints *endpointSet, outliers *outlierDetector) localFailure {
-	return localFailure{environment: env, endpoints: endpoints, outliers: outliers}
+// newLocalFailureLimiter returns a limiter that limits nothing yet.
+func newLocalFailureLimiter(env *environment, endpoints *endpointSet,
+	outliers *outlierDetector) localFailureLimiter {
+	return localFailureLimiter{environment: env, endpoints: endpoints, outliers: outliers}
 }
 
-// mayTry reports whether this machine's failures let another attempt be sent.
-func (l *localFailure) mayTry() bool {
-	if l.row == 0 {
+// allows reports whether another attempt may be sent in spite of this machine's failures.
+func (l *localFailureLimiter) allows() bool {
+	if l.failures == 0 {
 		return true
 	}
-	if l.now-l.failedAt > localMemoryMs {
+	if l.now-l.failedAt > localFailureExpiryMs {
 		l.reset()
 		return true
 	}
 	for i := 0; i < len(l.trials); {
-		if trial := l.trials[i]; l.now-trial.sentAt >= settledAfterMs {
-			l.succeeded(trial)
+		if trial := l.trials[i]; l.now-trial.sentAt >= connectedAfterMs {
+			l.attemptSucceeded(trial)
 		} else {
 			i++
 		}
 	}
-	return l.row == 0 || l.now >= l.until && len(l.trials) < l.window
+	return l.failures == 0 || l.now >= l.backoffUntil && len(l.trials) < l.window
 }
 
-// reset lets attempts be sent without a bound again.
-func (l *localFailure) reset() { l.row, l.trials = 0, nil }
+// reset ends the limit on attempts.
+func (l *localFailureLimiter) reset() { l.failures, l.trials = 0, nil }
 
-// sent notes an attempt that is sent.
-func (l *localFailure) sent(attempt *attempt) {
-	if l.row > 0 {
+// attemptSent records an attempt that is sent.
+func (l *localFailureLimiter) attemptSent(attempt *attempt) {
+	if l.failures > 0 {
 		l.trials = append(l.trials, attempt)
 	}
 }
 
-// succeeded notes that an attempt did not fail on this machine.
-func (l *localFailure) succeeded(attempt *attempt) {
+// attemptSucceeded records that an attempt did not fail on this machine, and doubles the window if
+// the attempt was a trial.
+func (l *localFailureLimiter) attemptSucceeded(attempt *attempt) {
 	if !l.removeTrial(attempt) {
 		return
 	}
-	if l.window *= 2; l.window >= unlimitedWindow {
+	if l.window *= 2; l.window >= maxTrialWindow {
 		l.reset()
 	}
 }
 
-// removeTrial takes an attempt from the trials and reports whether it was one.
-func (l *localFailure) removeTrial(attempt *attempt) bool {
+// removeTrial removes an attempt from the trials and reports whether it was one.
+func (l *localFailureLimiter) removeTrial(attempt *attempt) bool {
 	i := slices.Index(l.trials, attempt)
 	if i >= 0 {
 		l.trials = slices.Delete(l.trials, i, i+1)
@@ -103,31 +113,35 @@
 	return i >= 0
 }
 
-// failed notes an attempt that this machine could not make.
-func (l *localFailure) failed(attempt *attempt) {
+// attemptFailed records an attempt that this machine could not make, and starts a backoff.
+func (l *localFailureLimiter) attemptFailed(attempt *attempt) {
 	l.removeTrial(attempt)
-	if l.row == 0 || attempt.sentAt >= l.failedAt { // else it was sent before the failure that is known
-		l.row++
-		backoff := min(firstLocalBackoffMs*float64(l.row), lastLocalBackoffMs)
-		l.failedAt, l.until, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
+	if l.failures == 0 || attempt.sentAt >= l.failedAt { // else it was sent before a counted failure
+		l.failures++
+		backoff := min(initialLocalBackoffMs*float64(l.failures), maxLocalBackoffMs)
+		l.failedAt, l.backoffUntil, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
 }
 
-// attribute returns the status of an attempt's end by whose failure it was. One endpoint that can't
-// be reached is at fault itself: its machine or its part of the network is gone. When of the
-// endpoints tried recently at least two and more than half can't be reached, it is this machine that
-// has lost its network; the endpoints that were blamed before that was seen are cleared.
-func (l *localFailure) attribute(attempt *attempt, status Status) Status {
-	if status != StatusUnreachable && len(l.reach) == 0 {
+// attribute replaces StatusUnreachable by the status that names the side at fault. It returns other
+// statuses unchanged, and records which endpoints were reached.
+//
+// If at least minUnreachableEndpoints, and more than half, of the endpoints tried recently are
+// unreachable, this machine has lost its network, and the status is StatusLocalFailure. Ejections that
+// were made before this was known are reverted. Otherwise the unreachable endpoint is at fault: its
+// machine or its part of the network is gone, and the status is StatusConnectFailed.
+func (l *localFailureLimiter) attribute(attempt *attempt, status Status) Status {
+	if status != StatusUnreachable && len(l.reachResults) == 0 {
 		return status
 	}
 	l.expireReach()
 	switch status {
 	case StatusUnreachable:
-		l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, since: l.now})
+		l.recordReach(reachResult{endpoint: attempt.endpoint, at: l.now, unreachableSince: l.now})
 	case StatusOK, StatusServerError, StatusReset:
-		if len(l.reach) > 0 && attempt.sentAt >= l.reach[0].at { // else it tells of the time before
-			l.noteReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
+		// An attempt that was sent before the oldest result says nothing about the time since.
+		if len(l.reachResults) > 0 && attempt.sentAt >= l.reachResults[0].at {
+			l.recordReach(reachResult{endpoint: attempt.endpoint, at: l.now, reached: true})
 		}
 		return status
 	default:
@@ -137,45 +151,47 @@
 		attempt.unreachable = true
 		return StatusConnectFailed
 	}
-	for _, result := range l.reach {
+	for _, result := range l.reachResults {
 		if !result.reached && l.endpoints.contains(result.endpoint) {
-			l.outliers.clear(result.endpoint, result.since)
+			l.outliers.revertBlame(result.endpoint, result.unreachableSince)
 		}
 	}
 	return StatusLocalFailure
 }
 
-// expireReach forgets the results that are older than a connect may take.
-func (l *localFailure) expireReach() {
-	span := l.set.Limits.ConnectTimeoutMs
-	if span <= 0 {
-		span = defaultReachMs
+// expireReach removes the results that are older than the connect timeout.
+func (l *localFailureLimiter) expireReach() {
+	expiryMs := l.set.Limits.ConnectTimeoutMs
+	if expiryMs <= 0 {
+		expiryMs = defaultReachExpiryMs
 	}
-	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool { return l.now-result.at > span })
+	l.reachResults = slices.DeleteFunc(l.reachResults, func(result reachResult) bool {
+		return l.now-result.at > expiryMs
+	})
 }
 
-// mostUnreachable reports whether at least two and more than half of the endpoints tried recently
-// could not be reached.
-func (l *localFailure) mostUnreachable() bool {
-	lost := 0
-	for _, result := range l.reach {
+// mostUnreachable reports whether at least minUnreachableEndpoints, and more than half, of the
+// endpoints tried recently could not be reached.
+func (l *localFailureLimiter) mostUnreachable() bool {
+	unreachable := 0
+	for _, result := range l.reachResults {
 		if !result.reached {
-			lost++
+			unreachable++
 		}
 	}
-	return lost >= 2 && 2*lost > len(l.reach)
+	return unreachable >= minUnreachableEndpoints && 2*unreachable > len(l.reachResults)
 }
 
-// noteReach keeps the latest result of each endpoint, the oldest first.
-func (l *localFailure) noteReach(latest reachResult) {
-	l.reach = slices.DeleteFunc(l.reach, func(result reachResult) bool {
+// recordReach records a result. Only the latest of each endpoint is kept, ordered from old to new.
+func (l *localFailureLimiter) recordReach(latest reachResult) {
+	l.reachResults = slices.DeleteFunc(l.reachResults, func(result reachResult) bool {
 		if result.endpoint == latest.endpoint && !result.reached && !latest.reached {
-			latest.since = result.since
+			latest.unreachableSince = result.unreachableSince
 		}
 		return result.endpoint == latest.endpoint
 	})
-	if len(l.reach) == maxReachResults {
-		l.reach = slices.Delete(l.reach, 0, 1)
+	if len(l.reachResults) == maxReachResults {
+		l.reachResults = slices.Delete(l.reachResults, 0, 1)
 	}
-	l.reach = append(l.reach, latest)
+	l.reachResults = append(l.reachResults, latest)
 }
