--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -5,11 +5,12 @@
 	"ploverreel/policy"
 )
 
-// idleSince has the times in ms since which an agent's connections to a server are idle, the latest
-// last. Each is kept for the settings' keepalive time; an attempt that fails ends all of the server's.
+// idleSince holds the times in ms at which an agent's connections to one server became idle, the latest
+// last. An idle connection is closed after the settings' KeepaliveMs. A failed attempt closes all
+// connections to its server.
 type idleSince []float64
 
-// idleTimes returns those of the connections that are idle no longer than the settings keep them.
+// idleTimes returns the times of the connections to a server that are still open.
 func (a *agent) idleTimes(server *server) idleSince {
 	idle := a.idle[server]
 	for len(idle) > 0 && a.m.now-idle[0] > a.m.cfg.Settings.Limits.KeepaliveMs {
@@ -18,7 +19,7 @@
 	return idle
 }
 
-// takeIdle takes the connection to the server that became idle last, and reports whether there is one.
+// takeIdle removes the connection to a server that became idle last and reports whether there was one.
 func (a *agent) takeIdle(server *server) bool {
 	idle := a.idleTimes(server)
 	found := len(idle) > 0
@@ -29,8 +30,8 @@
 	return found
 }
 
-// addNeeds adds what an agent needs in the mean: connections opened, servers that it met since its
-// start, connections that it keeps at the end and the steps of its decision module.
+// addNeeds adds the figures of an agent's resource use, as means over all agents: connections opened,
+// connections that are idle at the end, servers called since its start, and steps of its decision module.
 func (m *Model) addNeeds(result *fleet.Case, sum *Count) {
 	met, kept, work := 0, 0, uint64(0)
 	for _, client := range m.clients {
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -17,13 +17,15 @@
 	maxDrawsPerServer = 4
 )
 
-// decider decides for an agent: a policy.Balancer or, to compare with, a delayedView.
+// decider makes the decisions of an agent. It is a policy.Balancer, or a delayedView as the baseline to
+// compare with.
 type decider interface {
 	Start(now float64, out []policy.Action) []policy.Action
 	Handle(now float64, event policy.Event, out []policy.Action) []policy.Action
 }
 
-// newDecider returns the decider of a new process of the client's agent. Its error is that of policy.New.
+// newDecider returns the decider for a new process of the client's agent. It returns an error of
+// policy.New.
 func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
 	if c.m.cfg.DelayedView {
 		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
@@ -35,11 +37,11 @@
 // serverView holds the last known state of a server.
 type serverView struct {
 	up           bool
-	pending      int     // on it when it was seen, and sent to it since
-	msPerRequest float64 // that it needs at the speed it had then
+	pending      int     // requests pending at the refresh plus those that the baseline has sent since
+	msPerRequest float64 // mean service time in ms, divided by the cores, at the speed at the refresh
 }
 
-// waitMs returns the time until one more request would be answered.
+// waitMs returns the expected time in ms until one more request would be answered.
 func (v *serverView) waitMs() float64 { return float64(v.pending+1) * v.msPerRequest }
 
 // refreshViews refreshes the view of all servers if it is older than viewIntervalMs.
@@ -56,10 +58,11 @@
 	}
 }
 
-// delayedView is the baseline with a delayed view of the servers' true state. It sends each request
-// at once to the server with the shortest wait of a few, drawn among those that are up, by their
-// last view and what was sent to them since. It rejects a request that would miss its latency objective
-// there or overload the server. It sees what no agent can, but with a delay, and so is not optimal.
+// delayedView is the baseline with a delayed view of the servers' true state. It draws a few servers
+// that are up and sends each request at once to the one with the shortest expected wait. It estimates
+// the wait from the last view and the requests sent since. It rejects a request that would miss its
+// latency objective there or overload the server. The baseline sees state that no real agent can see,
+// but it is not optimal because of the delay.
 type delayedView struct {
 	m        *Model
 	servers  *service
@@ -68,18 +71,19 @@
 	open     map[policy.RequestID]*openRequest
 }
 
-// openRequest is a request that has no answer yet.
+// openRequest is a request without a final outcome.
 type openRequest struct {
 	class      int
-	deadline   float64 // in ms
-	attempts   int     // so far
-	mayHaveRun bool    // some attempt
+	deadline   float64 // time in ms
+	attempts   int     // number of attempts so far
+	mayHaveRun bool    // a server may have run one of the attempts
 }
 
-// Start returns no actions: the baseline needs no endpoint list.
+// Start returns no actions, as the baseline needs no endpoint list.
 func (d *delayedView) Start(_ float64, out []policy.Action) []policy.Action { return out }
 
-// Handle sends the requests that arrive, and retries those that did not run or may run again.
+// Handle sends arriving requests. After a failed attempt it retries a request that did not run or is
+// idempotent.
 func (d *delayedView) Handle(now float64, event policy.Event, out []policy.Action) []policy.Action {
 	switch event := event.(type) {
 	case *policy.RequestArrived:
@@ -93,7 +97,7 @@
 	return out
 }
 
-// ended retries a request after an attempt that did not answer it, or fails it.
+// ended handles the end of an attempt. If the request has no final outcome, it is retried or failed.
 func (d *delayedView) ended(now float64, event *policy.AttemptEnded, out []policy.Action) []policy.Action {
 	request := d.open[event.Request]
 	if request == nil {
@@ -111,7 +115,7 @@
 	return d.send(now, event.Request, out)
 }
 
-// send sends a request to the server of pick, or rejects it.
+// send sends a request to the server that pick chooses, or rejects it.
 func (d *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
 	request := d.open[id]
 	if server := d.pick(request); server != nil && request.attempts < d.settings.Limits.MaxAttempts && now < request.deadline {
@@ -123,8 +127,9 @@
 	return append(out, policy.RejectRequest(id, d.settings.Limits.MaxRetryAfterMs))
 }
 
-// pick returns the server with the shortest wait of viewDraws that were seen up, nil if the request would be too
-// late there or overload it.
+// pick draws viewCandidates servers that are up in the view and returns the one with the shortest
+// expected wait. It returns nil if the request would miss its latency objective there or overload the
+// server, or if no server is up.
 func (d *delayedView) pick(request *openRequest) *server {
 	d.m.refreshViews()
 	var best *server
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -39,7 +39,8 @@
 	return all
 }
 
-// loseMachines has the machines of servers fail, and discovery report it after detectionMs.
+// loseMachines makes the machines of servers fail silently. Discovery lists the servers as gone after
+// failureDetectionMs.
 func (m *Model) loseMachines(servers []*server) {
 	for _, server := range servers {
 		server.failSilently()
@@ -52,7 +53,8 @@
 	})
 }
 
-// loseRack takes each racks-th server of the first zone: a rack holds servers of many services.
+// loseRack makes one rack of the first zone fail. The zone's servers are assigned to the racks in turn,
+// so that a rack holds servers of many services.
 func (m *Model) loseRack() {
 	var rack []*server
 	for i, server := range m.inZone(0) {
@@ -63,10 +65,12 @@
 	m.loseMachines(rack)
 }
 
-// lostZonePeak returns the factor of the other zones' rate while one is lost.
+// lostZonePeak returns the factor by which the rate of the other zones rises while one zone is down.
 func lostZonePeak(cfg *Config) float64 { return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1) }
 
-// loseZone takes the first zone's servers and agents; the traffic of its clients goes to the others.
+// loseZone makes the servers and agents of the first zone fail for zoneOutageMs. The traffic of the
+// zone's clients goes to the other zones meanwhile. The servers return in slow start and the agents
+// without state.
 func (m *Model) loseZone() {
 	lost := m.inZone(0)
 	m.loseMachines(lost)
@@ -88,7 +92,7 @@
 	})
 }
 
-// restart starts servers anew and has discovery publish it.
+// restart starts new processes of servers, in slow start, and publishes them through discovery.
 func (m *Model) restart(servers []*server) {
 	for _, server := range servers {
 		server.start()
@@ -97,7 +101,8 @@
 	m.announce(servers)
 }
 
-// loseHalf takes every second server of each service; services of one server keep it.
+// loseHalf makes every second server of each service fail for halfOutageMs. A service with a single
+// server keeps it.
 func (m *Model) loseHalf() {
 	var half []*server
 	for _, service := range m.services {
@@ -109,13 +114,15 @@
 	m.after(halfOutageMs, func() { m.restart(half) })
 }
 
-// cutRegion partitions the first region from all others.
+// cutRegion partitions the first region from all others for partitionMs.
 func (m *Model) cutRegion() {
 	m.isolated[0] = true
 	m.after(partitionMs, func() { m.isolated[0] = false })
 }
 
-// replace starts new servers for a part of the old ones, which drain and end.
+// replace replaces a random share of the servers. For each it starts a new server in the same zone and
+// lists the old one as draining. The old server ends after the drain grace and the maximum delay of the
+// notification.
 func (m *Model) replace(part float64) {
 	count := max(int(part*float64(len(m.servers))), 1)
 	for _, i := range m.rng.Perm(len(m.servers))[:count] {
@@ -134,7 +141,8 @@
 	}
 }
 
-// coldZone restarts the first zone's servers and a part of all agents under a burst.
+// coldZone restarts all servers of the first zone, and restartedAgentShare of all agents, while the
+// rate of requests bursts.
 func (m *Model) coldZone() {
 	zone := m.inZone(0)
 	for _, server := range zone {
@@ -150,8 +158,9 @@
 	}
 }
 
-// startAll restarts everything: no agent has ever met a warm server. Agents may start once more while
-// the servers warm up, and use an old endpoint list until they are notified.
+// startAll restarts all servers and all agents, so that no agent has ever called a warm server. If
+// Variant.RestartS is set, each agent restarts once more while the servers warm up. If
+// Variant.StaleStart is set, agents use an old endpoint list until they are notified of the restart.
 func (m *Model) startAll() {
 	if m.cfg.StaleStart {
 		for _, service := range m.services {
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -4,8 +4,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// The names of figures that other code reads. They are keys of stored results: where the code has another term
-// by now, the key keeps the one that it began with.
+// The names of the figures that other code reads. They are keys of stored results, and so some keep a
+// term that the code has since replaced.
 const (
 	FigureGoodput             = "worth served"
 	FigureMaxWarmupShare      = "cold server's load to its budget, most"
@@ -16,24 +16,24 @@
 	FigureMaxPending          = "server's queue, most"
 )
 
-// Count counts the events of one second, all agents together.
+// Count holds the counts of one second, over all agents.
 type Count struct {
-	Requests        int // without retries by the clients
-	Served          int // of these, answered within their latency objective, be it in a later second
-	RejectedFirst   int // of these, rejected when they first came
-	Rejected        int // of these, rejected with no retry left
-	WithinObjective int // answers within their latency objective
-	Attempts        int // attempts
-	Retries         int // attempts after a request's first
-	CrossZone       int // attempts to another zone, and of these to another region
-	CrossRegion     int
-	MaxPending      int // the most that all servers had pending at once
-	DiscoveryCalls  int // to discovery
+	Requests        int // requests that clients first sent in this second
+	Served          int // the Requests answered within their latency objective, in this second or later
+	RejectedFirst   int // the Requests whose first send was rejected
+	Rejected        int // the Requests rejected with no retry by the client left
+	WithinObjective int // answers in this second within the latency objective
+	Attempts        int // all attempts
+	Retries         int // attempts after the first of a request to the agent
+	CrossZone       int // attempts at a server in another zone
+	CrossRegion     int // the CrossZone attempts at a server in another region
+	MaxPending      int // maximum number of requests pending on all servers together
+	DiscoveryCalls  int // calls to discovery
 	HealthChecks    int
-	Connects        int // attempts whose agent had no idle connection to the server
+	Connects        int // attempts for which the agent had no idle connection to the server
 }
 
-// add adds another count; of the maxima it keeps the larger.
+// add adds another count. Of the maxima it keeps the larger.
 func (c *Count) add(other *Count) {
 	c.Requests += other.Requests
 	c.Served += other.Served
@@ -50,10 +50,10 @@
 	c.Connects += other.Connects
 }
 
-// second returns the count of the present second.
+// second returns the count of the current second.
 func (m *Model) second() *Count { return m.secondOf(m.now) }
 
-// secondOf returns the count of the second of that time.
+// secondOf returns the count of the second that contains a time in ms.
 func (m *Model) secondOf(at float64) *Count {
 	i := int((at - StartMs) / 1000)
 	for len(m.seconds) <= i {
@@ -62,28 +62,29 @@
 	return &m.seconds[i]
 }
 
-// total returns the count of all seconds after SettleS, and the least goodput of a whole one of them.
+// total returns the sum of the counts of all seconds after SettleS, and the lowest goodput share of one
+// whole second.
 func (m *Model) total() (sum Count, worst float64) {
 	worst = 1
 	for _, second := range m.seconds[int(SettleS):] {
 		sum.add(&second)
-		if float64(second.Requests) > m.cfg.Rate/2 { // a whole second
+		if float64(second.Requests) > m.cfg.Rate/2 { // leaves out seconds that the run covers only in part
 			worst = min(worst, float64(second.Served)/float64(second.Requests))
 		}
 	}
 	return sum, worst
 }
 
-// warmupSummary sums up the loads of all servers while they warmed up, and their queues.
+// warmupSummary summarizes the servers' loads while they warmed up, and the queues of all servers.
 type warmupSummary struct {
-	maxShare         float64 // the most of warmupLoad.maxShare
-	maxActualShare   float64 // the same of maxActualShare
-	failed           int     // servers
-	failedByNotified int     // servers
-	maxPending       int     // the most that a server had pending, warm or not
+	maxShare         float64 // maximum of warmupLoad.maxShare
+	maxActualShare   float64 // maximum of warmupLoad.maxActualShare
+	failed           int     // number of servers with warmupLoad.failed
+	failedByNotified int     // number of servers with warmupLoad.failedByNotified
+	maxPending       int     // maximum number of requests pending on one server, warm or not
 }
 
-// warmupTotal returns the summary of all servers.
+// warmupTotal returns the summary over all servers.
 func (m *Model) warmupTotal() warmupSummary {
 	var sum warmupSummary
 	for _, server := range m.servers {
@@ -101,9 +102,9 @@
 	return sum
 }
 
-// figures returns a case with the figures of all seconds after SettleS.
+// figures returns a case with the figures over all seconds after SettleS.
 func (m *Model) figures(name string) *fleet.Case {
-	m.second() // so that there are all to the last
+	m.second() // extends the counts to the current second, also without events
 	sum, worst := m.total()
 	load := m.warmupTotal()
 	offered, attempts := float64(max(sum.Requests, 1)), float64(max(sum.Attempts, 1))
--- a/internal/fleet/model/goodput.go
+++ b/internal/fleet/model/goodput.go
@@ -7,14 +7,14 @@
 	"ploverreel/policy"
 )
 
-// goodput counts requests and those of them that were served within their latency objective.
+// goodput counts offered requests and those of them that were served within their latency objective.
 type goodput struct{ offered, served int }
 
-// share returns the part served, from 0 to 1.
+// share returns the served share of the offered requests, from 0 to 1.
 func (g goodput) share() float64 { return float64(g.served) / float64(max(g.offered, 1)) }
 
-// goodputs counts the goodput of each class, tenant and effect, of the requests that first came from a time
-// on.
+// goodputs holds the goodput of each class, tenant and effect. It counts the requests that clients
+// first sent at or after the time from.
 type goodputs struct {
 	classes []policy.Class
 	from    float64 // in ms
@@ -23,7 +23,7 @@
 	effect  map[policy.Effect]*goodput
 }
 
-// newGoodputs returns counts of all requests, whenever they come.
+// newGoodputs returns goodputs that count requests of all times.
 func newGoodputs(cfg *Config) *goodputs {
 	g := &goodputs{classes: cfg.Settings.Classes, from: math.Inf(-1), class: make([]goodput, len(cfg.Settings.Classes)),
 		tenant: make([]goodput, max(len(cfg.Settings.Tenants), 1)), effect: map[policy.Effect]*goodput{}}
@@ -33,13 +33,14 @@
 	return g
 }
 
-// begin starts to count anew, with requests that come from the time from on.
+// begin resets the counts. From now on they include only requests first sent at or after from, in ms.
 func (g *goodputs) begin(cfg *Config, from float64) {
 	*g = *newGoodputs(cfg)
 	g.from = from
 }
 
-// of returns the counts of a request's class, tenant and effect.
+// of returns the counts of a request's class, tenant and effect, or none for a request that was first
+// sent before from.
 func (g *goodputs) of(r *request) []*goodput {
 	if r.arrivedAt < g.from {
 		return nil
@@ -47,7 +48,7 @@
 	return []*goodput{&g.class[r.class], &g.tenant[r.tenant], g.effect[g.classes[r.class].Effect]}
 }
 
-// addRequest counts a request that came.
+// addRequest counts an offered request.
 func (g *goodputs) addRequest(r *request) {
 	for _, c := range g.of(r) {
 		c.offered++
@@ -64,7 +65,8 @@
 // servedPrefix starts the names of the figures for the goodput of a class, an effect or a tenant.
 const servedPrefix = "served of "
 
-// addGoodputs adds the goodput of each class, tenant and effect, where there are several.
+// addGoodputs adds the goodput of each class and effect to a result if there are several classes, and
+// that of each tenant if there are several tenants.
 func (m *Model) addGoodputs(result *fleet.Case) {
 	settings := &m.cfg.Settings
 	if len(settings.Classes) > 1 {
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -9,15 +9,15 @@
 	"ploverreel/internal/fleet"
 )
 
-// Scenario describes what happens to a fleet while it is played: a fault, or none.
+// Scenario is a run of a fleet with one fault, or without a fault.
 type Scenario struct {
 	Name     string
 	Help     string
-	peakRate func(cfg *Config) float64 // the most that its bursts multiply the rate by; nil: it has none
-	begin    func(m *Model)            // begins its fault; nil: it has none
+	peakRate func(cfg *Config) float64 // maximum factor of its bursts on the rate; nil: no bursts
+	begin    func(m *Model)            // begins its fault; nil: no fault
 }
 
-// Scenarios returns all scenarios. Their names are values of a flag, and parts of the names of stored cases.
+// Scenarios returns all scenarios. Their names are values of a flag and parts of stored cases' names.
 func Scenarios() []Scenario {
 	return []Scenario{
 		{"calm", "nothing happens", nil, nil},
@@ -34,7 +34,7 @@
 	}
 }
 
-// FindScenario returns the scenario of that name. Its error is a *fleet.UsageError.
+// FindScenario returns the scenario with a name. An error is a *fleet.UsageError.
 func FindScenario(name string) (Scenario, error) {
 	var names []string
 	for _, s := range Scenarios() {
@@ -46,8 +46,9 @@
 	return Scenario{}, fleet.Usage("scenarios", "%q is none of %s", name, fmt.Sprint(names))
 }
 
-// Play plays the scenario on a new fleet for so many seconds after SettleS, and returns what was counted in
-// them. Its error is that of New or the cause of ctx.
+// Play runs the scenario on a new fleet: SettleS without the fault, then the given number of seconds,
+// then finishS without new requests. The returned figures leave out SettleS. Play returns an error of
+// New, or one that wraps the cause of ctx.
 func (s Scenario) Play(ctx context.Context, cfg Config, seconds float64, log *slog.Logger) (*fleet.Case, error) {
 	if s.peakRate != nil {
 		cfg.Peak = s.peakRate(&cfg)
@@ -80,8 +81,8 @@
 	return m.figures(s.Name), nil
 }
 
-// Compare plays the scenario under another configuration and adds the goodput under that to the result: of
-// all requests, and of each class, tenant and effect.
+// Compare runs the scenario with another configuration and adds its goodput to the result: that of all
+// requests and that of each class, tenant and effect.
 func (s Scenario) Compare(ctx context.Context, cfg Config, seconds float64, log *slog.Logger, result *fleet.Case) error {
 	other, err := s.Play(ctx, cfg, seconds, log)
 	if err != nil {
@@ -95,5 +96,5 @@
 	return nil
 }
 
-// sinceStart returns the seconds since Start.
+// sinceStart returns the virtual time since StartMs in seconds.
 func (m *Model) sinceStart() float64 { return (m.now - StartMs) / 1000 }
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -22,13 +22,14 @@
 // defaultDeadlineMs is the timeout in ms of a client's attempt if Config.Traffic is empty.
 const defaultDeadlineMs = 1000
 
-// Traffic is the requests of one class.
+// Traffic describes the requests of one class.
 type Traffic struct {
-	Share float64 // of all requests
-	Work  float64 // mean of its requests, in requests of mean work
+	Share float64 // share of all requests
+	Work  float64 // mean work of a request, as a multiple of Config.WorkMs
 }
 
-// validateTraffic returns a *fleet.UsageError for traffic that does not fit the settings' classes.
+// validateTraffic returns a *fleet.UsageError if the traffic does not match the settings' classes, or if
+// a share or the work is invalid.
 func (cfg *Config) validateTraffic() error {
 	if len(cfg.Traffic) == 0 {
 		return nil
@@ -50,8 +51,9 @@
 	return nil
 }
 
-// Mix sets four classes of different latency objectives, priority weights and effects and two tenants
-// in place of one of each, with clients that retry twice.
+// Mix replaces the single class and tenant of the plain fleet by four classes with different latency
+// objectives, priority weights and effects, and by two tenants. It sets two retries by the client.
+// Latency objectives, deadlines and idempotency windows are multiples of the mean work.
 func (cfg *Config) Mix() {
 	class := func(name string, objective, weight float64, effect policy.Effect) policy.Class {
 		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs,
@@ -68,11 +70,11 @@
 	cfg.Retries = 2
 }
 
-// newRequest draws a client's new request.
+// newRequest returns a new request with a random class, tenant, idempotency key and work.
 func (m *Model) newRequest() *request {
 	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(idempotencyKeys), arrivedAt: m.now, workFactor: 1}
 	if spread := m.cfg.WorkSpread; spread > 0 {
-		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // of mean 1
+		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // lognormal with mean 1
 		if m.cfg.Hinted {
 			request.hintMs = m.workOf(request) * math.Exp(hintSpread*m.rng.NormFloat64())
 		}
@@ -80,19 +82,19 @@
 	return request
 }
 
-// drawClass draws the class of a request.
+// drawClass draws a request's class by the classes' shares of the traffic.
 func (m *Model) drawClass() int {
 	traffic := m.cfg.Traffic
 	return m.drawPart(len(traffic), func(i int) float64 { return traffic[i].Share })
 }
 
-// drawTenant draws the tenant of a request.
+// drawTenant draws a request's tenant by the tenants' shares of the quota.
 func (m *Model) drawTenant() int {
 	tenants := m.cfg.Settings.Tenants
 	return m.drawPart(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
 }
 
-// drawPart draws an index below n by the parts of the whole, which add up to 1.
+// drawPart draws an index below n. part returns the probability of an index; the sum is 1.
 func (m *Model) drawPart(n int, part func(i int) float64) int {
 	if n < 2 {
 		return 0
@@ -110,10 +112,10 @@
 // deadline.
 const attemptTimeoutShare = 0.6
 
-// maxRetries returns how often a client retries a request that is not served.
+// maxRetries returns the maximum number of retries by a client of a request that is not served.
 func (m *Model) maxRetries() int { return max(m.cfg.Retries, 1) }
 
-// clientTimeoutMs returns how long a client waits for one of its own attempts.
+// clientTimeoutMs returns a client's timeout in ms for one of its own attempts at a request of a class.
 func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return defaultDeadlineMs
@@ -121,10 +123,11 @@
 	return attemptTimeoutShare * m.cfg.Settings.Classes[class].DeadlineMs
 }
 
-// workOf returns the mean work of a request in ms, and where work is heavy-tailed its actual work.
+// workOf returns a request's work in ms on one core at full speed: its actual work if
+// Variant.WorkSpread is above 0, else the mean of its class.
 func (m *Model) workOf(r *request) float64 { return m.cfg.WorkMs * m.classWorkFactor(r) * r.workFactor }
 
-// classWorkFactor returns the mean work of the request's class, in requests of mean work.
+// classWorkFactor returns the mean work of the request's class, as a multiple of Config.WorkMs.
 func (m *Model) classWorkFactor(r *request) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return 1
@@ -132,7 +135,8 @@
 	return m.cfg.Traffic[r.class].Work
 }
 
-// serviceTime returns how long, in ms, one core at full speed works on a request.
+// serviceTime returns the time in ms that one core at full speed needs for a request. It is drawn from
+// an exponential distribution unless Variant.WorkSpread is above 0.
 func (m *Model) serviceTime(r *request) float64 {
 	if m.cfg.WorkSpread > 0 {
 		return m.workOf(r)
