--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -56,23 +56,23 @@
 func (a *agent) perform(actions []policy.Action) {
 	model := a.m
 	for i := range actions {
-		act := &actions[i]
-		request := a.requests[act.Request]
-		switch act.Kind {
+		action := &actions[i]
+		request := a.requests[action.Request]
+		switch action.Kind {
 		case policy.ActionSendAttempt:
-			a.startAttempt(request, act)
+			a.startAttempt(request, action)
 		case policy.ActionCancelAttempt:
-			if request != nil && request.inFlight != nil && request.inFlight.index == act.Attempt {
+			if request != nil && request.inFlight != nil && request.inFlight.index == action.Attempt {
 				request.inFlight.end(policy.StatusCancelled)
 			}
 		case policy.ActionRejectRequest, policy.ActionFailRequest:
 			if request != nil {
-				request.endUnserved(act.Kind == policy.ActionRejectRequest)
+				request.endUnserved(action.Kind == policy.ActionRejectRequest)
 			}
 		case policy.ActionSetTimer:
-			model.schedule(model.now+act.DelayMs, a.timer(act.Token))
+			model.schedule(model.now+action.DelayMs, a.timer(action.Token))
 		case policy.ActionCheckHealth:
-			a.healthCheck(act.Server)
+			a.healthCheck(action.Server)
 		case policy.ActionOpenWatch, policy.ActionFetchEndpoints:
 			a.callDiscovery()
 		}
@@ -102,14 +102,14 @@
 // timer returns the agent's timer with a token. Each timer is allocated once and reused, so that
 // setting it again allocates nothing.
 func (a *agent) timer(token uint32) *timer {
-	for _, known := range a.timers {
-		if known.token == token {
-			return known
+	for _, existing := range a.timers {
+		if existing.token == token {
+			return existing
 		}
 	}
-	known := &timer{a, token}
-	a.timers = append(a.timers, known)
-	return known
+	created := &timer{a, token}
+	a.timers = append(a.timers, created)
+	return created
 }
 
 func (t *timer) fire(*Model) { t.agent.handle(&policy.TimerFired{Token: t.token}) }
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -32,8 +32,8 @@
 )
 
 // startAttempt starts an attempt of a request at the action's server.
-func (a *agent) startAttempt(request *request, act *policy.Action) {
-	model, server := a.m, a.m.serverAt(act.Server)
+func (a *agent) startAttempt(request *request, action *policy.Action) {
+	model, server := a.m, a.m.serverAt(action.Server)
 	if server == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 	request.inFlight = sent
 	a.inFlight++
 	model.schedule(model.now+model.networkDelay(a.client.zone, server.zone), (*attemptArrived)(sent))
-	model.queue.pushOrdered(model.now+act.TimeoutMs, (*attemptTimedOut)(sent))
+	model.queue.pushOrdered(model.now+action.TimeoutMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
--- a/internal/fleet/model/client.go
+++ b/internal/fleet/model/client.go
@@ -135,9 +135,9 @@
 	if unserved.retries >= model.maxRetries() || model.now+waitMs >= unserved.arrivedAt+model.cfg.Settings.Classes[unserved.class].DeadlineMs {
 		return
 	}
-	again := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key,
+	retried := &request{class: unserved.class, tenant: unserved.tenant, key: unserved.key,
 		workFactor: unserved.workFactor, hintMs: unserved.hintMs, arrivedAt: unserved.arrivedAt, retries: unserved.retries + 1}
-	model.scheduleAfter(waitMs, func() { c.sendRequest(again) })
+	model.scheduleAfter(waitMs, func() { c.sendRequest(retried) })
 }
 
 // fire makes the client abandon its request if it has no outcome yet.
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -35,20 +35,20 @@
 // connections opened, connections that are idle at the end, servers called since its start, and
 // steps of its decision module.
 func (m *Model) addAgentFigures(result *fleet.Case, sum *Count) {
-	met, kept, work := 0, 0, uint64(0)
+	called, idle, steps := 0, 0, uint64(0)
 	for _, client := range m.clients {
 		agent := client.agent
-		met += len(agent.idle)
+		called += len(agent.idle)
 		for s := range agent.idle {
-			kept += len(agent.idleTimes(s))
+			idle += len(agent.idleTimes(s))
 		}
 		if balancer, ok := agent.decider.(*policy.Balancer); ok {
-			work += balancer.Work()
+			steps += balancer.Work()
 		}
 	}
 	agents := float64(len(m.clients))
 	result.Add("connections made by an agent", "count", float64(sum.Connects)/agents)
-	result.Add("connections kept by an agent", "count", float64(kept)/agents)
-	result.Add("servers met by an agent", "count", float64(met)/agents)
-	result.Add("module's work of an agent since its start", "count", float64(work)/agents)
+	result.Add("connections kept by an agent", "count", float64(idle)/agents)
+	result.Add("servers met by an agent", "count", float64(called)/agents)
+	result.Add("module's work of an agent since its start", "count", float64(steps)/agents)
 }
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -127,15 +127,15 @@
 // replaceServers replaces a random share of the servers. For each it starts a new server in the
 // same zone and lists the old one as draining. The old server ends after the drain grace and the
 // maximum delay of the notification.
-func (m *Model) replaceServers(part float64) {
-	count := max(int(part*float64(len(m.servers))), 1)
+func (m *Model) replaceServers(share float64) {
+	count := max(int(share*float64(len(m.servers))), 1)
 	for _, i := range m.rng.Perm(len(m.servers))[:count] {
 		old := m.servers[i]
 		m.scheduleAfter(m.rng.Float64()*replacementWindowMs, func() {
-			fresh := m.addServer(old.service, old.zone)
-			fresh.start()
+			replacement := m.addServer(old.service, old.zone)
+			replacement.start()
 			old.listed = policy.HealthDraining
-			m.publish([]*server{fresh, old})
+			m.publish([]*server{replacement, old})
 			m.scheduleAfter(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
 				old.stop()
 				old.down = true
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -22,8 +22,8 @@
 	"ploverreel/policy"
 )
 
-// StartMs is the virtual time in ms at which every model starts. It is above 0 because a start time
-// of 0 marks a server that is already warm.
+// StartMs is the virtual time in ms at which every model starts. It is above 0, as a time of 0 means
+// "never" in server.startedAt and server.overloadedSince.
 const StartMs = 1e6
 
 // service is a group of interchangeable servers and the clients that call them.
@@ -91,15 +91,15 @@
 // per ms. The shares of the clients are lognormal. Clients are placed in the zones in turn, from
 // firstZone.
 func (m *Model) addClients(service *service, firstZone, count int, rate float64, layout *rand.Rand) error {
-	var parts []float64
+	var weights []float64
 	sum := 0.0
 	for range count {
-		part := math.Exp(m.cfg.RateSpread * layout.NormFloat64())
-		parts, sum = append(parts, part), sum+part
+		weight := math.Exp(m.cfg.RateSpread * layout.NormFloat64())
+		weights, sum = append(weights, weight), sum+weight
 	}
-	for i, part := range parts {
+	for i, weight := range weights {
 		client := &client{m: m, service: service, zone: (firstZone + i) % m.cfg.Zones, index: len(m.clients), indexInService: i,
-			serviceClients: count, serviceRate: rate, rate: rate * part / sum, listDelayMs: layout.Float64() * m.cfg.ListMs}
+			serviceClients: count, serviceRate: rate, rate: rate * weight / sum, listDelayMs: layout.Float64() * m.cfg.ListMs}
 		service.clients, m.clients = append(service.clients, client), append(m.clients, client)
 		if err := client.start(); err != nil {
 			return err
@@ -111,21 +111,21 @@
 // zipfExponent is the exponent of Zipf's law by which agents and servers are divided among services.
 const zipfExponent = 0.8
 
-// divide splits a number of agents or servers among services by Zipf's law with exponent
+// divide splits a total number of agents or servers among services by Zipf's law with exponent
 // zipfExponent. Each service gets at least two if there are enough.
-func divide(things, services int) []int {
-	least := min(2, things/services)
+func divide(total, services int) []int {
+	minimum := min(2, total/services)
 	sum := 0.0
 	for k := range services {
 		sum += math.Pow(float64(k+1), -zipfExponent)
 	}
 	parts := make([]int, services)
-	left := things - least*services
+	remaining := total - minimum*services
 	for k := range parts {
-		n := int(float64(things-least*services) * math.Pow(float64(k+1), -zipfExponent) / sum)
-		parts[k], left = least+n, left-n
+		n := int(float64(total-minimum*services) * math.Pow(float64(k+1), -zipfExponent) / sum)
+		parts[k], remaining = minimum+n, remaining-n
 	}
-	for k := 0; left > 0; k, left = k+1, left-1 {
+	for k := 0; remaining > 0; k, remaining = k+1, remaining-1 {
 		parts[k%services]++
 	}
 	return parts
@@ -165,16 +165,16 @@
 
 // serverAt returns the server with an address. If there is none, it returns nil and ends the run with
 // an error.
-func (m *Model) serverAt(at policy.Addr) *server {
-	if number := int(at[1])<<16 | int(at[2])<<8 | int(at[3]); number < len(m.servers) {
-		return m.servers[number]
+func (m *Model) serverAt(addr policy.Addr) *server {
+	if index := int(addr[1])<<16 | int(addr[2])<<8 | int(addr[3]); index < len(m.servers) {
+		return m.servers[index]
 	}
-	m.err = fmt.Errorf("model: the module named server %v, which is on no list", at)
+	m.err = fmt.Errorf("model: the decision module named server %v, which is not in the fleet", addr)
 	return nil
 }
 
 // schedule adds an event at a time in ms, or now if that time is past.
-func (m *Model) schedule(at float64, what scheduled) { m.queue.push(max(at, m.now), what) }
+func (m *Model) schedule(at float64, effect scheduled) { m.queue.push(max(at, m.now), effect) }
 
 // scheduleAfter calls do after a delay in ms.
 func (m *Model) scheduleAfter(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
@@ -229,7 +229,7 @@
 		m.now = event.at
 		event.effect.fire(m)
 		if n%eventsPerContextCheck == 0 && ctx.Err() != nil {
-			return fmt.Errorf("model: ended at %.1f s: %w", (m.now-StartMs)/1000, context.Cause(ctx))
+			return fmt.Errorf("model: run ended at %.1f s of virtual time: %w", (m.now-StartMs)/1000, context.Cause(ctx))
 		}
 	}
 	m.now = end
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -39,9 +39,9 @@
 func (q *queue) empty() bool { return len(q.heap) == 0 && q.fifoStart == len(q.fifo) }
 
 // push adds an event.
-func (q *queue) push(at float64, what scheduled) {
+func (q *queue) push(at float64, effect scheduled) {
 	q.lastSequence++
-	added := event{at, q.lastSequence, what}
+	added := event{at, q.lastSequence, effect}
 	index := len(q.heap)
 	q.heap = append(q.heap, added)
 	for index > 0 {
@@ -57,13 +57,13 @@
 
 // pushOrdered adds an event that is likely to fire after all events that pushOrdered added before.
 // If it does, it goes to the FIFO queue, else to the heap.
-func (q *queue) pushOrdered(at float64, what scheduled) {
+func (q *queue) pushOrdered(at float64, effect scheduled) {
 	if n := len(q.fifo); n > q.fifoStart && q.fifo[n-1].at > at {
-		q.push(at, what)
+		q.push(at, effect)
 		return
 	}
 	q.lastSequence++
-	q.fifo = append(q.fifo, event{at, q.lastSequence, what})
+	q.fifo = append(q.fifo, event{at, q.lastSequence, effect})
 }
 
 // next returns the first event without removing it. The queue must not be empty.
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -20,17 +20,17 @@
 // Scenarios returns all scenarios. Their names are values of a flag and parts of stored cases' names.
 func Scenarios() []Scenario {
 	return []Scenario{
-		{"calm", "nothing happens", nil, nil},
+		{"calm", "no fault", nil, nil},
 		{"rack", "a rack's machines fail silently, discovery reports it 2 s later", nil, (*Model).failRack},
-		{"zone", "a zone's machines fail for 4 s and return cold; its traffic goes to the other zones meanwhile",
+		{"zone", "a zone's machines fail for 4 s and return in slow start; its traffic goes to the other zones meanwhile",
 			zoneFailureRateFactor, (*Model).failZone},
-		{"half", "every second server of each service fails for 5 s and returns cold", nil, (*Model).failHalf},
-		{"region", "a region reaches no other for 6 s, both ways; lists stay as they are", nil, (*Model).partitionRegion},
-		{"replace", "8% of the servers are replaced within 3 s by new ones, which are cold", nil,
+		{"half", "every second server of each service fails for 5 s and returns in slow start", nil, (*Model).failHalf},
+		{"region", "a region is partitioned from all others for 6 s, in both directions; endpoint lists stay the same", nil, (*Model).partitionRegion},
+		{"replace", "8% of the servers are replaced within 3 s by new ones, which are in slow start", nil,
 			func(m *Model) { m.replaceServers(replacedShare) }},
-		{"cold", "a zone's servers all start anew at once, a tenth of the agents as well, under a burst of half as " +
-			"much again", func(*Config) float64 { return burstRateFactor }, (*Model).restartZone},
-		{"start", "all servers and all agents start anew at once", nil, (*Model).restartAll},
+		{"cold", "all servers of a zone and a tenth of the agents restart at once, under a burst of one and a half " +
+			"times the rate", func(*Config) float64 { return burstRateFactor }, (*Model).restartZone},
+		{"start", "all servers and all agents restart at once", nil, (*Model).restartAll},
 	}
 }
 
@@ -66,12 +66,12 @@
 	if s.inject != nil {
 		s.inject(m)
 	}
-	for played := 0.0; played < seconds; played++ {
-		if err := m.run(ctx, min(1, seconds-played)); err != nil {
+	for elapsed := 0.0; elapsed < seconds; elapsed++ {
+		if err := m.run(ctx, min(1, seconds-elapsed)); err != nil {
 			return nil, err
 		}
 		second := m.secondOf(m.now - 1)
-		log.Info("played", "scenario", s.Name, "s", m.sinceStart(), "offered", second.Requests,
+		log.Info("ran one second of a scenario", "scenario", s.Name, "s", m.sinceStart(), "offered", second.Requests,
 			"withinObjective", second.WithinObjective, "attempts", second.Attempts)
 	}
 	m.stopped = true
@@ -84,11 +84,11 @@
 // AddBaseline runs the scenario with another configuration and adds its goodput to the result: that
 // of all requests and that of each class, tenant and effect.
 func (s Scenario) AddBaseline(ctx context.Context, cfg Config, seconds float64, log *slog.Logger, result *fleet.Case) error {
-	other, err := s.Run(ctx, cfg, seconds, log)
+	baseline, err := s.Run(ctx, cfg, seconds, log)
 	if err != nil {
 		return err
 	}
-	for _, figure := range other.Figures {
+	for _, figure := range baseline.Figures {
 		if figure.Name == FigureGoodput || strings.HasPrefix(figure.Name, servedPrefix) {
 			result.Add(figure.Name+", seen late", figure.Unit, figure.Value)
 		}
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -68,12 +68,12 @@
 }
 
 // add adds an arrival to the window.
-func (l *warmupLoad) add(came arrival) {
-	l.arrivals = append(l.arrivals, came)
-	l.work += came.work
-	l.actualWork += came.actual
-	if came.notified {
-		l.notifiedWork += came.work
+func (l *warmupLoad) add(added arrival) {
+	l.arrivals = append(l.arrivals, added)
+	l.work += added.work
+	l.actualWork += added.actual
+	if added.notified {
+		l.notifiedWork += added.work
 	}
 }
 
@@ -184,9 +184,9 @@
 	}
 	budget := s.slowStartBudget(max(model.now-window, s.startedAt))
 	load.maxActualShare = max(load.maxActualShare, load.actualWork/budget)
-	fraction := load.work / budget
-	load.maxShare = max(load.maxShare, fraction)
-	if fraction > 1 {
+	share := load.work / budget
+	load.maxShare = max(load.maxShare, share)
+	if share > 1 {
 		load.failed, load.failedByNotified = true, load.notifiedWork > notifiedShare*load.work
 		s.stop()
 		s.down = true
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	if len(cfg.Traffic) != len(cfg.Settings.Classes) {
-		return fleet.Usage("traffic", "must be of %d classes, is of %d", len(cfg.Settings.Classes), len(cfg.Traffic))
+		return fleet.Usage("traffic", "must have %d classes, has %d", len(cfg.Settings.Classes), len(cfg.Traffic))
 	}
 	shares, work := 0.0, 0.0
 	for _, traffic := range cfg.Traffic {
@@ -47,7 +47,7 @@
 		work += traffic.Share * traffic.Work
 	}
 	if math.Abs(shares-1) > sumTolerance || math.Abs(work-1) > sumTolerance {
-		return fleet.Usage("traffic", "shares must add up to 1 and mean work be 1, are %v and %v", shares, work)
+		return fleet.Usage("traffic", "shares must add up to 1 and the mean work must be 1, are %v and %v", shares, work)
 	}
 	return nil
 }
@@ -96,14 +96,14 @@
 	return m.drawIndex(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
 }
 
-// drawIndex draws an index below n. part returns the probability of an index; the sum is 1.
-func (m *Model) drawIndex(n int, part func(i int) float64) int {
+// drawIndex draws an index below n. probability returns that of an index; the sum is 1.
+func (m *Model) drawIndex(n int, probability func(i int) float64) int {
 	if n < 2 {
 		return 0
 	}
-	at := m.rng.Float64()
+	remaining := m.rng.Float64()
 	for i := range n {
-		if at -= part(i); at < 0 {
+		if remaining -= probability(i); remaining < 0 {
 			return i
 		}
 	}
