--- a/policy/endpoint_subset.go
+++ b/policy/endpoint_subset.go
@@ -27,9 +27,9 @@
 // keys stay warm.
 func (s *endpointSubset) size() int {
 	size := s.traffic.recentCount
-	if s.set.Limits.KeepaliveMs <= 0 {
+	if s.settings.Limits.KeepaliveMs <= 0 {
 		size = math.Inf(1)
-	} else if s.set.Prices.Handshake > 0 {
+	} else if s.settings.Prices.Handshake > 0 {
 		size /= 4 // each endpoint is sent several requests in the time for which it is kept connected
 	}
 	return int(min(max(size, minSubset), float64(len(s.endpoints.all))))
@@ -38,5 +38,5 @@
 // revisitIntervalMs returns the mean time between two requests of this agent at the same endpoint of
 // the subset, in ms.
 func (s *endpointSubset) revisitIntervalMs() float64 {
-	return s.set.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recentCount, 1)
+	return s.settings.Limits.KeepaliveMs * float64(s.size()) / max(s.traffic.recentCount, 1)
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -7,7 +7,7 @@
 
 // ejectionTime returns the current ejection time of an endpoint, in ms.
 func (h *harness) ejectionTime(endpoint *endpoint) float64 {
-	return h.b.outliers.ejectionTime(endpoint, h.b.queue.scarce)
+	return h.b.outliers.ejectionTime(endpoint, h.b.queue.outOfCapacity)
 }
 
 func TestOutlierDetectorStateTransitions(t *testing.T) {
@@ -177,7 +177,7 @@
 				t.Errorf("two requests a second over 20 endpoints: got an ejection time of %.0f ms, want 1000 at least", got)
 			}
 			target.health.consecutiveEjections = maxConsecutiveEjections
-			h.b.traffic.recentCount = 0.1
+			h.b.requestRate.recentCount = 0.1
 			if got := h.ejectionTime(target); got > maxEjectionMs {
 				t.Errorf("after many ejections: got an ejection time of %.0f ms, want %.0f at most", got, maxEjectionMs)
 			}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -36,7 +36,7 @@
 // capacityFraction returns the fraction of its full capacity that an endpoint has by the contract.
 // It grows linearly with the age of its process, from InitialCapacity to 1 at SlowStartMs.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
-	contract, start := &env.set.Contract, &endpoint.slowStart
+	contract, start := &env.settings.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
 		start.startedAt != start.listedStartAt && age > contract.MaxListAgeMs {
@@ -86,7 +86,7 @@
 // start time, from oldSlowStartMs. The rate that it stands for remains the same.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
-		w.workPerWeight *= w.set.Contract.SlowStartMs / oldSlowStartMs
+		w.workPerWeight *= w.settings.Contract.SlowStartMs / oldSlowStartMs
 	}
 }
 
@@ -196,7 +196,7 @@
 // contract defines, and rises with its capacity, so that its keys move to it as it warms up.
 func (w *slowStart) share(fraction float64) float64 {
 	if fraction < 1 {
-		return fraction * w.set.Contract.OverloadMultiple / slowStartMargin
+		return fraction * w.settings.Contract.OverloadMultiple / slowStartMargin
 	}
 	return 1
 }
@@ -213,7 +213,8 @@
 	}
 	warm := w.warmWeight() * float64(subset) / float64(len(w.endpoints.all)) // in the agent's subset
 	if warm > 0 {
-		w.workPerWeight = w.workPerWeight*math.Exp((w.workAt-w.now)/w.set.Contract.SlowStartMs) + cost/warm
+		w.workPerWeight = w.workPerWeight*math.Exp((w.workAt-w.now)/w.settings.Contract.SlowStartMs) +
+			cost/warm
 		w.workAt = w.now
 	}
 	w.countWork(w.warming)
@@ -231,5 +232,5 @@
 func (w *slowStart) pauseElapsed(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
 	earned := (w.now - endpoint.traffic.lastSentAt) * w.workPerWeight * endpoint.weight * share
-	return earned >= cost*w.set.Contract.SlowStartMs
+	return earned >= cost*w.settings.Contract.SlowStartMs
 }
