--- a/internal/fleet/model/agent.go
+++ b/internal/fleet/model/agent.go
@@ -4,7 +4,7 @@
 	"ploverreel/policy"
 )
 
-// agent is one process of the agent. The model simulates its clock and its sockets.
+// agent is one agent process. The model simulates its clock and its sockets.
 type agent struct {
 	m           *Model
 	client      *client
@@ -93,7 +93,7 @@
 		return
 	}
 	model.discovery.freeAt = done
-	model.schedule(done, call(func() {
+	model.schedule(done, callback(func() {
 		model.discovery.answered++
 		a.handle(&policy.EndpointsUpdated{Kind: policy.ListFull, Entries: a.client.list()})
 	}))
--- a/internal/fleet/model/coldstart_test.go
+++ b/internal/fleet/model/coldstart_test.go
@@ -10,15 +10,15 @@
 // capacity of its warm servers.
 func startConfig(seed uint64, agents int, load float64) Config {
 	cfg := smallConfig(seed, agents, 20, load*30/100)
-	cfg.WorkMs, cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.KeepArrivals = 100, 3, 0.8, 2000, false
+	cfg.WorkMs, cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.RecordArrivals = 100, 3, 0.8, 2000, false
 	cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}}
 	return cfg
 }
 
-// When all servers and agents of a service start at once, agents that are notified of the starts must
-// not overload a warming server. The cases are the worst corners of the bench's sweep: many agents, a
-// high load, agents that restart once more, heavy-tailed work and a lower initial capacity. The overload
-// would come about because every agent makes its first attempt at once.
+// When all servers and agents of a service start at once, agents that are notified of the starts
+// must not overload a warming server. The cases are the worst corners of the bench's sweep: many
+// agents, a high load, agents that restart once more, heavy-tailed work and a lower initial
+// capacity. The overload would come about because every agent makes its first attempt at once.
 func TestStartScenarioKeepsSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		agents   int
@@ -71,8 +71,8 @@
 }
 
 // A warming server's budget is the n requests that the settings allow it, plus slack for the random
-// variation of arrivals. The slack is larger for n below 30. A request has the weight of the mean work
-// of its class, not that of its actual work.
+// variation of arrivals. The slack is larger for n below 30. A request has the weight of the mean
+// work of its class, not that of its actual work.
 func TestWarmupBudgetWeighsRequestsByClass(t *testing.T) {
 	for _, c := range []struct{ workMs, n, slack float64 }{{100, 9, 12}, {56.25, 16, 15}, {30, 30, 2*5.477 + 2}, {9, 100, 22}} {
 		cfg := smallConfig(1, 2, 2, 0.5)
@@ -101,7 +101,7 @@
 // Heavy-tailed work has a mean of one. A few requests have at least ten times the mean.
 func TestHeavyTailedWorkHasMeanOne(t *testing.T) {
 	cfg := smallConfig(1, 2, 2, 0.5)
-	cfg.WorkSpread, cfg.Hinted = 1, true
+	cfg.WorkSpread, cfg.SendsWorkHints = 1, true
 	m := newModel(t, cfg)
 	sum, largest, hints := 0.0, 0.0, 0
 	for range 50_000 {
--- a/internal/fleet/model/config.go
+++ b/internal/fleet/model/config.go
@@ -37,13 +37,13 @@
 	// 0: the service time of a request is exponential, and all requests of a class have equal weight
 	// in a server's budget.
 	WorkSpread float64
-	// Hinted makes clients send an estimate of a request's work if WorkSpread is above 0.
-	Hinted bool
+	// SendsWorkHints makes clients send an estimate of a request's work if WorkSpread is above 0.
+	SendsWorkHints bool
 	// StaleStart makes agents that restart in the start scenario use the endpoint list from before
 	// the restart until they are notified of the change.
 	StaleStart bool
-	// RestartS is the time in seconds from the begin of the start scenario within which each agent
-	// restarts once more. 0: no agent does.
+	// RestartS is the time in seconds from the beginning of the start scenario within which each
+	// agent restarts once more. 0: no agent does.
 	RestartS float64
 	// ServesAbandoned makes servers serve queued attempts for which no agent waits any more.
 	ServesAbandoned bool
@@ -53,8 +53,8 @@
 	// QuotaOfService sets the replicas and the quota in an agent's settings to those of its service
 	// instead of the whole fleet.
 	QuotaOfService bool
-	// KeepArrivals makes each server record the times at which attempts arrive.
-	KeepArrivals bool
+	// RecordArrivals makes each server record the times at which attempts arrive.
+	RecordArrivals bool
 }
 
 // Settings returns the settings of a plain deployment: one class of idempotent requests.
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -10,7 +10,8 @@
 // closes all connections to its server.
 type idleSince []float64
 
-// idleTimes returns the times of the connections to a server that are still open.
+// idleTimes returns the times of the connections to a server that are still open, as they have been
+// idle for at most KeepaliveMs.
 func (a *agent) idleTimes(server *server) idleSince {
 	idle := a.idle[server]
 	for len(idle) > 0 && a.m.now-idle[0] > a.m.cfg.Settings.Limits.KeepaliveMs {
--- a/internal/fleet/model/connections_test.go
+++ b/internal/fleet/model/connections_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An idle connection is reused until it has been idle for longer than the settings' keepalive time. Two
-// concurrent attempts need two connections.
+// An idle connection is reused until it has been idle for longer than the settings' keepalive time.
+// Two concurrent attempts need two connections.
 func TestIdleConnectionsAreReusedUntilKeepalive(t *testing.T) {
 	m := newModel(t, smallConfig(1, 2, 2, 0.5))
 	a, s := m.clients[0].agent, m.servers[0]
@@ -23,13 +23,13 @@
 	}
 }
 
-// Sixteen times the servers with a sixteenth of the capacity each leave the total capacity the same. An
-// agent then needs about the same number of connections, calls about as many servers and serves about
-// as much.
+// Sixteen times the servers with a sixteenth of the capacity each leave the total capacity the
+// same. An agent then needs about the same number of connections, calls about as many servers and
+// serves about as much.
 func TestAgentConnectionsDoNotGrowWithServers(t *testing.T) {
 	measure := func(servers, cores int) (made, called, served float64) {
 		cfg := smallConfig(1, 12, servers, 0)
-		cfg.Cores, cfg.Rate, cfg.KeepArrivals = cores, 120, false
+		cfg.Cores, cfg.Rate, cfg.RecordArrivals = cores, 120, false
 		c := runScenario(t, "calm", cfg, 20)
 		return figure(t, c, "connections made by an agent"), figure(t, c, "servers met by an agent"),
 			figure(t, c, "worth served")
--- a/internal/fleet/model/delayed_view.go
+++ b/internal/fleet/model/delayed_view.go
@@ -28,8 +28,8 @@
 // policy.New.
 func (c *client) newDecider(settings policy.Settings, seed uint64) (decider, error) {
 	if c.m.cfg.DelayedView {
-		return &delayedView{m: c.m, servers: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
-			open: map[policy.RequestID]*openRequest{}}, nil
+		return &delayedView{m: c.m, service: c.service, settings: settings, rng: rand.New(rand.NewPCG(seed, 21)),
+			openRequests: map[policy.RequestID]*openRequest{}}, nil
 	}
 	return policy.New(settings, seed)
 }
@@ -44,7 +44,7 @@
 // expectedMs returns the expected time in ms until one more request would be answered.
 func (v *serverView) expectedMs() float64 { return float64(v.pending+1) * v.msPerRequest }
 
-// refreshViews refreshes the view of all servers if it is older than viewIntervalMs.
+// refreshViews refreshes the view of all servers once it is viewRefreshMs old.
 func (m *Model) refreshViews() {
 	if m.now-m.viewRefreshedAt < viewRefreshMs {
 		return
@@ -64,11 +64,11 @@
 // latency objective there or overload the server. The baseline sees state that no real agent can see,
 // but it is not optimal because of the delay.
 type delayedView struct {
-	m        *Model
-	servers  *service
-	settings policy.Settings
-	rng      *rand.Rand
-	open     map[policy.RequestID]*openRequest
+	m            *Model
+	service      *service
+	settings     policy.Settings
+	rng          *rand.Rand
+	openRequests map[policy.RequestID]*openRequest
 }
 
 // openRequest is a request without a final outcome.
@@ -87,10 +87,10 @@
 func (d *delayedView) Handle(now float64, event policy.Event, out []policy.Action) []policy.Action {
 	switch event := event.(type) {
 	case *policy.RequestArrived:
-		d.open[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
+		d.openRequests[event.Request] = &openRequest{class: event.Class, deadline: now + event.TimeLeftMs}
 		return d.send(now, event.Request, out)
 	case *policy.ClientDisconnected:
-		delete(d.open, event.Request)
+		delete(d.openRequests, event.Request)
 	case *policy.AttemptEnded:
 		return d.ended(now, event, out)
 	}
@@ -99,17 +99,17 @@
 
 // ended handles the end of an attempt. If the request has no final outcome, it is retried or failed.
 func (d *delayedView) ended(now float64, event *policy.AttemptEnded, out []policy.Action) []policy.Action {
-	request := d.open[event.Request]
+	request := d.openRequests[event.Request]
 	if request == nil {
 		return out
 	}
 	if event.Final {
-		delete(d.open, event.Request)
+		delete(d.openRequests, event.Request)
 		return out
 	}
 	request.mayHaveRun = request.mayHaveRun || !event.Status.NeverRan()
 	if request.mayHaveRun && d.settings.Classes[request.class].Effect != policy.EffectIdempotent {
-		delete(d.open, event.Request)
+		delete(d.openRequests, event.Request)
 		return append(out, policy.FailRequest(event.Request))
 	}
 	return d.send(now, event.Request, out)
@@ -117,13 +117,13 @@
 
 // send sends a request to the server that pick chooses, or rejects it.
 func (d *delayedView) send(now float64, id policy.RequestID, out []policy.Action) []policy.Action {
-	request := d.open[id]
+	request := d.openRequests[id]
 	if server := d.pick(request); server != nil && request.attempts < d.settings.Limits.MaxAttempts && now < request.deadline {
 		request.attempts++
 		server.view.pending++
 		return append(out, policy.SendAttempt(id, server.addr, request.deadline-now, 0))
 	}
-	delete(d.open, id)
+	delete(d.openRequests, id)
 	return append(out, policy.RejectRequest(id, d.settings.Limits.MaxRetryAfterMs))
 }
 
@@ -134,7 +134,7 @@
 	d.m.refreshViews()
 	var best *server
 	least := math.Inf(1)
-	all := d.servers.servers
+	all := d.service.servers
 	for drawn, tries := 0, 0; drawn < viewCandidates && tries < maxDrawsPerServer*len(all); tries++ {
 		server := all[d.rng.IntN(len(all))]
 		if !server.view.up {
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -56,17 +56,17 @@
 // secondOf returns the count of the second that contains a time in ms.
 func (m *Model) secondOf(at float64) *Count {
 	i := int((at - StartMs) / 1000)
-	for len(m.seconds) <= i {
-		m.seconds = append(m.seconds, Count{})
+	for len(m.secondCounts) <= i {
+		m.secondCounts = append(m.secondCounts, Count{})
 	}
-	return &m.seconds[i]
+	return &m.secondCounts[i]
 }
 
 // total returns the sum of the counts of all seconds after SettleS, and the lowest goodput share of
 // one whole second.
 func (m *Model) total() (sum Count, worst float64) {
 	worst = 1
-	for _, second := range m.seconds[int(SettleS):] {
+	for _, second := range m.secondCounts[int(SettleS):] {
 		sum.add(&second)
 		if float64(second.Requests) > m.cfg.Rate/2 { // leaves out seconds that the run covers only in part
 			worst = min(worst, float64(second.Served)/float64(second.Requests))
@@ -119,8 +119,8 @@
 	result.Add("attempts a request", "count", attempts/offered)
 	result.Add("attempts across zones", "share", float64(sum.CrossZone)/attempts)
 	result.Add("attempts across regions", "share", float64(sum.CrossRegion)/attempts)
-	result.Add("wait before the first attempt, p50", "ms", m.firstAttemptWaits.ms(50))
-	result.Add(FigureFirstAttemptWaitP99, "ms", m.firstAttemptWaits.ms(99))
+	result.Add("wait before the first attempt, p50", "ms", m.firstAttemptWaits.percentileMs(50))
+	result.Add(FigureFirstAttemptWaitP99, "ms", m.firstAttemptWaits.percentileMs(99))
 	result.Add(FigureMaxWarmupShare, "share", load.maxShare)
 	if m.cfg.WorkSpread > 0 {
 		result.Add("the same by the requests' very work", "share", load.maxActualShare)
--- a/internal/fleet/model/goodput.go
+++ b/internal/fleet/model/goodput.go
@@ -39,9 +39,9 @@
 	g.from = from
 }
 
-// of returns the counts of a request's class, tenant and effect, or none for a request that was first
-// sent before from.
-func (g *goodputs) of(r *request) []*goodput {
+// countsOf returns the counts of a request's class, tenant and effect, or none for a request that
+// was first sent before from.
+func (g *goodputs) countsOf(r *request) []*goodput {
 	if r.arrivedAt < g.from {
 		return nil
 	}
@@ -50,14 +50,14 @@
 
 // addRequest counts an offered request.
 func (g *goodputs) addRequest(r *request) {
-	for _, c := range g.of(r) {
+	for _, c := range g.countsOf(r) {
 		c.offered++
 	}
 }
 
 // addServed counts a request that was served within its latency objective.
 func (g *goodputs) addServed(r *request) {
-	for _, c := range g.of(r) {
+	for _, c := range g.countsOf(r) {
 		c.served++
 	}
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -48,7 +48,7 @@
 	clients           []*client
 	servers           []*server
 	queue             queue
-	seconds           []Count
+	secondCounts      []Count
 	firstAttemptWaits *waitHistogram
 	goodputs          *goodputs
 	viewRefreshedAt   float64 // time in ms of the last refresh of the baseline's delayed view
@@ -174,10 +174,10 @@
 }
 
 // schedule adds an event at a time in ms, or now if that time is past.
-func (m *Model) schedule(at float64, effect scheduled) { m.queue.push(max(at, m.now), effect) }
+func (m *Model) schedule(at float64, effect effect) { m.queue.push(max(at, m.now), effect) }
 
 // scheduleAfter calls do after a delay in ms.
-func (m *Model) scheduleAfter(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
+func (m *Model) scheduleAfter(ms float64, do func()) { m.schedule(m.now+ms, callback(do)) }
 
 // list returns the service's current endpoint list.
 func (v *service) list() []policy.Entry {
--- a/internal/fleet/model/model_test.go
+++ b/internal/fleet/model/model_test.go
@@ -13,7 +13,7 @@
 func smallConfig(seed uint64, agents, servers int, load float64) Config {
 	return Config{Agents: agents, Servers: servers, Services: 1, Zones: 2, Regions: 1, Cores: 1, WorkMs: 30,
 		Rate: load * float64(servers) * 1000 / 30, ZoneMs: 1.5, CrossZoneMs: 1.5, Seed: seed,
-		Settings: Settings(), Variant: Variant{KeepArrivals: true}}
+		Settings: Settings(), Variant: Variant{RecordArrivals: true}}
 }
 
 // newModel returns a fleet that has not been booted.
@@ -51,14 +51,14 @@
 func expectBusyServers(t *testing.T, m *Model, fromSecond, servers int) {
 	t.Helper()
 	capacity, served := float64(servers)*1000/m.cfg.WorkMs, 0 // capacity in requests per second
-	for i, s := range m.seconds[fromSecond:] {
+	for i, s := range m.secondCounts[fromSecond:] {
 		served += s.WithinObjective
 		if s.MaxPending > servers*8 {
 			t.Errorf("seed %d, second %d: got %d pending at a time on %d servers, want at most %d",
 				m.cfg.Seed, i+fromSecond, s.MaxPending, servers, servers*8)
 		}
 	}
-	if mean := float64(served) / float64(len(m.seconds[fromSecond:])); mean < 0.25*capacity {
+	if mean := float64(served) / float64(len(m.secondCounts[fromSecond:])); mean < 0.25*capacity {
 		t.Errorf("seed %d: got %.0f per second served in time, want a quarter of the servers' capacity of %.0f",
 			m.cfg.Seed, mean, capacity)
 	}
@@ -112,10 +112,10 @@
 	}
 }
 
-// Eighty agents start at once, and discovery serves fifteen calls per second, one at a time. The first
-// calls of the agents fall within the drain grace. Discovery can serve at most 52 of them before their
-// timeout. Discovery must still not be idle while agents wait: all agents must receive the list before
-// it is out of date. Each needs one successful call and at most one failed call.
+// Eighty agents start at once, and discovery serves fifteen calls per second, one at a time. The
+// first calls of the agents fall within the drain grace. Discovery can serve at most 52 of them
+// before their timeout. Discovery must still not be idle while agents wait: all agents must receive
+// the list before it is out of date. Each needs one successful call and at most one failed call.
 func TestAgentsTakeTurnsAtDiscovery(t *testing.T) {
 	const agents, callMs, maxIdleMs = 80, 1000.0 / 15, 100.0
 	for seed := range uint64(10) {
@@ -137,7 +137,7 @@
 			t.Errorf("seed %d: got %d calls served by discovery, want one per agent for %d agents", seed, m.discovery.answered, agents)
 		}
 		calls := 0
-		for _, s := range m.seconds {
+		for _, s := range m.secondCounts {
 			calls += s.DiscoveryCalls
 		}
 		inTime := int((cfg.Settings.Contract.DrainGraceMs + discoveryTimeoutMs) / callMs)
--- a/internal/fleet/model/queue.go
+++ b/internal/fleet/model/queue.go
@@ -5,17 +5,17 @@
 type event struct {
 	at       float64
 	sequence uint64 // sequence number of the push
-	effect   scheduled
+	effect   effect
 }
 
-// scheduled is the effect of an event. Types that implement it should be pointers: an event then
-// needs no allocation of its own.
-type scheduled interface{ fire(m *Model) }
+// effect is what an event does when it fires. Types that implement it should be pointers: an event
+// then needs no allocation of its own.
+type effect interface{ fire(m *Model) }
 
-// call is a function as an event, for rare events that need no type of their own.
-type call func()
+// callback is a function as an event, for rare events that need no type of their own.
+type callback func()
 
-func (c call) fire(*Model) { c() }
+func (c callback) fire(*Model) { c() }
 
 // before reports whether an event fires before another: by time, then by the order of the pushes.
 func (e *event) before(other *event) bool {
@@ -39,7 +39,7 @@
 func (q *queue) empty() bool { return len(q.heap) == 0 && q.fifoStart == len(q.fifo) }
 
 // push adds an event.
-func (q *queue) push(at float64, effect scheduled) {
+func (q *queue) push(at float64, effect effect) {
 	q.lastSequence++
 	added := event{at, q.lastSequence, effect}
 	index := len(q.heap)
@@ -57,7 +57,7 @@
 
 // pushOrdered adds an event that is likely to fire after all events that pushOrdered added before.
 // If it does, it goes to the FIFO queue, else to the heap.
-func (q *queue) pushOrdered(at float64, effect scheduled) {
+func (q *queue) pushOrdered(at float64, effect effect) {
 	if n := len(q.fifo); n > q.fifoStart && q.fifo[n-1].at > at {
 		q.push(at, effect)
 		return
--- a/internal/fleet/model/queue_test.go
+++ b/internal/fleet/model/queue_test.go
@@ -25,9 +25,9 @@
 		at := now + float64(rng.IntN(50))
 		want = append(want, position{at, i + 1})
 		if i%2 == 0 {
-			q.push(at, call(nil))
+			q.push(at, callback(nil))
 		} else {
-			q.pushOrdered(at+20, call(nil))
+			q.pushOrdered(at+20, callback(nil))
 			want[i].at += 20
 		}
 		if i%3 == 0 {
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -47,7 +47,7 @@
 }
 
 // Run runs the scenario on a new fleet: SettleS without the fault, then the given number of seconds,
-// then finishS without new requests. The returned figures leave out SettleS. Play returns an error of
+// then finishS without new requests. The returned figures leave out SettleS. Run returns an error of
 // New, or one that wraps the cause of ctx.
 func (s Scenario) Run(ctx context.Context, cfg Config, seconds float64, log *slog.Logger) (*fleet.Case, error) {
 	if s.maxRateFactor != nil {
--- a/internal/fleet/model/scenarios_test.go
+++ b/internal/fleet/model/scenarios_test.go
@@ -38,7 +38,8 @@
 	return v
 }
 
-// tinyConfig returns a fleet of three services. Each agent has the quota of the service that it calls.
+// tinyConfig returns a fleet of three services. Each agent has the quota of the service that it
+// calls.
 func tinyConfig(t *testing.T, seed uint64) Config {
 	t.Helper()
 	size := fleet.Size{Agents: 27, Servers: 36, Services: 3, Regions: 3, Zones: 9, Rate: 720, Depth: 10, Seed: seed}
@@ -50,7 +51,8 @@
 	return cfg
 }
 
-// In all scenarios the same seed gives the same figures, byte for byte. Another seed gives other figures.
+// In all scenarios the same seed gives the same figures, byte for byte. Another seed gives other
+// figures.
 func TestScenarioRepeatsFiguresOfSameSeed(t *testing.T) {
 	figuresOf := func(scenario string, seed uint64) string {
 		text, err := json.Marshal(runScenario(t, scenario, tinyConfig(t, seed), 5))
@@ -100,10 +102,10 @@
 	}
 }
 
-// Many servers warm up at once: all servers of a zone restart under a burst together with a tenth of the
-// agents, a zone returns after a failure, or servers are replaced. For any number of agents and uneven
-// rates, the agents together must not overload a warming server. If they are notified of its start at
-// once, they must stay far below its budget.
+// Many servers warm up at once: all servers of a zone restart under a burst together with a tenth
+// of the agents, a zone returns after a failure, or servers are replaced. For any number of agents
+// and uneven rates, the agents together must not overload a warming server. If they are notified of
+// its start at once, they must stay far below its budget.
 func TestFleetKeepsSlowStartBudget(t *testing.T) {
 	for _, f := range []struct {
 		agents, servers int
@@ -112,7 +114,7 @@
 		for _, listMs := range []float64{0, 2000} { // notified at once, or within two seconds
 			for seed := range f.seeds {
 				cfg := smallConfig(1+seed, f.agents, f.servers, 0.75)
-				cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.KeepArrivals = 3, 0.8, listMs, false
+				cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.RecordArrivals = 3, 0.8, listMs, false
 				cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}}
 				for _, scenario := range []string{"cold", "zone", "replace"} {
 					c := runScenario(t, scenario, cfg, 6)
@@ -134,7 +136,7 @@
 	for _, f := range []struct{ agents, servers int }{{5, 9}, {30, 20}, {300, 20}} {
 		for _, c := range []struct{ load, workMs, least float64 }{{0.4, 30, 0.25}, {1.2, 100, 0}} {
 			cfg := smallConfig(1, f.agents, f.servers, c.load*30/c.workMs)
-			cfg.WorkMs, cfg.Zones, cfg.RateSpread, cfg.KeepArrivals = c.workMs, 3, 0.8, false
+			cfg.WorkMs, cfg.Zones, cfg.RateSpread, cfg.RecordArrivals = c.workMs, 3, 0.8, false
 			cfg.Settings.Tenants = []policy.Tenant{{Name: "all"}}
 			started := runScenario(t, "start", cfg, 7)
 			failed, worst := figure(t, started, "cold servers fallen"), figure(t, started, "worth served in the worst second")
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -20,7 +20,8 @@
 	smallBudgetRequests = 30.0
 )
 
-// server serves one request per core at a time, in the order of arrival.
+// server serves one request per core at a time, in the order of arrival. A server in slow start is
+// called warming, and any other is called warm.
 type server struct {
 	m               *Model
 	service         *service
@@ -38,7 +39,7 @@
 	busy            int           // cores in use
 	overloadedSince float64       // in ms; 0: it is not overloaded
 	slowed          bool          // overload has reduced its speed
-	arrivalTimes    []float64     // in ms, if Variant.KeepArrivals is set
+	arrivalTimes    []float64     // in ms, if Variant.RecordArrivals is set
 	warmup          warmupLoad
 	view            serverView // state that the delayed-view baseline sees
 }
@@ -130,7 +131,7 @@
 		}
 		return // on an open connection the agent can't distinguish a lost message from a slow answer
 	}
-	if model.cfg.KeepArrivals {
+	if model.cfg.RecordArrivals {
 		server.arrivalTimes = append(server.arrivalTimes, model.now)
 	}
 	if server.down {
--- a/internal/fleet/model/server_test.go
+++ b/internal/fleet/model/server_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A warming server fails if one request more than its budget arrives within a window. It does not fail
-// if the same number is spread over two windows. The failure is attributed to notified agents if more
-// than two thirds of the load came from them.
+// A warming server fails if one request more than its budget arrives within a window. It does not
+// fail if the same number is spread over two windows. The failure is attributed to notified agents
+// if more than two thirds of the load came from them.
 func TestServerFailsOverItsWarmupBudget(t *testing.T) {
 	for _, c := range []struct {
 		name               string
--- a/internal/fleet/model/service_test.go
+++ b/internal/fleet/model/service_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// A fleet has four services, and the settings of each agent hold the replicas and the quota of the whole
-// fleet. Without a fault, almost no request is rejected. When half of all servers fail and the load
-// exceeds the capacity of the others, the agents of each service must bound their attempts in flight as
-// those of a single service do, although an agent sees only its own attempts.
+// A fleet has four services, and the settings of each agent hold the replicas and the quota of the
+// whole fleet. Without a fault, almost no request is rejected. When half of all servers fail and
+// the load exceeds the capacity of the others, the agents of each service must bound their attempts
+// in flight as those of a single service do, although an agent sees only its own attempts.
 func TestServicesBoundAttemptsWithFleetQuota(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		cfg := smallConfig(seed, 120, 40, 0.6)
@@ -14,7 +14,7 @@
 		m.boot()
 		run(t, m, 8)
 		requests, rejected := 0, 0
-		for _, s := range m.seconds[3:] {
+		for _, s := range m.secondCounts[3:] {
 			requests += s.Requests
 			rejected += s.Rejected
 		}
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -20,8 +20,8 @@
 	sumTolerance = 1e-6
 )
 
-// defaultDeadlineMs is the timeout in ms of a client's attempt if Config.Traffic is empty.
-const defaultDeadlineMs = 1000
+// defaultClientTimeoutMs is the timeout in ms of a client's attempt if Config.Traffic is empty.
+const defaultClientTimeoutMs = 1000
 
 // Traffic describes the requests of one class.
 type Traffic struct {
@@ -77,7 +77,7 @@
 	request := &request{class: m.drawClass(), tenant: m.drawTenant(), key: 1 + m.rng.Uint64N(idempotencyKeys), arrivedAt: m.now, workFactor: 1}
 	if spread := m.cfg.WorkSpread; spread > 0 {
 		request.workFactor = math.Exp(spread*m.rng.NormFloat64() - spread*spread/2) // lognormal with mean 1
-		if m.cfg.Hinted {
+		if m.cfg.SendsWorkHints {
 			request.hintMs = m.workOf(request) * math.Exp(hintSpread*m.rng.NormFloat64())
 		}
 	}
@@ -121,7 +121,7 @@
 // class.
 func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
-		return defaultDeadlineMs
+		return defaultClientTimeoutMs
 	}
 	return attemptTimeoutShare * m.cfg.Settings.Classes[class].DeadlineMs
 }
--- a/internal/fleet/model/traffic_test.go
+++ b/internal/fleet/model/traffic_test.go
@@ -9,12 +9,12 @@
 )
 
 // randomConfig returns a fleet with random classes, tenants and limits drawn from the seed. Latency
-// objectives are 4 to 12 times the class's mean work, one class may have a higher priority weight, and
-// all effects may occur.
+// objectives are 4 to 12 times the class's mean work, one class has a higher priority weight, and a
+// class may have any effect.
 func randomConfig(seed uint64, agents, servers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 31))
 	cfg := smallConfig(seed, agents, servers, 0.5+0.2*rng.Float64())
-	cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.KeepArrivals = 1+rng.IntN(4), 0.8, 1500, false
+	cfg.Zones, cfg.RateSpread, cfg.ListMs, cfg.RecordArrivals = 1+rng.IntN(4), 0.8, 1500, false
 	set := &cfg.Settings
 	set.Limits.Cancellation = rng.IntN(2) == 0
 	cfg.ServesAbandoned = !set.Limits.Cancellation
@@ -75,21 +75,21 @@
 	return m
 }
 
-// goodputIn returns the share of requests served within their latency objective, of the requests of the
-// seconds from from up to but not including to.
+// goodputIn returns the share of requests served within their latency objective, of the requests of
+// the seconds from from up to but not including to.
 func (m *Model) goodputIn(from, to int) float64 {
 	total := goodput{}
-	for _, s := range m.seconds[from:to] {
+	for _, s := range m.secondCounts[from:to] {
 		total.offered += s.Requests
 		total.served += s.Served
 	}
 	return total.share()
 }
 
-// During a fault each class, tenant and effect must have at least half of the goodput that it has with
-// the delayed-view baseline. It is not checked if the baseline's goodput is below 0.3. The fleet must
-// recover soon after the fault. This must hold for any latency objectives, priority weights, effects and
-// shares of the classes.
+// During a fault each class, tenant and effect must have at least half of the goodput that it has
+// with the delayed-view baseline. It is not checked if the baseline's goodput is below 0.3. The
+// fleet must recover soon after the fault. This must hold for any latency objectives, priority
+// weights, effects and shares of the classes.
 func TestEveryClassKeepsGoodputThroughFault(t *testing.T) {
 	for _, f := range []struct {
 		agents, servers int
