--- a/internal/fleet/model/coldstart_test.go
+++ b/internal/fleet/model/coldstart_test.go
@@ -79,7 +79,7 @@
 		cfg.WorkMs = c.workMs
 		s := newModel(t, cfg).servers[0]
 		s.start()
-		if got := s.slowStartBudget(s.m.now); got < c.n+c.slack-0.01 || got > c.n+c.slack+0.01 {
+		if got := s.budget(s.m.now); got < c.n+c.slack-0.01 || got > c.n+c.slack+0.01 {
 			t.Errorf("work of %v ms: got budget %.2f, want %v plus a slack of %v", c.workMs, got, c.n, c.slack)
 		}
 	}
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -18,6 +18,10 @@
 	// smallBudgetRequests bounds the mean budget of a warming server, in requests of mean work. A
 	// smaller budget has a larger allowance for the variance of the arrivals.
 	smallBudgetRequests = 30.0
+	// budgetSlack is the allowance for the variance of the arrivals in a warming server's budget.
+	// It multiplies the standard deviation of a Poisson count, and as many requests are added.
+	// smallBudgetSlack takes its place in a small budget.
+	budgetSlack, smallBudgetSlack = 2, 3
 )
 
 // server serves one request per core at a time, in the order of arrival. A server in slow start is
@@ -28,7 +32,7 @@
 	addr            policy.Addr
 	zone            int
 	warmSpeed       float64       // speed of a warm core; 1 is full speed
-	startedAt       float64       // time in ms of the last start, when slow start began; 0: it is warm
+	startedAt       float64       // time in ms of the last start, when slow start began; 0: warm since the beginning
 	down            bool          // it refuses connections
 	silent          bool          // its machine has failed: all messages to it are lost
 	listed          policy.Health // health in the endpoint list, unless it is down
@@ -49,8 +53,8 @@
 type warmupLoad struct {
 	arrivals     []arrival
 	first        int     // index of the first arrival in the window
-	work         float64 // sum of the arrivals' work by the mean of their classes, in requests of mean work
-	actualWork   float64 // sum of the arrivals' actual work, in the same unit
+	work         float64 // sum over the window of the mean work of the arrivals' classes, in requests of mean work
+	actualWork   float64 // sum over the window of the arrivals' actual work, in the same unit
 	notifiedWork float64 // the part of work from agents that were notified of the start
 	maxShare     float64 // maximum of work as a share of the budget
 	// maxActualShare is the maximum of actualWork as a share of the budget. No server fails by it, as
@@ -157,17 +161,17 @@
 	server.serve()
 }
 
-// slowStartBudget returns the number of requests of mean work that a warming server tolerates in a
+// budget returns the number of requests of mean work that a warming server tolerates in a
 // window. It is OverloadMultiple times the number that the server can serve in the window at its
-// speed at began, the window's start. Two standard deviations of a Poisson count, and two requests,
-// are added for random variation; a mean below smallBudgetRequests gets three of each.
-func (s *server) slowStartBudget(began float64) float64 {
+// speed at began, the window's start. Two standard deviations of a Poisson count and two requests are
+// added for random variation. A mean below smallBudgetRequests gets three of each.
+func (s *server) budget(began float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	mean := contract.OverloadMultiple * s.slowStartFactor(began) * s.warmSpeed * float64(s.m.cfg.Cores) * contract.OverloadWindowMs / s.m.cfg.WorkMs
-	if mean < smallBudgetRequests-1e-9 { // the product may be slightly below 30 due to rounding
-		return mean + 3*math.Sqrt(mean) + 3
+	if mean < smallBudgetRequests-1e-9 { // a product of 30 may be slightly below it due to rounding
+		return mean + smallBudgetSlack*math.Sqrt(mean) + smallBudgetSlack
 	}
-	return mean + 2*math.Sqrt(mean) + 2
+	return mean + budgetSlack*math.Sqrt(mean) + budgetSlack
 }
 
 // countSlowStart counts an attempt that reached the server, if it is warming up. If the load in the
@@ -183,7 +187,7 @@
 	for load.arrivals[load.first].at <= model.now-window {
 		load.dropFirst()
 	}
-	budget := s.slowStartBudget(max(model.now-window, s.startedAt))
+	budget := s.budget(max(model.now-window, s.startedAt))
 	load.maxActualShare = max(load.maxActualShare, load.actualWork/budget)
 	share := load.work / budget
 	load.maxShare = max(load.maxShare, share)
--- a/internal/fleet/model/server_test.go
+++ b/internal/fleet/model/server_test.go
@@ -21,7 +21,7 @@
 		m := newModel(t, smallConfig(1, 2, 2, 0.5))
 		s := m.servers[0]
 		s.start()
-		budget := int(s.slowStartBudget(m.now))
+		budget := int(s.budget(m.now))
 		if budget != 30+10+2 { // 3 x 0.3 of the 33 requests that a warm server serves in the window, plus slack
 			t.Fatalf("got budget %d, want 42", budget)
 		}
--- a/internal/fleet/model/traffic_test.go
+++ b/internal/fleet/model/traffic_test.go
@@ -75,8 +75,8 @@
 	return m
 }
 
-// goodputIn returns the share of requests served within their latency objective, of the requests of
-// the seconds from from up to but not including to.
+// goodputIn returns the share of requests served within their latency objective. It covers the
+// requests first sent in the seconds from "from" up to, but not including, "to".
 func (m *Model) goodputIn(from, to int) float64 {
 	total := goodput{}
 	for _, s := range m.secondCounts[from:to] {
