--- a/internal/fleet/controlplane/fault_zone.go
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -6,25 +6,26 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// zoneLost takes a zone's servers off the list in one change, and brings them back as new processes in
-// another.
+// zoneLost removes the servers of one zone from the list in one change. A second change adds them
+// again as new processes.
 var zoneLost = fault{"zone lost and back", func(c *caseRun) {
-	every := c.fleet.agents(everywhere)
+	all := c.fleet.agentsOf(allStandIns)
 	for _, change := range []struct{ prefix, health string }{{"gone", "gone"}, {"back", "ready"}} {
-		hosts := c.fleet.plan.firstZone(change.health)
-		took := newDelays()
-		c.measureChange(took, every, hosts...)
-		took.addTo(&c.result, change.prefix)
+		hosts := c.fleet.plan.firstZoneHosts(change.health)
+		delays := newDelayStats()
+		c.measureChange(delays, all, hosts...)
+		delays.addFigures(&c.result, change.prefix)
 		c.result.Add(change.prefix+"_servers", "count", float64(len(hosts)))
-		c.sleep(changePause)
+		c.sleep(changeInterval)
 		c.endPhase(change.prefix)
 	}
 }}
 
-// firstZone returns the servers of the first zone with this health; ready ones as started just now.
-func (p *Plan) firstZone(health string) []endpointlist.Host {
+// firstZoneHosts returns the servers of the first zone with the given health. Servers that are
+// ready have the current time as the start of their process.
+func (p *Plan) firstZoneHosts(health string) []endpointlist.Host {
 	var hosts []endpointlist.Host
-	for i, host := range p.hosts() {
+	for i, host := range p.initialHosts() {
 		if p.zoneOf(i) != 0 {
 			continue
 		}
