--- a/policy/admission.go
+++ b/policy/admission.go
@@ -58,10 +58,11 @@
 // that may go to any.
 func (q *admissionQueue) setOutOfCapacity(out bool) { q.outOfCapacity = out }
 
-// priorityOf returns how much a unit of endpoint time spent on the request adds to the weighted
-// objective. The class's priority weight contributes to Objective.Whole and WorstWindow as a part of
-// the weight of all classes. A request of the worst class adds its part of that class alone to
-// Objective.WorstClass. With Settings.PriorityUnit "work" the weights are already per unit of work.
+// priorityOf returns how much a unit of endpoint time spent on the request adds to the weighted sum
+// of the Objective. Objective.Whole and WorstWindow cover all classes, so a request contributes its
+// class's priority weight. Objective.WorstClass covers the worst class alone, so the contribution of
+// a request of that class is inversely proportional to the class's share of the requests. With
+// Settings.PriorityUnit "work" the weights are already per unit of work.
 func (q *admissionQueue) priorityOf(request *request) float64 {
 	class, objective := request.class, &q.settings.Objective
 	priority := class.PriorityWeight * (objective.Whole + objective.WorstWindow)
--- a/policy/attempt.go
+++ b/policy/attempt.go
@@ -14,5 +14,5 @@
 	stalled     bool // in flight at an endpoint that stopped answering, see releaseStalled
 	cancelled   bool // cancelled by the agent, so that its request can be sent elsewhere
 	charged     bool // its cost was deducted from its endpoint's slow start allowance
-	unreachable bool // no route to its endpoint, and the endpoint was blamed for that
+	unreachable bool // no route to its endpoint, and the failure was attributed to the endpoint
 }
--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// revertAttempt reverts the accounting of an attempt that failed on the agent's own machine. No
-// endpoint has received any of it.
+// revertAttempt reverts the accounting of an attempt that failed on the agent's own machine: nothing
+// of it was sent to its endpoint.
 func (b *Balancer) revertAttempt(attempt *attempt) {
 	b.localFailure.attemptFailed(attempt)
 	b.slowStart.refund(attempt)
@@ -173,12 +173,12 @@
 }
 
 // closeIdleConnections closes an endpoint's idle connections if keeping them costs more than a new
-// handshake. The expected idle time is the mean gap between this agent's attempts at the endpoint.
-// The request rate of all agents is estimated as this agent's rate times their number. Without
-// this, a thousand agents that each use every endpoint would keep hundreds of connections open
-// to each.
+// handshake. The expected idle time is the mean interval between this agent's attempts at the
+// endpoint. The request rate of all agents is estimated as this agent's rate times their number.
+// Without this, a thousand agents that each use every endpoint would keep hundreds of connections
+// open to each.
 func (b *Balancer) closeIdleConnections(endpoint *endpoint) {
-	prices, gapMs := &b.settings.Prices, endpoint.traffic.meanIntervalMs
+	prices, intervalMs := &b.settings.Prices, endpoint.traffic.meanIntervalMs
 	if prices.Connection <= 0 || len(endpoint.traffic.inFlight) > 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 	// connections per request.
 	requestsPerMs := b.requestRate.lifetimePerMs() * float64(b.settings.Replicas)
 	endpoints := float64(len(b.endpoints.all))
-	if gapMs == 0 || gapMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
+	if intervalMs == 0 || intervalMs*requestsPerMs*prices.Connection > 100*endpoints*prices.Handshake {
 		b.emit(CloseIdleConnections(endpoint.id))
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -130,7 +130,7 @@
 func (b *Balancer) Actions() []Action { return b.actions }
 
 // scheduleTick keeps one timer with the token timerTick running while requests are queued or attempts
-// are in flight.
+// are in flight. Its delay is two event rounds, but at least minTickMs.
 func (b *Balancer) scheduleTick() {
 	if !b.tickPending && (len(b.queue.queued) > 0 || b.limiter.inFlight > 0) {
 		b.tickPending = true
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -25,9 +25,9 @@
 
 // concurrencyLimiter limits the attempts that this agent has in flight. This bounds the queues in
 // front of the endpoints, however many agents there are and however late they notice a change.
-// The limit follows answer times, not failures. A limit that closed on failures and opened again
-// when they were forgotten would do so at all agents at once, and the fleet would oscillate between
-// idle and overload.
+// The limit follows answer times, not failures. A limit that fell on failures and rose again some
+// time after them would do so at all agents at once, and the fleet would oscillate between idle and
+// overload.
 type concurrencyLimiter struct {
 	*environment
 	endpoints   *endpointSet
@@ -97,9 +97,9 @@
 }
 
 // floor returns this agent's part of attemptsPerEndpoint attempts per endpoint. The limit is below
-// it only while answers are late. The agent's part is its part of the traffic that the settings
-// announce for all agents, by the tenants' quotas. Without quotas all agents have the same part, or
-// more if their traffic needs it. With quotas the floor is at least one attempt, or the even part if
+// it only while answers are late. The part is the ratio of the agent's request rate to the rate that
+// the tenants' quotas announce for all agents. Without quotas it is an even part, or more if the
+// agent's request rate needs it. With quotas the floor is at least one attempt, or the even part if
 // that is less: one attempt in flight does no harm as long as every agent may have one.
 func (l *concurrencyLimiter) floor() float64 {
 	fleetFloor := attemptsPerEndpoint * l.slowStart.fleetCapacity()
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -82,7 +82,7 @@
 type endpointTraffic struct {
 	inFlight       []*attempt // oldest first
 	abandoned      int        // attempts that it may still work on although nobody waits for them
-	answeredSentAt float64    // send time of the latest-sent attempt that it has answered
+	answeredSentAt float64    // latest send time of the attempts that it has answered
 	lastResponseAt float64    // time of its last response of any kind
 	lastSentAt     float64    // time at which the last attempt was sent
 	meanIntervalMs float64    // moving average of the time between attempts; 0: unknown
@@ -151,8 +151,8 @@
 	w.size, w.decreasedAt = min(w.size, max(w.size*factor, minSize)), now
 }
 
-// increase increases the window after an answer in good time, by about one attempt a round trip
-// (additive increase). A window below 1 at most doubles.
+// increase increases the window after an answer in time, by about one attempt a round trip (additive
+// increase). A window below 1 at most doubles.
 func (w *endpointWindow) increase() { w.size += min(1/w.size, w.size) }
 
 // halve halves the window of an endpoint that was ejected, but not to less than one attempt.
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -170,7 +170,7 @@
 
 // congestionThreshold returns the mean answer time, as a fraction of the latency objective, above
 // which an endpoint is congested. The threshold has a lower bound, which is higher if there are few
-// agents: each of them sees most of the load, and need not fear to congest an endpoint that answers
+// agents: each of them sees most of the load, and hardly risks congesting an endpoint that answers
 // well within the objective. An endpoint that is warming up has a higher threshold, because it is
 // slow before it is congested.
 func (l *latencyTracker) congestionThreshold(endpoint *endpoint) float64 {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -7,9 +7,9 @@
 // Reconfigure applies new settings between two events. If a setting is invalid, or can't change
 // without a restart, it changes nothing and returns an error that names the setting.
 //
-// Open requests keep the class, the deadline and the limit on attempts that they arrived with. The
-// state of the endpoints stays, with their health, ejections and slow start, and so do the concurrency
-// limit and the retry budget. The statistics of classes and tenants stay with those of the same name.
+// Open requests keep the class, the deadline and the limit on attempts that they arrived with.
+// Endpoints keep their health, their ejections and their slow start. The concurrency limit and the
+// retry budget are kept too. Classes and tenants take over the statistics of those of the same name.
 func (b *Balancer) Reconfigure(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	for _, endpoint := range b.endpoints.all {
 		b.slowStart.markWarming(endpoint) // with a longer SlowStartMs it may be warming up again
 	}
-	// These counts decay over a time that may have changed. Rescaling keeps the rates they stand for.
+	// The time constants of these decaying counts may have changed. Rescaling keeps the measured rates.
 	b.requestRate.rescale(oldDecayMs)
 	b.slowStart.rescale(oldSlowStartMs)
 	return nil
--- a/policy/request.go
+++ b/policy/request.go
@@ -18,7 +18,7 @@
 	idempotency     requestIdempotency
 	placement       requestPlacement
 	priority        float64 // as of the latest sort of the queue
-	closed          bool    // answered, or abandoned by its client
+	closed          bool    // answered, or its client disconnected
 	responseStarted bool    // a part of a streamed response has been passed to the client
 }
 
@@ -60,8 +60,8 @@
 func (a *requestAttempts) attemptEnded() { a.inFlight-- }
 
 // uncount removes an attempt that failed on the agent's own machine from those that count against the
-// limit. It also removes earlier attempts whose endpoints were unreachable and were blamed for it
-// before this machine's failure was detected.
+// limit. It also removes earlier attempts that found their endpoints unreachable. Those failures were
+// attributed to the endpoints because this machine's failure was not detected yet.
 func (a *requestAttempts) uncount(failed *attempt) {
 	a.counted = slices.DeleteFunc(a.counted, func(attempt *attempt) bool {
 		return attempt == failed || attempt.unreachable
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -4,9 +4,9 @@
 package policy
 
 const (
-	// infeasibleFraction is multiplied by the expected answer time of a request with a work hint. If
-	// the result exceeds the time left until the latency objective, the request is infeasible. It
-	// is the smallest fraction of the expected time that an answer is assumed to take.
+	// infeasibleFraction multiplies the expected answer time of a request with a work hint: no answer
+	// is assumed to take less than the product. If less time than that is left until the latency
+	// objective, the request is infeasible.
 	infeasibleFraction = 0.7
 	// maxPlacementFailures bounds the requests, among those not waiting for the endpoints of their
 	// key, for which a dispatch finds no endpoint. At this number the dispatch stops: the other
@@ -50,7 +50,8 @@
 	}
 	leftMs := clampFinite(event.TimeLeftMs)
 	timing := &created.timing
-	// The margin is for the delivery of the answer: events are batched for up to RoundMs.
+	// The margin is for the delivery of the answer: events are batched for up to RoundMs. It is at most
+	// a quarter of the time left.
 	timing.deadline = b.now + leftMs - min(b.settings.RoundMs, leftMs/4)
 	retry = b.queue.detectRetry(created, event.Retry)
 	objectiveAt := timing.firstArrivedAt + class.LatencyObjectiveMs +
@@ -156,7 +157,7 @@
 	b.countWork(b.endpoints.busy)
 	for _, endpoint := range b.endpoints.busy {
 		if b.capacityFraction(endpoint) < 1 {
-			continue // slow because it is warming up; further attempts would count as overload of it
+			continue // slow because it is warming up; further attempts could overload it
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			request := attempt.request
--- a/policy/request_rate.go
+++ b/policy/request_rate.go
@@ -41,7 +41,7 @@
 }
 
 // rescale adapts the recent count to a reload of the settings that changed its time constant from
-// oldDecayMs. The rate that it stands for remains the same.
+// oldDecayMs. The measured rate remains the same.
 func (r *requestRate) rescale(oldDecayMs float64) { r.recentCount *= r.decayMs() / oldDecayMs }
 
 // perMs returns the recent rate, in requests per ms.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -124,7 +124,8 @@
 	return true
 }
 
-// isRepeatable reports whether a client may send a request of the class again that may have run.
+// isRepeatable reports whether a client may safely repeat a request of the class, even if the request
+// may have run.
 func isRepeatable(class *class) bool {
 	return class.Effect == EffectIdempotent ||
 		class.Effect == EffectIdempotentWithKey && class.Group == GroupAll
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -81,8 +81,8 @@
 	OverloadWindowMs float64 `json:"tipAfterMs"`    // time under that load after which it is overloaded
 }
 
-// Prices are points that are subtracted from the result. Each price multiplies the share or the rate
-// that its comment names.
+// Prices are points that are subtracted from the result, see Objective. Each price multiplies the
+// share or the rate that its comment names.
 type Prices struct {
 	CrossZone   float64 `json:"crossZone"`      // attempts at servers of other zones, per first attempt
 	Handshake   float64 `json:"handshake"`      // new connections, per first attempt
@@ -93,7 +93,8 @@
 	Membership  float64 `json:"membershipMode"` // lines of lists sent, per 100 times the first attempts
 }
 
-// Objective holds the weights of the result's components.
+// Objective holds the weights of the result's components. The result is their weighted sum, less the
+// prices. The weight that a component names is Class.PriorityWeight.
 type Objective struct {
 	Whole       float64 `json:"whole"`       // weight served over the whole day
 	WorstWindow float64 `json:"worstWindow"` // weight served in the worst 10 s
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -13,12 +13,13 @@
 	// requests. It is small because all agents may spend theirs at once.
 	allowanceBurst = 1.0
 	// slowStartMargin divides the share of an endpoint that is warming up, see share. Without it,
-	// a share in proportion to the present capacity could need up to this multiple of it: the warm
-	// endpoints may be overloaded by half, and their warm keys save them two thirds of the work.
+	// the work of a share in proportion to the endpoint's present capacity could be up to this
+	// multiple of that capacity. The share is measured at warm endpoints, which may be overloaded
+	// by half, and which warm keys save two thirds of the work.
 	slowStartMargin = 5.0
-	// maxCapacityOverestimate bounds the ratio of an endpoint's estimated capacity to the actual
-	// one, where the age of its process is wrong while it is warming up. It is the overload by half
-	// that slowStartMargin allows for.
+	// maxCapacityOverestimate bounds the ratio of the estimated capacity of an endpoint that is
+	// warming up to the actual one, if the known age of its process is wrong. It is the overload by
+	// half that slowStartMargin allows for.
 	maxCapacityOverestimate = 1.5
 )
 
@@ -60,7 +61,7 @@
 	cachedWarmWeight float64
 	warmWeightAt     float64
 	warmWeightEpoch  uint64
-	stale            bool // an endpoint has begun or ended its slow start since
+	stale            bool // an endpoint has begun or ended its slow start since warmWeightAt
 
 	// Work that warm endpoints have served, per unit of their weight. It decays exponentially, with
 	// the slow start time as time constant, and is as of workAt (ms).
@@ -83,7 +84,7 @@
 func (w *slowStart) listChanged() { w.capacityAt = never }
 
 // rescale adapts workPerWeight to a reload of the settings that changed its time constant, the slow
-// start time, from oldSlowStartMs. The rate that it stands for remains the same.
+// start time, from oldSlowStartMs. The measured rate remains the same.
 func (w *slowStart) rescale(oldSlowStartMs float64) {
 	if oldSlowStartMs > 0 {
 		w.workPerWeight *= w.settings.Contract.SlowStartMs / oldSlowStartMs
@@ -91,9 +92,9 @@
 }
 
 // restart records that an endpoint is a new process that started at startedAt by the endpoint list.
-// Its allowance starts at a random fraction of a request. Many agents may each earn the endpoint
-// only a part of one request. With random starts, as many of them send a request as these parts add
-// up to; if all started at 0, none would send one before the endpoint is warm.
+// Its allowance starts at a random fraction of a request. Each of many agents may refill it by only
+// a part of one request until the endpoint is warm. With random starts, about as many agents send a
+// request as these parts add up to. If all started at 0, no agent would send one in that time.
 func (w *slowStart) restart(endpoint *endpoint, startedAt float64) {
 	endpoint.slowStart.listedStartAt, endpoint.slowStart.startedAt = startedAt, startedAt
 	w.markWarming(endpoint)
@@ -202,11 +203,11 @@
 }
 
 // refillAllowances raises the allowances after an endpoint has served a request of the given cost,
-// in mean requests. If the endpoint is warm, each endpoint that is warming up earns its share of
-// that cost by weight and capacity. This keeps the shares of all agents together in proportion to
-// the capacities, without any coordination. Rejected requests earn nothing: rejections come fast,
-// and under overload they would multiply the allowances. subset is the number of endpoints that the
-// agent sends to.
+// in mean requests. If that endpoint is warm, the allowance of each endpoint that is warming up rises
+// by its share of the cost, by weight and capacity. This keeps the shares of all agents together in
+// proportion to the capacities, without any coordination. Rejected requests refill nothing:
+// rejections come fast, and under overload they would multiply the allowances. subset is the number
+// of endpoints that the agent sends to.
 func (w *slowStart) refillAllowances(server *endpoint, cost float64, subset int) {
 	if w.capacityFraction(server) < 1 {
 		return
@@ -227,10 +228,11 @@
 }
 
 // pauseElapsed reports whether an endpoint may be sent another request of the given cost while no
-// endpoint is warm. It may once it has been idle for as long as its share takes to add up to that
-// cost, at the rate at which a warm endpoint was sent work before.
+// endpoint is warm. The endpoint accrues its share of the work that a warm endpoint served before, at
+// the rate of that time. It may be sent a request once the work accrued since its last attempt covers
+// the cost.
 func (w *slowStart) pauseElapsed(endpoint *endpoint, cost float64) bool {
 	share := w.share(w.capacityFraction(endpoint))
-	earned := (w.now - endpoint.traffic.lastSentAt) * w.workPerWeight * endpoint.weight * share
-	return earned >= cost*w.settings.Contract.SlowStartMs
+	accrued := (w.now - endpoint.traffic.lastSentAt) * w.workPerWeight * endpoint.weight * share
+	return accrued >= cost*w.settings.Contract.SlowStartMs
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -82,7 +82,7 @@
 
 // Attempts that warm endpoints reject must not refill allowances: a burst of rejections would let
 // the agents overload the endpoints that are warming up.
-func TestSlowStartEarnsNoAllowanceFromRejections(t *testing.T) {
+func TestSlowStartRefillsNoAllowanceOnRejections(t *testing.T) {
 	h := newHarness(t, testSettings(), 4)
 	h.updateEndpoints(ListDelta, startedAt(ready(4), h.now))
 	warming := h.endpoint(4)
@@ -96,8 +96,9 @@
 	}
 }
 
-// Each of many agents with little traffic earns a warming endpoint only a small part of a request.
-// Together they must send it about the sum of these parts: neither nothing, nor one request each.
+// Each of many agents with little traffic refills the allowance of a warming endpoint by only a small
+// part of a request. Together they must send it about the sum of these parts: neither nothing, nor one
+// request each.
 func TestSlowStartAddsUpTheAllowancesOfQuietAgents(t *testing.T) {
 	const agents, requests = 400, 20
 	got := 0
@@ -154,8 +155,8 @@
 	}
 }
 
-// Guards against a burst of first attempts by many agents that learn of the same warming endpoints
-// at once. Each agent makes its first attempt in its own turn. Together they send at most two
+// Guards against a burst of first attempts by many agents that are notified of the same warming
+// endpoints at once. Each agent makes its first attempt in its own turn. Together they send at most two
 // attempts per endpoint within the latency objective, reduced to what the contract allows a warming
 // endpoint, however many agents have requests at the same time.
 func TestSlowStartSpreadsTheFirstAttemptsOfManyAgents(t *testing.T) {
@@ -188,7 +189,7 @@
 	}
 }
 
-// firstAttemptDelay hands in a request every 100 ms until one is sent. It returns the time until
+// firstAttemptDelay passes in a request every 100 ms until one is sent. It returns the time until
 // then, in ms, and whether it was less than mostMs.
 func firstAttemptDelay(h *harness, mostMs float64) (delayMs float64, sent bool) {
 	began := h.now
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -54,6 +54,7 @@
 		Latency:            b.latency.fleetRecent,
 		Classes:            b.classSnapshots(),
 	}
+	// The tier and the capacity are those for a new request of the first class.
 	probe := &request{class: b.classes.all[0], timing: requestTiming{arrivedAt: now, objectiveAt: now}}
 	for _, endpoint := range b.endpoints.all {
 		if !endpoint.usable {
--- a/policy/types.go
+++ b/policy/types.go
@@ -3,6 +3,9 @@
 // whether it is retried, and when the agent gives up. The package is a state machine without I/O: the
 // caller passes in events and the time, and carries out the returned actions in order.
 //
+// An endpoint is a server of the endpoint list. An attempt is one transmission of a request to an
+// endpoint. A retry is a further attempt of the agent; a retry by the client is a new request.
+//
 // Balancer is the facade. Each of its components makes the decisions of one concern, in a file of
 // that name. The events are in events.go, the actions in actions.go, the types that both use in
 // types.go, and the settings in settings.go. All times are in milliseconds of the agent's clock. The
@@ -80,7 +83,7 @@
 	StatusConnectFailed Status = 304 // no connection to the server
 	StatusReset         Status = 305 // the connection broke
 	StatusCancelled     Status = 306 // it was cancelled by CancelAttempt, or the client disconnected
-	StatusNotSent       Status = 307 // a limit was reached, or its request was finished
+	StatusNotSent       Status = 307 // a limit of the agent was reached, or its request was finished
 	// StatusLocalFailure means that this machine could not make the attempt, because a table or a
 	// port range of its own was exhausted. The attempt never ran and says nothing about its server.
 	StatusLocalFailure Status = 308
