--- a/policy/attempt_lifecycle.go
+++ b/policy/attempt_lifecycle.go
@@ -120,7 +120,7 @@
 	endpoint, request := attempt.endpoint, attempt.request
 	endpoint.health.recordSuccess()
 	b.latency.hints.observeAnswer(request, rttMs)
-	b.endpointAnswered(endpoint)
+	b.endpointAlive(endpoint)
 	b.limiter.abandoned.observeAnswered(rttMs)
 	endpoint.traffic.attemptAnswered(attempt)
 	endpoint.latency.recordLast(rttMs)
--- a/policy/eligibility.go
+++ b/policy/eligibility.go
@@ -80,10 +80,11 @@
 // firstAttemptDue paces the attempts of an agent that no endpoint has answered yet. Without pacing, all
 // agents would keep sending to endpoints that can't answer.
 //
-// An agent waits for one interval between attempts. All agents together make attemptsPerEndpoint
-// attempts at each endpoint per latency objective. The interval does not depend on the request rate,
-// which an agent does not know in its first moments. For an endpoint that is warming up, the number
-// is multiplied by the part of its warm capacity that the contract allows it to be sent, up to 1.
+// An agent waits for one interval between attempts. The interval is so long that all agents together
+// make attemptsPerEndpoint attempts at each endpoint per latency objective. For an endpoint that is
+// warming up, that number is multiplied by the part of its warm capacity that the contract allows it
+// to be sent, up to 1. The interval does not depend on the request rate, which an agent does not know
+// in its first moments.
 //
 // The first attempt waits for a fraction of the interval after the agent was notified of the
 // endpoint's start. The fraction differs from agent to agent. Otherwise each agent would make its
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -3,9 +3,9 @@
 
 package policy
 
-// silenceFactor multiplies the expected answer time of a request: an endpoint that has answered
-// nothing for the product is silent. The time is divided by the number of the endpoint's attempts in
-// flight, up to maxSilenceDivisor.
+// silenceFactor multiplies the expected answer time of a request. An endpoint that has answered
+// nothing for the product is silent. For an ejection the product is divided by the number of the endpoint's
+// attempts in flight, up to maxSilenceDivisor.
 const silenceFactor, maxSilenceDivisor = 8, 3
 
 // onEndpointsUpdated applies a change of the list.
@@ -53,15 +53,16 @@
 func (b *Balancer) onHealthCheckEnded(event *HealthCheckEnded) {
 	endpoint := b.endpoints.byAddr[event.Server]
 	if endpoint != nil && b.outliers.onHealthCheckEnded(endpoint, event.Status) {
-		b.endpointAnswered(endpoint)
+		b.endpointAlive(endpoint)
 	}
 }
 
-// endpointAnswered handles a sign that an endpoint is alive. If no connect has reached the endpoint
-// for long, it may be a new process that is warming up and not yet listed, so a restart now is
-// assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be left idle.
-func (b *Balancer) endpointAnswered(endpoint *endpoint) {
-	if b.outliers.onAnswer(endpoint) {
+// endpointAlive handles an endpoint that has served a request or passed a health check. If connects
+// had failed for long, it may be a new process that is warming up and not yet listed, so a restart at
+// this time is assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be
+// left idle.
+func (b *Balancer) endpointAlive(endpoint *endpoint) {
+	if b.outliers.onAlive(endpoint) {
 		b.slowStart.assumeRestart(endpoint)
 		endpoint.window.reset()
 	}
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -20,8 +20,8 @@
 	// only prevent a busy loop.
 	localWatchDelayMs, localWatchMaxDelayMs = 100.0, 500.0
 	// initialWatchBackoffMs bounds the backoff after the first failed call, in ms. The bound on later
-	// backoffs is never lower. After a shorter backoff the call would meet a queue that is still as
-	// long as before.
+	// backoffs is never lower: after a shorter backoff the queue at discovery would still be as long
+	// as before.
 	initialWatchBackoffMs = 1000.0
 	// watchEndedBackoffMs bounds the backoff, in ms, after the end of a watch that had delivered
 	// something. The agent is treated as notified of what the watch missed some 2 s later, and the
@@ -37,7 +37,7 @@
 	fetchedAt    float64 // time of the last fetch of the whole list, in ms
 	openedAt     float64 // time of the last opening of a watch, or of the start, in ms
 	failures     int     // consecutive failed calls
-	shortWatches int     // consecutive watches that ended soon after they had delivered something
+	shortWatches int     // consecutive short watches and the long one before them, see onEnded
 }
 
 // newWatchScheduler returns a scheduler that has never fetched the list.
@@ -79,8 +79,9 @@
 	w.scheduleRetry(w.failures, initialWatchBackoffMs)
 }
 
-// onEnded schedules the next call after the end of a watch that had delivered something. Repeated
-// watches that end soon after they have delivered are backed off like failed calls.
+// onEnded schedules the next call after the end of a watch that had delivered something. A watch is
+// short if it ends within half of notifyDeadlineMs after its opening. After a short watch the next
+// call is backed off as after failed calls, unless no watch had ended before.
 func (w *watchScheduler) onEnded() {
 	w.failures = 0
 	if w.now-w.openedAt < notifyDeadlineMs/2 {
@@ -99,9 +100,10 @@
 }
 
 // scheduleRetry schedules the next call after consecutive failures, with an exponential backoff that
-// starts at backoffMs, and with jitter. The last call may have failed at the very moment at which
-// discovery recovered. Therefore the duration of that call, the backoff and the next call together
-// stay below notifyDeadlineMs.
+// starts at backoffMs. Jitter takes off up to half of it, or up to all of it if discovery is on the
+// agent's own machine. The last call may have failed at the very moment at which discovery recovered.
+// Therefore the duration of that call, the backoff and the next call together stay below
+// notifyDeadlineMs.
 func (w *watchScheduler) scheduleRetry(failures int, backoffMs float64) {
 	if w.settings.Membership == MembershipWatched {
 		maxBackoffMs := min(localWatchDelayMs*math.Pow(2, float64(failures)), localWatchMaxDelayMs)
--- a/policy/endpoint_weights.go
+++ b/policy/endpoint_weights.go
@@ -25,10 +25,11 @@
 // newZoneWeights returns the smallest weight for the local zone.
 func newZoneWeights() zoneWeights { return zoneWeights{weight: minLocalZoneWeight} }
 
-// observe updates the weight with an answer time, as a fraction of the latency objective. Up to a
-// limit in proportion to the price of crossing zones, the weight of the local zone rises while it
-// answers no slower than the others, with a tolerance of that price. It falls when the local zone
-// is slower, because then it has more traffic than it can serve.
+// observe updates the weight with an answer time, as a fraction of the latency objective. The weight
+// of the local zone rises while the zone answers no slower than the others. A relative difference of
+// up to the price of crossing zones is tolerated, and the upper bound of the weight is in proportion
+// to that price. The weight falls while the local zone is slower, because then it has more traffic
+// than it can serve.
 func (z *zoneWeights) observe(local bool, fraction, crossZonePrice float64) {
 	latency := &z.remoteLatency
 	if local {
@@ -42,7 +43,8 @@
 
 // machineKindWeights holds a weight for each kind of machine. Latencies are moving averages, as
 // fractions of the latency objective. A kind that answers more slowly than the mean of all kinds
-// gets a lower weight: equal shares would overload the small machines.
+// gets a lower weight: equal shares would overload the small machines. Kinds whose indexes have the
+// same lowest 8 bits share a weight.
 type machineKindWeights struct {
 	meanLatency float64 // of all kinds
 	kinds       [256]struct{ latency, weight float64 }
--- a/policy/local_failure.go
+++ b/policy/local_failure.go
@@ -17,14 +17,13 @@
 	connectedAfterMs = 2 * maxLocalBackoffMs
 	// maxTrialWindow is the window of trials, in attempts, at which attempts are no longer limited.
 	maxTrialWindow = 16
-	// localFailureExpiryMs is the time, in ms, after the latest failure of this machine at which the
-	// limit ends without a trial. It is many times the longest backoff.
+	// localFailureExpiryMs is the time, in ms, after the latest failure of this machine from which on
+	// attempts are no longer limited, even without a trial. It is many times the longest backoff.
 	localFailureExpiryMs = 1000.0
-	// maxReachResults bounds the number of endpoints whose latest results are kept while some
-	// endpoint is unreachable.
+	// maxReachResults bounds the number of endpoints whose latest reachResult is kept.
 	maxReachResults = 16
-	// defaultReachExpiryMs is the time, in ms, for which a result is kept if no connect timeout is
-	// set.
+	// defaultReachExpiryMs is the time, in ms, for which a reachResult is kept if the settings give
+	// no connect timeout.
 	defaultReachExpiryMs = 1000.0
 	// minUnreachableEndpoints is the number of unreachable endpoints below which the failure is
 	// attributed to the endpoints and not to this machine.
@@ -46,11 +45,11 @@
 	backoffUntil float64       // end of the backoff: no attempt is sent before, in ms
 	window       int           // maximum number of trials in flight
 	trials       []*attempt    // attempts in flight that may not have a connection yet
-	reachResults []reachResult // ordered from old to new
+	reachResults []reachResult // from old to new, at most one for each endpoint
 }
 
-// reachResult is the result of the latest attempt at an endpoint. Results are kept while some endpoint
-// is unreachable.
+// reachResult says whether the latest attempt at an endpoint reached it. Results are kept from the
+// first StatusUnreachable until all have expired.
 type reachResult struct {
 	endpoint         *endpoint
 	at               float64 // time of the result, in ms
@@ -116,15 +115,15 @@
 // attemptFailed records an attempt that this machine could not make, and starts a backoff.
 func (l *localFailureLimiter) attemptFailed(attempt *attempt) {
 	l.removeTrial(attempt)
-	if l.failures == 0 || attempt.sentAt >= l.failedAt { // else it was sent before a counted failure
+	if l.failures == 0 || attempt.sentAt >= l.failedAt { // not sent before a failure that was counted
 		l.failures++
 		backoff := min(initialLocalBackoffMs*float64(l.failures), maxLocalBackoffMs)
 		l.failedAt, l.backoffUntil, l.window = l.now, l.now+backoff*(1+l.rng.Float64()), 1
 	}
 }
 
-// attribute replaces StatusUnreachable by the status that names the side at fault. It returns other
-// statuses unchanged, and records which endpoints were reached.
+// attribute decides who is at fault for a StatusUnreachable, and returns the status that says so. It
+// returns other statuses unchanged. It also records which endpoints were reached.
 //
 // If at least minUnreachableEndpoints, and more than half, of the endpoints tried recently are
 // unreachable, this machine has lost its network, and the status is StatusLocalFailure. Ejections that
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -95,7 +95,7 @@
 					health := &listed.health
 					if health.state > StateUnknown || health.unreachableSince != 0 || health.failureRate != 0 ||
 						health.ejectionCount != 0 || listed.traffic.abandoned != 0 {
-						t.Errorf("endpoint %v: got %+v and %d abandoned, want it not blamed", listed.id, health, listed.traffic.abandoned)
+						t.Errorf("endpoint %v: got %+v and %d abandoned, want it unaffected", listed.id, health, listed.traffic.abandoned)
 					}
 				}
 				if len(m.b.queue.open) != 0 || m.b.limiter.inFlight != 0 || m.b.localFailure.failures != 0 || len(m.b.localFailure.trials) != 0 {
@@ -184,7 +184,7 @@
 
 // If a minority of the endpoints, here two of five, is unreachable, the endpoints are at fault and not
 // this machine.
-func TestLocalFailureBlamesAMinorityOfUnreachableEndpoints(t *testing.T) {
+func TestLocalFailureEjectsAMinorityOfUnreachableEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), 5)
 	h.liftLimit()
 	unreachable := map[Addr]bool{addr(0): true, addr(1): true}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -11,17 +11,17 @@
 	// outcomeSmoothing is the smoothing factor of two moving averages over attempts: the failure
 	// rate of an endpoint and the share of unanswered attempts.
 	outcomeSmoothing = 0.05
-	// minCommonFailureRate is the median failure rate, as a share of attempts, at and above which
+	// minCommonFailureRate is the smallest median failure rate, as a share of attempts, at which
 	// failures are attributed to the fleet and not to a single endpoint.
 	minCommonFailureRate = 0.01
-	// maxCommonFailureFactor bounds the failure rate of a single endpoint in that case, as a
-	// multiple of the median. An endpoint with a higher rate is an outlier.
+	// maxCommonFailureFactor multiplies the median in that case. An endpoint whose failure rate is
+	// above the product is an outlier.
 	maxCommonFailureFactor = 3
 	// minMedianEndpoints is the number of usable endpoints from which on the median failure rate is
 	// used: with one or two it says nothing.
 	minMedianEndpoints = 3
-	// maxUnansweredShare is the share of attempts without an answer by their latency objective at
-	// and above which the cause is attributed to the fleet and not to a single endpoint.
+	// maxUnansweredShare is the share of unanswered attempts, see recordUnanswered, from which on the
+	// cause is attributed to the fleet and not to a single endpoint.
 	maxUnansweredShare = 0.5
 	// maxHealthChecks bounds the number of concurrent health checks.
 	maxHealthChecks = 2
@@ -51,7 +51,7 @@
 	list      listFetcher
 
 	failureRates    []float64 // scratch space of medianFailureRate
-	unansweredShare float64   // moving average of the share of attempts without an answer
+	unansweredShare float64   // moving average of the share of unanswered attempts, see recordUnanswered
 	checks          int       // health checks in progress
 }
 
@@ -70,7 +70,7 @@
 	health.ejectionCount, health.served, health.failureRate = 0, 0, 0
 }
 
-// onError handles an answer of failure from an endpoint, or a connection that it broke.
+// onError handles an error response of an endpoint, or a connection that broke.
 func (d *outlierDetector) onError(endpoint *endpoint) {
 	endpoint.traffic.recordResponse(d.now)
 	if d.isCommonFailure(endpoint) {
@@ -89,9 +89,9 @@
 	}
 }
 
-// onAnswer records a sign that an endpoint is alive. It reports whether no connect had reached the
-// endpoint for so long that it may be a new process.
-func (d *outlierDetector) onAnswer(endpoint *endpoint) (mayHaveRestarted bool) {
+// onAlive records that an endpoint has served a request or passed a health check. It reports whether
+// connects had failed for so long that the endpoint may be a new process.
+func (d *outlierDetector) onAlive(endpoint *endpoint) (mayHaveRestarted bool) {
 	unreachableSince := endpoint.health.unreachableSince
 	endpoint.traffic.recordResponse(d.now)
 	endpoint.health.unreachableSince = 0
@@ -164,7 +164,8 @@
 // mostUnanswered reports whether so many attempts are unanswered that no single endpoint is the cause.
 func (d *outlierDetector) mostUnanswered() bool { return d.unansweredShare >= maxUnansweredShare }
 
-// markPending makes an endpoint pending validation at once, without an ejection.
+// markPending makes an endpoint wait for its validation at once, without an ejection. It doesn't
+// change the state of an endpoint that is ejected.
 func (d *outlierDetector) markPending(endpoint *endpoint) {
 	if endpoint.health.state != StateUnhealthy {
 		d.setState(endpoint, StateUnhealthy)
@@ -174,8 +175,8 @@
 	d.list.fetch()
 }
 
-// eject marks an endpoint as unhealthy. silent means that it gave no answer, as opposed to an answer
-// of failure. Further failures of an endpoint that is already unhealthy don't count as ejections.
+// eject marks an endpoint as unhealthy. silent means that it gave no answer, as opposed to an error
+// response. Further failures of an endpoint that is already unhealthy don't count as ejections.
 func (d *outlierDetector) eject(endpoint *endpoint, silent bool) {
 	health := &endpoint.health
 	if health.state != StateUnhealthy {
@@ -225,9 +226,9 @@
 	return min(firstMs*float64(int(1)<<doublings), maxEjectionMs)
 }
 
-// revalidate is called on each request. It makes endpoints whose ejection time is over pending
-// validation, and checks their health in the background if the settings allow it. scarce says that
-// requests that may be sent to any endpoint find no capacity.
+// revalidate is called on each request. Endpoints whose ejection time is over enter
+// StateUnhealthyPending, and their health is checked in the background if the settings allow it.
+// scarce means that requests that may be sent to any endpoint find no capacity.
 func (d *outlierDetector) revalidate(scarce bool) {
 	d.countWork(d.endpoints.ejected)
 	for _, endpoint := range d.endpoints.ejected {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -52,9 +52,9 @@
 		zones: newZoneWeights(), kinds: newMachineKindWeights()}
 }
 
-// selectEndpoint returns an endpoint of the best tier that has any for the request: the first in the
-// request's hash order that is below its load bound and has capacity. It returns nil if there is
-// none. inFlight is the number of attempts that the agent has in flight.
+// selectEndpoint returns an endpoint of the best tier that has any to which the request may be sent:
+// the first in the request's hash order that is below its load bound and has capacity. It returns nil
+// if there is none in that tier. inFlight is the number of attempts that the agent has in flight.
 func (s *selector) selectEndpoint(request *request, inFlight int) *endpoint {
 	waits, subset := s.waitsForKey(request), s.subset.size()
 	for tier := range tierCount {
@@ -117,8 +117,8 @@
 	return best
 }
 
-// accepts reports whether the endpoint is below its load bound and has capacity. The bound is that
-// for the tier of the request's last selection.
+// accepts reports whether the endpoint is below its load bound and has capacity. The bound is for the
+// tier that candidates visited last for the request.
 func (s *selector) accepts(endpoint *endpoint, request *request, inFlight int) bool {
 	share := endpoint.weight * s.capacityFraction(endpoint) / request.placement.tierWeight
 	maxLoad := math.Ceil(boundedLoadFactor * float64(inFlight+1) * share)
@@ -146,7 +146,7 @@
 // endpoint's share of the keys is in proportion to its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := splitmix64(request.hash ^ endpoint.hash)
-	uniform := float64(hash>>11) / (1 << 53)
+	uniform := float64(hash>>11) / (1 << 53) // in [0, 1): the highest 53 of 64 bits, exact in a float64
 	slowStartWeight := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.weightOf(endpoint) * slowStartWeight
 	weight *= s.recentWeight(endpoint)
@@ -186,7 +186,8 @@
 	// unseen is the fraction of the key's load for which the load bound does not suffice.
 	unseen := min(float64(s.settings.Replicas)/max(boundedLoadFactor*endpoints, 1), 1)
 	parts := max(share*keySplitFactor*endpoints*unseen, 1)
-	// Part 0 keeps the key's own order. The factor, 2^64 over the golden ratio, spreads the others.
+	// Part 0 has the hash order of the key itself. The factor, 2^64 over the golden ratio, gives each
+	// other part a different one.
 	return key + uint64(parts*s.rng.Float64())*0x9e3779b97f4a7c15
 }
 
