--- a/internal/fleet/datapath/run.go
+++ b/internal/fleet/datapath/run.go
@@ -14,10 +14,10 @@
 // cases before it stay in the result.
 func (p *Plan) Run(ctx context.Context, log *slog.Logger, r *fleet.Result) error {
 	r.Notes = append(r.Notes,
-		"added_* is the difference of the same quantile through the agents and direct, in one run; a served call counts from the moment it was sent.",
-		"cpu, memory and connections are the mean of an agent. connections are those to servers; the direct calls have servers of their own.",
-		"*_new are connections opened while measured. late_p99 is how late the load generator sent, which is in neither latency.",
-		"open: the answer time is such that so many requests are open at the rate; each holds a client's and a server's connection.")
+		"added_* is a quantile of the latency through the agents minus the same quantile of the direct latency, in one run. The latency of a served call is measured from when it was sent.",
+		"cpu, memory and connections are means over the agents. connections are the connections to servers. The direct calls have servers of their own, whose connections are not included.",
+		"*_new are the connections that were opened during the measurement. late_p99 is the 99th percentile of the delay with which the load generator sent the calls. Neither the latency through the agents nor the direct latency includes this delay.",
+		"open: the answer time of the servers is chosen so that this number of requests is open at the given rate. Each open request holds one connection to a client and one to a server.")
 	all := p.scenarios()
 	families := map[string][]fleet.Case{}
 	for i, s := range all {
@@ -27,7 +27,7 @@
 		}
 		r.Cases = append(r.Cases, c)
 		families[fmt.Sprint(s.family, s.replicas)] = append(families[fmt.Sprint(s.family, s.replicas)], c)
-		log.Info("case", "n", i+1, "of", len(all), "name", c.Name,
+		log.Info("case measured", "n", i+1, "of", len(all), "name", c.Name,
 			"served", figureValue(c, "served_share"), "added_p50_ms", figureValue(c, "added_p50"), "added_p99_ms", figureValue(c, "added_p99"),
 			"cpu_ms_per_1000", figureValue(c, "cpu_per_1000"), "rss_mb", figureValue(c, "rss")/(1<<20))
 	}
