--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// Links of README.md and the pages lead to files of the tree, and to headings that are there.
-func TestLinksLeadSomewhere(t *testing.T) {
-	all := readTree(t)
-	for _, name := range all.pages(t) {
-		for _, link := range linksOf(all.read(t, name)) {
+// Each link in README.md and the pages under docs points to an existing file and an existing
+// heading.
+func TestLinksResolve(t *testing.T) {
+	repo := readRepository(t)
+	for _, name := range repo.pages(t) {
+		for _, link := range linksOf(repo.read(t, name)) {
 			file, anchor, _ := strings.Cut(link, "#")
 			target := path.Join(path.Dir(name), file)
 			if file == "" {
@@ -19,17 +20,17 @@
 			}
 			switch {
 			case strings.Contains(link, "://"):
-			case !all.paths[target]:
+			case !repo.paths[target]:
 				t.Errorf("%s: link %s: no such file", name, link)
-			case anchor != "" && !anchorsOf(all.read(t, target))[anchor]:
+			case anchor != "" && !anchorsOf(repo.read(t, target))[anchor]:
 				t.Errorf("%s: link %s: no such heading", name, link)
 			}
 		}
 	}
 }
 
-// Links and anchors are read as the hosts of repositories render them.
-func TestLinksAndAnchorsOfPages(t *testing.T) {
+// Links and anchors are derived from Markdown as repository hosts render it.
+func TestLinkAndAnchorParsing(t *testing.T) {
 	links := linksOf("See [a](B.md#c) and [`d`](#e).\n")
 	if len(links) != 2 || links[0] != "B.md#c" || links[1] != "#e" {
 		t.Errorf("got links %q, want B.md#c and #e", links)
@@ -41,24 +42,24 @@
 }
 
 var (
-	linkForm    = regexp.MustCompile(`\]\(([^() ]+)\)`)
-	headingForm = regexp.MustCompile(`(?m)^#+ (.+)$`)
-	anchorDrops = regexp.MustCompile("[^a-z0-9 _-]")
+	linkPattern    = regexp.MustCompile(`\]\(([^() ]+)\)`)
+	headingPattern = regexp.MustCompile(`(?m)^#+ (.+)$`)
+	notInAnchors   = regexp.MustCompile("[^a-z0-9 _-]")
 )
 
-// linksOf returns the targets of a page's links.
+// linksOf returns the targets of the links in a page.
 func linksOf(text string) (targets []string) {
-	for _, link := range linkForm.FindAllStringSubmatch(text, -1) {
+	for _, link := range linkPattern.FindAllStringSubmatch(text, -1) {
 		targets = append(targets, link[1])
 	}
 	return targets
 }
 
-// anchorsOf returns the anchors of a page's headings.
+// anchorsOf returns the set of anchors of the headings in a page.
 func anchorsOf(text string) map[string]bool {
 	anchors := map[string]bool{}
-	for _, heading := range headingForm.FindAllStringSubmatch(text, -1) {
-		plain := anchorDrops.ReplaceAllString(strings.ToLower(heading[1]), "")
+	for _, heading := range headingPattern.FindAllStringSubmatch(text, -1) {
+		plain := notInAnchors.ReplaceAllString(strings.ToLower(heading[1]), "")
 		anchors[strings.ReplaceAll(plain, " ", "-")] = true
 	}
 	return anchors
