--- a/internal/fleet/decisions/run.go
+++ b/internal/fleet/decisions/run.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		return err
 	}
-	// The clock measures the thread. So no other goroutine may run on the thread, and this one may
-	// not move to another.
+	// The clock measures the processor time of the thread. So no other goroutine may run on the
+	// thread, and this one may not move to another.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	clockReadNs, err := measureClockReadNs()
@@ -36,7 +36,7 @@
 				return err
 			}
 		}
-		log.Info("ready", "series", s.name, "cases", len(s.cases))
+		log.Info("cases warmed up", "series", s.name, "cases", len(s.cases))
 	}
 	if err := o.measureRounds(ctx, log, all, clockReadNs); err != nil {
 		return err
@@ -49,7 +49,7 @@
 		return err
 	}
 	r.Cases = append(r.Cases, limitCases...)
-	log.Info("ran the cases of the concurrency limit", "cases", len(limitCases))
+	log.Info("measured the cases of the concurrency limit", "cases", len(limitCases))
 	return nil
 }
 
@@ -65,7 +65,7 @@
 				b.measureRound(o, clockReadNs)
 			}
 		}
-		log.Info("measured", "round", round+1, "of", o.Repeats)
+		log.Info("round measured", "round", round+1, "of", o.Repeats)
 	}
 	return nil
 }
