--- a/policy/class_stats_test.go
+++ b/policy/class_stats_test.go
@@ -157,7 +157,7 @@
 
 // The expected answer time decays after late answers, with the time after which clients give up as
 // the time constant.
-func TestClassForgetsLateAnswers(t *testing.T) {
+func TestClassExpectedTimeDecaysAfterLateAnswers(t *testing.T) {
 	c := newHarness(t, testSettings(), 1).b.classes.all[idempotentClass]
 	uncontendedMs := c.uncontendedMs()
 	for i := range 20 {
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -179,8 +179,8 @@
 }
 
 // The quota of settings that cover only the listed endpoints must not be capped. Uncontended answers
-// of a loaded deployment take a multiple of the service time. A limiter that took them for the
-// service time itself allowed too many attempts in flight under overload.
+// of a loaded deployment take a multiple of the service time. A limiter that used them as the
+// service time allowed too many attempts in flight under overload.
 func TestLimiterFloorFollowsTheQuotasOfASingleService(t *testing.T) {
 	set := fleetSettings(30)
 	set.Limits.KeepaliveMs = 15000
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -40,8 +40,8 @@
 	endpoint.update(entry)
 }
 
-// restartEndpoint resets the state of an endpoint whose process has restarted: what is known of the
-// old process no longer applies, and the new one is warming up.
+// restartEndpoint resets the state of an endpoint whose process has restarted: measurements of the
+// old process no longer apply, and the new one is warming up.
 func (b *Balancer) restartEndpoint(endpoint *endpoint, startedAt float64) {
 	b.outliers.restart(endpoint)
 	b.slowStart.restart(endpoint, startedAt)
--- a/policy/endpoint_subset_test.go
+++ b/policy/endpoint_subset_test.go
@@ -9,13 +9,13 @@
 func TestEndpointSubsetGrowsWithTraffic(t *testing.T) {
 	for _, test := range []struct {
 		name        string
-		gapMs       float64 // between requests
+		intervalMs  float64 // between requests
 		least, most int
 	}{{"quiet agent", 400, minSubset, 16}, {"busy agent", 4, 50, 60}} {
 		t.Run(test.name, func(t *testing.T) {
 			all := map[Addr]bool{}
 			for index := range 30 {
-				used := usedEndpoints(t, index, test.gapMs)
+				used := usedEndpoints(t, index, test.intervalMs)
 				if len(used) < test.least || len(used) > test.most {
 					t.Fatalf("agent %d: got %d servers used, want %d to %d", index, len(used), test.least, test.most)
 				}
@@ -32,7 +32,7 @@
 
 // usedEndpoints returns which of 60 servers one of a thousand agents uses for 300 requests. One
 // server is ejected and must not be used.
-func usedEndpoints(t *testing.T, index int, gapMs float64) map[Addr]bool {
+func usedEndpoints(t *testing.T, index int, intervalMs float64) map[Addr]bool {
 	t.Helper()
 	set := testSettings()
 	set.Limits.KeepaliveMs, set.Replicas, set.Index = 10000, 1000, index
@@ -43,7 +43,7 @@
 	h.b.outliers.eject(ejected, true)
 	used := map[Addr]bool{}
 	for range 300 {
-		h.now += gapMs
+		h.now += intervalMs
 		ejected.health.since = h.now // stays ejected
 		server := h.serveAtOnce(idempotentClass, h.randomKey(), 3)
 		if used[server] = true; server == ejected.id {
@@ -57,7 +57,7 @@
 // Agents with little traffic, each of which sends to a subset, refilled the allowances of the new
 // endpoints as if they sent to the whole fleet.
 func TestEndpointSubsetScalesTheRefillOfAllowances(t *testing.T) {
-	earned := func(keepaliveMs float64) float64 {
+	refilled := func(keepaliveMs float64) float64 {
 		set := testSettings()
 		set.Limits.KeepaliveMs, set.Prices.Handshake = keepaliveMs, 0.1
 		h := newHarness(t, set, 64)
@@ -67,7 +67,7 @@
 		h.b.slowStart.refillAllowances(h.endpoint(0), 1, h.b.subset.size())
 		return warming.slowStart.allowance
 	}
-	if whole, subset := earned(0), earned(10000); subset < 3.5*whole || whole <= 0 {
+	if whole, subset := refilled(0), refilled(10000); subset < 3.5*whole || whole <= 0 {
 		t.Errorf("got an allowance of %.5f by sending to 65 servers and %.5f to 16 of them, want four times", whole, subset)
 	}
 }
--- a/policy/endpoint_watch_test.go
+++ b/policy/endpoint_watch_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// Whatever failed before, an agent knows the list 6 s after discovery has recovered. The sum of three
+// Whatever failed before, an agent has the current list 6 s after discovery has recovered. The sum of three
 // times is shorter than that: the rest of a call that fails just as discovery recovers, the backoff
 // after it, and the next call, which may wait for 2 s. This holds for fleets of any size, after any
 // number of failures, for a discovery that refuses connections at once or hangs, and for the first
--- a/policy/local_failure_test.go
+++ b/policy/local_failure_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// play passes in the given number of requests at once, and then advances the clock to one second after
+// run passes in the given number of requests at once, and then advances the clock to one second after
 // the machine has recovered.
-func (m *failingMachine) play(requests int) {
+func (m *failingMachine) run(requests int) {
 	for range requests {
 		_, actions := m.arriveWithTime(int(m.id) % 3)
 		m.carryOut(actions)
@@ -78,7 +78,7 @@
 		for _, ms := range []float64{100, 5000} {
 			t.Run(fmt.Sprintf("status %d for %v ms", status, ms), func(t *testing.T) {
 				m := newFailingMachine(t, status, ms)
-				m.play(200)
+				m.run(200)
 				if served := m.sent - m.failed; served != 200 || m.rejected != 0 {
 					t.Errorf("got %d of 200 requests served and %d rejected, want all served", served, m.rejected)
 				}
@@ -204,9 +204,9 @@
 		}
 	}
 	for _, listed := range h.b.endpoints.all {
-		ejected, noted := listed.health.state > StateUnknown, listed.health.unreachableSince != 0
-		if want := unreachable[listed.id]; ejected != want || want && !noted {
-			t.Errorf("endpoint %v: got ejected %v and unreachable %v, want %v", listed.id, ejected, noted, want)
+		ejected, recorded := listed.health.state > StateUnknown, listed.health.unreachableSince != 0
+		if want := unreachable[listed.id]; ejected != want || want && !recorded {
+			t.Errorf("endpoint %v: got ejected %v and unreachable %v, want %v", listed.id, ejected, recorded, want)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	t.Run("answered", func(t *testing.T) {
 		m, last, actions := newTrialMachine(t)
 		double := func(allowed int) int { return 2 * allowed }
-		playTrials(t, m, last, actions, double, func(id RequestID) []Action {
+		runTrials(t, m, last, actions, double, func(id RequestID) []Action {
 			request := m.b.queue.open[id]
 			return m.endAttempt(id, request.attempts.sent-1, request.attempts.counted[0].endpoint.id, StatusOK, 1)
 		})
@@ -226,7 +226,7 @@
 	t.Run("in flight", func(t *testing.T) {
 		m, last, actions := newTrialMachine(t)
 		open := func(int) int { return maxTrialWindow }
-		playTrials(t, m, last, actions, open, func(RequestID) []Action { return m.tick(connectedAfterMs) })
+		runTrials(t, m, last, actions, open, func(RequestID) []Action { return m.tick(connectedAfterMs) })
 	})
 }
 
@@ -235,7 +235,7 @@
 func newTrialMachine(t *testing.T) (m *failingMachine, last RequestID, actions []Action) {
 	t.Helper()
 	m = newFailingMachine(t, StatusLocalFailure, 0)
-	m.play(0)
+	m.run(0)
 	for _, listed := range m.b.endpoints.all {
 		listed.window.size = 1e6 // so that windows don't limit attempts
 	}
@@ -250,10 +250,10 @@
 	return m, last, m.tick(0)
 }
 
-// playTrials carries out the actions and lets the last trial of each round succeed, until all 101
+// runTrials carries out the actions and lets the last trial of each round succeed, until all 101
 // requests are sent. It checks that a round sends no more attempts than allowed: one at first, and
 // next(allowed) after each success.
-func playTrials(t *testing.T, m *failingMachine, last RequestID, actions []Action, next func(allowed int) int,
+func runTrials(t *testing.T, m *failingMachine, last RequestID, actions []Action, next func(allowed int) int,
 	succeed func(RequestID) []Action) {
 	t.Helper()
 	sent, allowed := 0, 1
