--- a/policy/selection.go
+++ b/policy/selection.go
@@ -146,7 +146,7 @@
 // endpoint's share of the keys is in proportion to its weight.
 func (s *selector) score(request *request, endpoint *endpoint) float64 {
 	hash := splitmix64(request.hash ^ endpoint.hash)
-	uniform := float64(hash>>11) / (1 << 53) // in [0, 1): the highest 53 of 64 bits, exact in a float64
+	uniform := float64(hash>>11) / (1 << 53) // in [0, 1), from the 53 bits that a float64 holds exactly
 	slowStartWeight := min(slowStartWeightFactor*s.slowStart.share(s.capacityFraction(endpoint)), 1)
 	weight := endpoint.weight * s.kinds.weightOf(endpoint) * slowStartWeight
 	weight *= s.recentWeight(endpoint)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -14,8 +14,8 @@
 	allowanceBurst = 1.0
 	// slowStartMargin divides the share of an endpoint that is warming up, see share. Without it,
 	// the work of a share in proportion to the endpoint's present capacity could be up to this
-	// multiple of that capacity. The share is measured at warm endpoints, which may be overloaded
-	// by half, and which warm keys save two thirds of the work.
+	// multiple of that capacity. The share is one of the load of warm endpoints. These may be
+	// overloaded by half, and their warm keys save them two thirds of the work.
 	slowStartMargin = 5.0
 	// maxCapacityOverestimate bounds the ratio of the estimated capacity of an endpoint that is
 	// warming up to the actual one, if the known age of its process is wrong. It is the overload by
