--- a/policy/settings.go
+++ b/policy/settings.go
@@ -24,7 +24,7 @@
 		WarmKeys bool `json:"warmKeys"` // a server that served a key recently needs less work for it
 	} `json:"familyInfo"`
 	Index           int     `json:"index"`          // number of this agent, from 0
-	Replicas        int     `json:"replicasOfMe"`   // number of agents
+	Replicas        int     `json:"replicasOfMe"`   // number of agents, this one included
 	OverQuotaFactor float64 `json:"overShareWorth"` // factor on the priority of a request beyond its quota
 	RoundMs         float64 `json:"roundMs"`        // longest time for which events are batched
 	Weights         string  `json:"weights"`        // of Entry.Weight: "off", "nominal", "rough" or "live"
