--- a/policy/request_test.go
+++ b/policy/request_test.go
@@ -11,7 +11,7 @@
 	if attempts.sent != 2 || len(attempts.counted) != 2 || attempts.inFlight != 1 {
 		t.Errorf("got %d sent, %d counted and %d in flight, want 2, 2 and 1", attempts.sent, len(attempts.counted), attempts.inFlight)
 	}
-	// The second attempt failed on this machine. The first had been attributed to its endpoint.
+	// The second attempt failed on this machine. The failure of the first had been attributed to its endpoint.
 	if attempts.uncount(second); attempts.sent != 2 || len(attempts.counted) != 0 {
 		t.Errorf("uncounted: got %d sent and %d counted, want 2 and none", attempts.sent, len(attempts.counted))
 	}
