--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -3,9 +3,9 @@
 
 package policy
 
-// silenceFactor multiplies the expected answer time of a request: an endpoint that has answered
-// nothing for the product is silent. The time is divided by the number of the endpoint's attempts in
-// flight, up to maxSilenceDivisor.
+// silenceFactor multiplies the expected answer time of a request. An endpoint that has answered
+// nothing for the product is silent. For an ejection the product is divided by the number of the endpoint's
+// attempts in flight, up to maxSilenceDivisor.
 const silenceFactor, maxSilenceDivisor = 8, 3
 
 // onEndpointsUpdated applies a change of the list.
@@ -40,8 +40,8 @@
 	endpoint.update(entry)
 }
 
-// restartEndpoint resets the state of an endpoint whose process has restarted: what is known of the
-// old process no longer applies, and the new one is warming up.
+// restartEndpoint resets the state of an endpoint whose process has restarted: measurements of the
+// old process no longer apply, and the new one is warming up.
 func (b *Balancer) restartEndpoint(endpoint *endpoint, startedAt float64) {
 	b.outliers.restart(endpoint)
 	b.slowStart.restart(endpoint, startedAt)
@@ -53,15 +53,16 @@
 func (b *Balancer) onHealthCheckEnded(event *HealthCheckEnded) {
 	endpoint := b.endpoints.byAddr[event.Server]
 	if endpoint != nil && b.outliers.onHealthCheckEnded(endpoint, event.Status) {
-		b.endpointAnswered(endpoint)
+		b.endpointAlive(endpoint)
 	}
 }
 
-// endpointAnswered handles a sign that an endpoint is alive. If no connect has reached the endpoint
-// for long, it may be a new process that is warming up and not yet listed, so a restart now is
-// assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be left idle.
-func (b *Balancer) endpointAnswered(endpoint *endpoint) {
-	if b.outliers.onAnswer(endpoint) {
+// endpointAlive handles an endpoint that has served a request or passed a health check. If connects
+// had failed for long, it may be a new process that is warming up and not yet listed, so a restart at
+// this time is assumed. Timeouts alone are no reason to assume one: overloaded endpoints would be
+// left idle.
+func (b *Balancer) endpointAlive(endpoint *endpoint) {
+	if b.outliers.onAlive(endpoint) {
 		b.slowStart.assumeRestart(endpoint)
 		endpoint.window.reset()
 	}
@@ -89,8 +90,8 @@
 // unansweredFor reports whether an attempt is unanswered and its endpoint has answered nothing else,
 // for factor times the expected answer time.
 func (b *Balancer) unansweredFor(attempt *attempt, factor float64) bool {
-	quietMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
-	return quietMs >= b.latency.expectedMs(attempt.request)*factor
+	silentMs := b.now - max(attempt.endpoint.traffic.lastResponseAt, attempt.sentAt)
+	return silentMs >= b.latency.expectedMs(attempt.request)*factor
 }
 
 // releaseStalled releases an attempt in flight at an endpoint that stopped answering. The concurrency
@@ -98,11 +99,11 @@
 // of a minute and more, stalled attempts would use up the whole limit, and nothing would be sent to
 // the endpoints that are alive. If the request can be sent elsewhere in time, the attempt is
 // cancelled. Otherwise the request ends when its answer is no longer worth anything, as queued
-// requests do. The limit releases the attempt only if sure is set: overloaded endpoints seem silent
-// for a while too, and they need the limit most.
-func (b *Balancer) releaseStalled(attempt *attempt, sure bool) {
+// requests do. The concurrency limit stops counting the attempt only if excludeFromLimit is set:
+// overloaded endpoints seem silent for a while too, and they need the limit most.
+func (b *Balancer) releaseStalled(attempt *attempt, excludeFromLimit bool) {
 	request := attempt.request
-	if sure {
+	if excludeFromLimit {
 		b.limiter.markStalled(attempt)
 	}
 	objectiveAt := request.timing.objectiveAt
