--- a/internal/simwire/codes.go
+++ b/internal/simwire/codes.go
@@ -1,10 +1,12 @@
 // Package simwire is the codec of the simulator's wire protocol. It decodes the binary frames of the
 // simulator to events of package policy, and encodes the actions of that package to reply frames.
 //
-// A batch consists of a header of 8 bytes (the number of records and the number of bytes that
-// follow), the clock, records of EventSize bytes and a tail to which records refer. A reply consists
-// of a header of the same form, records of ActionSize bytes and a tail. All numbers are big-endian.
-// Times are in milliseconds, as IEEE 754 doubles.
+// A batch consists of a header of headerSize bytes (the number of records and the number of bytes
+// that follow), the clock, records of EventSize bytes and a tail to which records refer. A reply
+// consists of a header of the same form, records of ActionSize bytes and a tail. A record begins
+// with its code, 1 byte, and the number of the instance that it is for, 4 bytes. A list table, which
+// is for all instances, has its own number there. All numbers are big-endian. Times are in
+// milliseconds, as IEEE 754 doubles.
 package simwire
 
 import (
@@ -20,6 +22,20 @@
 	ActionSize = 24      // of a record of a reply
 	entrySize  = 24      // of an entry of an endpoint list
 	maxFrame   = 1 << 30 // limit of a batch without its header, far above any valid batch
+	headerSize = 8       // of the header of a batch or a reply
+	clockSize  = 8       // of the clock of a batch
+)
+
+// Limits of the numbers on the wire.
+const (
+	maxListTables   = 16 // list tables; their numbers start at 0
+	maxReportValues = 4  // values in a load report
+)
+
+// Bits of the flags of a codeRequestArrived record.
+const (
+	flagWorkHint = 1 << iota // the record has a work hint
+	flagRetry                // the client marked the request as a retry
 )
 
 // Event codes. The words in quotes are those of the wire's specification.
--- a/internal/simwire/decode_event.go
+++ b/internal/simwire/decode_event.go
@@ -8,8 +8,8 @@
 	"ploverreel/policy"
 )
 
-// eventBuffer holds one event of each type that has fields. The next event of the type overwrites it, so
-// that decoding allocates no memory for these events.
+// eventBuffer holds one event of each type that has fields. The next event of the type overwrites
+// it, so that decoding allocates no memory for these events.
 type eventBuffer struct {
 	arrived      policy.RequestArrived
 	ended        policy.AttemptEnded
@@ -30,8 +30,8 @@
 		Key:         be.Uint64(raw[15:]),
 		TimeLeftMs:  getFloat64(raw[23:]),
 		WorkHintMs:  getFloat64(raw[31:]),
-		HasWorkHint: raw[39]&1 != 0,
-		Retry:       raw[39]&2 != 0,
+		HasWorkHint: raw[39]&flagWorkHint != 0,
+		Retry:       raw[39]&flagRetry != 0,
 	}
 	return &b.arrived
 }
@@ -90,13 +90,13 @@
 	return policy.RequestID(binary.BigEndian.Uint32(raw[5:]))
 }
 
-// decodeReport decodes a load report: the number of its values, at most 4, then the values as 32-bit
-// floats. It returns nil for an empty report. The error names the field.
+// decodeReport decodes a load report: the number of its values, at most maxReportValues, then the
+// values as 32-bit floats. It returns nil for an empty report. The error names the field.
 func decodeReport(field string, raw []byte) ([]float32, error) {
 	if raw[0] == 0 {
 		return nil, nil
 	}
-	if raw[0] > 4 {
+	if raw[0] > maxReportValues {
 		return nil, fmt.Errorf("%s: %d values, at most 4", field, raw[0])
 	}
 	values := make([]float32, raw[0])
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -31,25 +31,24 @@
 	Event    policy.Event // event for the instance
 }
 
-// Decoder reads batches from a stream. It stores the numbered list tables, which are shared by all
-// instances of the process and read-only.
+// Decoder reads batches from a stream. It stores the list tables, which are shared by all instances
+// of the process and read-only.
 type Decoder struct {
-	input io.Reader
-	buf   []byte // the current batch without its header; reused for the next batch
-	lists [16][]policy.Entry
-	// events holds the events that records point to.
-	events eventBuffer
+	input  io.Reader
+	buf    []byte                        // the current batch without its header; reused for the next batch
+	lists  [maxListTables][]policy.Entry // by the number of the table
+	events eventBuffer                   // holds the events that records point to
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{input: r} }
 
-// Next reads one batch and calls fn for each of its records in order; now is the batch's clock in
-// ms. It returns io.EOF if the input ends before a batch begins. An error of fn is returned as it
-// is. Any other error names the field that is truncated, out of range or unknown. After an error the
-// Decoder can't be used any more.
+// Next reads one batch and calls fn for each of its records in order, except for list tables; now is
+// the batch's clock in ms. It returns io.EOF if the input ends before a batch begins. An error of fn
+// is returned as it is. Any other error names the field that is truncated, out of range or unknown.
+// After an error the Decoder can't be used any more.
 func (d *Decoder) Next(fn func(now float64, record *Record) error) error {
-	var head [8]byte
+	var head [headerSize]byte
 	if _, err := io.ReadFull(d.input, head[:]); err != nil {
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 			return io.EOF
@@ -57,10 +56,10 @@
 		return fmt.Errorf("batch header: truncated: %w", err)
 	}
 	count, size := binary.BigEndian.Uint32(head[:4]), binary.BigEndian.Uint32(head[4:])
-	if size < 8 || size > maxFrame {
+	if size < clockSize || size > maxFrame {
 		return fmt.Errorf("batch header: length: %d is out of range", size)
 	}
-	if uint64(count)*EventSize > uint64(size)-8 {
+	if uint64(count)*EventSize > uint64(size)-clockSize {
 		return fmt.Errorf("batch header: number of records: %d do not fit into %d bytes", count, size)
 	}
 	if err := d.fill(int(size)); err != nil {
@@ -70,8 +69,8 @@
 	if math.IsNaN(now) || math.IsInf(now, 0) {
 		return fmt.Errorf("batch header: clock: not a number")
 	}
-	records := d.buf[8 : 8+int(count)*EventSize]
-	tail := d.buf[8+len(records):]
+	records := d.buf[clockSize : clockSize+int(count)*EventSize]
+	tail := d.buf[clockSize+len(records):]
 	var record Record
 	for i := range int(count) {
 		raw := records[i*EventSize : (i+1)*EventSize]
@@ -89,10 +88,10 @@
 	return nil
 }
 
-// fill reads size bytes into the buffer. It reads in steps, so that a false length in a header
+// fill reads size bytes into the buffer. It reads in steps, so that a wrong length in a header
 // allocates at most about twice the number of bytes that arrive.
 func (d *Decoder) fill(size int) error {
-	const step = 1 << 20
+	const step = 1 << 20 // bytes
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
 		n := min(step, size-len(d.buf))
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -78,7 +78,7 @@
 // WriteTo writes the frame to w. It returns the number of bytes written and the error of w. The
 // frame is kept until Reset.
 func (e *Encoder) WriteTo(w io.Writer) (int64, error) {
-	var head [8]byte
+	var head [headerSize]byte
 	binary.BigEndian.PutUint32(head[:], e.count)
 	binary.BigEndian.PutUint32(head[4:], uint32(len(e.records)+len(e.tail)))
 	var total int64
