--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads and validates the configuration of an agent, a JSON file. It also derives
-// values from it, such as the division of the file descriptors between clients and backends, and the
-// numbers that stand for names in the decision module.
+// values from the configuration: the division of the file descriptors between clients and backends,
+// and the numbers that stand for names in the decision module.
 //
 // Load and Parse return a validated Config. It is immutable and may be read from any goroutine.
 // Their errors are one line that names the field. They are or wrap a *fielderror.Error, unless the
@@ -31,7 +31,7 @@
 	// InitialList is used until discovery delivers a list. It may be empty.
 	InitialList endpointlist.List
 
-	Clock MachineClock // nil means the clock of this machine; tests replace it
+	Clock MachineClock // nil: the clock of this machine; replaced by tests
 }
 
 // MaxDeadline returns the longest deadline that a request may have: the longest deadline of any
@@ -44,13 +44,13 @@
 	return longest
 }
 
-// ModuleSettings returns the settings for the decision module of an agent on sockets. They differ
-// from Settings in two ways:
+// ModuleSettings returns the settings for the decision module of an agent on real connections. They
+// differ from Settings in two ways:
 //   - The limit of open requests is at most Limits.MaxOpenRequests, so that the table of client
 //     connections has a slot for each request.
 //   - Pushed membership becomes watched membership, because a pushed list reaches only agents that
-//     watch. Without a watch, an agent would learn of drains only from the fetches that its own
-//     failures cause.
+//     watch. Without a watch, an agent would find out about drains only by the fetches that its
+//     own failures cause.
 func (c *Config) ModuleSettings() policy.Settings {
 	settings := c.Settings
 	limit := c.Limits.MaxOpenRequests()
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -13,6 +13,13 @@
 	"ploverreel/policy"
 )
 
+// Bounds of valid limits.
+const (
+	maxCores    = 1024    // cores
+	minMemoryMB = 16      // MB
+	maxMemoryMB = 1 << 24 // MB
+)
+
 // fileJSON is the JSON form of a configuration.
 type fileJSON struct {
 	Name      string          `json:"name"`
@@ -24,8 +31,9 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads and validates the file at path, the value of EDGE_CONFIG. Its error is one line. If the
-// file can't be read, the error names EDGE_CONFIG; otherwise it is the error of Parse.
+// Load reads and validates the file at path, the value of EDGE_CONFIG. Its error is one line. If
+// path is empty or the file can't be read, the error names EDGE_CONFIG; otherwise it is the error of
+// Parse.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, fielderror.Errorf("EDGE_CONFIG", "not set")
@@ -47,6 +55,7 @@
 	return config, nil
 }
 
+// parse is Parse without the prefix of the error.
 func parse(text []byte) (*Config, error) {
 	file, err := decodeFile(text)
 	if err != nil {
@@ -67,6 +76,8 @@
 	return config, nil
 }
 
+// decodeFile parses the JSON of a configuration. Its error names the field if a value has a wrong
+// type.
 func decodeFile(text []byte) (*fileJSON, error) {
 	file := &fileJSON{}
 	if err := json.Unmarshal(text, file); err != nil {
@@ -94,9 +105,9 @@
 	switch limits := f.Limits; {
 	case f.Name == "":
 		return 0, fielderror.Errorf("name", "missing")
-	case !(limits.Cores > 0) || limits.Cores > 1024:
+	case !(limits.Cores > 0) || limits.Cores > maxCores:
 		return 0, fielderror.Errorf("limits.cores", "must be above 0 and at most 1024, is %v", limits.Cores)
-	case !(limits.MemoryMB >= 16) || limits.MemoryMB > 1<<24:
+	case !(limits.MemoryMB >= minMemoryMB) || limits.MemoryMB > maxMemoryMB:
 		return 0, fielderror.Errorf("limits.memory_mb", "must be 16 or above, is %v", limits.MemoryMB)
 	case limits.Sockets < MinSockets:
 		return 0, fielderror.Errorf("limits.sockets", "must be %d or above, is %d", MinSockets, limits.Sockets)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,8 +6,20 @@
 	reservedSockets = 16 // for discovery, the listener and the runtime
 )
 
-// Limits holds the resources that the process may use. Its methods divide the file descriptors: each
-// returns the share of Sockets for one use.
+// Divisions of the file descriptors.
+const (
+	// keepAliveDivisor divides the limit of open descriptors. The quotient is the number of client
+	// connections that may be kept alive.
+	keepAliveDivisor = 6
+	// rejectionSlotsDivisor divides the slots for client connections. The quotient is the number of
+	// slots that stay free for clients whose requests are rejected.
+	rejectionSlotsDivisor = 8
+	// minRejectionSlots is the floor of that number of slots.
+	minRejectionSlots = 8
+)
+
+// Limits holds the resources that the process may use. Its methods divide the file descriptors
+// between their uses.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -24,12 +36,12 @@
 
 // KeepAliveSockets returns how many client connections may be kept alive between requests: a sixth
 // of Sockets.
-func (l Limits) KeepAliveSockets() int { return l.Sockets / 6 }
+func (l Limits) KeepAliveSockets() int { return l.Sockets / keepAliveDivisor }
 
 // MaxOpenRequests returns how many requests may be in progress at once. The decision module rejects
-// requests above this limit. An eighth of the slots in the table of client connections, and at least
-// 8, stay free for the clients that receive such a rejection.
+// requests above this limit. An eighth of the slots in the table of client connections, but at least
+// minRejectionSlots, stay free for the clients that receive such a rejection.
 func (l Limits) MaxOpenRequests() int {
 	slots := l.ClientSockets()
-	return slots - max(slots/8, 8)
+	return slots - max(slots/rejectionSlotsDivisor, minRejectionSlots)
 }
