--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -100,8 +100,8 @@
 
 // Run sends the request and waits for the response. When it returns, the connection is closed or
 // available to other attempts, and no further byte of the request is written. Run recovers a panic,
-// which would end the process with all the requests that it serves. The status is then a reset, as
-// the request may have run.
+// which would otherwise end the process with all the requests that it serves. The status is then
+// StatusReset, as the request may have run.
 func (a *Attempt) Run() (result Result) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -174,9 +174,8 @@
 	return nil
 }
 
-// isLate reports whether it is too late for the attempt to begin. It compares clock times because
-// the end of the context may be noticed too late: another goroutine acts on it, perhaps after the
-// first byte was written.
+// isLate reports whether it is too late for the attempt to begin. It reads the clock because the
+// context may end too late: another goroutine ends it, perhaps after the first byte was written.
 func (a *Attempt) isLate() bool {
 	now := time.Now()
 	return !now.Before(a.Deadline()) || !a.BeginBy.IsZero() && now.After(a.BeginBy)
--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -80,8 +80,8 @@
 }
 
 // popIdle removes and returns the most recently used of the idle connections that have settled. If
-// none has settled, it removes and returns the one that has been idle longest; without any idle
-// connection it returns nil. The caller holds the pool's mutex.
+// none has settled, it removes and returns the one that has been idle longest, which settles first.
+// Without any idle connection it returns nil. The caller holds the pool's mutex.
 func (c *Conns) popIdle(now time.Time) *pooledConn {
 	for i := len(c.idle) - 1; i >= 0; i-- {
 		if conn := c.idle[i]; i == 0 || now.Sub(conn.idleSince) >= c.pool.settings.SettleDelay {
@@ -95,8 +95,8 @@
 // put returns a connection after use. It is available to other attempts once it has settled.
 func (c *Conns) put(conn *pooledConn) { c.putIdleSince(conn, time.Now()) }
 
-// putIdleSince returns a connection that has been idle since the given time, and schedules a sweep
-// unless one is scheduled already.
+// putIdleSince returns a connection that has been idle since the given time. It closes the
+// connection if the Conns is closed. Otherwise it schedules a sweep, unless one is scheduled already.
 func (c *Conns) putIdleSince(conn *pooledConn, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
--- a/internal/backend/errors.go
+++ b/internal/backend/errors.go
@@ -40,11 +40,12 @@
 // Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.err }
 
-// newError returns the Error of an attempt that failed with err. It also keeps the attempt from
+// newError returns the Error of an attempt that failed with err. It also prevents the attempt from
 // beginning later.
 func (a *Attempt) newError(err error) *Error {
 	var write *WriteError
-	// Withdraw before reading the cause: whoever else withdraws the attempt cancels it right after.
+	// The attempt is withdrawn before the cause is read. Another goroutine that withdraws it sets the
+	// cause right after that, so a cause that was read earlier could be missing.
 	neverBegan := a.withdraw()
 	return &Error{
 		err:        err,
--- a/internal/backend/extra_conn.go
+++ b/internal/backend/extra_conn.go
@@ -61,9 +61,9 @@
 }
 
 // openExtra opens an extra connection for the attempt that receives from opened. If that attempt
-// has closed abandoned, the connection becomes idle instead. A failure fails no attempt, as none
-// depends on the extra connection. A panic is recovered, as it would end the process with all the
-// requests that it serves.
+// has closed abandoned, the connection becomes idle instead. No attempt fails because of an error,
+// as none depends on the extra connection. A panic is recovered, as it would otherwise end the
+// process with all the requests that it serves.
 func (c *Conns) openExtra(ctx context.Context, opened chan<- *pooledConn, abandoned <-chan struct{}) {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -83,8 +83,8 @@
 }
 
 // recordExtraDial records that the connect of an extra connection has ended. If it failed and was
-// not cancelled, no other is opened for extraRetryDelay after an error of this machine, and for the
-// idle timeout after any other error.
+// not cancelled, no other extra connection is opened for some time: for extraRetryDelay after an
+// error of this machine, and for the idle timeout after any other error.
 func (c *Conns) recordExtraDial(err error, cancelled bool) {
 	p := c.pool
 	p.mu.Lock()
--- a/internal/backend/idle_lifetime.go
+++ b/internal/backend/idle_lifetime.go
@@ -8,12 +8,17 @@
 const (
 	// baselineIdleTime bounds the idle times that form the baseline: a connection that breaks after
 	// a shorter idle time did not break because it was idle. idleTimeBuckets is the number of
-	// histogram buckets above it. Each bucket is longer than the one before by a factor of √2, so
-	// they reach 262 s; the last one also takes all longer idle times.
+	// histogram buckets above it. They reach 262 s, and the last one also holds all longer idle
+	// times.
 	baselineIdleTime, idleTimeBuckets = 64 * time.Millisecond, 24
-	// countHalfLife is the time in which a count decays to half. The decay lets the pool try idle
-	// times again that it had excluded.
+	// bucketsPerDoubling is the number of buckets in which the idle time doubles. The bounds of a
+	// bucket are therefore √2 times those of the bucket before.
+	bucketsPerDoubling = 2
+	// countHalfLife is the time in which a count decays to half. Because of the decay, the pool
+	// tries idle times again that it had excluded.
 	countHalfLife = 10 * time.Second
+	// decaysPerHalfLife bounds how often the counts are decayed in each countHalfLife.
+	decaysPerHalfLife = 10
 	// A bucket is excluded if at least minBrokenReuses of its reused connections broke, and their
 	// share is above brokenShareFactor times the baseline's share plus brokenShareMargin.
 	minBrokenReuses, brokenShareFactor, brokenShareMargin = 3, 3, 0.1
@@ -27,8 +32,8 @@
 // decaying counts (exponential forgetting). The limit is the lower bound of the first bucket whose
 // share of broken connections is clearly above the baseline's. The baseline consists of the
 // connections that were idle for less than baselineIdleTime, which break for other reasons. The
-// constants are this project's, not from a publication. They are chosen such that a few resets
-// lower the limit and a single one does not.
+// constants are not from a publication. With them a few resets lower the limit and a single one
+// does not.
 //
 // The pool's mutex guards it. Its zero value is ready for use.
 type idleLifetimeEstimator struct {
@@ -44,10 +49,10 @@
 // bucketOf returns the index of the bucket of an idle time, which must be at least
 // baselineIdleTime.
 func bucketOf(idleFor time.Duration) int {
-	return min(int(2*math.Log2(float64(idleFor)/float64(baselineIdleTime))), idleTimeBuckets-1)
+	return min(int(bucketsPerDoubling*math.Log2(float64(idleFor)/float64(baselineIdleTime))), idleTimeBuckets-1)
 }
 
-// observe records whether a connection broke that was reused after an idle time.
+// observe records the reuse of a connection after an idle time, and whether the connection broke.
 func (e *idleLifetimeEstimator) observe(idleFor time.Duration, broke bool, now time.Time) {
 	e.decay(now)
 	count := &e.baseline
@@ -60,13 +65,14 @@
 	}
 }
 
-// decay applies the decay up to now to all counts, at most ten times in each countHalfLife.
+// decay applies the decay up to now to all counts, at most decaysPerHalfLife times in each
+// countHalfLife.
 func (e *idleLifetimeEstimator) decay(now time.Time) {
 	if e.decayedAt.IsZero() {
 		e.decayedAt = now
 	}
 	passed := now.Sub(e.decayedAt)
-	if passed <= countHalfLife/10 {
+	if passed <= countHalfLife/decaysPerHalfLife {
 		return
 	}
 	keep := math.Exp2(-float64(passed) / float64(countHalfLife))
@@ -93,7 +99,7 @@
 	for i, bucket := range e.buckets {
 		if bucket.broken >= minBrokenReuses &&
 			bucket.broken > bucket.reuses*(brokenShareFactor*baselineShare+brokenShareMargin) {
-			return min(idleTimeout, time.Duration(float64(baselineIdleTime)*math.Exp2(float64(i)/2)))
+			return min(idleTimeout, time.Duration(float64(baselineIdleTime)*math.Exp2(float64(i)/bucketsPerDoubling)))
 		}
 	}
 	return idleTimeout
--- a/internal/backend/outcome.go
+++ b/internal/backend/outcome.go
@@ -15,8 +15,8 @@
 }{
 	// The agent itself did not begin the attempt, so the backend is not at fault.
 	{policy.StatusNotSent, func(e *Error) bool { return e.neverBegan && e.isOneOf(ErrTooLate, ErrClientDisconnected) }},
-	// The request may be sent to another backend at once. This backend is not an outlier because of
-	// it.
+	// The request may be sent to another backend at once. The rejection doesn't make this backend an
+	// outlier.
 	{policy.StatusRejected, func(e *Error) bool {
 		return e.neverBegan && (e.isOneOf(ErrConnLimit) || errors.Is(e.cause, ErrEndpointDraining))
 	}},
@@ -24,8 +24,8 @@
 	{policy.StatusCancelled, func(e *Error) bool { return errors.Is(e.cause, ErrCancelled) }},
 	// This machine has a temporary fault, and the request has not run.
 	{policy.StatusLocalFailure, func(e *Error) bool { return e.cannotHaveRun() && socket.IsLocalError(e.err) }},
-	// There is no route to the backend. After the first byte was written there was one, and the
-	// next entry applies.
+	// There is no route to the backend. If a byte was written, there was a route, and a later entry
+	// applies.
 	{policy.StatusUnreachable, func(e *Error) bool { return e.neverBegan && socket.IsUnreachable(e.err) }},
 	// The connect failed, or the connection broke before the last byte of the request was written.
 	{policy.StatusConnectFailed, (*Error).cannotHaveRun},
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -12,9 +12,9 @@
 type Settings struct {
 	ConnectTimeout time.Duration
 	IdleTimeout    time.Duration // the longest time that an unused connection is kept
-	MaxConns       int           // the most connections that are open or dialling at once
-	// ExtraConns allows another connection to a backend to be opened while the only one that is not
-	// in use settles. An attempt then need not wait for the settle delay.
+	MaxConns       int           // the highest number of connections that are open or dialling
+	// ExtraConns allows another connection to a backend to be opened if the only connection that is
+	// not in use is settling. An attempt then need not wait for the settle delay.
 	ExtraConns bool
 	// SettleDelay is how long a connection is not reused after a response; zero: 10 ms.
 	SettleDelay time.Duration
@@ -105,8 +105,9 @@
 	p.mu.Unlock()
 }
 
-// observeReuse records whether a reused connection broke, that is, ended before a byte of the
-// response was read. It ignores new connections.
+// observeReuse records a use of a connection for the estimate of the idle lifetime, and whether the
+// connection broke, that is, ended before a byte of the response was read. It ignores the first use
+// of a connection.
 func (p *Pool) observeReuse(conn *pooledConn, broke bool) {
 	if conn.idleFor > 0 {
 		p.mu.Lock()
--- a/internal/backend/request.go
+++ b/internal/backend/request.go
@@ -11,13 +11,15 @@
 
 const (
 	// maxSchedulingDelay is the longest time that the agent may be suspended between reading its
-	// clock and writing the request. The slack of the deadline in Request-Timeout covers only one
-	// such delay, and another one may already have passed between the arrival of the request and
-	// the reading of the clock. The timeout is therefore reduced by this delay.
+	// clock and writing the request. The timeout that it sends is reduced by this delay. The contract
+	// allows a response some slack after its deadline, but that covers only one such delay, and
+	// another one may already have passed between the arrival of the request and the reading of the
+	// clock.
 	maxSchedulingDelay = 150 * time.Millisecond
-	// schedulingDelayDivisor limits that reduction to one eighth of the time left. A backend drops
-	// requests that have no time left, so a request with little time must keep most of it. Requests
-	// that would be answered only in the last eighth of their time are rare.
+	// schedulingDelayDivisor divides the time that an attempt has left. The quotient is the upper
+	// bound of that reduction. A backend drops requests that have no time left, so a request with
+	// little time must keep most of it. Requests that would be answered only in the last eighth of
+	// their time are rare.
 	schedulingDelayDivisor = 8
 )
 
