--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -29,7 +29,7 @@
 // closing and makes the pending read time out. If bytes of a request arrived before the server
 // notices that, the request is still answered, with "Connection: close".
 //
-// table.mu guards the first group of fields below. The second group belongs to the goroutine that
+// table.mu guards the fields from stage to head. The fields after them belong to the goroutine that
 // reads. The server never has two reads of one connection in progress.
 type Conn struct {
 	net.Conn
@@ -38,13 +38,13 @@
 
 	// Guarded by table.mu.
 	stage           connStage
-	stageSince      time.Time // when the stage began or, in stageIdle, the next head
+	stageSince      time.Time // when the stage began; in stageIdle, when the next head began, if it has
 	closing         bool      // the table is closing the connection; one more request may arrive
 	responseWritten bool      // the server has written everything that it will write
 	head            headState
 
 	// Owned by the reading goroutine.
-	firstSeenAt         time.Time // when unread bytes were first seen in the wait for a slot; zero: never
+	firstSeenAt         time.Time // when unread bytes were first seen during the wait for a slot; zero: never
 	readAhead           []byte    // read while a request was in progress, not yet passed to the server
 	readAheadAt         time.Time // when the first byte of readAhead was read
 	readAheadOverflowed bool      // bytes above maxReadAhead were dropped; Read returns EOF after readAhead
@@ -68,8 +68,8 @@
 		return 0, io.EOF
 	default:
 		n, err = c.receive(buffer)
-		// A client's deadline counts from when the client wrote. It is unknown how long the bytes
-		// were in the kernel, but all time from here on counts.
+		// A client's deadline counts from the time at which the client wrote the request. How long
+		// the bytes were in the kernel is unknown, but all time from here on is included.
 		receivedAt = time.Now()
 		if !c.firstSeenAt.IsZero() {
 			receivedAt, c.firstSeenAt = c.firstSeenAt, time.Time{}
@@ -85,7 +85,7 @@
 	return n, err
 }
 
-// takeReadAhead moves bytes that were read ahead to the buffer and returns their number.
+// takeReadAhead moves bytes from readAhead to the buffer and returns their number.
 func (c *Conn) takeReadAhead(buffer []byte) int {
 	n := copy(buffer, c.readAhead)
 	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
--- a/internal/clientconn/eviction.go
+++ b/internal/clientconn/eviction.go
@@ -6,7 +6,8 @@
 	"ploverreel/internal/socket"
 )
 
-// evictionClass is the reason why a connection may be evicted. Lower classes are evicted first.
+// evictionClass is the reason why a connection may be evicted, or notEvictable. Lower classes are
+// evicted first.
 type evictionClass uint8
 
 const (
@@ -20,9 +21,9 @@
 	evictionClasses = int(notEvictable)
 )
 
-// requiresNoUnreadBytes reports whether a connection of the class is not evicted if it has unread
-// bytes. Such bytes are likely to be a client's request.
-func (class evictionClass) requiresNoUnreadBytes() bool {
+// protectedByUnreadBytes reports whether unread bytes protect a connection of the class from
+// eviction. Such bytes are likely to be a client's request.
+func (class evictionClass) protectedByUnreadBytes() bool {
 	return class != evictRejected && class != evictUnfinishedHead
 }
 
@@ -63,7 +64,7 @@
 		if oldest[class] != nil && !c.stageSince.Before(oldest[class].stageSince) {
 			continue
 		}
-		if class.requiresNoUnreadBytes() && socket.Peek(c.Conn) == socket.PeekUnread {
+		if class.protectedByUnreadBytes() && socket.Peek(c.Conn) == socket.PeekUnread {
 			continue
 		}
 		oldest[class] = c
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// closingCount returns the number of connections that the server is about to close. The caller
-// holds t.mu.
+// closingCount returns the number of connections that the table is closing and the server is about
+// to close. The caller holds t.mu.
 func (t *Table) closingCount() (n int) {
 	for c := range t.conns {
 		if c.closesWithoutRequest() {
@@ -87,11 +88,11 @@
 	return n
 }
 
-// expireRead closes a connection that has no request in progress without losing a request. It does
-// not close the descriptor while the server reads, but makes that read time out at once. If the
-// read still returns bytes, their request is answered and the connection is closed with the
-// response. If it returns none, nothing of a request was read, and the server closes the
-// connection. The caller holds table.mu.
+// expireRead closes a connection that has no request in progress, without the loss of a request that
+// arrives meanwhile. It does not close the descriptor while the server reads, but makes that read
+// time out at once. If the read still returns bytes, their request is answered and the connection is
+// closed with the response. If it returns none, no byte of a request was read, and the server closes
+// the connection. The caller holds table.mu.
 func (c *Conn) expireRead() {
 	now := time.Now()
 	c.closing = true
--- a/internal/clientconn/head.go
+++ b/internal/clientconn/head.go
@@ -12,7 +12,7 @@
 	deadline           time.Time // when the head in progress must be complete
 	receivedAt         time.Time // when the last bytes of the most recent head were read
 	bufferSize         int       // size of the server's read buffer: the largest of its reads so far
-	peekedAfterTimeout bool      // a read timed out but was repeated, as bytes were unread
+	peekedAfterTimeout bool      // a read of this head timed out but was repeated, as bytes were unread
 }
 
 // start records that the first bytes of a head were read at now, on a connection that has waited
--- a/internal/clientconn/listener.go
+++ b/internal/clientconn/listener.go
@@ -70,9 +70,9 @@
 }
 
 // Accept returns the next connection that gets a slot in the table. It also accepts connections
-// while the table is full. Otherwise the kernel would receive the request of a connection in its
-// queue, and nobody would answer it. A connection that gets no slot in the table's acquire timeout
-// is closed. Accept returns an error only after the listener was closed.
+// while the table is full. Otherwise they would stay in the kernel's queue, and their requests would
+// be received by the kernel but not answered. A connection that gets no slot within the table's
+// acquire timeout is closed. Accept returns an error only after the listener was closed.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.acceptNext()
@@ -112,10 +112,10 @@
 	}
 }
 
-// acquireSlot waits for a slot for a new connection, and closes the connection if it gets none in
-// time. The close of the listener does not end the wait, because the connection was accepted, its
-// request may have arrived, and the wait is short. Until then the table counts the connection as
-// waiting, so that a shutdown waits for it.
+// acquireSlot waits for a slot for a new connection. If there is none in time, it closes the
+// connection and returns nil. The close of the listener does not end the wait, because the
+// connection was accepted, its request may have arrived, and the wait is short. During the wait the
+// table counts the connection as waiting, so that a shutdown waits for it.
 func (l *Listener) acquireSlot(conn net.Conn) *Conn {
 	client := &Conn{Conn: conn, table: l.table, stageSince: time.Now()}
 	l.table.addWaiting(1)
--- a/internal/clientconn/stage.go
+++ b/internal/clientconn/stage.go
@@ -12,7 +12,7 @@
 const (
 	stageNew      connStage = iota // no complete request has arrived yet
 	stageIdle                      // kept alive between two requests
-	stageActive                    // a request is being read or answered
+	stageActive                    // a request is in progress: its head is complete, its response isn't
 	stageRejected                  // its request was answered with an error, and it is about to be closed
 )
 
@@ -31,8 +31,8 @@
 }
 
 // BeginRequest records that a handler has started to handle a request of the connection. It returns
-// when the last byte of the request's head was read, and whether the request is the last one
-// because the table is closing the connection.
+// the time at which the last byte of the request's head was read, and whether the request is the
+// last one because the table is closing the connection.
 func (c *Conn) BeginRequest() (receivedAt time.Time, last bool) {
 	c.setStage(stageActive)
 	c.table.mu.Lock()
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -11,20 +11,21 @@
 type Table struct {
 	mu           sync.Mutex
 	maxConns     int // number of slots
-	maxKeepAlive int // with more connections that have carried a request, none is kept alive
+	maxKeepAlive int // while more connections are idle or active, none is kept alive after a response
 	conns        map[*Conn]struct{}
 	waiting      int // number of accepted connections that wait for a slot
 
-	// freed has an item when a slot has become free. A buffer of one item is enough, because a
-	// waiter checks the whole table again, however many slots became free.
+	// freed has an item after a slot has become free. A buffer of one item is enough: however many
+	// slots have become free, a waiter that receives the item checks the whole table again.
 	freed chan struct{}
 
-	// defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has changed them.
+	// Their values are defaultSilentGrace and defaultAcquireTimeout, unless SetTimeouts has changed
+	// them.
 	silentGrace, acquireTimeout time.Duration
 }
 
-// NewTable returns an empty table with maxConns slots. While more than maxKeepAlive connections
-// have carried a request, no connection is kept alive after its response.
+// NewTable returns an empty table with maxConns slots. While more than maxKeepAlive connections are
+// idle or active, no connection is kept alive after its response.
 func NewTable(maxConns, maxKeepAlive int) *Table {
 	return &Table{maxConns: maxConns, maxKeepAlive: maxKeepAlive, conns: map[*Conn]struct{}{},
 		freed: make(chan struct{}, 1), silentGrace: defaultSilentGrace, acquireTimeout: defaultAcquireTimeout}
@@ -68,8 +69,8 @@
 }
 
 // acquire enters the connection in the table and reports whether there was a free slot. If there is
-// none, it evicts the connections that are needed least, by their eviction class. The slots of most
-// of them are free only once the server has closed them, so the caller has to try again.
+// none, it evicts connections, the lowest eviction class first. The slots of most of them become free
+// only when the server has closed them, so the caller has to try again.
 func (t *Table) acquire(c *Conn, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
