--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,6 +1,6 @@
 // Package discovery is the client of the discovery service, which lists the backends. It fetches the
-// whole list and watches for changes. It owns the connections of these calls, their timeouts and
-// their retries. The user of a Client decides when a call is made.
+// whole list and watches for changes. It manages the connections, timeouts and retries of these
+// calls. The user of a Client decides when a call is made.
 //
 // The results of calls are passed to a callback as a Fetched, a WatchEvent or a WatchEnded. Their
 // errors come from the connection, the status of the response or the list (see package
@@ -29,7 +29,7 @@
 type Placement int
 
 const (
-	// Shared is one service for many agents. Each call costs it work and may wait in a queue.
+	// Shared is one service for many agents. Each call means work for it and may wait in a queue.
 	Shared Placement = iota
 	// Local is a service on the agent's own machine. It answers at once and at no cost, so a watch
 	// may send another call while the first one delivers no data.
@@ -62,9 +62,9 @@
 	ctx       context.Context // cancelling it ends all calls
 	cancel    context.CancelFunc
 
-	firstByteTimeout time.Duration // for a call of a watch, until its first byte
-	hedgeDelay       time.Duration // without data, until a watch sends one more call; 0: never
-	idleTimeout      time.Duration // without data, until a watch is closed
+	firstByteTimeout time.Duration // how long a call of a watch may wait for its first byte
+	hedgeDelay       time.Duration // time without data after which a watch sends one more call; 0: never
+	idleTimeout      time.Duration // time without data after which a watch is closed
 
 	// Replaced by tests.
 	dial  func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -89,7 +89,7 @@
 	c.http = &http.Client{
 		Transport: &http.Transport{
 			// Each call uses a new connection. A reused connection could break under the next call;
-			// the transport would then send that call twice, and each call costs discovery work.
+			// the transport would then send that call twice, and each call means work for discovery.
 			DisableKeepAlives:      true,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
--- a/internal/discovery/hedged_watch.go
+++ b/internal/discovery/hedged_watch.go
@@ -10,17 +10,18 @@
 const maxHedgedCalls = 4
 
 // hedgedWatch opens one watch with hedged calls. A discovery on the agent's own machine answers at
-// once and at no cost. If a call receives no data for the hedge delay, either it was made while
-// discovery was down and will never be answered, or discovery is slow. So the call stays open and
-// one more is sent. The first call that is answered becomes the watch, and the others are cancelled.
+// once and at no cost. If a call receives no data for the hedge delay, there are two possible
+// reasons: the call was made while discovery was down and will never be answered, or discovery is
+// slow. So the call stays open and one more is sent. The first call that is answered becomes the
+// watch, and the others are cancelled.
 type hedgedWatch struct {
 	client           *Client
 	since            int64
 	firstByteTimeout time.Duration // of each call
-	claimed          atomic.Bool   // set by the one call that decides the outcome of the watch
+	claimed          atomic.Bool   // set by the one call that determines the outcome of the watch
 }
 
-// claim claims the watch for the calling call, which was answered or has failed. It returns false if
+// claim claims the watch for one of its calls, which was answered or has failed. It returns false if
 // another call has claimed the watch before.
 func (h *hedgedWatch) claim() bool { return h.claimed.CompareAndSwap(false, true) }
 
--- a/internal/discovery/list_reader.go
+++ b/internal/discovery/list_reader.go
@@ -8,16 +8,17 @@
 
 var errListTooLong = errors.New("list: exceeds the size limit")
 
-// listReader reads the response of a watch. The response consists of lists, each over one or more
+// listReader reads the response to a watch. The response consists of lists, each of one or more
 // lines, and of white space between them, which serves as a heartbeat. White space within a list is
-// no heartbeat. So a list must be complete within the idle timeout, and within maxListBytes.
+// no heartbeat, so a list must be complete within the idle timeout. Its size is at most
+// maxListBytes.
 type listReader struct {
 	source     io.Reader
 	onActivity func() // called on data that resets the idle timeout
 	listBytes  int    // bytes read of an incomplete list; 0 between lists
 }
 
-// Read reads from the response. It returns errListTooLong within a list that exceeds maxListBytes,
+// Read reads from the response. It returns errListTooLong if the current list exceeds maxListBytes,
 // and otherwise the error of the connection.
 func (r *listReader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
--- a/internal/discovery/results.go
+++ b/internal/discovery/results.go
@@ -23,10 +23,10 @@
 	WatchEnded struct {
 		Err error // why it ended; never nil
 		// Established reports whether the watch had worked before it ended, so that its end is not a
-		// failed call. A watch has worked if it received a list, or if it received any data and
-		// lasted for at least WatchIdleTimeout. A watch that received a list has worked however
-		// short it was: the next one must open without the backoff of a failed call, because the
-		// agent is expected to know later changes soon.
+		// failed call. A watch has worked if it received a list, however briefly it lasted, or if it
+		// received any data and lasted for at least WatchIdleTimeout. The next watch then opens
+		// without the backoff of a failed call, because the agent is expected to know later changes
+		// soon.
 		Established bool
 	}
 )
--- a/internal/discovery/retry.go
+++ b/internal/discovery/retry.go
@@ -21,9 +21,10 @@
 	}
 }
 
-// retryLocalFailures makes a call and repeats it, with backoff and jitter, while it fails on this
-// machine before anything was sent. Such a failure must not be reported as a failed call to
-// discovery: the caller's backoff would then delay the next call.
+// retryLocalFailures makes a call and repeats it while it fails on this machine before anything was
+// sent. The pauses between the calls have exponential backoff and jitter: each is at least half the
+// backoff and less than all of it. Such a failure must not be reported as a failed call to
+// discovery, as the caller's backoff would then delay the next call.
 func (c *Client) retryLocalFailures(call func() error) error {
 	for backoff := minLocalFailureBackoff; ; backoff = min(2*backoff, maxLocalFailureBackoff) {
 		err := call()
@@ -39,7 +40,7 @@
 	return errors.As(err, &op) && op.Op == "dial" && (socket.IsLocalError(err) || socket.IsUnreachable(err))
 }
 
-// sleep waits for the delay. It returns false at once when the client is closed.
+// sleep waits for the delay and returns true. If the client is closed, it returns false at once.
 func (c *Client) sleep(delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,9 +17,9 @@
 	errWatchSuperseded = errors.New("another call of the watch was answered first")
 )
 
-// Watch follows the changes after the version since. It ends when the connection ends, delivers no
-// data within the idle timeout or delivers an invalid list. It delivers a WatchEvent for each list
-// on arrival, then one WatchEnded. A watch is retried only if it fails before its first list.
+// Watch watches for changes after the version since. It delivers a WatchEvent for each list on
+// arrival, then one WatchEnded. The watch ends when the connection ends, delivers no data within the
+// idle timeout or delivers an invalid list. It is retried only if it fails before its first list.
 func (c *Client) Watch(since int64, retry Retry) {
 	var result watchResult
 	_ = c.withRetry(retry, func() error {
@@ -57,8 +57,8 @@
 }
 
 // watchOnce makes one call of a watch and delivers its lists in order until it ends. It calls claim
-// when the first data arrives. If claim returns false, another call has won: this call ends and
-// delivers nothing.
+// when the first data arrives. If claim returns false, another call was answered first: this call
+// ends and delivers nothing.
 func (c *Client) watchOnce(ctx context.Context, since int64, firstByteTimeout time.Duration, claim func() bool) (result watchResult) {
 	start := time.Now()
 	defer func() { result.duration = time.Since(start) }()
