--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -69,8 +69,8 @@
 }
 
 // acquire enters the connection in the table and reports whether there was a free slot. If there is
-// none, it evicts connections, the lowest eviction class first. The slots of most of them become free
-// only when the server has closed them, so the caller has to try again.
+// none, it evicts connections, those of the lowest eviction class first. The slots of most of them
+// become free only when the server has closed them, so the caller has to try again.
 func (t *Table) acquire(c *Conn, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
