--- a/internal/agent/discovery_moves_test.go
+++ b/internal/agent/discovery_moves_test.go
@@ -99,10 +99,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, endedAfterNotice := range []bool{true, false, true, false} {
+	for i, established := range []bool{true, false, true, false} {
 		seq := int64(5 + i)
 		l.handle(watchEvent{list: newList(seq, false)})
-		l.handle(watchEnded{err: io.EOF, endedAfterNotice: endedAfterNotice})
+		l.handle(watchEnded{err: io.EOF, established: established})
 		l.actions = append(l.actions[:0], policy.OpenWatch())
 		l.executeActions()
 		if l.watch.fetching || !l.watch.watching {
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -30,7 +30,7 @@
 		case discovery.WatchEvent:
 			l.post(watchEvent{generation: generation, list: result.List})
 		case discovery.WatchEnded:
-			l.post(watchEnded{generation: generation, err: result.Err, endedAfterNotice: result.Established})
+			l.post(watchEnded{generation: generation, err: result.Err, established: result.Established})
 		}
 	}
 }
@@ -67,7 +67,7 @@
 func (l *loop) onWatchEnded(in *watchEnded) {
 	l.watch.watching = false
 	l.startTimes.onWatchEnded(l.nowMs(), float64(discovery.WatchIdleTimeout.Milliseconds()))
-	if in.endedAfterNotice {
+	if in.established {
 		l.log.Warn("endpoint list watch ended", "err", in.err, "discovery", l.watch.discoveryAddr())
 		l.notify(&policy.WatchEnded{})
 	} else {
--- a/internal/agent/endpoints_test.go
+++ b/internal/agent/endpoints_test.go
@@ -84,7 +84,7 @@
 	}{
 		{discovery.Fetched{List: list, Err: io.EOF}, endpointsFetched{generation: 3, list: list, err: io.EOF}},
 		{discovery.WatchEvent{List: list}, watchEvent{generation: 3, list: list}},
-		{discovery.WatchEnded{Err: io.EOF, Established: true}, watchEnded{generation: 3, err: io.EOF, endedAfterNotice: true}},
+		{discovery.WatchEnded{Err: io.EOF, Established: true}, watchEnded{generation: 3, err: io.EOF, established: true}},
 	} {
 		t.Run(fmt.Sprintf("%T", c.result), func(t *testing.T) {
 			deliver(c.result)
--- a/internal/agent/inputs.go
+++ b/internal/agent/inputs.go
@@ -52,9 +52,9 @@
 
 	// watchEnded reports that a watch has ended.
 	watchEnded struct {
-		generation       int
-		err              error // the cause
-		endedAfterNotice bool  // see discovery.WatchEnded
+		generation  int
+		err         error // the cause
+		established bool  // see discovery.WatchEnded
 	}
 )
 
--- a/internal/agent/start_times_test.go
+++ b/internal/agent/start_times_test.go
@@ -106,7 +106,7 @@
 		t.Run(fmt.Sprint("clock off by ", step), func(t *testing.T) {
 			f := startWatchedFleet(t, step)
 			f.machine.advance(time.Minute)
-			f.loop.handle(watchEnded{err: io.EOF, endedAfterNotice: true})
+			f.loop.handle(watchEnded{err: io.EOF, established: true})
 			f.startBackend("s-0", 0)
 			f.machine.advance(4 * time.Second)
 			f.startBackend("s-1", 0)
