--- a/internal/config/trace_test.go
+++ b/internal/config/trace_test.go
@@ -8,7 +8,7 @@
 	"ploverreel/internal/config"
 )
 
-func TestParseTraceReadsPeriodOrNone(t *testing.T) {
+func TestParseTraceReadsIntervalOrNone(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "250ms": 250 * time.Millisecond, "2s": 2 * time.Second} {
 		if got, err := config.ParseTrace(text); err != nil || got != want {
 			t.Errorf("%q: got %v and error %v, want %v and none", text, got, err, want)
