--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -11,8 +11,8 @@
 	// then, the handler answers without it.
 	fallbackMargin = 2 * time.Millisecond
 	// decisionMargin and fallbackMargin are both subtracted from the deadline that the decision
-	// module is given. The module's last response, which carries a Retry-After, then precedes that
-	// of the handler, whatever the interval of the module's ticks is.
+	// module is given. The module's last response, which carries a Retry-After, then always comes
+	// before the handler's own, whatever the interval of the module's ticks is.
 	decisionMargin = 3 * time.Millisecond
 	// marginDivisor divides the time that a request has left. The quotient is the upper bound of the
 	// two margins together, so that a request with a short timeout keeps most of it.
@@ -55,10 +55,10 @@
 	a.awaitResponse(w, r, req)
 }
 
-// beginRequest marks a client's connection as having a request in progress, and returns when the
-// request was received. That is when its head was read, if known, because the client's timeout
-// starts before the handler runs. The connection is nil in tests that call the handler without a
-// server.
+// beginRequest marks a client's connection as having a request in progress, and returns the time at
+// which the request was received. If it is known when the head was read, it returns that time,
+// because the client's timeout starts before the handler runs. The connection is nil in tests that
+// call the handler without a server.
 func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
 	now := time.Now()
 	if client == nil {
@@ -102,9 +102,9 @@
 }
 
 // awaitResponse posts a request to the loop, waits for the response and writes it. It stops waiting
-// shortly before the request's deadline, when the client disconnects, or at the end of a graceful
-// shutdown, because the loop may be busy, its queue may be full, or a panic may have lost the
-// decision.
+// when the client disconnects, and shortly before the request's deadline or the end of a graceful
+// shutdown. The loop may not have responded by then, because it is busy, its queue is full or the
+// decision was lost in a panic.
 func (a *Agent) awaitResponse(w http.ResponseWriter, r *http.Request, req *request) {
 	fallbackTimer := time.NewTimer(time.Until(req.Deadline) - fallbackMargin)
 	defer fallbackTimer.Stop()
--- a/internal/agent/read_request.go
+++ b/internal/agent/read_request.go
@@ -18,15 +18,15 @@
 const (
 	// maxBodyBytes bounds the body of one request.
 	maxBodyBytes = 64 << 10
-	// maxTokenBytes bounds a Request-Id and a Host.
+	// maxTokenBytes bounds the length of a Request-Id and of a Host.
 	maxTokenBytes = 256
 	// bodyMemoryDivisor divides the memory limit of the process. The quotient bounds all request
 	// bodies in memory together.
 	bodyMemoryDivisor = 8
 
 	// bodyTimeout bounds the time in which a request's body arrives. A faulty client must get an
-	// error or a close within 3 s of connecting, so clientconn.HeadTimeout + bodyTimeout is less
-	// than that by a margin.
+	// error or a close within 3 s of connecting. The sum of clientconn.HeadTimeout and bodyTimeout
+	// is less than that by a margin.
 	bodyTimeout = time.Second
 	// minBodyTime is the least time in which a body may arrive, however short the request's
 	// deadline is. A response after the deadline has no value, but a request must not be lost
@@ -38,7 +38,7 @@
 type requestError struct {
 	status     int           // HTTP status of the response
 	reason     string        // one line for the client; names the invalid header or part
-	retryAfter time.Duration // if the request itself is valid; 0: no Retry-After
+	retryAfter time.Duration // set if the request itself is valid; 0: no Retry-After
 }
 
 func (e *requestError) Error() string { return e.reason }
@@ -151,8 +151,8 @@
 	return true
 }
 
-// readRoutingHints reads the inputs to the decision module's choice of a backend: the key, which is
-// the last segment of the path, the tenant (-1 if unknown), and the processing time that the client
+// readRoutingHints reads what the decision module needs to choose a backend: the key, which is the
+// last segment of the path, the tenant (-1 if unknown), and the processing time that the client
 // expects, which is sent in µs. All are optional, and a processing time that isn't a number is
 // ignored.
 func readRoutingHints(req *request, path []string, header http.Header) {
@@ -171,8 +171,8 @@
 	}
 }
 
-// readBody reads the body, whose length the head gives. It rejects the request if all bodies in
-// memory would exceed the bound that bodyMemoryDivisor gives.
+// readBody reads the body, whose length is in the head. It rejects the request if all bodies in
+// memory together would exceed the bound of bodyMemoryDivisor.
 func (a *Agent) readBody(w http.ResponseWriter, r *http.Request, req *request) error {
 	if r.ContentLength == 0 {
 		return nil
@@ -217,7 +217,7 @@
 }
 
 // parseTimeout parses a positive integer that is followed by a unit: m for milliseconds, u for
-// microseconds. Its errors don't name the header.
+// microseconds. A timeout above longest is an error. The errors don't name the header.
 func parseTimeout(text string, longest time.Duration) (time.Duration, error) {
 	unit := time.Duration(0)
 	switch {
--- a/internal/agent/ready.go
+++ b/internal/agent/ready.go
@@ -9,8 +9,8 @@
 // readyTimeout is the time after its start at which an agent that knows no backend reports ready.
 // Without it an agent that starts while discovery is down would get no requests from its
 // application. A ready agent queues requests for as long as they may wait for an endpoint list, and
-// rejects the others with a Retry-After. A restarted agent must be ready within 6 s where
-// little time is left, and within 10 s in general.
+// rejects the others with a Retry-After. A restarted agent must be ready within 10 s in general, and
+// within 6 s if little time is left.
 const readyTimeout = 5 * time.Second
 
 // readyState is the state that /ready reports. It belongs to the loop, except for isReady.
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -50,9 +50,9 @@
 }
 
 // writeClientGone responds to a request whose client has disconnected. A client that only shut down
-// its sending side can't be told from that and still reads. Without a response the HTTP server
-// would send it 200 with no body, although no backend sent one. 502 makes no statement about the
-// request.
+// its sending side can't be distinguished from that, and it still reads the response. If the handler
+// wrote none, the HTTP server would send 200 with no body, although no backend sent a response. 502
+// does not say whether the request ran.
 func (a *Agent) writeClientGone(w http.ResponseWriter) {
 	w.Header().Set("Connection", "close")
 	a.write(w, http.StatusBadGateway, "", nil)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -17,8 +17,8 @@
 const (
 	// maxHeadBytes bounds the request line and the headers of a request.
 	maxHeadBytes = 16 << 10
-	// responseWriteTimeout is added to a request's deadline. By then the client must have read its
-	// response.
+	// responseWriteTimeout is added to a request's deadline. The sum is the time by which the client
+	// must have read its response.
 	responseWriteTimeout = 5 * time.Second
 )
 
@@ -75,8 +75,8 @@
 
 var _ clientConn = (*clientconn.Conn)(nil)
 
-// clientConnOf returns the connection on which a request arrived, or nil if that was not accepted
-// by a clientconn.Listener.
+// clientConnOf returns the connection on which a request arrived, or nil if the connection was not
+// accepted by a clientconn.Listener.
 func clientConnOf(r *http.Request) clientConn {
 	client, _ := r.Context().Value(connKey{}).(clientConn)
 	return client
@@ -102,8 +102,8 @@
 
 // Reload applies another configuration while the agent runs, as a whole or not at all. In the
 // latter case the error names the field that can't change without a restart. Requests in progress
-// continue under the configuration under which they were read. The endpoint list, the connections
-// and the module's measurements of backends are kept. The seed and the endpoint list of next are
+// keep the configuration under which they were read. The endpoint list, the connections and the
+// module's measurements of backends are kept too. The seed and the endpoint list of next are
 // ignored, as they apply only at a start.
 func (a *Agent) Reload(next *config.Config) error {
 	if err := checkReload(a.config.Load(), next); err != nil {
@@ -121,8 +121,8 @@
 	}
 	a.maxDeadline.Store(max(a.maxDeadline.Load(), int64(next.MaxDeadline())))
 	a.clients.Resize(next.Limits.ClientSockets(), next.Limits.KeepAliveSockets())
-	// This is last because it lets new requests use the new classes, which the loop must know by
-	// then.
+	// From here on new requests use the classes of next. The loop must know these classes before, so
+	// this is the last step.
 	a.config.Store(next)
 	return nil
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -30,9 +30,9 @@
 // regarded as received, even if the agent has not read it. The agent therefore ends only when no
 // connection remains:
 //
-//  1. During shutdownAcceptTime connections are still accepted. Idle connections are closed in this
-//     step. A client that sends a request at the moment of the close can still retry on a new
-//     connection.
+//  1. During shutdownAcceptTime connections are still accepted. Idle connections are closed from
+//     this step on. A client that sends a request at the moment of the close can still retry on a
+//     new connection.
 //  2. The listener is closed. During shutdownReadGrace the connections that were accepted last are
 //     read.
 //  3. New connections on which nothing has arrived are closed too. Connections with an incomplete
@@ -59,15 +59,15 @@
 
 // maxShutdownTime returns the time after SIGTERM by which the agent ends at the latest. It allows
 // for a request on the connection that was accepted last, which may take the full timeouts to
-// arrive and the longest deadline to be answered.
+// arrive and the longest deadline to be answered. shutdownReadGrace is added once more at the end.
 func (a *Agent) maxShutdownTime() time.Duration {
 	return shutdownAcceptTime + shutdownReadGrace + clientconn.HeadTimeout + bodyTimeout +
 		time.Duration(a.maxDeadline.Load()) + shutdownReadGrace
 }
 
 // drainTimeout returns the time after SIGTERM by which the last response is sent. A request that
-// arrives before shutdownRejectAfter may take the longest deadline of the settings, but no longer
-// than maxDrainDeadline, as SIGKILL isn't delayed any further.
+// arrives before shutdownRejectAfter may take as long as the longest deadline of the settings, but
+// not longer than maxDrainDeadline, as SIGKILL isn't delayed any further.
 func (a *Agent) drainTimeout() time.Duration {
 	longest := time.Duration(0)
 	classes := a.config.Load().Settings.Classes
