--- a/internal/agent/actions.go
+++ b/internal/agent/actions.go
@@ -18,8 +18,8 @@
 }
 
 // handleEvent passes one event to the module and returns the actions that the module decides. If the
-// module panics, it returns the actions decided before the panic, because the module waits for the
-// attempts among them to end.
+// module panics, handleEvent returns the actions decided before the panic, because the module waits
+// for the end of the attempts that they start.
 func (l *loop) handleEvent(nowMs float64, event policy.Event) (actions []policy.Action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// execute executes one action. A panic affects only that action: the following ones belong to other
-// requests, and the module relies on their execution.
+// execute executes one action. It recovers a panic, because the following actions may belong to
+// other requests, and the module relies on their execution.
 func (l *loop) execute(action *policy.Action) {
 	defer l.recoverAction(action.Kind)
 	switch action.Kind {
--- a/internal/agent/attempts.go
+++ b/internal/agent/attempts.go
@@ -22,7 +22,7 @@
 func (l *loop) startAttempt(request *request, action *policy.Action) {
 	target := l.backends[action.Server]
 	if target == nil {
-		target = &listedBackend{addr: action.Server, conns: l.pool.NewConns("")}
+		target = &listedBackend{addr: action.Server, conns: l.pool.NewConns("")} // not usable
 	}
 	created := l.newAttempt(request, target, action)
 	request.attempts = append(request.attempts, created)
@@ -35,8 +35,8 @@
 		}
 	}()
 	if !target.usable || request.closed || request.client.abandoned.Load() {
-		// The module sends only to backends that are listed as ready. This check doesn't rely on
-		// that. It also stops attempts for a client whose disconnect is still in the queue.
+		// The module sends only to backends that are listed as ready, but the loop doesn't rely on
+		// that. This check also stops attempts for a client whose disconnect is still in the queue.
 		return
 	}
 	target.attempts[created] = struct{}{}
--- a/internal/agent/clock.go
+++ b/internal/agent/clock.go
@@ -7,8 +7,8 @@
 )
 
 // minClockStartMs is the lower bound of the time at which the module's clock starts, in ms since
-// 1970. To the module a time of 0 or less means "long ago" or "never", and a wall clock may read
-// 1970 or earlier.
+// 1970: one day. A wall clock may read 1970 or earlier, but to the module a time of 0 or less means
+// "long ago" or "never".
 const minClockStartMs = 24 * 3600e3
 
 // moduleClock is the clock of the decision module, in ms. It starts at the Unix time that the wall
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -7,9 +7,9 @@
 // loop and writes the single response. The connections of clients are handled by package
 // clientconn, those to backends by package backend, and calls to discovery by package discovery.
 //
-// New, Agent.Reload and Agent.Trace may be called from any goroutine. Agent.Serve is called once.
-// Reload and Trace wait for the loop, which runs as long as Serve does. RunSimulated runs a loop
-// without a handler in the goroutine of its caller.
+// New, Agent.Reload and Agent.Trace may be called from any goroutine. Agent.Serve must be called
+// only once. Reload and Trace wait for the loop, which runs as long as Serve does. RunSimulated runs
+// a loop without a handler in the goroutine of its caller.
 //
 // Errors are one line. New and RunSimulated return the error of the module if it rejects a setting.
 // Errors of Reload begin with "config: " and name the field that can't be changed. They are a
--- a/internal/agent/endpoints.go
+++ b/internal/agent/endpoints.go
@@ -9,7 +9,7 @@
 // watchState holds the discovery client and the version of the current endpoint list.
 type watchState struct {
 	discovery   *discovery.Client // of the current discovery address
-	generation  int               // number of earlier clients; distinguishes the results of this client from theirs
+	generation  int               // number of earlier clients; results with a lower number are ignored
 	watching    bool              // a watch is open or being opened
 	fetching    bool              // a fetch is in progress
 	listVersion int64             // version of the current list; 0 after a change of discovery
@@ -56,7 +56,7 @@
 		l.applyEndpointList(policy.ListFull, list)
 	case list.Seq > l.watch.listVersion:
 		l.applyEndpointList(policy.ListDelta, list)
-	default: // no change, but it shows the module that discovery works
+	default: // the list is not newer, but it shows the module that discovery works
 		l.notify(&policy.EndpointsUpdated{Kind: policy.ListDelta})
 	}
 	l.startTimes.onWatchEvent()
@@ -94,8 +94,8 @@
 
 // switchDiscovery changes the discovery address, unless it is the same. The calls to the previous
 // address end, and their results are ignored. A fetch from the new address and a watch of it start
-// at once. Until it answers, the current list and all connections are kept. List versions of the
-// two addresses can't be compared, so the current version is reset.
+// at once. The current list and all connections are kept until the new address delivers a list. List
+// versions of the two addresses can't be compared, so the current version is reset.
 func (l *loop) switchDiscovery(addr string) {
 	previous := l.watch.discovery
 	if addr == previous.Addr() {
@@ -164,8 +164,8 @@
 	}
 }
 
-// withdrawUnusable withdraws the attempts of unusable backends that have not begun to send, and
-// removes the backends that have no attempt in flight.
+// withdrawUnusable withdraws those attempts to unusable backends that have not begun to send, and
+// removes the unusable backends that have no attempt in flight.
 func (l *loop) withdrawUnusable() {
 	for _, target := range l.backends {
 		if !target.usable {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -18,15 +18,15 @@
 const (
 	// defaultConnectTimeout is the connect timeout if the settings have none.
 	defaultConnectTimeout = time.Second
-	// inputsPerSocket multiplies the socket limit. The product is the capacity of the input queue,
-	// which has room for all that can be in progress at once, so that a handler doesn't wait for
-	// space in it.
+	// inputsPerSocket multiplies the socket limit. The product is the capacity of the input queue.
+	// The queue has room for the inputs of everything that can be in progress at once, so that a
+	// handler doesn't wait for space in it.
 	inputsPerSocket = 4
 	// idleTimeoutDivisor divides the keep-alive time of the settings. The quotient is the time after
 	// which an idle connection to a backend is closed.
 	idleTimeoutDivisor = 2
-	// seenIDMargin is added to the longest deadline. Request ids are remembered for the sum, which
-	// is longer than any request is open.
+	// seenIDMargin is added to the longest deadline. Request ids are stored for the sum, which is
+	// longer than any request is open.
 	seenIDMargin = time.Second
 )
 
@@ -35,14 +35,14 @@
 // decides. It never blocks. The fields belong to that goroutine, except for inputs, ctx and
 // ready.isReady, which any goroutine may use.
 //
-// The loop starts a goroutine for each attempt and for each call to discovery. All of them, and run,
-// end with ctx, which the creator of the loop cancels: Agent.stop does so for an agent.
+// The loop starts a goroutine for each attempt and for each call to discovery. They and run end with
+// ctx, which the creator of the loop cancels. For an agent, Agent.stop does so.
 type loop struct {
 	// The decision module and its last decision.
 	balancer  *policy.Balancer
 	config    *config.Config // current configuration
 	clock     moduleClock
-	decidedAt time.Time       // just before the module's clock was read for the current event; timeouts of actions start here
+	decidedAt time.Time       // read just before the module's clock for the current event; timeouts of actions count from it
 	actions   []policy.Action // decided for the current event; reused
 
 	// Inputs, and the timers that post them.
@@ -127,9 +127,9 @@
 		ConnectTimeout: connectTimeout,
 		IdleTimeout:    config.Milliseconds(settings.Limits.KeepaliveMs / idleTimeoutDivisor),
 		MaxConns:       conf.Limits.BackendSockets(),
-		// If connections have a price in the settings, waiting some milliseconds for one to settle
-		// costs less than opening another. The wait doesn't lower the value of an answer that stays
-		// within its latency objective.
+		// If connections have a price in the settings, opening another one costs more than waiting
+		// some milliseconds for one to settle. The wait doesn't lower the value of a response that
+		// stays within its latency objective.
 		ExtraConns: settings.Prices.Handshake == 0 && settings.Prices.Connection == 0,
 	}
 }
@@ -166,8 +166,8 @@
 	}
 }
 
-// handle handles one input. If that panics, only the request of that input loses its decision, and
-// its HTTP handler responds without the loop. The other requests must not fail with it.
+// handle handles one input and recovers a panic, so that the other requests don't fail with it. Only
+// the request of that input gets no decision, and its HTTP handler responds without the loop.
 func (l *loop) handle(in input) {
 	defer l.recoverInput(in)
 	switch in := in.(type) {
--- a/internal/agent/requests.go
+++ b/internal/agent/requests.go
@@ -36,7 +36,7 @@
 // progress is the state of a request in the loop, to which it belongs.
 type progress struct {
 	closed   bool       // the request was answered, or its client has disconnected
-	attempts []*attempt // nil elements are attempts that this machine could not make, which may be many
+	attempts []*attempt // nil instead of those that this machine could not make, as these may be many
 	inFlight int        // attempts that have not ended
 }
 
@@ -97,9 +97,9 @@
 	return tenant
 }
 
-// onRequest notifies the module of a new request and of the time that remains for attempts. It
-// rejects the request at once, as never run, if its class is no longer in the settings. It also
-// responds at once if the id is that of an earlier request.
+// onRequest notifies the module of a new request and of the time that remains for attempts. If the
+// class is no longer in the settings, it rejects the request at once, as never run. If the id is
+// that of an earlier request, it responds with statusDuplicateID at once.
 func (l *loop) onRequest(request *request) {
 	if !l.remapClass(request) {
 		l.respond(request, response{status: policy.StatusRejected, retryAfter: maxRetryAfter(l.config)})
@@ -146,9 +146,9 @@
 	}
 }
 
-// closeRequest marks a request as closed because it is answered or its client has disconnected. Its
-// attempts that have not begun to send are withdrawn, wherever they wait. The settings may forbid
-// cancellation, but this is none, as no byte of those attempts was sent.
+// closeRequest marks a request as closed because it is answered or its client has disconnected. It
+// withdraws the attempts that have not begun to send, whatever they wait for. It does so even if the
+// settings forbid the cancellation of attempts, as no byte of these attempts was sent.
 func (l *loop) closeRequest(request *request) {
 	request.closed = true
 	for _, attempt := range request.attempts {
--- a/internal/agent/seen_ids.go
+++ b/internal/agent/seen_ids.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// maxIDsPerGeneration bounds the ids of one generation. At usual request rates it is reached after
-// some minutes.
+// maxIDsPerGeneration bounds the number of ids in one generation. At usual request rates it is
+// reached after some minutes.
 const maxIDsPerGeneration = 1 << 16
 
 // seenIDs stores the ids of recent requests, in two generations. Ids are unique, so a request whose
 // id is stored is a copy of the earlier request or an error of another client. If it were forwarded
 // while the earlier request is open, it would be a second attempt that the module didn't decide.
 //
-// A generation also ends when it is full. A client that sends ids at a high rate therefore shortens
-// the time for which they are stored, and doesn't exhaust the agent's memory. A seenIDs belongs to
-// the loop.
+// A generation ends after the retention time, or earlier if it is full. A client that sends ids at a
+// high rate therefore shortens the time for which they are stored, but doesn't exhaust the agent's
+// memory. A seenIDs belongs to the loop.
 type seenIDs struct {
 	retention         time.Duration // minimum time for which an id is stored, unless a generation was full
 	seed              maphash.Seed
--- a/internal/agent/start_times.go
+++ b/internal/agent/start_times.go
@@ -7,8 +7,8 @@
 )
 
 // maxClockOffsetMs is the assumed upper bound of the difference between the wall clocks of two
-// machines, in ms. Each clock may be stepped by up to an hour, in opposite directions, and have an
-// error of some seconds besides.
+// machines, in ms. The clocks may be stepped by up to an hour each, in opposite directions, and have
+// an error of some seconds besides.
 const maxClockOffsetMs = 2*3600e3 + 60e3
 
 // startTimes converts the time when a backend started, its born_ms, to the module's clock. A slow
@@ -37,8 +37,8 @@
 //     therefore used as the newest start, and each other start precedes it by the difference of
 //     their born_ms. A born_ms that is in the future by this machine's clock proves that the clocks
 //     differ. Its start is the time of the notification, and the estimate ignores it.
-//   - In any case, an age by this machine's clock that exceeds maxClockOffsetMs is a real age for
-//     the part in excess.
+//   - In any case, if an age by this machine's clock exceeds maxClockOffsetMs, the backend is at
+//     least as old as the excess.
 //
 // The cost: if an agent starts less than two hours after the newest start of a backend, it treats
 // that backend, and those that started shortly before it, as warming up for at most the time of a
@@ -54,7 +54,7 @@
 // the loop.
 type startTimes struct {
 	known           map[policy.Addr]startTime
-	toleranceMs     float64 // by which a notification may be slower than the fastest one
+	toleranceMs     float64 // time by which a notification may be slower than the fastest one
 	awaitsFirstList bool    // discovery has delivered no list yet
 	completeUntilMs float64 // the current list contains all starts up to this time; 0: a watch is open
 	offsetMs        float64 // estimate of the module's clock minus the clock of born_ms
--- a/internal/agent/trace.go
+++ b/internal/agent/trace.go
@@ -12,7 +12,7 @@
 const (
 	// maxTraceLines bounds the lines of a trace, which otherwise ends only with the agent.
 	maxTraceLines = 100_000
-	// maxTraceClasses bounds the classes of one line.
+	// maxTraceClasses bounds the number of classes in one line.
 	maxTraceClasses = 16
 )
 
@@ -20,8 +20,8 @@
 var errTraceStarted = errors.New("trace: already on")
 
 // Trace starts a trace: the agent logs the module's state once per interval until the agent ends or
-// maxTraceLines are written. Trace waits for the first line. It returns an error if a trace was
-// already started, and that of the context if the agent has ended.
+// maxTraceLines are written. Trace waits for the first line. It returns errTraceStarted if a trace
+// was already started, and the error of the loop's context if the agent has ended.
 func (a *Agent) Trace(interval time.Duration) error {
 	done := make(chan error, 1)
 	a.loop.post(traceRequested{interval: interval, done: done})
