--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -20,6 +20,7 @@
 	"drain":     "rule of the score",
 	"duplicate": "rule of the score",
 	"failback":  "rule of the score",
+	"lost":      "rule of the score",
 	"flowing":   "word of the simulator's protocol for a streamed response that has begun",
 }
 
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -4,25 +4,25 @@
 	"ploverreel/policy"
 )
 
-// attempt is one send of a request to a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	request       *request
-	index         int // among those of the request
+	index         int // among the request's attempts
 	server        *server
 	sentAt        float64 // in ms
-	serverProcess int     // number of the process of its server that serves it
-	ended         bool    // its agent no longer waits for it
-	queued        bool    // in its server's queue
+	serverProcess int     // number of the server process that serves it
+	ended         bool    // the agent no longer waits for it
+	queued        bool    // waits in the server's queue
 }
 
-// The events of requests, attempts and agents. Each is the thing itself under another type, so that
-// scheduling one allocates nothing.
+// The events of requests, attempts and agents. All but timer are the request or attempt itself,
+// converted to a type with its own method fire, so that scheduling one allocates nothing.
 type (
 	requestDeadline request
-	attemptArrived  attempt // at its server
-	attemptServed   attempt // its server has done its work
-	attemptAnswered attempt
-	attemptReset    attempt
+	attemptArrived  attempt // at the server
+	attemptServed   attempt // the server has finished its work
+	attemptAnswered attempt // the response has arrived at the agent
+	attemptReset    attempt // the agent sees a connection reset
 	attemptTimedOut attempt
 	connectFailed   attempt
 	timer           struct {
@@ -31,9 +31,9 @@
 	}
 )
 
-// send sends an attempt of a request.
-func (a *agent) send(request *request, act *policy.Action) {
-	model, server := a.m, a.m.serverAt(act.Server)
+// startAttempt starts an attempt of a request at the action's server.
+func (a *agent) startAttempt(request *request, action *policy.Action) {
+	model, server := a.m, a.m.serverAt(action.Server)
 	if server == nil {
 		return
 	}
@@ -42,7 +42,7 @@
 	if request.attempts > 0 {
 		count.Retries++
 	} else if request.retries == 0 {
-		model.waits.add(model.now - request.arrivedAt)
+		model.firstAttemptWaits.add(model.now - request.arrivedAt)
 	}
 	if server.zone != a.client.zone {
 		count.CrossZone++
@@ -57,8 +57,8 @@
 	request.attempts++
 	request.inFlight = sent
 	a.inFlight++
-	model.schedule(model.now+model.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
-	model.queue.pushLate(model.now+act.TimeoutMs, (*attemptTimedOut)(sent))
+	model.schedule(model.now+model.networkDelay(a.client.zone, server.zone), (*attemptArrived)(sent))
+	model.queue.pushOrdered(model.now+action.TimeoutMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
@@ -66,23 +66,24 @@
 func (t *attemptReset) fire(*Model)    { (*attempt)(t).end(policy.StatusReset) }
 func (t *attemptAnswered) fire(*Model) { (*attempt)(t).end(policy.StatusOK) }
 
-// end ends an attempt for its agent and reports the outcome. It does nothing the second time.
+// end ends an attempt and reports its outcome to the agent. If the attempt has already ended, it does
+// nothing.
 func (t *attempt) end(status policy.Status) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	t.server.abandon(t)
+	t.server.removeAbandoned(t)
 	request := t.request
 	agent := request.agent
 	model := agent.m
 	request.inFlight = nil
 	agent.inFlight--
 	if status == policy.StatusOK {
-		agent.conns[t.server] = t.serverProcess
+		agent.connections[t.server] = t.serverProcess
 		agent.idle[t.server] = append(agent.idle[t.server], model.now)
 	} else {
-		delete(agent.conns, t.server)
+		delete(agent.connections, t.server)
 		delete(agent.idle, t.server)
 	}
 	if status == policy.StatusOK && !request.final && !agent.ended {
@@ -95,5 +96,5 @@
 	}
 	agent.handle(&policy.AttemptEnded{Request: request.id, Attempt: t.index, Server: t.server.addr,
 		Status: status, LatencyMs: model.now - t.sentAt, Final: request.final})
-	request.forget()
+	request.removeIfDone()
 }
--- a/internal/fleet/model/faults.go
+++ b/internal/fleet/model/faults.go
@@ -4,29 +4,33 @@
 	"ploverreel/policy"
 )
 
-// The sizes and times of the scenarios' faults.
+// The sizes and durations of the scenarios' faults.
 const (
-	// SettleS is how many seconds a scenario plays before its fault and before it is counted.
+	// SettleS is the time in seconds that a scenario runs before its fault begins. Figures leave it
+	// out.
 	SettleS = 2.0
-	// detectionMs is after what time discovery reports a machine that went silent.
-	detectionMs = 2000.0
-	// zoneLossMs is how long a zone is lost, partitionMs how long a region is partitioned off.
-	zoneLossMs, partitionMs = 4000.0, 6000.0
-	// halfLossMs is for how long half of the servers are lost.
-	halfLossMs = 5000.0
-	// racks is how many racks a zone's machines stand in, lostRack the index of the one that is lost.
-	racks, lostRack = 14, 3
-	// replacedShare is the part of the servers replaced in an ordinary deployment, here all within replaceMs.
-	replacedShare, replaceMs = 0.08, 3000.0
-	// burstFactor multiplies the rate for burstMs while a zone warms up; restartedShare is the part
-	// of the agents that start anew then.
-	burstFactor, burstMs, restartedShare = 1.5, 3000.0, 0.1
-	// drainS is how many seconds a scenario plays after its last request.
-	drainS = 1.5
+	// failureDetectionMs is the delay in ms after which discovery reports a failed machine as gone.
+	failureDetectionMs = 2000.0
+	// zoneOutageMs is the duration of a zone's failure in ms, and partitionMs that of a region's
+	// partition.
+	zoneOutageMs, partitionMs = 4000.0, 6000.0
+	// halfOutageMs is the duration in ms of the failure of half of the servers.
+	halfOutageMs = 5000.0
+	// racksPerZone is the number of racks in a zone. failedRack is the index of the rack that fails.
+	racksPerZone, failedRack = 14, 3
+	// replacedShare is the share of the servers that an ordinary deployment replaces. The scenario
+	// replaces all of them within replacementWindowMs.
+	replacedShare, replacementWindowMs = 0.08, 3000.0
+	// burstRateFactor multiplies the rate of requests for burstMs while a zone warms up.
+	// restartedAgentShare is the share of the agents that restart when the burst begins.
+	burstRateFactor, burstMs, restartedAgentShare = 1.5, 3000.0, 0.1
+	// finishS is the time in seconds that a scenario runs on after its last request, so that the
+	// requests in flight end.
+	finishS = 1.5
 )
 
-// inZone returns the servers of a zone that are up.
-func (m *Model) inZone(zone int) []*server {
+// upServersInZone returns the servers of a zone that are up.
+func (m *Model) upServersInZone(zone int) []*server {
 	var all []*server
 	for _, server := range m.servers {
 		if server.zone == zone && !server.down && !server.silent {
@@ -36,126 +40,138 @@
 	return all
 }
 
-// loseMachines has the machines of servers fail, and discovery report it after detectionMs.
-func (m *Model) loseMachines(servers []*server) {
+// failMachines makes the machines of servers fail silently. Discovery lists the servers as gone after
+// failureDetectionMs.
+func (m *Model) failMachines(servers []*server) {
 	for _, server := range servers {
 		server.failSilently()
 	}
-	m.after(detectionMs, func() {
+	m.scheduleAfter(failureDetectionMs, func() {
 		for _, server := range servers {
 			server.listed = policy.HealthGone
 		}
-		m.announce(servers)
+		m.publish(servers)
 	})
 }
 
-// loseRack takes each racks-th server of the first zone: a rack holds servers of many services.
-func (m *Model) loseRack() {
+// failRack makes one rack of the first zone fail. The zone's servers are assigned to the racks in
+// turn, so that a rack holds servers of many services.
+func (m *Model) failRack() {
 	var rack []*server
-	for i, server := range m.inZone(0) {
-		if i%racks == lostRack {
+	for i, server := range m.upServersInZone(0) {
+		if i%racksPerZone == failedRack {
 			rack = append(rack, server)
 		}
 	}
-	m.loseMachines(rack)
+	m.failMachines(rack)
 }
 
-// lostZonePeak returns the factor of the other zones' rate while one is lost.
-func lostZonePeak(cfg *Config) float64 { return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1) }
+// zoneFailureRateFactor returns the factor by which the rate of the other zones rises while one
+// zone is down.
+func zoneFailureRateFactor(cfg *Config) float64 {
+	return float64(cfg.Zones) / max(float64(cfg.Zones-1), 1)
+}
 
-// loseZone takes the first zone's servers and agents; the traffic of its clients goes to the others.
-func (m *Model) loseZone() {
-	lost := m.inZone(0)
-	m.loseMachines(lost)
+// failZone makes the servers and agents of the first zone fail for zoneOutageMs. The traffic of the
+// zone's clients goes to the other zones meanwhile. The servers return in slow start and the agents
+// without state.
+func (m *Model) failZone() {
+	lost := m.upServersInZone(0)
+	m.failMachines(lost)
 	for _, client := range m.clients {
 		if client.zone == 0 {
-			client.agent.ended, client.lost = true, true
+			client.agent.ended, client.failed = true, true
 		}
 	}
-	m.rateFactor = lostZonePeak(&m.cfg)
-	m.after(zoneLossMs, func() {
+	m.rateFactor = zoneFailureRateFactor(&m.cfg)
+	m.scheduleAfter(zoneOutageMs, func() {
 		m.rateFactor = 1
 		m.restart(lost)
 		for _, client := range m.clients {
 			if client.zone == 0 {
-				client.lost = false
+				client.failed = false
 				client.restart()
 			}
 		}
 	})
 }
 
-// restart starts servers anew and has discovery publish it.
+// restart starts new processes of servers, in slow start, and publishes them through discovery.
 func (m *Model) restart(servers []*server) {
 	for _, server := range servers {
 		server.start()
 		server.listed = policy.HealthReady
 	}
-	m.announce(servers)
+	m.publish(servers)
 }
 
-// loseHalf takes every second server of each service; services of one server keep it.
-func (m *Model) loseHalf() {
+// failHalf makes every second server of each service fail for halfOutageMs. A service with a single
+// server keeps it.
+func (m *Model) failHalf() {
 	var half []*server
 	for _, service := range m.services {
 		for i := 1; i < len(service.servers); i += 2 {
 			half = append(half, service.servers[i])
 		}
 	}
-	m.loseMachines(half)
-	m.after(halfLossMs, func() { m.restart(half) })
+	m.failMachines(half)
+	m.scheduleAfter(halfOutageMs, func() { m.restart(half) })
 }
 
-// cutRegion partitions the first region from all others.
-func (m *Model) cutRegion() {
+// partitionRegion partitions the first region from all others for partitionMs.
+func (m *Model) partitionRegion() {
 	m.isolated[0] = true
-	m.after(partitionMs, func() { m.isolated[0] = false })
+	m.scheduleAfter(partitionMs, func() { m.isolated[0] = false })
 }
 
-// replace starts new servers for a part of the old ones, which drain and end.
-func (m *Model) replace(part float64) {
-	count := max(int(part*float64(len(m.servers))), 1)
+// replaceServers replaces a random share of the servers. For each it starts a new server in the
+// same zone and lists the old one as draining. The old server ends after the drain grace and the
+// maximum delay of the notification.
+func (m *Model) replaceServers(share float64) {
+	count := max(int(share*float64(len(m.servers))), 1)
 	for _, i := range m.rng.Perm(len(m.servers))[:count] {
 		old := m.servers[i]
-		m.after(m.rng.Float64()*replaceMs, func() {
-			fresh := m.addServer(old.service, old.zone)
-			fresh.start()
+		m.scheduleAfter(m.rng.Float64()*replacementWindowMs, func() {
+			replacement := m.addServer(old.service, old.zone)
+			replacement.start()
 			old.listed = policy.HealthDraining
-			m.announce([]*server{fresh, old})
-			m.after(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
+			m.publish([]*server{replacement, old})
+			m.scheduleAfter(m.cfg.Settings.Contract.DrainGraceMs+m.cfg.ListMs, func() {
 				old.stop()
 				old.down = true
-				m.announce([]*server{old})
+				m.publish([]*server{old})
 			})
 		})
 	}
 }
 
-// coldZone restarts the first zone's servers and a part of all agents under a burst.
-func (m *Model) coldZone() {
-	zone := m.inZone(0)
+// restartZone restarts all servers of the first zone, and restartedAgentShare of all agents, while
+// the rate of requests bursts.
+func (m *Model) restartZone() {
+	zone := m.upServersInZone(0)
 	for _, server := range zone {
 		server.stop()
 	}
 	m.restart(zone)
-	m.rateFactor = burstFactor
-	m.after(burstMs, func() { m.rateFactor = 1 })
+	m.rateFactor = burstRateFactor
+	m.scheduleAfter(burstMs, func() { m.rateFactor = 1 })
 	for _, client := range m.clients {
-		if m.rng.Float64() < restartedShare {
+		if m.rng.Float64() < restartedAgentShare {
 			client.restart()
 		}
 	}
 }
 
-// startAll restarts everything: no agent has ever met a warm server. Agents may start once more while
-// the servers warm up, and use an old endpoint list until they are notified.
-func (m *Model) startAll() {
+// restartAll restarts all servers and all agents, so that no agent has ever called a warm server. If
+// Variant.RestartS is set, each agent restarts once more while the servers warm up. If
+// Variant.StaleStart is set, agents use an old endpoint list until they are notified of the restart.
+func (m *Model) restartAll() {
 	if m.cfg.StaleStart {
 		for _, service := range m.services {
-			service.before = service.list()
+			service.staleList = service.list()
 		}
 		for _, client := range m.clients {
-			client.notifiedAt = m.now + client.listMs
+			client.restartNotifiedAt = m.now + client.listDelayMs
 		}
 	}
 	for _, server := range m.servers {
@@ -165,7 +181,7 @@
 	for _, client := range m.clients {
 		client.restart()
 		if m.cfg.RestartS > 0 {
-			m.after(1000*m.cfg.RestartS*m.rng.Float64(), client.restart)
+			m.scheduleAfter(1000*m.cfg.RestartS*m.rng.Float64(), client.restart)
 		}
 	}
 }
