--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -36,7 +36,7 @@
 		case simwire.InstanceStarted:
 			balancer, err := newBalancer(record)
 			if err != nil {
-				encoder.Crash(record.Instance, err.Error())
+				encoder.AddCrash(record.Instance, err.Error())
 				delete(instances, record.Instance)
 				return nil
 			}
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -17,8 +17,8 @@
 // Reset empties the frame and keeps its memory for the next one.
 func (e *Encoder) Reset() { e.count, e.records, e.tail = 0, e.records[:0], e.tail[:0] }
 
-// record appends a record of an instance, with empty fields, and returns its bytes.
-func (e *Encoder) record(code byte, instance uint32) []byte {
+// appendRecord appends a record of an instance, with empty fields, and returns its bytes.
+func (e *Encoder) appendRecord(code byte, instance uint32) []byte {
 	start := len(e.records)
 	e.records = append(e.records, make([]byte, ActionSize)...)
 	e.count++
@@ -28,50 +28,52 @@
 	return raw
 }
 
-// text appends a record that refers to a text, and appends the text to the tail.
-func (e *Encoder) text(code byte, instance uint32, text string) {
-	raw := e.record(code, instance)
+// appendText appends a record that refers to a text, and appends the text to the tail.
+func (e *Encoder) appendText(code byte, instance uint32, text string) {
+	raw := e.appendRecord(code, instance)
 	binary.BigEndian.PutUint32(raw[5:], uint32(len(e.tail)))
 	binary.BigEndian.PutUint32(raw[9:], uint32(len(text)))
 	e.tail = append(e.tail, text...)
 }
 
-// Crash appends a record which says that the decision code of an instance failed, with the reason.
-func (e *Encoder) Crash(instance uint32, text string) { e.text(codeCrash, instance, text) }
+// AddCrash appends a record which says that the decision code of an instance failed. The text is the
+// reason.
+func (e *Encoder) AddCrash(instance uint32, text string) { e.appendText(codeCrash, instance, text) }
 
-// Add appends one action of an instance. It skips kinds of actions for which the wire has no record.
+// Add appends a record for one action of an instance. It skips kinds of actions for which the wire
+// has no record.
 func (e *Encoder) Add(instance uint32, action *policy.Action) {
 	be := binary.BigEndian
 	switch action.Kind {
 	case policy.ActionSendAttempt:
-		raw := e.record(codeSendAttempt, instance)
+		raw := e.appendRecord(codeSendAttempt, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		copy(raw[9:15], action.Server[:])
 		putFloat64(raw[15:], action.TimeoutMs)
 	case policy.ActionCancelAttempt:
-		raw := e.record(codeCancelAttempt, instance)
+		raw := e.appendRecord(codeCancelAttempt, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		be.PutUint16(raw[9:], uint16(action.Attempt))
 	case policy.ActionRejectRequest:
-		raw := e.record(codeRejectRequest, instance)
+		raw := e.appendRecord(codeRejectRequest, instance)
 		be.PutUint32(raw[5:], uint32(action.Request))
 		putFloat64(raw[9:], action.RetryAfterMs)
 	case policy.ActionFailRequest:
-		be.PutUint32(e.record(codeFailRequest, instance)[5:], uint32(action.Request))
+		be.PutUint32(e.appendRecord(codeFailRequest, instance)[5:], uint32(action.Request))
 	case policy.ActionCheckHealth:
-		copy(e.record(codeCheckHealth, instance)[5:11], action.Server[:])
+		copy(e.appendRecord(codeCheckHealth, instance)[5:11], action.Server[:])
 	case policy.ActionSetTimer:
-		raw := e.record(codeSetTimer, instance)
+		raw := e.appendRecord(codeSetTimer, instance)
 		putFloat64(raw[5:], action.DelayMs)
 		be.PutUint32(raw[13:], action.Token)
 	case policy.ActionOpenWatch:
-		e.record(codeOpenWatch, instance)[5] = 1
+		e.appendRecord(codeOpenWatch, instance)[5] = 1
 	case policy.ActionFetchEndpoints:
-		e.record(codeFetchEndpoints, instance)
+		e.appendRecord(codeFetchEndpoints, instance)
 	case policy.ActionCloseIdleConnections:
-		copy(e.record(codeCloseIdleConnections, instance)[5:11], action.Server[:])
+		copy(e.appendRecord(codeCloseIdleConnections, instance)[5:11], action.Server[:])
 	case policy.ActionLogText:
-		e.text(codeLogText, instance, action.Text)
+		e.appendText(codeLogText, instance, action.Text)
 	}
 }
 
--- a/internal/simwire/encoder_test.go
+++ b/internal/simwire/encoder_test.go
@@ -25,7 +25,7 @@
 	} {
 		e.Add(3, &a)
 	}
-	e.Crash(4, "no")
+	e.AddCrash(4, "no")
 	var out bytes.Buffer
 	if _, err := e.WriteTo(&out); err != nil {
 		t.Fatal(err)
