--- a/internal/backend/response.go
+++ b/internal/backend/response.go
@@ -12,7 +12,7 @@
 const (
 	maxResponseBody     = 64 << 10 // bytes of a response's body
 	maxResponseHead     = 16 << 10 // bytes of a response head, with the interim (1xx) responses before it
-	maxInterimResponses = 8        // number of interim (1xx) responses before a response
+	maxInterimResponses = 8        // number of interim (1xx) responses before the final response
 )
 
 // readResponse reads the response to a request and reports whether the connection can be reused. If
@@ -34,7 +34,7 @@
 	case untilEnd:
 		conn.readBudget += maxResponseBody + 1 // the read after the last byte detects the end
 	case chunked:
-		conn.readBudget += maxResponseBody + maxResponseHead // with the chunk framing
+		conn.readBudget += maxResponseBody + maxResponseHead // the second is for the chunk framing
 	default:
 		conn.readBudget += int(response.ContentLength)
 	}
--- a/internal/clientconn/conn.go
+++ b/internal/clientconn/conn.go
@@ -25,9 +25,10 @@
 //
 // A new or idle connection becomes active when the head of a request is complete. An active
 // connection becomes idle when the response is written and the connection is kept alive. The table
-// may close a new or idle connection to free its slot, to reap it, or at shutdown. It then sets
-// closing and makes the pending read time out. If bytes of a request arrived before the server
-// notices that, the request is still answered, with "Connection: close".
+// may close a new or idle connection to free its slot (eviction), to limit the number of idle ones
+// (reaping), or at shutdown. It then sets closing and makes the pending read time out. If bytes of a
+// request arrived before the server notices that, the request is still answered, with
+// "Connection: close".
 //
 // table.mu guards the fields from stage to head. The fields after them belong to the goroutine that
 // reads. The server never has two reads of one connection in progress.
