--- a/internal/agent/handler.go
+++ b/internal/agent/handler.go
@@ -29,8 +29,8 @@
 			a.onHandlerPanic(w, req, reason)
 		}
 	}()
-	client := clientConnOf(r)
-	receivedAt := a.beginRequest(w, client)
+	conn := clientConnOf(r)
+	receivedAt := a.beginRequest(w, conn)
 	if r.Method == http.MethodGet && r.RequestURI == "/ready" {
 		a.serveReady(w)
 		return
@@ -45,8 +45,8 @@
 		return
 	}
 	defer a.bodyBytes.Add(-int64(len(req.Body)))
-	if client != nil {
-		req.client.conn = client.NetConn()
+	if conn != nil {
+		req.client.conn = conn.NetConn()
 	}
 	if !a.canRespondInTime(req) {
 		a.writeNotStarted(w, conf)
@@ -59,12 +59,12 @@
 // which the request was received. If it is known when the head was read, it returns that time,
 // because the client's timeout starts before the handler runs. The connection is nil in tests that
 // call the handler without a server.
-func (a *Agent) beginRequest(w http.ResponseWriter, client clientConn) time.Time {
+func (a *Agent) beginRequest(w http.ResponseWriter, conn clientConn) time.Time {
 	now := time.Now()
-	if client == nil {
+	if conn == nil {
 		return now
 	}
-	receivedAt, last := client.BeginRequest()
+	receivedAt, last := conn.BeginRequest()
 	if last {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/agent/response.go
+++ b/internal/agent/response.go
@@ -30,8 +30,8 @@
 func (a *Agent) writeRequestError(w http.ResponseWriter, r *http.Request, err error) {
 	invalid := &requestError{status: http.StatusBadRequest, reason: err.Error()}
 	errors.As(err, &invalid)
-	if client := clientConnOf(r); client != nil {
-		client.MarkRejected()
+	if conn := clientConnOf(r); conn != nil {
+		conn.MarkRejected()
 	}
 	// The server reads the rest of the body before it closes the connection.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -78,8 +78,8 @@
 // clientConnOf returns the connection on which a request arrived, or nil if the connection was not
 // accepted by a clientconn.Listener.
 func clientConnOf(r *http.Request) clientConn {
-	client, _ := r.Context().Value(connKey{}).(clientConn)
-	return client
+	conn, _ := r.Context().Value(connKey{}).(clientConn)
+	return conn
 }
 
 // newServer returns the HTTP server for the clients' connections.
@@ -146,12 +146,12 @@
 	go a.loop.run()
 	go a.clients.ReapIdleUntil(ctx)
 	failed := make(chan error, 1)
-	clients := clientconn.NewListener(ln, a.clients, a.log)
-	go func() { failed <- a.server.Serve(clients) }()
+	listener := clientconn.NewListener(ln, a.clients, a.log)
+	go func() { failed <- a.server.Serve(listener) }()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	return a.shutdown(clients)
+	return a.shutdown(listener)
 }
