--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -87,7 +87,7 @@
 		requests:   map[policy.RequestID]*request{},
 		seenIDs:    newSeenIDs(0),
 		backends:   map[policy.Addr]*listedBackend{},
-		pool:       backend.NewPool((&net.Dialer{KeepAlive: -1}).DialContext, backend.Settings{}),
+		pool:       backend.NewPool((&net.Dialer{KeepAlive: -1}).DialContext, backend.Settings{}), // without TCP keep-alive probes
 		startTimes: newStartTimes(),
 		log:        log,
 	}
--- a/internal/clientconn/table.go
+++ b/internal/clientconn/table.go
@@ -7,7 +7,7 @@
 
 // Table is the client connection table. It has maxConns slots, each for one client connection. It
 // decides which connections are closed to free a slot, to limit the number that are kept alive, and
-// at shutdown. mu guards the fields of the table and the first group of fields of each Conn.
+// at shutdown. mu guards the fields of the table, and the fields from stage to head of each Conn.
 type Table struct {
 	mu           sync.Mutex
 	maxConns     int // number of slots
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,9 +17,10 @@
 	errWatchSuperseded = errors.New("another call of the watch was answered first")
 )
 
-// Watch watches for changes after the version since. It delivers a WatchEvent for each list on
-// arrival, then one WatchEnded. The watch ends when the connection ends, delivers no data within the
-// idle timeout or delivers an invalid list. It is retried only if it fails before its first list.
+// Watch opens a watch for the changes after the version since. It delivers a WatchEvent for each
+// list on arrival, then one WatchEnded. The watch ends when the connection ends, delivers no data
+// within the idle timeout or delivers an invalid list. It is retried only if it fails before its
+// first list.
 func (c *Client) Watch(since int64, retry Retry) {
 	var result watchResult
 	_ = c.withRetry(retry, func() error {
