--- a/internal/backend/conns.go
+++ b/internal/backend/conns.go
@@ -96,7 +96,8 @@
 func (c *Conns) put(conn *pooledConn) { c.putIdleSince(conn, time.Now()) }
 
 // putIdleSince returns a connection that has been idle since the given time. It closes the
-// connection if the Conns is closed. Otherwise it schedules a sweep, unless one is scheduled already.
+// connection if the Conns is closed. Otherwise it schedules a sweep, unless one is scheduled
+// already.
 func (c *Conns) putIdleSince(conn *pooledConn, since time.Time) {
 	p := c.pool
 	p.mu.Lock()
