--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -54,7 +54,7 @@
 		{"late", "agents begin with the old list and are notified of the start within 2 s", late},
 		{"restart", "each agent starts once more within 4 s", restart},
 		{"colder", "servers begin at a tenth of their capacity", func(cfg *model.Config) {
-			cfg.Settings.Contract.SlowStartFrom = colderFrom
+			cfg.Settings.Contract.InitialCapacity = colderFrom
 		}},
 		{"all", "heavy, late and restart together", func(cfg *model.Config) { heavy(cfg); late(cfg); restart(cfg) }},
 	}
--- a/internal/fleet/decisions/workload.go
+++ b/internal/fleet/decisions/workload.go
@@ -40,12 +40,12 @@
 		},
 		Limits: policy.Limits{Cancellation: true, HealthChecks: true, MaxAttempts: 5, MaxRetryAfterMs: 2000,
 			ConnectTimeoutMs: 250, KeepaliveMs: 15000},
-		Contract: policy.Contract{AnswerSlackMs: 5, PollWithinMs: 10000, SlowStartFrom: 0.3, SlowStartMs: 7000,
+		Contract: policy.Contract{AnswerSlackMs: 5, MaxListAgeMs: 10000, InitialCapacity: 0.3, SlowStartMs: 7000,
 			DrainGraceMs: 1500, OverloadMultiple: 3, OverloadWindowMs: 1000},
-		Prices:     policy.Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.04, LateFail: 0.03, Waste: 0.1},
+		Prices:     policy.Prices{CrossZone: 0.03, Handshake: 0.08, HealthCheck: 0.04, LateFailure: 0.03, Waste: 0.1},
 		Objective:  policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1},
-		Membership: policy.MembershipPushed, Replicas: l.replicas, RoundMs: 1, Weights: "off", WeightBy: "request",
-		OverQuotaWeight: 0.2,
+		Membership: policy.MembershipPushed, Replicas: l.replicas, RoundMs: 1, Weights: "off", PriorityUnit: "request",
+		OverQuotaFactor: 0.2,
 	}
 	for i, portion := range tenantShares {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: fmt.Sprintf("tenant-%d", i+1), QuotaShare: portion,
--- a/internal/fleet/model/server.go
+++ b/internal/fleet/model/server.go
@@ -92,12 +92,12 @@
 	return entry
 }
 
-// ramp returns the part of its full speed that a server has warmed up to: linear from SlowStartFrom to 1
+// ramp returns the part of its full speed that a server has warmed up to: linear from InitialCapacity to 1
 // within SlowStartMs.
 func (s *server) ramp(now float64) float64 {
 	contract := &s.m.cfg.Settings.Contract
 	if age := now - s.startedAt; s.startedAt > 0 && age < contract.SlowStartMs {
-		return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+		return contract.InitialCapacity + (1-contract.InitialCapacity)*max(age, 0)/contract.SlowStartMs
 	}
 	return 1
 }
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -57,7 +57,7 @@
 	settings.Classes = []policy.Class{class("short", 6, 1, policy.EffectIdempotent), class("long", 12, 1, policy.EffectIdempotent),
 		class("keyed", 12, 3, policy.EffectIdempotentWithKey), class("once", 12, 8, policy.EffectNonIdempotent)}
 	settings.Objective = policy.Objective{Whole: 0.55, WorstWindow: 0.15, WorstClass: 0.2, WorstTenant: 0.1}
-	settings.OverQuotaWeight = 0.2
+	settings.OverQuotaFactor = 0.2
 	settings.Tenants = []policy.Tenant{{Name: "large", QuotaShare: 0.7}, {Name: "small", QuotaShare: 0.3}}
 	cfg.Traffic = []Traffic{{0.4, 0.7}, {0.3, 1}, {0.2, 1.4}, {0.1, 1.4}}
 	cfg.Retries = 2
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -65,12 +65,12 @@
 		priority += objective.WorstClass * q.classes.meanPriority / class.requestShare
 	}
 	if q.now+q.latency.expectedMs(request) > request.timing.objectiveAt {
-		priority *= class.LateWeight + q.set.Prices.LateFail
+		priority *= class.LateShare + q.set.Prices.LateFailure
 	}
 	if q.quotas.over(request.tenant) {
-		priority *= q.set.OverQuotaWeight
+		priority *= q.set.OverQuotaFactor
 	}
-	if q.set.WeightBy != "work" {
+	if q.set.PriorityUnit != "work" {
 		priority /= class.expectedMs(q.now)
 	}
 	return priority
--- a/policy/endpoint_lifecycle.go
+++ b/policy/endpoint_lifecycle.go
@@ -108,7 +108,7 @@
 	objectiveAt := request.timing.objectiveAt
 	switch {
 	case attempt.cancelled || request.closed || request.started:
-	case request.class.LateWeight == 0 && b.now >= objectiveAt:
+	case request.class.LateShare == 0 && b.now >= objectiveAt:
 		attempt.cancelled = true
 		b.finishUnserved(request)
 	case b.set.Limits.Cancellation && b.retries.mayRetryNow(request) &&
--- a/policy/endpoint_watch.go
+++ b/policy/endpoint_watch.go
@@ -126,7 +126,7 @@
 	if w.set.Membership != MembershipPushed {
 		return
 	}
-	if w.now-w.fetchedAt >= max(w.set.Contract.PollWithinMs, minFetchIntervalMs) {
+	if w.now-w.fetchedAt >= max(w.set.Contract.MaxListAgeMs, minFetchIntervalMs) {
 		w.fetchedAt = w.now
 		w.do(FetchEndpoints())
 	}
--- a/policy/request_lifecycle.go
+++ b/policy/request_lifecycle.go
@@ -58,7 +58,7 @@
 // isInfeasible reports whether a request's hinted work cannot fit its objective anywhere: the costly
 // few of a heavy tail would only keep others waiting.
 func (b *Balancer) isInfeasible(request *request) bool {
-	return request.hint > 0 && request.class.LateWeight == 0 &&
+	return request.hint > 0 && request.class.LateShare == 0 &&
 		infeasibleFraction*b.latency.hints.expectedMs(request) > request.timing.objectiveAt-b.now
 }
 
@@ -124,7 +124,7 @@
 	for i := 0; i < len(b.queue.queued); {
 		request := b.queue.queued[i]
 		last := request.timing.objectiveAt
-		if request.class.LateWeight > 0 {
+		if request.class.LateShare > 0 {
 			last = request.timing.deadline
 		}
 		if b.now+b.latency.expectedMs(request) > last || b.now >= request.timing.deadline {
@@ -150,7 +150,7 @@
 		}
 		for _, attempt := range endpoint.traffic.inFlight {
 			request := attempt.request
-			late := b.now >= request.timing.objectiveAt && request.class.LateWeight == 0
+			late := b.now >= request.timing.objectiveAt && request.class.LateShare == 0
 			if late && isRepeatable(request.class) {
 				b.finishUnserved(request)
 			}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -24,22 +24,22 @@
 // in ms: at its start, where that means most, it then counts as ageErrorFactor times what it can
 // do.
 func (c *Contract) StartToleranceMs() float64 {
-	if c.SlowStartFrom >= 1 {
+	if c.InitialCapacity >= 1 {
 		return c.SlowStartMs
 	}
-	return min((ageErrorFactor-1)*c.SlowStartFrom/(1-c.SlowStartFrom)*c.SlowStartMs, c.SlowStartMs)
+	return min((ageErrorFactor-1)*c.InitialCapacity/(1-c.InitialCapacity)*c.SlowStartMs, c.SlowStartMs)
 }
 
 // capacityFraction returns the part of its capacity that an endpoint has by the contract: it grows
-// evenly with the age of its process, from SlowStartFrom to 1.
+// evenly with the age of its process, from InitialCapacity to 1.
 func (env *environment) capacityFraction(endpoint *endpoint) float64 {
 	contract, start := &env.set.Contract, &endpoint.slowStart
 	age := env.now - start.startedAt
 	if start.startedAt <= 0 || age >= contract.SlowStartMs ||
-		start.startedAt != start.listedStartAt && age > contract.PollWithinMs {
+		start.startedAt != start.listedStartAt && age > contract.MaxListAgeMs {
 		return 1 // long past, or a restart that was assumed and not confirmed by the list in its time
 	}
-	return contract.SlowStartFrom + (1-contract.SlowStartFrom)*max(age, 0)/contract.SlowStartMs
+	return contract.InitialCapacity + (1-contract.InitialCapacity)*max(age, 0)/contract.SlowStartMs
 }
 
 // slowStart holds which endpoints are warming up and what they may be sent.
