--- a/internal/fleet/controlplane/calm.go
+++ b/internal/fleet/controlplane/calm.go
@@ -43,7 +43,7 @@
 	every, took := c.fleet.agents(everywhere), newDelays()
 	for range c.fleet.plan.Changes {
 		c.measureChange(took, every, c.fleet.randomChange())
-		c.sleep(changePause)
+		c.sleep(changeInterval)
 	}
 	took.addTo(&c.result, "change")
 	c.result.Add("changes", "count", float64(c.fleet.plan.Changes))
--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -8,8 +8,9 @@
 	"ploverreel/internal/fleet"
 )
 
-// changePause keeps changes apart, so that agents do not get two of them as one.
-const changePause = 300 * time.Millisecond
+// changeInterval is the wait after a change of the list. A change that follows sooner may reach an
+// agent together with the one before it, as a single update.
+const changeInterval = 300 * time.Millisecond
 
 // caseRun plays one case on a running fleet as a sequence of steps: begin a phase, change the list, wait
 // until the change is in force, record what that took. The first error stays in err; the steps after it
--- a/internal/fleet/controlplane/delays.go
+++ b/internal/fleet/controlplane/delays.go
@@ -9,6 +9,13 @@
 	"ploverreel/internal/fleet"
 )
 
+const (
+	// maxDelay is the longest delay that the histogram can record. The plan's limit is at most as long.
+	maxDelay = time.Hour
+	// delayDigits is the number of significant decimal digits that the histogram keeps of a delay.
+	delayDigits = 3
+)
+
 // delays are how long versions took to be in force, over agents and versions.
 type delays struct {
 	histogram *hdrhistogram.Histogram // in microseconds
@@ -16,7 +23,9 @@
 }
 
 // newDelays returns delays without any.
-func newDelays() *delays { return &delays{histogram: hdrhistogram.New(1, time.Hour.Microseconds(), 3)} }
+func newDelays() *delays {
+	return &delays{histogram: hdrhistogram.New(1, maxDelay.Microseconds(), delayDigits)}
+}
 
 // add takes in one version: for each of the agents the time from begin until it is in force there.
 func (d *delays) add(f *fleetRun, agents []int, v version, begin func(agent int) time.Time) error {
--- a/internal/fleet/controlplane/directory.go
+++ b/internal/fleet/controlplane/directory.go
@@ -13,8 +13,9 @@
 // errSilent is the error of a directory that serves nothing now.
 var errSilent = errors.New("list: silent")
 
-// maxTexts bounds the encoded lists that a directory keeps for the next reader of the same.
-const maxTexts = 1024
+// maxEncodedLists is the maximum number of encoded lists that a directory caches. A cached list is
+// reused for later readers with the same scope and version.
+const maxEncodedLists = 1024
 
 // directory is a versioned endpoint list: the bench's, which is the source of truth, or a stand-in's copy of it.
 // Servers that are gone stay in it, as changes have to name them. Its methods may be called by any goroutine.
@@ -127,7 +128,7 @@
 		return nil, 0, fmt.Errorf("list: %w", err)
 	}
 	text = append(text, '\n')
-	if len(d.texts) >= maxTexts {
+	if len(d.texts) >= maxEncodedLists {
 		clear(d.texts)
 	}
 	d.texts[at] = text
--- a/internal/fleet/controlplane/fault_restart.go
+++ b/internal/fleet/controlplane/fault_restart.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// restartedShare is the part of the agents that restart at once.
-const restartedShare = 0.1
+// restartedAgentShare is the share of all agents that restart at the same time.
+const restartedAgentShare = 0.1
 
 // agentsRestarted restarts a part of the agents at once, each without a list.
 var agentsRestarted = fault{"a tenth restarted", func(c *caseRun) {
 	f := c.fleet
-	sample := f.sampleAgents(restartedShare)
+	sample := f.sampleAgents(restartedAgentShare)
 	restarting := map[int]bool{}
 	for _, a := range sample {
 		restarting[a] = true
--- a/internal/fleet/controlplane/fault_zone.go
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -16,7 +16,7 @@
 		c.measureChange(took, every, hosts...)
 		took.addTo(&c.result, change.prefix)
 		c.result.Add(change.prefix+"_servers", "count", float64(len(hosts)))
-		c.sleep(changePause)
+		c.sleep(changeInterval)
 		c.endPhase(change.prefix)
 	}
 }}
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -13,6 +13,9 @@
 // firstVersion is the version of the list that the fleet starts with.
 const firstVersion = 1
 
+// fleetStream is the random stream, under the plan's seed, of the changes and samples that a fleet draws.
+const fleetStream = 2
+
 // fleetRun is one fleet under measurement.
 type fleetRun struct {
 	plan     *Plan
@@ -49,7 +52,7 @@
 
 // newFleetRun returns a fleet that is not started.
 func newFleetRun(p *Plan, log *slog.Logger, spawn Spawn) *fleetRun {
-	return &fleetRun{plan: p, log: log, spawn: spawn, rng: rand.New(rand.NewPCG(p.Size.Seed, 2))}
+	return &fleetRun{plan: p, log: log, spawn: spawn, rng: rand.New(rand.NewPCG(p.Size.Seed, fleetStream))}
 }
 
 // start opens the stand-ins and then the agents, and begins the first phase. The fleet must be stopped also
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -19,11 +19,20 @@
 	"ploverreel/policy"
 )
 
-// What a list holds of the servers: all of the fleet's, as discovery's protocol has it, or
-// one service's, which it has not.
+// The scopes of an endpoint list: which servers it holds.
 const (
-	ScopeFleet   = "fleet"
-	ScopeService = "service"
+	ScopeFleet   = "fleet"   // all servers, as in the published discovery protocol
+	ScopeService = "service" // the servers of one service; the published protocol has no such lists
+)
+
+const (
+	// serversPerCell is the number of servers with consecutive indexes that share a cell.
+	serversPerCell = 40
+	// servicesStream is the random stream, under the plan's seed, of the services of the servers.
+	servicesStream = 1
+	// nameMultiplier maps a server's index, modulo 2^32, to the number in its name (multiplicative
+	// hashing with the golden ratio). It is odd, so no two indexes get the same name.
+	nameMultiplier = 2654435761
 )
 
 // Plan describes a run; the command line of 'fleetbench control' explains each field. Spans are
@@ -47,11 +56,13 @@
 	Faults     bool          // play the faults too, at the full size
 }
 
-// What the memory of an agent is taken to be before a run: a fixed part, and what each entry
-// of its list takes with the garbage that stands beside it.
+// Estimates that Validate compares with the limits of the machine.
 const (
-	agentBytes, entryBytes = 300 << 10, 1 << 10
-	spareFiles             = 64 // of a process, beside the watches
+	// bytesPerAgent is the memory of an agent without its list. bytesPerEntry is the memory of each
+	// entry of its list, with the garbage that has not been collected yet.
+	bytesPerAgent, bytesPerEntry = 300 << 10, 1 << 10
+	// spareDescriptors is the number of open files of a process besides its watches and listeners.
+	spareDescriptors = 64
 )
 
 // Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
@@ -87,9 +98,9 @@
 		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
 	}
 	if p.Sweep {
-		least := sweepParts[0]
-		if float64(p.Size.Agents)*least*sweepAgents < 1 {
-			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgents), p.Size.Agents)
+		least := sweepShares[0]
+		if float64(p.Size.Agents)*least*sweepAgentShare < 1 {
+			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgentShare), p.Size.Agents)
 		}
 		if n := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*least < float64(n) {
 			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(n)/least, p.Size.Servers)
@@ -117,7 +128,7 @@
 	if p.Scope == ScopeService {
 		entries /= float64(size.Services)
 	}
-	if err := fleet.CheckMemory("agents", float64(size.Agents)*(agentBytes+entryBytes*entries)); err != nil {
+	if err := fleet.CheckMemory("agents", float64(size.Agents)*(bytesPerAgent+bytesPerEntry*entries)); err != nil {
 		return err
 	}
 	var files syscall.Rlimit
@@ -127,7 +138,7 @@
 	// A watch that is opened anew may stand beside the one that has ended.
 	watches := 2 * max(ceil(size.Agents, p.Processes), p.agentsOf(0))
 	ports := p.scopes() * p.StandIns * size.Regions
-	if need := max(watches+p.scopes(), ports) + spareFiles; uint64(need) > files.Cur {
+	if need := max(watches+p.scopes(), ports) + spareDescriptors; uint64(need) > files.Cur {
 		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", need, files.Cur)
 	}
 	return nil
@@ -183,7 +194,7 @@
 
 // services returns the service of each server. Services are uneven: each has one server at least, the first more.
 func (p *Plan) services() []int {
-	rng := rand.New(rand.NewPCG(p.Size.Seed, 1))
+	rng := rand.New(rand.NewPCG(p.Size.Seed, servicesStream))
 	sum, until := 0.0, make([]float64, p.Size.Services)
 	for k := range until {
 		sum += 1 / math.Sqrt(float64(k+1))
@@ -201,14 +212,14 @@
 }
 
 // serverName returns a server's name in the list. The agent hashes it.
-func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*2654435761) }
+func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*nameMultiplier) }
 
 // hosts returns the list at the start. Nobody dials its addresses.
 func (p *Plan) hosts() []endpointlist.Host {
 	hosts := make([]endpointlist.Host, p.Size.Servers)
 	for i := range hosts {
 		hosts[i] = endpointlist.Host{Host: serverName(i), Dial: fmt.Sprintf("127.%d.%d.%d:8081", p.zoneOf(i)+1, i>>8&255, i&255),
-			Site: zoneName(p.zoneOf(i)), Class: "m1", Block: i / 40, Health: "ready", Share: 1}
+			Site: zoneName(p.zoneOf(i)), Class: "m1", Block: i / serversPerCell, Health: "ready", Share: 1}
 	}
 	return hosts
 }
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -87,7 +87,7 @@
 	})
 }
 
-// shutdownGrace is how long a process may take to end after its commands have.
+// shutdownGrace is the time that a process has to exit after its commands end. Then it is killed.
 const shutdownGrace = 5 * time.Second
 
 // close lets the process end, and ends it if it does not.
--- a/internal/fleet/controlplane/protocol.go
+++ b/internal/fleet/controlplane/protocol.go
@@ -2,19 +2,19 @@
 
 import "encoding/json"
 
-// The roles of the bench's processes, the last argument of their command line.
+// The roles of the bench's processes. The role is the last argument of a process's command line.
 const (
-	RoleStandIn = "stand-in"
-	RoleAgents  = "agents"
+	RoleStandIn = "stand-in" // serves the discovery protocol
+	RoleAgents  = "agents"   // runs simulated agents
 )
 
-// The commands of the bench to its processes.
+// The operations of a command, with the fields of the command that each one reads.
 const (
-	opOpen    = "open"    // stand-in: Plan, List, Ports. agents: Plan, Agents, Ports
-	opList    = "list"    // stand-in: List
-	opSilence = "silence" // stand-in: Silent
-	opRestart = "restart" // agents: Agents
-	opReport  = "report"  // both
+	opOpen    = "open"    // starts to serve or to run agents; stand-in: Plan, List, Ports; agents: Plan, Agents, Ports
+	opList    = "list"    // delivers an update of the list; stand-in: List
+	opSilence = "silence" // stops or resumes all answers; stand-in: Silent
+	opRestart = "restart" // restarts agents without a list; agents: Agents
+	opReport  = "report"  // returns counts, events and usage; both roles: Heap
 )
 
 // command is one line from the bench to a process of its own; a reply comes for each.
--- a/internal/fleet/controlplane/reports.go
+++ b/internal/fleet/controlplane/reports.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// pollEvery is how often the agents' processes are polled for what came to be in force.
-	pollEvery = 100 * time.Millisecond
-	// progressEvery is how often a wait for a version is logged.
-	progressEvery = 5 * time.Second
+	// pollInterval is the time between two polls of the agents' processes for versions in force.
+	pollInterval = 100 * time.Millisecond
+	// progressLogInterval is the minimum time between two log lines about the wait for a version.
+	progressLogInterval = 5 * time.Second
 )
 
 // pollAgents takes in what the agents' processes report.
@@ -81,11 +81,11 @@
 		if without == 0 || time.Now().After(deadline) {
 			return nil
 		}
-		if time.Since(logged) > progressEvery {
+		if time.Since(logged) > progressLogInterval {
 			logged = time.Now()
 			f.log.Info("waiting", "version", v.seq, "agents", len(agents), "without it", without)
 		}
-		if err := sleep(ctx, pollEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/controlplane/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -8,17 +8,19 @@
 	"ploverreel/internal/fleet"
 )
 
-// sweepAgents is the part of the agents that the sweep over lists runs with.
-const sweepAgents = 0.25
+// sweepAgentShare times the plan's number of agents is the number of agents in the fleets of the
+// sweep over the length of the list.
+const sweepAgentShare = 0.25
 
-// sweepParts are the parts of the size that the slopes are fitted through.
-var sweepParts = []float64{0.125, 0.25, 0.5, 0.75}
+// sweepShares times the plan's number of agents, or of servers, are the sizes of the smaller fleets
+// that the slopes are fitted through.
+var sweepShares = []float64{0.125, 0.25, 0.5, 0.75}
 
-// The names of the cases.
+// The names of the cases without a fault.
 const (
-	caseAgents  = "agents"  // the calm fleet at several numbers of agents
-	caseServers = "servers" // the same at several lengths of the list
-	caseTarget  = "target"  // the calm fleet at the plan's size
+	caseAgents  = "agents"  // the fleet at several numbers of agents
+	caseServers = "servers" // the fleet at several numbers of servers, which are the entries of the list
+	caseTarget  = "target"  // the fleet at the plan's size
 )
 
 // Run plays the plan in processes that spawn starts, and returns its cases and the lines fitted
@@ -54,13 +56,13 @@
 func (p *Plan) fleets() []plannedFleet {
 	var list []plannedFleet
 	if p.Sweep {
-		for _, part := range sweepParts {
+		for _, part := range sweepShares {
 			list = append(list, plannedFleet{name: caseAgents, plan: p.with(part, 1)})
 		}
-		for _, part := range sweepParts {
-			list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgents, part)})
+		for _, part := range sweepShares {
+			list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgentShare, part)})
 		}
-		list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgents, 1)})
+		list = append(list, plannedFleet{name: caseServers, plan: p.with(sweepAgentShare, 1)})
 	}
 	return append(list, plannedFleet{name: caseTarget, plan: *p, faults: p.Faults})
 }
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -13,8 +13,8 @@
 	"ploverreel/internal/config"
 )
 
-// maxEvents bounds the events that are kept between two reports.
-const maxEvents = 1 << 20
+// maxBufferedEvents is the maximum number of events that a process keeps between two reports.
+const maxBufferedEvents = 1 << 20
 
 // event is the moment at which a version of the list came to be in force at an agent.
 type event struct {
@@ -110,7 +110,7 @@
 func (h *simulatedAgents) recordInForce(e event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.events) >= maxEvents {
+	if len(h.events) >= maxBufferedEvents {
 		h.err = errors.New("too many lists between two reports")
 		return
 	}
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// delayProbeEvery is how often a process checks that it gets a processor.
-const delayProbeEvery = 20 * time.Millisecond
+// delayProbeInterval is the time that a process sleeps in each measurement of its scheduling delay.
+const delayProbeInterval = 20 * time.Millisecond
 
 // schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
 // the machine's, which others use too. A measured time of that length may be such a wait.
@@ -27,11 +27,11 @@
 func (d *schedulingDelay) watch(ctx context.Context) {
 	for {
 		began := time.Now()
-		if sleep(ctx, delayProbeEvery) != nil {
+		if sleep(ctx, delayProbeInterval) != nil {
 			return
 		}
 		d.mu.Lock()
-		d.most = max(d.most, time.Since(began)-delayProbeEvery)
+		d.most = max(d.most, time.Since(began)-delayProbeInterval)
 		d.mu.Unlock()
 	}
 }
