--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -13,50 +13,50 @@
 // firstVersion is the version of the list that the fleet starts with.
 const firstVersion = 1
 
-// fleetStream is the random stream, under the plan's seed, of the changes and samples that a fleet draws.
+// fleetStream selects the random stream, under the plan's seed, for the changes and samples of a fleet.
 const fleetStream = 2
 
-// fleetRun is one fleet under measurement.
+// fleetRun is a fleet that is measured: its processes and what they reported.
 type fleetRun struct {
 	plan         *Plan
 	log          *slog.Logger
 	spawn        Spawn
 	random       *rand.Rand
-	source       *endpointStore // of truth
-	reservations []reservation  // of all stand-ins, a scope after the other
+	source       *endpointStore // the source of truth
+	reservations []reservation  // the ports of all stand-ins
 	standIns     []*standInHost
 	workers      []*worker
 
-	// Of the phase, which beginPhase begins.
+	// The state of the current phase; startPhase resets it.
 	phaseStart           time.Time
 	events               [][]event // by agent
-	maxSchedulingDelayMs float64   // the longest that a process waited for a processor
-	peakCallsPerSecond   int64     // the most calls of a second at one stand-in
+	maxSchedulingDelayMs float64   // longest wait of a process for a processor
+	peakCallsPerSecond   int64     // largest number of calls to one stand-in in one second
 }
 
-// standInHost is where a stand-in runs: the process there may be killed and replaced.
+// standInHost is the place of a stand-in. Its process may be killed and replaced; its ports stay the same.
 type standInHost struct {
-	*Process                     // nil: none runs
-	ports                  []int // one a scope
-	cutOff                 bool  // from the source of truth
-	sentSeq                int64 // the version it was sent
-	lastReport, baseReport reply // the last report, and that at the beginning of the phase
+	*Process                     // nil: no process runs
+	ports                  []int // one for each scope
+	cutOff                 bool  // gets no updates from the source of truth
+	sentSeq                int64 // last version that was sent to it
+	lastReport, baseReport reply // the last report, and the report at the start of the phase
 }
 
-// worker is a process with agents.
+// worker is a process that runs agents.
 type worker struct {
 	*Process
 	agents                 []int
-	lastReport, baseReport reply // the last report, and that at the beginning of the phase
+	lastReport, baseReport reply // the last report, and the report at the start of the phase
 }
 
-// newFleetRun returns a fleet that is not started.
+// newFleetRun returns a fleet whose processes are not started yet.
 func newFleetRun(p *Plan, log *slog.Logger, spawn Spawn) *fleetRun {
 	return &fleetRun{plan: p, log: log, spawn: spawn, random: rand.New(rand.NewPCG(p.Size.Seed, fleetStream))}
 }
 
-// start opens the stand-ins and then the agents, and begins the first phase. The fleet must be stopped also
-// where it returns an error.
+// start starts the stand-ins, then the agents, and the first phase. The caller has to stop the fleet even
+// if start returns an error.
 func (f *fleetRun) start(ctx context.Context) error {
 	f.source = newEndpointStore(nil)
 	f.source.apply(&endpointlist.List{Seq: firstVersion, Whole: true, Hosts: f.plan.initialHosts()})
@@ -79,7 +79,7 @@
 	})
 }
 
-// startStandIns reserves the ports and starts the stand-ins of all regions.
+// startStandIns reserves the ports of all stand-ins and starts the stand-ins.
 func (f *fleetRun) startStandIns(ctx context.Context) error {
 	for range f.plan.StandIns * f.plan.Size.Regions {
 		host := &standInHost{}
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// startWorkers starts the processes of the agents and deals the agents out to them.
+// startWorkers starts the processes of the agents and distributes the agents over them. The agents
+// themselves start with opOpen.
 func (f *fleetRun) startWorkers(ctx context.Context) error {
 	for range f.plan.Processes {
 		process, err := f.spawn(ctx, RoleAgents)
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// open starts a stand-in at a host's ports, with the list as it is.
+// openStandIn starts a stand-in at the ports of a host, with the current list.
 func (f *fleetRun) openStandIn(ctx context.Context, host *standInHost) error {
 	list, seq, err := f.source.encodedList(0, 0)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return err
 }
 
-// stop ends all processes.
+// stop ends all processes and releases the ports.
 func (f *fleetRun) stop() {
 	_ = forEachConcurrently(f.workers, func(w *worker) error { w.close(); return nil })
 	for _, host := range f.standIns {
@@ -142,7 +143,8 @@
 	}
 }
 
-// forEach calls do for all items at once, and returns when all calls have, with the first error.
+// forEachConcurrently calls do for all items concurrently. It returns the first error after all calls
+// have returned.
 func forEachConcurrently[T any](items []T, do func(T) error) error {
 	errs := make(chan error, len(items))
 	for _, item := range items {
@@ -157,7 +159,8 @@
 	return first
 }
 
-// change makes a new version of the list and sends it to the stand-ins that can be reached.
+// publish makes a new version of the list, in which hosts replace the servers of the same name, and sends
+// it to the stand-ins. The time of the version is the time at which the source of truth gets it.
 func (f *fleetRun) publish(ctx context.Context, hosts ...endpointlist.Host) (version, error) {
 	seq, _, _ := f.source.state()
 	published := version{seq: seq + 1, notBefore: time.Now()}
@@ -165,7 +168,7 @@
 	return published, f.updateStandIns(ctx)
 }
 
-// send brings the stand-ins up to date that can be reached.
+// updateStandIns sends the changes since its last version to each stand-in that runs and is not cut off.
 func (f *fleetRun) updateStandIns(ctx context.Context) error {
 	return forEachConcurrently(f.standIns, func(host *standInHost) error {
 		if host.Process == nil || host.cutOff {
@@ -181,8 +184,8 @@
 	})
 }
 
-// randomChange returns a server of the list with its health changed: a ready one drains, another
-// is ready again as a new process.
+// randomHealthChange returns a random server of the list with another health. A server that was ready is
+// draining. Any other server is ready again, as a new process.
 func (f *fleetRun) randomHealthChange() endpointlist.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
@@ -195,7 +198,7 @@
 	return host
 }
 
-// agents returns those whose stand-in chosen reports true for.
+// agentsOf returns the agents of those stand-ins for which include returns true.
 func (f *fleetRun) agentsOf(include func(standIn int) bool) []int {
 	var agents []int
 	for i := range f.plan.Size.Agents {
@@ -206,10 +209,10 @@
 	return agents
 }
 
-// everywhere chooses all stand-ins.
+// allStandIns includes every stand-in.
 func allStandIns(int) bool { return true }
 
-// sampleAgents draws a part of the agents, one at least.
+// sampleAgents returns a random sample with the given share of the agents, but at least one.
 func (f *fleetRun) sampleAgents(share float64) []int {
 	n := max(int(share*float64(f.plan.Size.Agents)), 1)
 	agents := f.random.Perm(f.plan.Size.Agents)[:n]
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -1,9 +1,12 @@
-// Package controlplane measures the control side of a large fleet: how long a change of the list
-// of servers takes to be in force at all agents, and what that costs agents and discovery.
+// Package controlplane measures the control plane of a large fleet: how long it takes until all agents have
+// applied a change of the endpoint list, and what that costs the agents and discovery.
 //
-// The agents are simulated in part: the real watch code and the real decision module, without
-// clients and without connections to bid servers, some hundreds in a process. Discovery is played
-// by stand-ins that speak its protocol, one process each. The bench is their source of truth.
+// The agents are partly simulated. They run the real watch code and the real decision module, but have no
+// clients and no connections to bid servers. Some hundreds of them run in one process. A stand-in is a
+// small server in a process of its own that speaks the protocol of discovery and replaces it. The bench
+// is the source of truth: it has the authoritative list and sends updates to the stand-ins.
+//
+// An agent has applied a version of the list when its decision module has it.
 package controlplane
 
 import (
@@ -28,32 +31,31 @@
 const (
 	// serversPerCell is the number of servers with consecutive indexes that share a cell.
 	serversPerCell = 40
-	// servicesStream is the random stream, under the plan's seed, of the services of the servers.
+	// servicesStream selects the random stream, under the plan's seed, for the services of the servers.
 	servicesStream = 1
 	// nameMultiplier maps a server's index, modulo 2^32, to the number in its name (multiplicative
 	// hashing with the golden ratio). It is odd, so no two indexes get the same name.
 	nameMultiplier = 2654435761
 )
 
-// Plan describes a run; the command line of 'fleetbench control' explains each field. Spans are
-// of real time.
+// Plan describes a run. The help of 'fleetbench control' explains each field. Durations are real time.
 type Plan struct {
 	Size       fleet.Size
-	StandIns   int // of discovery, a region
-	Processes  int // for the agents
+	StandIns   int // stand-ins of discovery in each region
+	Processes  int // that run the agents
 	Membership string
 	Scope      string
-	AskWithin  time.Duration // the settings' contract.askWithinMs
-	Spread     time.Duration // over which the agents' starts are spread evenly; less in a smaller fleet
-	Changes    int           // of one server each, on the calm fleet
-	Calm       time.Duration // without a change
-	Down       time.Duration // of a killed stand-in, until another is at its address
-	Silent     time.Duration // of all of discovery
-	Cut        time.Duration // of a region
-	CutEvery   time.Duration // between the changes that a cut-off region misses
-	Limit      time.Duration // waited for a version to be in force
-	Sweep      bool          // smaller fleets and lists too, for the slopes
-	Faults     bool          // play the faults too, at the full size
+	AskWithin  time.Duration // contract.askWithinMs of the agents' settings
+	Spread     time.Duration // time over which the agents' starts are spread evenly; shorter in a smaller fleet
+	Changes    int           // number of changes without a fault, of one server each
+	Calm       time.Duration // duration of the phase without changes
+	Down       time.Duration // time from the kill of a stand-in to the start of its replacement
+	Silent     time.Duration // how long all stand-ins are silent
+	Cut        time.Duration // how long a region is cut off
+	CutEvery   time.Duration // time between changes while a region is cut off
+	Limit      time.Duration // maximum wait until agents have applied a version
+	Sweep      bool          // also measure smaller fleets and shorter lists, to fit the slopes
+	Faults     bool          // also run the faults, at the full size
 }
 
 // Estimates that Validate compares with the limits of the machine.
@@ -65,8 +67,8 @@
 	spareDescriptors = 64
 )
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
-// memory, processes or descriptors than the machine has.
+// Validate returns a *fleet.UsageError for the first argument that is out of range, or with which the run
+// needs more memory, processes or open files than the machine allows.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
@@ -109,7 +111,8 @@
 	return p.checkResources()
 }
 
-// with returns the plan with a part of the agents, which start as densely, and a part of the servers.
+// scaled returns the plan with a share of the agents and a share of the servers. The spread of the starts is
+// scaled with the agents, so that as many agents start in a second.
 func (p *Plan) scaled(agentShare, serverShare float64) Plan {
 	scaled := *p
 	scaled.Size.Agents = int(agentShare * float64(p.Size.Agents))
@@ -118,7 +121,8 @@
 	return scaled
 }
 
-// fits returns a *fleet.UsageError if the run would need more memory, processes or descriptors than there are.
+// checkResources returns a *fleet.UsageError if the run would need more memory, processes or open files than
+// the machine allows.
 func (p *Plan) checkResources() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
@@ -135,7 +139,7 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return fmt.Errorf("limit of open files: %w", err)
 	}
-	// A watch that is opened anew may stand beside the one that has ended.
+	// Each agent may have two connections for a short time: a new watch, and the watch that has ended.
 	watches := 2 * max(ceilDiv(size.Agents, p.Processes), p.agentCount(0))
 	ports := p.scopeCount() * p.StandIns * size.Regions
 	if needed := max(watches+p.scopeCount(), ports) + spareDescriptors; uint64(needed) > files.Cur {
@@ -144,10 +148,10 @@
 	return nil
 }
 
-// ceil returns n divided by parts, rounded up.
+// ceilDiv returns n divided by divisor, rounded up.
 func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
-// scopes returns how many different lists a stand-in serves.
+// scopeCount returns the number of scopes, which is the number of different lists that a stand-in serves.
 func (p *Plan) scopeCount() int {
 	if p.Scope == ScopeService {
 		return p.Size.Services
@@ -155,7 +159,8 @@
 	return 1
 }
 
-// agentScopes returns the scope of each agent's list: the service of the server that it runs beside.
+// agentScopes returns the scope of each agent's list. If lists have the scope of a service, an agent gets
+// the list of the service of the server that it runs beside.
 func (p *Plan) agentScopes() []int {
 	scopes := make([]int, p.Size.Agents)
 	if p.Scope == ScopeService {
@@ -167,21 +172,23 @@
 	return scopes
 }
 
-// startDelay returns how long after the fleet's start an agent starts.
+// startDelay returns the time from the start of the fleet to the start of an agent.
 func (p *Plan) startDelay(agent int) time.Duration {
 	return p.Spread * time.Duration(agent) / time.Duration(p.Size.Agents)
 }
 
-// zoneOf returns the zone of a server or an agent, regionOf the region of a zone.
-func (p *Plan) zoneOf(i int) int      { return i % p.Size.Zones }
+// zoneOf returns the zone of a server or of an agent.
+func (p *Plan) zoneOf(i int) int { return i % p.Size.Zones }
+
+// regionOf returns the region of a zone.
 func (p *Plan) regionOf(zone int) int { return zone * p.Size.Regions / p.Size.Zones }
 
-// standInOf returns the stand-in whose address an agent's configuration names: one of its region.
+// standInOf returns the stand-in of an agent: the one of its region whose address is in its configuration.
 func (p *Plan) standInOf(agent int) int {
 	return p.regionOf(p.zoneOf(agent))*p.StandIns + agent/p.Size.Zones%p.StandIns
 }
 
-// agentsOf returns the number of agents of a stand-in.
+// agentCount returns the number of agents of a stand-in.
 func (p *Plan) agentCount(standIn int) int {
 	n := 0
 	for i := range p.Size.Agents {
@@ -192,7 +199,9 @@
 	return n
 }
 
-// services returns the service of each server. Services are uneven: each has one server at least, the first more.
+// serviceOfServers returns the service of each server. The services have uneven sizes: each has at least
+// one server, and the expected number of its other servers is inversely proportional to the square root
+// of its rank.
 func (p *Plan) serviceOfServers() []int {
 	rng := rand.New(rand.NewPCG(p.Size.Seed, servicesStream))
 	total, cumulative := 0.0, make([]float64, p.Size.Services)
@@ -211,10 +220,11 @@
 	return serviceOf
 }
 
-// serverName returns a server's name in the list. The agent hashes it.
+// serverName returns the name of a server in the list. The agent derives the server's address in the
+// decision module from a hash of it.
 func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*nameMultiplier) }
 
-// hosts returns the list at the start. Nobody dials its addresses.
+// initialHosts returns the servers of the first list. No agent connects to their addresses.
 func (p *Plan) initialHosts() []endpointlist.Host {
 	hosts := make([]endpointlist.Host, p.Size.Servers)
 	for i := range hosts {
@@ -224,10 +234,10 @@
 	return hosts
 }
 
-// zoneName returns a zone's name in the list and in the settings.
+// zoneName returns the name of a zone in the list and in the settings.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// config returns the configuration of an agent.
+// agentConfig returns the JSON of an agent's configuration. discovery is the address of its stand-in.
 func (p *Plan) agentConfig(index int, discovery string) ([]byte, error) {
 	zones := make([]string, p.Size.Zones)
 	for z := range zones {
--- a/internal/fleet/controlplane/reports.go
+++ b/internal/fleet/controlplane/reports.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// pollInterval is the time between two polls of the agents' processes for versions in force.
+	// pollInterval is the time between two polls of the agents' processes while a version is awaited.
 	pollInterval = 100 * time.Millisecond
 	// progressLogInterval is the minimum time between two log lines about the wait for a version.
 	progressLogInterval = 5 * time.Second
 )
 
-// pollAgents takes in what the agents' processes report.
+// pollAgents gets a report from each process of agents.
 func (f *fleetRun) pollAgents(ctx context.Context) error { return f.pollWorkers(ctx, false) }
 
-// pollWorkers takes in what the agents' processes report; with collect they collect their garbage first.
+// pollWorkers gets a report from each process of agents and adds its events to the phase. If
+// collectGarbage is set, the processes collect their garbage before they measure their usage.
 func (f *fleetRun) pollWorkers(ctx context.Context, collectGarbage bool) error {
 	if err := forEachConcurrently(f.workers, func(w *worker) (err error) {
 		w.lastReport, err = w.call(ctx, &command{Op: opReport, Heap: collectGarbage})
@@ -32,7 +33,7 @@
 	return nil
 }
 
-// pollStandIns takes in what the stand-ins report.
+// pollStandIns gets a report from each stand-in that runs.
 func (f *fleetRun) pollStandIns(ctx context.Context) error {
 	if err := forEachConcurrently(f.standIns, func(host *standInHost) error {
 		if host.Process == nil {
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// inForceAt returns when a version came to be in force at an agent, and whether it did.
+// appliedAt returns when an agent applied a version, or a later one that includes it, and whether it did.
 func (f *fleetRun) appliedAt(agent int, v version) (time.Time, bool) {
 	for _, e := range f.events[agent] {
 		if at := time.UnixMicro(e.At); e.Seq >= v.seq && !at.Before(v.notBefore.Truncate(time.Microsecond)) {
@@ -65,7 +66,8 @@
 	return time.Time{}, false
 }
 
-// await waits until a version is in force at all of the agents, for the plan's limit at most.
+// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's limit.
+// It returns no error if the limit is reached; the delays then have agents that were not reached.
 func (f *fleetRun) awaitVersion(ctx context.Context, agents []int, v version) error {
 	deadline, lastLog := time.Now().Add(f.plan.Limit), time.Now()
 	for {
@@ -83,7 +85,7 @@
 		}
 		if time.Since(lastLog) > progressLogInterval {
 			lastLog = time.Now()
-			f.log.Info("waiting", "version", v.seq, "agents", len(agents), "without it", missing)
+			f.log.Info("waiting until agents apply a version", "version", v.seq, "agents", len(agents), "without it", missing)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
--- a/internal/fleet/controlplane/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -23,16 +23,17 @@
 	caseTarget  = "target"  // the fleet at the plan's size
 )
 
-// Run plays the plan in processes that spawn starts, and returns its cases and the lines fitted
-// through them. All processes have ended when it returns. With an error (an invalid plan, a process
-// that died, the context's cause) it returns the cases that were played before it.
+// Run measures the fleets of the plan in processes that spawn starts. It returns the cases and the lines
+// that are fitted through their figures. All processes have ended when it returns. If it returns an error
+// (an invalid plan, a process that died, the context's cause), the cases are those that were complete
+// before the error.
 func Run(ctx context.Context, log *slog.Logger, plan *Plan, spawn Spawn) ([]fleet.Case, []fleet.Fit, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, nil, err
 	}
 	var cases []fleet.Case
 	for _, planned := range plan.plannedFleets() {
-		log.Info("fleet begins", "case", planned.name, "agents", planned.plan.Size.Agents, "servers", planned.plan.Size.Servers)
+		log.Info("fleet starts", "case", planned.name, "agents", planned.plan.Size.Agents, "servers", planned.plan.Size.Servers)
 		fleetCases, err := planned.run(ctx, log, spawn)
 		cases = append(cases, fleetCases...)
 		if err != nil {
@@ -47,12 +48,12 @@
 
 // plannedFleet is one fleet that a run starts, measures and stops.
 type plannedFleet struct {
-	name       string // of its calm case
+	name       string // of its case without faults
 	plan       Plan
-	withFaults bool // play the faults too
+	withFaults bool // run the faults too
 }
 
-// fleets returns the fleets of a run in the order in which they are played.
+// plannedFleets returns the fleets of a run in the order in which they are measured.
 func (p *Plan) plannedFleets() []plannedFleet {
 	var fleets []plannedFleet
 	if p.Sweep {
@@ -67,7 +68,7 @@
 	return append(fleets, plannedFleet{name: caseTarget, plan: *p, withFaults: p.Faults})
 }
 
-// play runs the fleet and returns its calm case and those of the faults.
+// run measures the fleet. It returns the case without faults, followed by the cases of the faults.
 func (p *plannedFleet) run(ctx context.Context, log *slog.Logger, spawn Spawn) ([]fleet.Case, error) {
 	f := newFleetRun(&p.plan, log, spawn)
 	defer f.stop()
