--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	return c.play(ctx, log, controlplane.Command(program, "control-process"))
+	return c.play(ctx, log, controlplane.SpawnProgram(program, "control-process"))
 }
 
 // play plays the plan and writes its result, also that of a run that did not finish.
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -24,10 +24,10 @@
 // Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill the process.
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
-// Command returns a Spawn that starts the program with the arguments, followed by the role. Each process runs
+// SpawnProgram returns a Spawn that starts the program with the arguments, followed by the role. Each process runs
 // Go code on one core only, because all processes of the bench share one machine. Errors of the Spawn name
 // the role.
-func Command(program string, args ...string) Spawn {
+func SpawnProgram(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
