--- a/internal/fleet/controlplane/calm.go
+++ b/internal/fleet/controlplane/calm.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// runWithoutFaults starts the fleet and measures three phases without faults: the start, a time without
-// changes of the list, and changes of one server each.
+// runWithoutFaults starts the fleet and measures three phases without faults: the start, a time
+// without changes of the list, and changes of one server each.
 func (c *caseRun) runWithoutFaults() {
 	c.runStep(c.fleet.start)
 	c.measureStart()
--- a/internal/fleet/controlplane/case.go
+++ b/internal/fleet/controlplane/case.go
@@ -12,8 +12,8 @@
 // agent together with the one before it, as a single update.
 const changeInterval = 300 * time.Millisecond
 
-// caseRun measures one case on a running fleet in a sequence of steps. A typical sequence is: start a
-// phase, publish a change of the list, wait until all agents have applied it, record the delays.
+// caseRun measures one case on a running fleet in a sequence of steps. A typical sequence is: start
+// a phase, publish a change of the list, wait until all agents have applied it, record the delays.
 // After the first error the remaining steps do nothing, so only the caller of the case checks err.
 type caseRun struct {
 	ctx    context.Context // for all steps
@@ -22,8 +22,9 @@
 	err    error // of the first step that failed
 }
 
-// version is a version of the endpoint list. Only agents that applied it at notBefore or later have it.
-// An earlier event of an agent is from before the measurement, for example from before its restart.
+// version is a version of the endpoint list, with the earliest time at which applying it counts in
+// a measurement. An earlier event of an agent is ignored. It may be from before a restart of the
+// agent.
 type version struct {
 	seq       int64
 	notBefore time.Time
@@ -73,7 +74,8 @@
 	return published
 }
 
-// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's limit.
+// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's
+// limit.
 func (c *caseRun) awaitVersion(agents []int, v version) {
 	c.runStep(func(ctx context.Context) error { return c.fleet.awaitVersion(ctx, agents, v) })
 }
@@ -90,8 +92,8 @@
 	c.recordDelays(d, agents, v, sameStart(v.notBefore))
 }
 
-// measureRecovery measures the recovery from a fault. It adds the delays from the end of the fault until
-// the agents that could not get a version before apply it, and the costs of the phase.
+// measureRecovery measures the recovery from a fault. It adds the delays from the end of the fault
+// until the agents that could not get a version before apply it, and the costs of the phase.
 func (c *caseRun) measureRecovery(prefix string, agents []int, v version, faultEnd time.Time) {
 	delays := newDelayStats()
 	c.awaitVersion(agents, v)
--- a/internal/fleet/controlplane/case_test.go
+++ b/internal/fleet/controlplane/case_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// After a step fails, the later steps of the case do not run, and the case keeps the error of that step.
+// After a step fails, the later steps of the case do not run, and the case keeps the error of that
+// step.
 func TestCaseRunStopsAtFirstError(t *testing.T) {
 	f := newFleetRun(smallPlan(), nil, nil)
 	c := f.newCase(t.Context(), "failing")
--- a/internal/fleet/controlplane/costs.go
+++ b/internal/fleet/controlplane/costs.go
@@ -7,8 +7,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// startPhase starts a phase, which is a time over which costs are measured. It discards the events of
-// earlier phases.
+// startPhase starts a phase, which is a time over which costs are measured. It discards the events
+// of earlier phases.
 func (f *fleetRun) startPhase(ctx context.Context) error {
 	if err := f.pollAgents(ctx); err != nil {
 		return err
@@ -29,9 +29,10 @@
 	return nil
 }
 
-// addCosts adds to a case the costs of the phase so far: averages per agent and per stand-in, the duration,
-// the longest scheduling delay, and the peak of the calls to a stand-in. The names of the figures start
-// with prefix. The costs of a stand-in that was replaced are those since the start of its new process.
+// addCosts adds to a case the costs of the phase so far: averages per agent and per stand-in, the
+// duration, the longest scheduling delay, and the peak of the calls to a stand-in. The names of the
+// figures start with prefix. The costs of a stand-in that was replaced are those since the start of
+// its new process.
 func (f *fleetRun) addCosts(ctx context.Context, c *fleet.Case, prefix string) error {
 	seconds := time.Since(f.phaseStart).Seconds()
 	if err := f.pollAgents(ctx); err != nil {
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// addMemory adds to a case the average memory of an agent, after a garbage collection, and the largest
-// memory of a stand-in.
+// addMemory adds to a case the average memory of an agent, after a garbage collection, and the
+// largest memory of a stand-in.
 func (f *fleetRun) addMemory(ctx context.Context, c *fleet.Case) error {
 	if err := f.pollWorkers(ctx, true); err != nil {
 		return err
--- a/internal/fleet/controlplane/endpoint_store.go
+++ b/internal/fleet/controlplane/endpoint_store.go
@@ -10,7 +10,7 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// errSilent is the error of a store that is silent, which is to say it returns no lists.
+// errSilent is the error of a store that is silent. A silent store returns no lists.
 var errSilent = errors.New("list: silent")
 
 // maxEncodedLists is the maximum number of encoded lists that a store caches. A cached list is
@@ -18,8 +18,8 @@
 const maxEncodedLists = 1024
 
 // endpointStore holds a versioned endpoint list. The bench has one as the source of truth, and each
-// stand-in has a copy. A server whose health is "gone" stays in the store, because later updates have
-// to name it. The methods may be called from any goroutine.
+// stand-in has a copy. A server whose health is "gone" stays in the store, because later updates
+// have to name it. The methods may be called from any goroutine.
 type endpointStore struct {
 	mu        sync.Mutex
 	seq       int64
@@ -45,8 +45,8 @@
 	since int64
 }
 
-// newEndpointStore returns an empty store. scopeOf returns the scope of a server; with nil all servers
-// have the same scope.
+// newEndpointStore returns an empty store. scopeOf returns the scope of a server; with nil all
+// servers have the same scope.
 func newEndpointStore(scopeOf func(string) int) *endpointStore {
 	return &endpointStore{hosts: map[string]*storedHost{}, scopeOf: scopeOf, encoded: map[encodedListKey][]byte{},
 		changed: make(chan struct{}), updatedAt: time.Now()}
@@ -104,8 +104,8 @@
 }
 
 // encodedList returns one line of JSON with the changes of a scope since a version, and the version
-// that the line leads to. If the store does not know the changes since that version, the line has the
-// whole list, without servers that are gone. While the store is silent the error is errSilent.
+// that the line leads to. If the store does not know the changes since that version, the line has
+// the whole list, without servers that are gone. While the store is silent the error is errSilent.
 func (s *endpointStore) encodedList(scope int, since int64) ([]byte, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/controlplane/endpoint_store_test.go
+++ b/internal/fleet/controlplane/endpoint_store_test.go
@@ -9,8 +9,8 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// A reader with a version that the store has had gets the changes since then. A reader with any other
-// version gets the whole list.
+// A reader with a version that the store has had gets the changes since then. A reader with any
+// other version gets the whole list.
 func TestEndpointStoreServesChangesSinceKnownVersion(t *testing.T) {
 	host := func(i int, health string) endpointlist.Host {
 		return endpointlist.Host{Host: serverName(i), Health: health}
--- a/internal/fleet/controlplane/fault_restart.go
+++ b/internal/fleet/controlplane/fault_restart.go
@@ -8,7 +8,8 @@
 // restartedAgentShare is the share of all agents that restart at the same time.
 const restartedAgentShare = 0.1
 
-// agentsRestarted restarts a random sample of the agents at the same time. Each starts without a list.
+// agentsRestarted restarts a random sample of the agents at the same time. Each starts without a
+// list.
 var agentsRestarted = fault{"a tenth restarted", func(c *caseRun) {
 	f := c.fleet
 	sample := f.sampleAgents(restartedAgentShare)
--- a/internal/fleet/controlplane/fault_silence.go
+++ b/internal/fleet/controlplane/fault_silence.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// discoverySilent makes all stand-ins silent, which means that they accept calls and write nothing. It
-// publishes a change during the silence. The delays start at the end of the silence.
+// discoverySilent makes all stand-ins silent, which means that they accept calls and write nothing.
+// It publishes a change during the silence. The delays start at the end of the silence.
 var discoverySilent = fault{"discovery silent", func(c *caseRun) {
 	f := c.fleet
 	setSilent := func(silent bool) {
--- a/internal/fleet/controlplane/fault_standin.go
+++ b/internal/fleet/controlplane/fault_standin.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// standInKilled kills one stand-in and publishes a change while it is down. The configuration of an agent
-// has a single address of discovery, so the agents of the killed stand-in get the change only after
-// another stand-in starts at that address.
+// standInKilled kills one stand-in and publishes a change while it is down. The configuration of an
+// agent has a single address of discovery, so the agents of the killed stand-in get the change only
+// after another stand-in starts at that address.
 var standInKilled = fault{"stand-in killed", func(c *caseRun) {
 	f := c.fleet
 	host := f.standIns[0]
@@ -32,8 +32,8 @@
 	c.result.Add("theirs_without_while_down", "count", float64(whileDown.unreached))
 	c.endPhase("down")
 
-	// An agent may apply the change before the new stand-in replies that it listens. The delay of such
-	// an agent is recorded as the shortest that the histogram can hold.
+	// An agent may apply the change before the new stand-in replies that it listens. The delay of
+	// such an agent is recorded as the shortest that the histogram can hold.
 	reopened := time.Now()
 	c.runStep(func(ctx context.Context) error { return f.openStandIn(ctx, host) })
 	c.measureRecovery("back", affected, version{v.seq, reopened}, time.Now())
--- a/internal/fleet/controlplane/fault_zone.go
+++ b/internal/fleet/controlplane/fault_zone.go
@@ -6,8 +6,8 @@
 	"ploverreel/internal/endpointlist"
 )
 
-// zoneLost removes the servers of one zone from the list in one change. A second change adds them again as
-// new processes.
+// zoneLost removes the servers of one zone from the list in one change. A second change adds them
+// again as new processes.
 var zoneLost = fault{"zone lost and back", func(c *caseRun) {
 	all := c.fleet.agentsOf(allStandIns)
 	for _, change := range []struct{ prefix, health string }{{"gone", "gone"}, {"back", "ready"}} {
@@ -21,8 +21,8 @@
 	}
 }}
 
-// firstZoneHosts returns the servers of the first zone with the given health. Servers that are ready have
-// the current time as the start of their process.
+// firstZoneHosts returns the servers of the first zone with the given health. Servers that are
+// ready have the current time as the start of their process.
 func (p *Plan) firstZoneHosts(health string) []endpointlist.Host {
 	var hosts []endpointlist.Host
 	for i, host := range p.initialHosts() {
--- a/internal/fleet/controlplane/fleet.go
+++ b/internal/fleet/controlplane/fleet.go
@@ -13,7 +13,8 @@
 // firstVersion is the version of the list that the fleet starts with.
 const firstVersion = 1
 
-// fleetStream selects the random stream, under the plan's seed, for the changes and samples of a fleet.
+// fleetStream selects the random stream, under the plan's seed, for the changes and samples of a
+// fleet.
 const fleetStream = 2
 
 // fleetRun is a fleet that is measured: its processes and what they reported.
@@ -34,7 +35,8 @@
 	peakCallsPerSecond   int64     // largest number of calls to one stand-in in one second
 }
 
-// standInHost is the place of a stand-in. Its process may be killed and replaced; its ports stay the same.
+// standInHost is the place of a stand-in. Its process may be killed and replaced; its ports stay
+// the same.
 type standInHost struct {
 	*Process                     // nil: no process runs
 	ports                  []int // one for each scope
@@ -55,8 +57,8 @@
 	return &fleetRun{plan: p, log: log, spawn: spawn, random: rand.New(rand.NewPCG(p.Size.Seed, fleetStream))}
 }
 
-// start starts the stand-ins, then the agents, and the first phase. The caller has to stop the fleet even
-// if start returns an error.
+// start starts the stand-ins, then the agents, and the first phase. The caller has to stop the
+// fleet even if start returns an error.
 func (f *fleetRun) start(ctx context.Context) error {
 	f.source = newEndpointStore(nil)
 	f.source.apply(&endpointlist.List{Seq: firstVersion, Whole: true, Hosts: f.plan.initialHosts()})
@@ -143,8 +145,8 @@
 	}
 }
 
-// forEachConcurrently calls do for all items concurrently. It returns the first error after all calls
-// have returned.
+// forEachConcurrently calls do for all items concurrently. It returns the first error after all
+// calls have returned.
 func forEachConcurrently[T any](items []T, do func(T) error) error {
 	errs := make(chan error, len(items))
 	for _, item := range items {
@@ -159,8 +161,9 @@
 	return first
 }
 
-// publish makes a new version of the list, in which hosts replace the servers of the same name, and sends
-// it to the stand-ins. The time of the version is the time at which the source of truth gets it.
+// publish makes a new version of the list, in which hosts replace the servers of the same name, and
+// sends it to the stand-ins. The time of the version is the time at which the source of truth gets
+// it.
 func (f *fleetRun) publish(ctx context.Context, hosts ...endpointlist.Host) (version, error) {
 	seq, _, _ := f.source.state()
 	published := version{seq: seq + 1, notBefore: time.Now()}
@@ -168,7 +171,8 @@
 	return published, f.updateStandIns(ctx)
 }
 
-// updateStandIns sends the changes since its last version to each stand-in that runs and is not cut off.
+// updateStandIns sends the changes since its last version to each stand-in that runs and is not cut
+// off.
 func (f *fleetRun) updateStandIns(ctx context.Context) error {
 	return forEachConcurrently(f.standIns, func(host *standInHost) error {
 		if host.Process == nil || host.cutOff {
@@ -184,8 +188,8 @@
 	})
 }
 
-// randomHealthChange returns a random server of the list with another health. A server that was ready is
-// draining. Any other server is ready again, as a new process.
+// randomHealthChange returns a random server of the list with another health. A server that was
+// ready is draining. Any other server is ready again, as a new process.
 func (f *fleetRun) randomHealthChange() endpointlist.Host {
 	f.source.mu.Lock()
 	defer f.source.mu.Unlock()
--- a/internal/fleet/controlplane/notes.go
+++ b/internal/fleet/controlplane/notes.go
@@ -2,7 +2,8 @@
 
 import "ploverreel/policy"
 
-// Notes returns the notes of a result: how its figures were measured, and what they leave out.
+// Notes returns the notes of a result. They say how its figures were measured and what they do not
+// include.
 func Notes(p *Plan) []string {
 	notes := []string{
 		"Simulated agents: the real watch code and module without clients, so without a request's work. Their processor time and memory are shares of a process with many of them; what a process of Go holds by itself is left out.",
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -1,10 +1,11 @@
-// Package controlplane measures the control plane of a large fleet: how long it takes until all agents have
-// applied a change of the endpoint list, and what that costs the agents and discovery.
+// Package controlplane measures the control plane of a large fleet: how long it takes until all
+// agents have applied a change of the endpoint list, and what that costs the agents and discovery.
 //
-// The agents are partly simulated. They run the real watch code and the real decision module, but have no
-// clients and no connections to bid servers. Some hundreds of them run in one process. A stand-in is a
-// small server in a process of its own that speaks the protocol of discovery and replaces it. The bench
-// is the source of truth: it has the authoritative list and sends updates to the stand-ins.
+// The agents are partly simulated. They run the real watch code and the real decision module, but
+// have no clients and no connections to bid servers. Some hundreds of them run in one process. A
+// stand-in is a small server in a process of its own that speaks the protocol of discovery and
+// replaces it. The bench is the source of truth: it has the authoritative list and sends updates to
+// the stand-ins.
 //
 // An agent has applied a version of the list when its decision module has it.
 package controlplane
@@ -31,14 +32,16 @@
 const (
 	// serversPerCell is the number of servers with consecutive indexes that share a cell.
 	serversPerCell = 40
-	// servicesStream selects the random stream, under the plan's seed, for the services of the servers.
+	// servicesStream selects the random stream, under the plan's seed, for the services of the
+	// servers.
 	servicesStream = 1
 	// nameMultiplier maps a server's index, modulo 2^32, to the number in its name (multiplicative
 	// hashing with the golden ratio). It is odd, so no two indexes get the same name.
 	nameMultiplier = 2654435761
 )
 
-// Plan describes a run. The help of 'fleetbench control' explains each field. Durations are real time.
+// Plan describes a run. The help of 'fleetbench control' explains each field. Durations are real
+// time.
 type Plan struct {
 	Size       fleet.Size
 	StandIns   int // stand-ins of discovery in each region
@@ -67,8 +70,8 @@
 	spareDescriptors = 64
 )
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range, or with which the run
-// needs more memory, processes or open files than the machine allows.
+// Validate returns a *fleet.UsageError for the first argument that is out of range, or with which
+// the run needs more memory, processes or open files than the machine allows.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
@@ -111,8 +114,8 @@
 	return p.checkResources()
 }
 
-// scaled returns the plan with a share of the agents and a share of the servers. The spread of the starts is
-// scaled with the agents, so that as many agents start in a second.
+// scaled returns the plan with a share of the agents and a share of the servers. The spread of the
+// starts is scaled with the agents, so that as many agents start in a second.
 func (p *Plan) scaled(agentShare, serverShare float64) Plan {
 	scaled := *p
 	scaled.Size.Agents = int(agentShare * float64(p.Size.Agents))
@@ -121,8 +124,8 @@
 	return scaled
 }
 
-// checkResources returns a *fleet.UsageError if the run would need more memory, processes or open files than
-// the machine allows.
+// checkResources returns a *fleet.UsageError if the run would need more memory, processes or open
+// files than the machine allows.
 func (p *Plan) checkResources() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
@@ -139,7 +142,8 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return fmt.Errorf("limit of open files: %w", err)
 	}
-	// Each agent may have two connections for a short time: a new watch, and the watch that has ended.
+	// Each agent may have two connections for a short time: a new watch, and the watch that has
+	// ended.
 	watches := 2 * max(ceilDiv(size.Agents, p.Processes), p.agentCount(0))
 	ports := p.scopeCount() * p.StandIns * size.Regions
 	if needed := max(watches+p.scopeCount(), ports) + spareDescriptors; uint64(needed) > files.Cur {
@@ -151,7 +155,8 @@
 // ceilDiv returns n divided by divisor, rounded up.
 func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
-// scopeCount returns the number of scopes, which is the number of different lists that a stand-in serves.
+// scopeCount returns the number of scopes, which is the number of different lists that a stand-in
+// serves.
 func (p *Plan) scopeCount() int {
 	if p.Scope == ScopeService {
 		return p.Size.Services
@@ -159,8 +164,8 @@
 	return 1
 }
 
-// agentScopes returns the scope of each agent's list. If lists have the scope of a service, an agent gets
-// the list of the service of the server that it runs beside.
+// agentScopes returns the scope of each agent's list. If lists have the scope of a service, an
+// agent gets the list of the service of the server that it runs beside.
 func (p *Plan) agentScopes() []int {
 	scopes := make([]int, p.Size.Agents)
 	if p.Scope == ScopeService {
@@ -183,7 +188,8 @@
 // regionOf returns the region of a zone.
 func (p *Plan) regionOf(zone int) int { return zone * p.Size.Regions / p.Size.Zones }
 
-// standInOf returns the stand-in of an agent: the one of its region whose address is in its configuration.
+// standInOf returns the stand-in of an agent: the one of its region whose address is in its
+// configuration.
 func (p *Plan) standInOf(agent int) int {
 	return p.regionOf(p.zoneOf(agent))*p.StandIns + agent/p.Size.Zones%p.StandIns
 }
@@ -199,9 +205,9 @@
 	return n
 }
 
-// serviceOfServers returns the service of each server. The services have uneven sizes: each has at least
-// one server, and the expected number of its other servers is inversely proportional to the square root
-// of its rank.
+// serviceOfServers returns the service of each server. The services have uneven sizes: each has at
+// least one server, and the expected number of its other servers is inversely proportional to the
+// square root of its rank.
 func (p *Plan) serviceOfServers() []int {
 	rng := rand.New(rand.NewPCG(p.Size.Seed, servicesStream))
 	total, cumulative := 0.0, make([]float64, p.Size.Services)
@@ -222,7 +228,7 @@
 
 // serverName returns the name of a server in the list. The agent derives the server's address in the
 // decision module from a hash of it.
-func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*nameMultiplier) }
+func serverName(index int) string { return fmt.Sprintf("s-%08x", uint32(index)*nameMultiplier) }
 
 // initialHosts returns the servers of the first list. No agent connects to their addresses.
 func (p *Plan) initialHosts() []endpointlist.Host {
@@ -237,7 +243,8 @@
 // zoneName returns the name of a zone in the list and in the settings.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// agentConfig returns the JSON of an agent's configuration. discovery is the address of its stand-in.
+// agentConfig returns the JSON of an agent's configuration. discovery is the address of its
+// stand-in.
 func (p *Plan) agentConfig(index int, discovery string) ([]byte, error) {
 	zones := make([]string, p.Size.Zones)
 	for z := range zones {
--- a/internal/fleet/controlplane/ports.go
+++ b/internal/fleet/controlplane/ports.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// reservation reserves a port of the loopback interface for stand-ins that are killed and replaced. Its socket
-// is bound and does not listen. While no stand-in runs, calls to the port are refused and no other socket
-// of the machine can get the port.
+// reservation reserves a port of the loopback interface for stand-ins that are killed and replaced.
+// Its socket is bound and does not listen. While no stand-in runs, calls to the port are refused
+// and no other socket of the machine can get the port.
 type reservation struct{ fd, port int }
 
 // reserve reserves a port that is free.
--- a/internal/fleet/controlplane/process.go
+++ b/internal/fleet/controlplane/process.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// Process is the bench's handle of one of its processes. It has a pipe for commands and a pipe for replies.
+// Process is the bench's handle of one of its processes. It has a pipe for commands and a pipe for
+// replies.
 type Process struct {
 	name      string
 	commands  io.WriteCloser
@@ -21,12 +22,13 @@
 	endOnce   sync.Once
 }
 
-// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill the process.
+// Spawn starts a process in a role, RoleStandIn or RoleAgents. The caller has to close or kill the
+// process.
 type Spawn func(ctx context.Context, role string) (*Process, error)
 
-// SpawnProgram returns a Spawn that starts the program with the arguments, followed by the role. Each process runs
-// Go code on one core only, because all processes of the bench share one machine. Errors of the Spawn name
-// the role.
+// SpawnProgram returns a Spawn that starts the program with the arguments, followed by the role.
+// Each process runs Go code on one core only, because all processes of the bench share one machine.
+// Errors of the Spawn name the role.
 func SpawnProgram(program string, args ...string) Spawn {
 	return func(ctx context.Context, role string) (*Process, error) {
 		cmd := exec.Command(program, append(args[:len(args):len(args)], role)...)
@@ -48,8 +50,8 @@
 	}
 }
 
-// call sends a command and returns its reply. After an error the run has to end, because the process may have
-// ended or may still be executing the command.
+// call sends a command and returns its reply. After an error the run has to end, because the
+// process may have ended or may still be executing the command.
 func (p *Process) call(ctx context.Context, cmd *command) (reply, error) {
 	type result struct {
 		reply
@@ -88,10 +90,12 @@
 	})
 }
 
-// shutdownGrace is the time that a process has to exit after its commands end. Then it is killed.
+// shutdownGrace bounds the time that a process may take to exit after its commands end. Then it is
+// killed.
 const shutdownGrace = 5 * time.Second
 
-// close ends the commands of the process and waits until it exits. It kills the process after shutdownGrace.
+// close ends the commands of the process and waits until it exits. It kills the process after
+// shutdownGrace.
 func (p *Process) close() {
 	p.endOnce.Do(func() {
 		p.commands.Close()
--- a/internal/fleet/controlplane/protocol.go
+++ b/internal/fleet/controlplane/protocol.go
@@ -8,8 +8,8 @@
 	RoleAgents  = "agents"   // runs simulated agents
 )
 
-// The operations of a command, with the fields of the command that each one reads. A report may also have
-// Heap, in either role.
+// The operations of a command, with the fields of the command that each one reads. A report may
+// also have Heap, in either role.
 const (
 	opOpen    = "open"    // starts a stand-in (Plan, List, Ports) or agents (Plan, Agents, Ports)
 	opList    = "list"    // delivers an update of the list to a stand-in (List)
--- a/internal/fleet/controlplane/reports.go
+++ b/internal/fleet/controlplane/reports.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// pollInterval is the time between two polls of the agents' processes while a version is awaited.
+	// pollInterval is the time between two polls of the agents' processes while a version is
+	// awaited.
 	pollInterval = 100 * time.Millisecond
 	// progressLogInterval is the minimum time between two log lines about the wait for a version.
 	progressLogInterval = 5 * time.Second
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// appliedAt returns when an agent applied a version, or a later one that includes it, and whether it did.
+// appliedAt returns when an agent applied a version, or a later one that includes it, and whether
+// it did.
 func (f *fleetRun) appliedAt(agent int, v version) (time.Time, bool) {
 	for _, e := range f.events[agent] {
 		if at := time.UnixMicro(e.At); e.Seq >= v.seq && !at.Before(v.notBefore.Truncate(time.Microsecond)) {
@@ -66,8 +68,9 @@
 	return time.Time{}, false
 }
 
-// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's limit.
-// It returns no error if the limit is reached; the delays then have agents that were not reached.
+// awaitVersion waits until all of the agents have applied a version, but not longer than the plan's
+// limit. It returns no error if the limit is reached; the delays then have agents that were not
+// reached.
 func (f *fleetRun) awaitVersion(ctx context.Context, agents []int, v version) error {
 	deadline, lastLog := time.Now().Add(f.plan.Limit), time.Now()
 	for {
--- a/internal/fleet/controlplane/run.go
+++ b/internal/fleet/controlplane/run.go
@@ -8,12 +8,12 @@
 	"ploverreel/internal/fleet"
 )
 
-// sweepAgentShare times the plan's number of agents is the number of agents in the fleets of the
-// sweep over the length of the list.
+// sweepAgentShare multiplies the plan's number of agents in the fleets that differ in the length of
+// the list.
 const sweepAgentShare = 0.25
 
-// sweepShares times the plan's number of agents, or of servers, are the sizes of the smaller fleets
-// that the slopes are fitted through.
+// sweepShares multiply the plan's number of agents, or of servers, in the smaller fleets whose
+// figures the slopes are fitted through.
 var sweepShares = []float64{0.125, 0.25, 0.5, 0.75}
 
 // The names of the cases without a fault.
@@ -23,10 +23,10 @@
 	caseTarget  = "target"  // the fleet at the plan's size
 )
 
-// Run measures the fleets of the plan in processes that spawn starts. It returns the cases and the lines
-// that are fitted through their figures. All processes have ended when it returns. If it returns an error
-// (an invalid plan, a process that died, the context's cause), the cases are those that were complete
-// before the error.
+// Run measures the fleets of the plan in processes that spawn starts. It returns the cases and the
+// lines that are fitted through their figures. All processes have ended when it returns. If it
+// returns an error (an invalid plan, a process that died, the context's cause), the cases are those
+// that were complete before the error.
 func Run(ctx context.Context, log *slog.Logger, plan *Plan, spawn Spawn) ([]fleet.Case, []fleet.Fit, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, nil, err
--- a/internal/fleet/controlplane/run_test.go
+++ b/internal/fleet/controlplane/run_test.go
@@ -44,8 +44,8 @@
 type goroutineProcesses struct {
 	alive sync.WaitGroup // the processes that have not ended
 
-	// accept reports whether a process gets a command. If not, the process is stopped instead. With nil a
-	// process gets all commands.
+	// accept reports whether a process gets a command. If not, the process is stopped instead. With
+	// nil a process gets all commands.
 	accept func(role string, cmd *command) bool
 }
 
@@ -66,7 +66,8 @@
 		wait: func() error { <-exited; return nil }}, nil
 }
 
-// filter returns the commands up to the first that accept rejects. At that command it stops the process.
+// filter returns the commands up to the first that accept rejects. At that command it stops the
+// process.
 func (s *goroutineProcesses) filter(role string, commands io.Reader, stop func()) io.Reader {
 	if s.accept == nil {
 		return commands
@@ -91,9 +92,9 @@
 	return filtered
 }
 
-// Every agent has applied the last version at the end of each case, also after a fault. The agents read the
-// lists of the stand-ins with the real watch code. The only version that some agents lack is the one that was
-// published while their stand-in was down.
+// Every agent has applied the last version at the end of each case, also after a fault. The agents
+// read the lists of the stand-ins with the real watch code. The only version that some agents lack
+// is the one that was published while their stand-in was down.
 func TestRunDeliversLastVersionToEveryAgent(t *testing.T) {
 	for _, scope := range []string{ScopeFleet, ScopeService} {
 		t.Run(scope, func(t *testing.T) {
@@ -131,7 +132,8 @@
 	}
 }
 
-// If a process dies, the run returns an error that names the process, and all other processes have ended.
+// If a process dies, the run returns an error that names the process, and all other processes have
+// ended.
 func TestRunFailsWhenProcessDies(t *testing.T) {
 	for _, role := range []string{RoleStandIn, RoleAgents} {
 		bench := &goroutineProcesses{accept: func(r string, cmd *command) bool { return r != role || cmd.Op != opReport }}
@@ -159,8 +161,8 @@
 	bench.alive.Wait()
 }
 
-// A real process executes commands and exits when its standard input ends. The standard input also ends when the
-// bench ends for any reason, so no process outlives the bench.
+// A real process executes commands and exits when its standard input ends. The standard input also
+// ends when the bench ends for any reason, so no process outlives the bench.
 func TestServeReturnsWhenInputEnds(t *testing.T) {
 	spawn := SpawnProgram(os.Args[0], "control-process")
 	for _, role := range []string{RoleStandIn, RoleAgents} {
--- a/internal/fleet/controlplane/serve.go
+++ b/internal/fleet/controlplane/serve.go
@@ -14,12 +14,12 @@
 	close() // ends everything that the commands started
 }
 
-// Serve runs a process of the bench in one role, RoleStandIn or RoleAgents. It reads commands from in, each a
-// JSON object, and writes a reply to out for each.
+// Serve runs a process of the bench in one role, RoleStandIn or RoleAgents. It reads commands from
+// in, each a JSON object, and writes a reply to out for each.
 //
-// Serve returns nil when in ends, which happens when the bench ends, or when the context is done. It returns
-// an error for an unknown role, for input that is not a command, or if a reply can't be written. If a command
-// fails, the reply has the error and Serve continues.
+// Serve returns nil when in ends, which happens when the bench ends, or when the context is done.
+// It returns an error for an unknown role, for input that is not a command, or if a reply can't be
+// written. If a command fails, the reply has the error and Serve continues.
 func Serve(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -54,8 +54,8 @@
 	}
 }
 
-// readCommands reads commands until the context is done, in ends or a command is invalid. In the last two
-// cases it sends the error to ended. The error is io.EOF if in ended between two commands.
+// readCommands reads commands until the context is done, in ends or a command is invalid. In the
+// last two cases it sends the error to ended. The error is io.EOF if in ended between two commands.
 func readCommands(ctx context.Context, in io.Reader) (<-chan command, <-chan error) {
 	commands := make(chan command)
 	ended := make(chan error, 1)
--- a/internal/fleet/controlplane/simulated_agents.go
+++ b/internal/fleet/controlplane/simulated_agents.go
@@ -19,13 +19,13 @@
 // event reports that an agent applied a version of the list.
 type event struct {
 	Agent int   `json:"a"`
-	Seq   int64 `json:"s"`
-	At    int64 `json:"t"` // Unix time in microseconds
-	Whole bool  `json:"w,omitempty"`
+	Seq   int64 `json:"s"`           // the version
+	At    int64 `json:"t"`           // Unix time in microseconds
+	Whole bool  `json:"w,omitempty"` // a whole list, not a change
 }
 
-// simulatedAgents are the agents of one process. They run the real watch code and the real decision module
-// and have no clients.
+// simulatedAgents are the agents of one process. They run the real watch code and the real decision
+// module and have no clients.
 type simulatedAgents struct {
 	plan           *Plan
 	discoveryPorts map[int]int                // by agent
@@ -46,8 +46,8 @@
 			return reply{}, errors.New("agents: need one port for each agent")
 		}
 		h.plan, h.discoveryPorts, h.cancels = cmd.Plan, map[int]int{}, map[int]context.CancelFunc{}
-		// Agents log a warning for each watch that ends, among others. Warnings are expected in a run and
-		// not logged.
+		// Agents log a warning for each watch that ends, among others. Warnings are expected in a
+		// run and not logged.
 		h.log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
 		for i, a := range cmd.Agents {
 			h.discoveryPorts[a] = cmd.Ports[i]
--- a/internal/fleet/controlplane/slopes.go
+++ b/internal/fleet/controlplane/slopes.go
@@ -7,8 +7,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// fittedFigures are the figures that straight lines are fitted through. The first group grows with the number
-// of agents, the second with the length of the list.
+// fittedFigures are the figures that straight lines are fitted through. The first group grows with
+// the number of agents, the second with the length of the list.
 var fittedFigures = []struct {
 	cases   []string             // names of the cases
 	over    string               // the parameter in which the cases differ
@@ -23,8 +23,8 @@
 			"agent_rss"}},
 }
 
-// fitSlopes returns the lines of fittedFigures. A figure that too few cases have is left out with a warning.
-// A case lacks a figure if not enough agents were reached.
+// fitSlopes returns the lines of fittedFigures. A figure that too few cases have is left out with a
+// warning. A case lacks a figure if not enough agents were reached.
 func fitSlopes(log *slog.Logger, cases []fleet.Case, size fleet.Size) []fleet.Fit {
 	var fits []fleet.Fit
 	for _, group := range fittedFigures {
--- a/internal/fleet/controlplane/slopes_test.go
+++ b/internal/fleet/controlplane/slopes_test.go
@@ -8,8 +8,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// A line is fitted only through the fleets that differ in its parameter and in nothing else. It predicts the
-// figure at the target size.
+// A line is fitted only through the fleets that differ in its parameter and in nothing else. It
+// predicts the figure at the target size.
 func TestFitSlopesUsesCasesThatDifferInOneParameter(t *testing.T) {
 	var cases []fleet.Case
 	addCase := func(name string, agents, servers float64) {
--- a/internal/fleet/controlplane/standin.go
+++ b/internal/fleet/controlplane/standin.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// heartbeatInterval is the time between two empty lines that each watch gets while nothing changes.
+	// heartbeatInterval is the time between two empty lines that each watch gets while nothing
+	// changes.
 	heartbeatInterval = 2 * time.Second
 	// readHeaderTimeout bounds the time that a client may take to send the header of a call.
 	readHeaderTimeout = 10 * time.Second
 )
 
-// standIn is a stand-in of discovery. It gets the endpoint list from the bench and serves it to polls and
-// watches, on one port for each scope.
+// standIn is a stand-in of discovery. It gets the endpoint list from the bench and serves it to
+// polls and watches, on one port for each scope.
 type standIn struct {
 	endpoints *endpointStore
 	servers   []*http.Server
@@ -31,8 +32,8 @@
 	callPeak  peakCounter
 }
 
-// servedCounts counts what a stand-in has served since its start. Bytes are those of HTTP, without the headers
-// of TCP and IP.
+// servedCounts counts what a stand-in has served since its start. Bytes are those of HTTP, without
+// the headers of TCP and IP.
 type servedCounts struct {
 	Calls      int64 `json:"calls"`
 	Lists      int64 `json:"lists"`      // whole lists and changes that were written
@@ -46,7 +47,7 @@
 type peakCounter struct {
 	mu     sync.Mutex
 	second int64 // Unix time of the last call
-	calls  int64 // in that second
+	calls  int64 // in that second, since the last takePeak
 	peak   int64 // largest value of calls
 }
 
@@ -113,10 +114,10 @@
 		s.endpoints.setSilent(cmd.Silent)
 		return reply{}, nil
 	case opReport:
-		n := servedCounts{Calls: atomic.LoadInt64(&s.served.Calls), Lists: atomic.LoadInt64(&s.served.Lists),
+		counts := servedCounts{Calls: atomic.LoadInt64(&s.served.Calls), Lists: atomic.LoadInt64(&s.served.Lists),
 			Heartbeats: atomic.LoadInt64(&s.served.Heartbeats), Bytes: atomic.LoadInt64(&s.served.Bytes),
 			BytesRead: atomic.LoadInt64(&s.served.BytesRead), CallsPeak: s.callPeak.takePeak()}
-		return reply{Counts: n, AgeMs: s.endpoints.age().Milliseconds()}, nil
+		return reply{Counts: counts, AgeMs: s.endpoints.age().Milliseconds()}, nil
 	}
 	return reply{}, fmt.Errorf("unknown command %q", cmd.Op)
 }
@@ -166,8 +167,8 @@
 	}
 }
 
-// serve answers one call. While the stand-in is silent it writes nothing, neither to new calls nor to open
-// watches.
+// serve answers one call. While the stand-in is silent it writes nothing, neither to new calls nor
+// to open watches.
 func (s *standIn) serve(w http.ResponseWriter, r *http.Request, scope int) {
 	atomic.AddInt64(&s.served.Calls, 1)
 	s.callPeak.add()
@@ -184,7 +185,8 @@
 	answered := false
 	for {
 		seq, silent, changed := s.endpoints.state()
-		// The first list is written immediately, even if it has no changes, because it answers the call.
+		// The first list is written immediately, even if it has no changes, because it answers the
+		// call.
 		if !silent && (!answered || seq != since) {
 			sent, err := s.writeList(w, scope, since)
 			switch {
@@ -212,7 +214,8 @@
 	}
 }
 
-// writeList writes the changes of a scope since a version, and returns the version that they lead to.
+// writeList writes the changes of a scope since a version, and returns the version that they lead
+// to.
 func (s *standIn) writeList(w http.ResponseWriter, scope int, since int64) (int64, error) {
 	list, seq, err := s.endpoints.encodedList(scope, since)
 	if err != nil {
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -16,15 +16,15 @@
 // delayProbeInterval is the time that a process sleeps in each measurement of its scheduling delay.
 const delayProbeInterval = 20 * time.Millisecond
 
-// schedulingDelay measures how long a process waited for a processor. It may wait for one of its own
-// GOMAXPROCS, or for one of the machine, which other processes use too. A measured time that is not longer
-// than this delay may be due to such a wait.
+// schedulingDelay measures how long a process waited for a processor. The processor may be one of
+// those that its GOMAXPROCS allows, or one of the machine, which other processes use too. A time of
+// the bench that is about as long as this delay may be due to such a wait.
 type schedulingDelay struct {
 	mu      sync.Mutex
 	longest time.Duration
 }
 
-// measure measures until the context is done.
+// measure updates the longest wait until the context is done.
 func (d *schedulingDelay) measure(ctx context.Context) {
 	for {
 		sleepStart := time.Now()
@@ -37,7 +37,8 @@
 	}
 }
 
-// takeLongestMs returns the longest wait in milliseconds since the last takeLongestMs, and resets it.
+// takeLongestMs returns the longest wait in milliseconds since the last takeLongestMs, and resets
+// it.
 func (d *schedulingDelay) takeLongestMs() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +55,8 @@
 	Allocated float64 `json:"allocated"` // heap bytes allocated since the start of the process
 }
 
-// measureUsage returns the usage of this process. If collectGarbage is set, it collects the garbage first.
+// measureUsage returns the usage of this process. If collectGarbage is set, it collects the garbage
+// first.
 func measureUsage(collectGarbage bool) (u usage, err error) {
 	if collectGarbage {
 		runtime.GC()
