--- a/internal/fleet/controlplane/delay_stats.go
+++ b/internal/fleet/controlplane/delay_stats.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxDelay is the longest delay that the histogram can record. Validate allows no longer limit
-	// of a plan.
-	maxDelay = time.Hour
+	// maxDelay is the longest delay that the histogram can record. It is also the longest limit that a
+	// plan may have.
+	maxDelay = maxDuration
 	// delayDigits is the number of significant decimal digits that the histogram keeps of a delay.
 	delayDigits = 3
 )
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -40,6 +40,14 @@
 	nameMultiplier = 2654435761
 )
 
+// Limits of the fields of a plan, which Validate checks.
+const (
+	maxStandIns       = 100       // stand-ins per region
+	maxAgentProcesses = 100       // processes that run agents
+	maxChanges        = 1000      // changes without a fault
+	maxDuration       = time.Hour // each duration but Spread, which has to be less than Limit
+)
+
 // Plan describes a run. The help of 'fleetbench control' explains each field. Durations are real
 // time.
 type Plan struct {
@@ -79,7 +87,7 @@
 	for _, f := range []struct {
 		arg          string
 		value, limit int
-	}{{"stand-ins", p.StandIns, 100}, {"processes", p.Processes, 100}, {"changes", p.Changes, 1000}} {
+	}{{"stand-ins", p.StandIns, maxStandIns}, {"processes", p.Processes, maxAgentProcesses}, {"changes", p.Changes, maxChanges}} {
 		if f.value < 1 || f.value > f.limit {
 			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.limit, f.value)
 		}
@@ -87,8 +95,8 @@
 	for _, f := range []struct {
 		arg          string
 		value, limit time.Duration
-	}{{"ask-within", p.AskWithin, time.Hour}, {"calm", p.Calm, time.Hour}, {"down", p.Down, time.Hour},
-		{"silent", p.Silent, time.Hour}, {"cut", p.Cut, time.Hour}, {"cut-every", p.CutEvery, time.Hour}, {"limit", p.Limit, time.Hour}} {
+	}{{"ask-within", p.AskWithin, maxDuration}, {"calm", p.Calm, maxDuration}, {"down", p.Down, maxDuration},
+		{"silent", p.Silent, maxDuration}, {"cut", p.Cut, maxDuration}, {"cut-every", p.CutEvery, maxDuration}, {"limit", p.Limit, maxDuration}} {
 		if f.value <= 0 || f.value > f.limit {
 			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.limit, f.value)
 		}
