--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -1,9 +1,13 @@
-// Package controlplane measures the control side of a large fleet: how long a change of the list
-// of servers takes to be in force at all agents, and what that costs agents and discovery.
+// Package controlplane measures the control plane of a large fleet: how long it takes until all
+// agents have applied a change of the endpoint list, and what that costs the agents and discovery.
 //
-// The agents are simulated in part: the real watch code and the real decision module, without
-// clients and without connections to bid servers, some hundreds in a process. Discovery is played
-// by stand-ins that speak its protocol, one process each. The bench is their source of truth.
+// The agents are partly simulated. They run the real watch code and the real decision module, but
+// have no clients and no connections to bid servers. Some hundreds of them run in one process. A
+// stand-in is a small server in a process of its own that speaks the protocol of discovery and
+// replaces it. The bench is the source of truth: it has the authoritative list and sends updates to
+// the stand-ins.
+//
+// An agent has applied a version of the list when its decision module has it.
 package controlplane
 
 import (
@@ -19,62 +23,82 @@
 	"ploverreel/policy"
 )
 
-// What a list holds of the servers: all of the fleet's, as discovery's protocol has it, or
-// one service's, which it has not.
+// The scopes of an endpoint list: which servers it holds.
 const (
-	ScopeFleet   = "fleet"
-	ScopeService = "service"
+	ScopeFleet   = "fleet"   // all servers, as in the published discovery protocol
+	ScopeService = "service" // the servers of one service; the published protocol has no such lists
 )
 
-// Plan describes a run; the command line of 'fleetbench control' explains each field. Spans are
-// of real time.
+const (
+	// serversPerCell is the number of servers with consecutive indexes that share a cell.
+	serversPerCell = 40
+	// servicesStream selects the random stream, under the plan's seed, for the services of the
+	// servers.
+	servicesStream = 1
+	// nameMultiplier maps a server's index, modulo 2^32, to the number in its name (multiplicative
+	// hashing with the golden ratio). It is odd, so no two indexes get the same name.
+	nameMultiplier = 2654435761
+)
+
+// Limits of the fields of a plan, which Validate checks.
+const (
+	maxStandIns       = 100       // stand-ins per region
+	maxAgentProcesses = 100       // processes that run agents
+	maxChanges        = 1000      // changes without a fault
+	maxDuration       = time.Hour // each duration but Spread, which has to be less than Limit
+)
+
+// Plan describes a run. The help of 'fleetbench control' explains each field. Durations are real
+// time.
 type Plan struct {
 	Size       fleet.Size
-	StandIns   int // of discovery, a region
-	Processes  int // for the agents
-	Membership string
-	Scope      string
-	AskWithin  time.Duration // the settings' contract.askWithinMs
-	Spread     time.Duration // over which the agents' starts are spread evenly; less in a smaller fleet
-	Changes    int           // of one server each, on the calm fleet
-	Calm       time.Duration // without a change
-	Down       time.Duration // of a killed stand-in, until another is at its address
-	Silent     time.Duration // of all of discovery
-	Cut        time.Duration // of a region
-	CutEvery   time.Duration // between the changes that a cut-off region misses
-	Limit      time.Duration // waited for a version to be in force
-	Sweep      bool          // smaller fleets and lists too, for the slopes
-	Faults     bool          // play the faults too, at the full size
+	StandIns   int           // stand-ins of discovery in each region
+	Processes  int           // that run the agents
+	Membership string        // policy.MembershipOnRequest or policy.MembershipPushed
+	Scope      string        // ScopeFleet or ScopeService
+	AskWithin  time.Duration // contract.askWithinMs of the agents' settings
+	Spread     time.Duration // time over which the agents' starts are spread evenly; shorter in a smaller fleet
+	Changes    int           // number of changes without a fault, of one server each
+	Calm       time.Duration // duration of the phase without changes
+	Down       time.Duration // time from the kill of a stand-in to the start of its replacement
+	Silent     time.Duration // how long all stand-ins are silent
+	Cut        time.Duration // how long a region is cut off
+	CutEvery   time.Duration // time between changes while a region is cut off
+	Limit      time.Duration // maximum wait until agents have applied a version
+	Sweep      bool          // also measure smaller fleets and shorter lists, to fit the slopes
+	Faults     bool          // also run the faults, at the full size
 }
 
-// What the memory of an agent is taken to be before a run: a fixed part, and what each entry
-// of its list takes with the garbage that stands beside it.
+// Estimates that Validate compares with the limits of the machine.
 const (
-	agentBytes, entryBytes = 300 << 10, 1 << 10
-	spareFiles             = 64 // of a process, beside the watches
+	// bytesPerAgent is the memory of an agent without its list. bytesPerEntry is the memory of each
+	// entry of its list, with the garbage that has not been collected yet.
+	bytesPerAgent, bytesPerEntry = 300 << 10, 1 << 10
+	// spareDescriptors is the number of open files of a process besides its watches and listeners.
+	spareDescriptors = 64
 )
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
-// memory, processes or descriptors than the machine has.
+// Validate returns a *fleet.UsageError for the first argument that is out of range, or with which
+// the run needs more memory, processes or open files than the machine allows.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
 	}
 	for _, f := range []struct {
-		arg         string
-		value, most int
-	}{{"stand-ins", p.StandIns, 100}, {"processes", p.Processes, 100}, {"changes", p.Changes, 1000}} {
-		if f.value < 1 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
+		arg          string
+		value, limit int
+	}{{"stand-ins", p.StandIns, maxStandIns}, {"processes", p.Processes, maxAgentProcesses}, {"changes", p.Changes, maxChanges}} {
+		if f.value < 1 || f.value > f.limit {
+			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.limit, f.value)
 		}
 	}
 	for _, f := range []struct {
-		arg         string
-		value, most time.Duration
-	}{{"ask-within", p.AskWithin, time.Hour}, {"calm", p.Calm, time.Hour}, {"down", p.Down, time.Hour},
-		{"silent", p.Silent, time.Hour}, {"cut", p.Cut, time.Hour}, {"cut-every", p.CutEvery, time.Hour}, {"limit", p.Limit, time.Hour}} {
-		if f.value <= 0 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.most, f.value)
+		arg          string
+		value, limit time.Duration
+	}{{"ask-within", p.AskWithin, maxDuration}, {"calm", p.Calm, maxDuration}, {"down", p.Down, maxDuration},
+		{"silent", p.Silent, maxDuration}, {"cut", p.Cut, maxDuration}, {"cut-every", p.CutEvery, maxDuration}, {"limit", p.Limit, maxDuration}} {
+		if f.value <= 0 || f.value > f.limit {
+			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.limit, f.value)
 		}
 	}
 	if p.Spread < 0 || p.Spread >= p.Limit {
@@ -87,28 +111,30 @@
 		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
 	}
 	if p.Sweep {
-		least := sweepParts[0]
-		if float64(p.Size.Agents)*least*sweepAgents < 1 {
-			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgents), p.Size.Agents)
+		minShare := sweepShares[0]
+		if float64(p.Size.Agents)*minShare*sweepAgentShare < 1 {
+			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(minShare*sweepAgentShare), p.Size.Agents)
 		}
-		if n := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*least < float64(n) {
-			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(n)/least, p.Size.Servers)
+		if minServers := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*minShare < float64(minServers) {
+			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(minServers)/minShare, p.Size.Servers)
 		}
 	}
-	return p.fits()
+	return p.checkResources()
 }
 
-// with returns the plan with a part of the agents, which start as densely, and a part of the servers.
-func (p *Plan) with(agents, servers float64) Plan {
-	part := *p
-	part.Size.Agents = int(agents * float64(p.Size.Agents))
-	part.Size.Servers = int(servers * float64(p.Size.Servers))
-	part.Spread = time.Duration(agents * float64(p.Spread))
-	return part
+// scaled returns the plan with a share of the agents and a share of the servers. The spread of the
+// starts is scaled with the agents, so that as many agents start in a second.
+func (p *Plan) scaled(agentShare, serverShare float64) Plan {
+	scaled := *p
+	scaled.Size.Agents = int(agentShare * float64(p.Size.Agents))
+	scaled.Size.Servers = int(serverShare * float64(p.Size.Servers))
+	scaled.Spread = time.Duration(agentShare * float64(p.Spread))
+	return scaled
 }
 
-// fits returns a *fleet.UsageError if the run would need more memory, processes or descriptors than there are.
-func (p *Plan) fits() error {
+// checkResources returns a *fleet.UsageError if the run would need more memory, processes or open
+// files than the machine allows.
+func (p *Plan) checkResources() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
 		return fleet.Usage("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
@@ -117,38 +143,41 @@
 	if p.Scope == ScopeService {
 		entries /= float64(size.Services)
 	}
-	if err := fleet.CheckMemory("agents", float64(size.Agents)*(agentBytes+entryBytes*entries)); err != nil {
+	if err := fleet.CheckMemory("agents", float64(size.Agents)*(bytesPerAgent+bytesPerEntry*entries)); err != nil {
 		return err
 	}
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return fmt.Errorf("limit of open files: %w", err)
 	}
-	// A watch that is opened anew may stand beside the one that has ended.
-	watches := 2 * max(ceil(size.Agents, p.Processes), p.agentsOf(0))
-	ports := p.scopes() * p.StandIns * size.Regions
-	if need := max(watches+p.scopes(), ports) + spareFiles; uint64(need) > files.Cur {
-		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", need, files.Cur)
+	// Each agent may have two connections for a short time: a new watch, and the watch that has
+	// ended.
+	watches := 2 * max(ceilDiv(size.Agents, p.Processes), p.agentCount(0))
+	ports := p.scopeCount() * p.StandIns * size.Regions
+	if needed := max(watches+p.scopeCount(), ports) + spareDescriptors; uint64(needed) > files.Cur {
+		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", needed, files.Cur)
 	}
 	return nil
 }
 
-// ceil returns n divided by parts, rounded up.
-func ceil(n, parts int) int { return (n + parts - 1) / parts }
+// ceilDiv returns n divided by divisor, rounded up.
+func ceilDiv(n, divisor int) int { return (n + divisor - 1) / divisor }
 
-// scopes returns how many different lists a stand-in serves.
-func (p *Plan) scopes() int {
+// scopeCount returns the number of scopes, which is the number of different lists that a stand-in
+// serves.
+func (p *Plan) scopeCount() int {
 	if p.Scope == ScopeService {
 		return p.Size.Services
 	}
 	return 1
 }
 
-// agentScopes returns the scope of each agent's list: the service of the server that it runs beside.
+// agentScopes returns the scope of each agent's list. If lists have the scope of a service, an
+// agent gets the list of the service of the server that it runs beside.
 func (p *Plan) agentScopes() []int {
 	scopes := make([]int, p.Size.Agents)
 	if p.Scope == ScopeService {
-		serviceOf := p.services()
+		serviceOf := p.serviceOfServers()
 		for i := range scopes {
 			scopes[i] = serviceOf[i%p.Size.Servers]
 		}
@@ -156,22 +185,25 @@
 	return scopes
 }
 
-// startDelay returns how long after the fleet's start an agent starts.
+// startDelay returns the time from the start of the fleet to the start of an agent.
 func (p *Plan) startDelay(agent int) time.Duration {
 	return p.Spread * time.Duration(agent) / time.Duration(p.Size.Agents)
 }
 
-// zoneOf returns the zone of a server or an agent, regionOf the region of a zone.
-func (p *Plan) zoneOf(i int) int      { return i % p.Size.Zones }
+// zoneOf returns the zone of a server or of an agent.
+func (p *Plan) zoneOf(i int) int { return i % p.Size.Zones }
+
+// regionOf returns the region of a zone.
 func (p *Plan) regionOf(zone int) int { return zone * p.Size.Regions / p.Size.Zones }
 
-// standInOf returns the stand-in whose address an agent's configuration names: one of its region.
+// standInOf returns the stand-in of an agent: the one of its region whose address is in its
+// configuration.
 func (p *Plan) standInOf(agent int) int {
 	return p.regionOf(p.zoneOf(agent))*p.StandIns + agent/p.Size.Zones%p.StandIns
 }
 
-// agentsOf returns the number of agents of a stand-in.
-func (p *Plan) agentsOf(standIn int) int {
+// agentCount returns the number of agents of a stand-in.
+func (p *Plan) agentCount(standIn int) int {
 	n := 0
 	for i := range p.Size.Agents {
 		if p.standInOf(i) == standIn {
@@ -181,43 +213,47 @@
 	return n
 }
 
-// services returns the service of each server. Services are uneven: each has one server at least, the first more.
-func (p *Plan) services() []int {
-	rng := rand.New(rand.NewPCG(p.Size.Seed, 1))
-	sum, until := 0.0, make([]float64, p.Size.Services)
-	for k := range until {
-		sum += 1 / math.Sqrt(float64(k+1))
-		until[k] = sum
-	}
-	of := make([]int, p.Size.Servers)
-	for i := range of {
-		if of[i] = i; i >= p.Size.Services {
-			x := rng.Float64() * sum
-			for of[i] = 0; until[of[i]] < x; of[i]++ {
+// serviceOfServers returns the service of each server. The services have uneven sizes: each has at
+// least one server, and the expected number of its other servers is inversely proportional to the
+// square root of its rank.
+func (p *Plan) serviceOfServers() []int {
+	rng := rand.New(rand.NewPCG(p.Size.Seed, servicesStream))
+	total, cumulative := 0.0, make([]float64, p.Size.Services)
+	for k := range cumulative {
+		total += 1 / math.Sqrt(float64(k+1))
+		cumulative[k] = total
+	}
+	serviceOf := make([]int, p.Size.Servers)
+	for i := range serviceOf {
+		if serviceOf[i] = i; i >= p.Size.Services {
+			draw := rng.Float64() * total
+			for serviceOf[i] = 0; cumulative[serviceOf[i]] < draw; serviceOf[i]++ {
 			}
 		}
 	}
-	return of
+	return serviceOf
 }
 
-// serverName returns a server's name in the list. The agent hashes it.
-func serverName(i int) string { return fmt.Sprintf("s-%08x", uint32(i)*2654435761) }
+// serverName returns the name of a server in the list. The agent derives the server's address in the
+// decision module from a hash of it.
+func serverName(index int) string { return fmt.Sprintf("s-%08x", uint32(index)*nameMultiplier) }
 
-// hosts returns the list at the start. Nobody dials its addresses.
-func (p *Plan) hosts() []endpointlist.Host {
+// initialHosts returns the servers of the first list. No agent connects to their addresses.
+func (p *Plan) initialHosts() []endpointlist.Host {
 	hosts := make([]endpointlist.Host, p.Size.Servers)
 	for i := range hosts {
 		hosts[i] = endpointlist.Host{Host: serverName(i), Dial: fmt.Sprintf("127.%d.%d.%d:8081", p.zoneOf(i)+1, i>>8&255, i&255),
-			Site: zoneName(p.zoneOf(i)), Class: "m1", Block: i / 40, Health: "ready", Share: 1}
+			Site: zoneName(p.zoneOf(i)), Class: "m1", Block: i / serversPerCell, Health: "ready", Share: 1}
 	}
 	return hosts
 }
 
-// zoneName returns a zone's name in the list and in the settings.
+// zoneName returns the name of a zone in the list and in the settings.
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone) }
 
-// config returns the configuration of an agent.
-func (p *Plan) config(index int, discovery string) ([]byte, error) {
+// agentConfig returns the JSON of an agent's configuration. discovery is the address of its
+// stand-in.
+func (p *Plan) agentConfig(index int, discovery string) ([]byte, error) {
 	zones := make([]string, p.Size.Zones)
 	for z := range zones {
 		zones[z] = zoneName(z)
--- a/internal/fleet/controlplane/usage.go
+++ b/internal/fleet/controlplane/usage.go
@@ -13,49 +13,52 @@
 	"time"
 )
 
-// delayProbeEvery is how often a process checks that it gets a processor.
-const delayProbeEvery = 20 * time.Millisecond
+// delayProbeInterval is the time that a process sleeps in each measurement of its scheduling delay.
+const delayProbeInterval = 20 * time.Millisecond
 
-// schedulingDelay is how long a process waited for a processor: its own of GOMAXPROCS, or one of
-// the machine's, which others use too. A measured time of that length may be such a wait.
+// schedulingDelay measures how long a process waited for a processor. The processor may be one of
+// those that its GOMAXPROCS allows, or one of the machine, which other processes use too. A time of
+// the bench that is about as long as this delay may be due to such a wait.
 type schedulingDelay struct {
-	mu   sync.Mutex
-	most time.Duration
+	mu      sync.Mutex
+	longest time.Duration
 }
 
-// watch measures until the context ends.
-func (d *schedulingDelay) watch(ctx context.Context) {
+// measure updates the longest wait until the context is done.
+func (d *schedulingDelay) measure(ctx context.Context) {
 	for {
-		began := time.Now()
-		if sleep(ctx, delayProbeEvery) != nil {
+		sleepStart := time.Now()
+		if sleep(ctx, delayProbeInterval) != nil {
 			return
 		}
 		d.mu.Lock()
-		d.most = max(d.most, time.Since(began)-delayProbeEvery)
+		d.longest = max(d.longest, time.Since(sleepStart)-delayProbeInterval)
 		d.mu.Unlock()
 	}
 }
 
-// takeMs returns the longest wait since the last call, in milliseconds.
-func (d *schedulingDelay) takeMs() float64 {
+// takeLongestMs returns the longest wait in milliseconds since the last takeLongestMs, and resets
+// it.
+func (d *schedulingDelay) takeLongestMs() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	most := d.most
-	d.most = 0
-	return float64(most) / float64(time.Millisecond)
+	longest := d.longest
+	d.longest = 0
+	return float64(longest) / float64(time.Millisecond)
 }
 
-// usage holds the resources that a process has used.
+// usage has the resources that a process uses.
 type usage struct {
-	CPUMs     float64 `json:"cpu_ms"` // user and system, since its start
-	RSS       float64 `json:"rss"`    // bytes, now
-	Heap      float64 `json:"heap"`   // bytes in use by Go, exact after a garbage collection
-	Allocated float64 `json:"allocated"`
+	CPUMs     float64 `json:"cpu_ms"`    // user and system time since the start of the process
+	RSS       float64 `json:"rss"`       // resident bytes at present
+	Heap      float64 `json:"heap"`      // heap bytes of Go; without garbage only after a collection
+	Allocated float64 `json:"allocated"` // heap bytes allocated since the start of the process
 }
 
-// measureUsage reads this process's usage, after a garbage collection if collect is set.
-func measureUsage(collect bool) (u usage, err error) {
-	if collect {
+// measureUsage returns the usage of this process. If collectGarbage is set, it collects the garbage
+// first.
+func measureUsage(collectGarbage bool) (u usage, err error) {
+	if collectGarbage {
 		runtime.GC()
 	}
 	var r syscall.Rusage
