--- a/deploy/example/example_test.go
+++ b/deploy/example/example_test.go
@@ -14,7 +14,8 @@
 	"ploverreel/policy"
 )
 
-// The agent loads the example configuration as it ships, and every address in it is a loopback address.
+// The agent loads the example configuration as it ships, and every address in it is a loopback
+// address.
 func TestExampleConfigurationLoads(t *testing.T) {
 	conf, err := config.Load("config.json")
 	if err != nil {
@@ -59,7 +60,8 @@
 	if err := decoder.Decode(&example); err != nil {
 		t.Fatal(err)
 	}
-	// The names of zones and machine kinds are not part of policy.Settings; config reads them separately.
+	// The names of zones and machine kinds are not part of policy.Settings; config reads them
+	// separately.
 	for _, key := range []string{"failureDomains", "shapes"} {
 		if example.Settings[key] == nil {
 			t.Errorf("settings.%s: missing", key)
@@ -74,8 +76,8 @@
 // optionalKeys lists the keys that only some classes have.
 var optionalKeys = map[string]bool{"settings.classes.group": true, "settings.classes.keyTtlMs": true}
 
-// checkKeys checks that the JSON value at path has exactly the keys that the type reads; optionalKeys may
-// be missing. Each element of a list is checked.
+// checkKeys checks that the JSON value at path has exactly the keys that the type reads;
+// optionalKeys may be missing. Each element of a list is checked.
 func checkKeys(t *testing.T, path string, value any, typ reflect.Type) {
 	t.Helper()
 	switch {
--- a/internal/agenttest/backend.go
+++ b/internal/agenttest/backend.go
@@ -59,8 +59,9 @@
 	return addr, counts
 }
 
-// IDBackend starts a test backend that responds to each request with the status, and with the header
-// Not-Started if notStarted is set. It sends the id of each request on ids.
+// IDBackend starts a test backend that responds to each request with the status, and with the
+// header Not-Started if notStarted is set. It sends the id of each request on ids, which buffers
+// 100 of them.
 func IDBackend(t testing.TB, status int, notStarted bool) (addr string, ids chan string) {
 	t.Helper()
 	ids = make(chan string, 100)
--- a/internal/agenttest/client.go
+++ b/internal/agenttest/client.go
@@ -27,8 +27,8 @@
 	return conn
 }
 
-// RequestText returns the text of a complete request without a body. Its method is GET for the class
-// "look" and POST for every other class.
+// RequestText returns the text of a complete request without a body. Its method is GET for the
+// class "look" and POST for every other class.
 func RequestText(class, id string) string {
 	method := http.MethodPost
 	if class == "look" {
--- a/internal/agenttest/config.go
+++ b/internal/agenttest/config.go
@@ -36,8 +36,8 @@
 		"block": 1, "health": health, "share": 1.0, "born_ms": 0}
 }
 
-// Set sets the value at a path in a JSON object, or deletes the last key of the path if the value is
-// nil. A string in the path is a key of an object, and an int is an index into a list.
+// Set sets the value at a path in a JSON object, or deletes the last key of the path if the value
+// is nil. A string in the path is a key of an object, and an int is an index into a list.
 func Set(object map[string]any, value any, path ...any) {
 	var node any = object
 	for _, key := range path[:len(path)-1] {
--- a/internal/agenttest/dialer.go
+++ b/internal/agenttest/dialer.go
@@ -10,9 +10,9 @@
 
 // FailingDialer opens connections. Its first Failures calls fail with Errno.
 type FailingDialer struct {
-	Errno    syscall.Errno
-	Failures int32
-	Calls    atomic.Int32 // number of calls so far
+	Errno    syscall.Errno // error of the failing calls
+	Failures int32         // number of calls that fail
+	Calls    atomic.Int32  // number of calls so far
 }
 
 // DialContext fails for the first Failures calls and then opens connections with a net.Dialer.
--- a/internal/agenttest/discovery.go
+++ b/internal/agenttest/discovery.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// EndpointChange is one line of a discovery watch. It is version 2 of the endpoint list, in which the
-// backend s-0 is draining.
+// EndpointChange is one line of a discovery watch. It is version 2 of the endpoint list, in which
+// the backend s-0 is draining.
 const EndpointChange = `{"seq":2,"whole":false,"hosts":[{"host":"s-0","dial":"127.0.0.1:1","health":"draining"}]}`
 
 // Discovery is a test server for discovery, the service that lists the backends. The test receives
@@ -19,8 +19,8 @@
 	Calls chan *DiscoveryCall
 }
 
-// DiscoveryCall is one call to a Discovery. No part of the response, not even its head, is sent before
-// the first text on Write.
+// DiscoveryCall is one call to a Discovery. No part of the response, not even its head, is sent
+// before the first text on Write.
 type DiscoveryCall struct {
 	URI   string        // path and query
 	Write chan string   // each text is sent and flushed at once; closing it ends the response
@@ -55,9 +55,9 @@
 	}
 }
 
-// ServeLines starts a test server that responds to each call with the lines, and returns its address.
-// A response ends after the last line. With keepOpen it ends when the caller cancels the call or the
-// test ends.
+// ServeLines starts a test server that responds to each call with the lines, and returns its
+// address. A response ends after the last line. With keepOpen it ends when the caller cancels the
+// call or the test ends.
 func ServeLines(t testing.TB, keepOpen bool, lines ...string) (addr string) {
 	release := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/agenttest/faultconn.go
+++ b/internal/agenttest/listener.go
@@ -33,8 +33,8 @@
 // NoFault is the Fault of a connection that doesn't fail.
 var NoFault = Fault{ReadFailsAt: -1, WriteFailsAt: -1}
 
-// FaultyListener accepts connections that read and write one byte at a time. Each connection has the
-// fault that NextFault holds when it is accepted.
+// FaultyListener accepts connections that read and write one byte at a time. Each connection has
+// the fault that NextFault holds when it is accepted.
 type FaultyListener struct {
 	net.Listener
 	NextFault *atomic.Pointer[Fault]
--- a/internal/agenttest/scriptedconn.go
+++ b/internal/agenttest/scriptedconn.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ScriptedConn is a connection to a backend that delivers a response one byte per read. It can fail at
-// a chosen byte of the request or of the response. Only one goroutine may use it.
+// ScriptedConn is a connection to a backend that delivers a response one byte per read. It can fail
+// at a chosen byte of the request or of the response. Only one goroutine may use it.
 type ScriptedConn struct {
 	net.Conn
 	Response    []byte        // bytes that are still to be read; io.EOF follows
@@ -27,8 +27,8 @@
 	return &ScriptedConn{Response: []byte(response), WriteLimit: -1, ReadLimit: -1}
 }
 
-// Write records the data in Written. If WriteLimit isn't negative, it records at most that many bytes
-// and then fails with Errno, or returns a short count without an error if Errno is 0.
+// Write records the data in Written. If WriteLimit isn't negative, it records at most that many
+// bytes and then fails with Errno, or returns a short count without an error if Errno is 0.
 func (c *ScriptedConn) Write(data []byte) (int, error) {
 	if c.BeforeWrite != nil {
 		c.BeforeWrite()
--- a/internal/docs/imports_test.go
+++ b/internal/docs/imports_test.go
@@ -20,8 +20,8 @@
 	{"policy"},
 }
 
-// layerOf returns the index of the layer that a directory belongs to, and the directory in layers that
-// is or contains it. The index is -1 if the directory is in no layer.
+// layerOf returns the index of the layer that a directory belongs to, and the directory in layers
+// that is or contains it. The index is -1 if the directory is in no layer.
 func layerOf(dir string) (index int, member string) {
 	for index, layer := range layers {
 		for _, member := range layer {
@@ -33,8 +33,8 @@
 	return -1, ""
 }
 
-// A package imports only packages of lower layers. The decision module, policy, imports no package of
-// this module and neither time, net nor os.
+// A package imports only packages of lower layers. The decision module, policy, imports no package
+// of this module and neither time, net nor os.
 func TestPackagesImportOnlyLowerLayers(t *testing.T) {
 	repo := readRepository(t)
 	for _, name := range slices.Sorted(maps.Keys(repo.goFiles)) {
--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Each link in README.md and the pages under docs points to an existing file and an existing heading.
+// Each link in README.md and the pages under docs points to an existing file and an existing
+// heading.
 func TestLinksResolve(t *testing.T) {
 	repo := readRepository(t)
 	for _, name := range repo.pages(t) {
--- a/internal/docs/log_attributes_test.go
+++ b/internal/docs/log_attributes_test.go
@@ -29,8 +29,8 @@
 	return keys
 }
 
-// keyConstants returns the constant value of a key. If the key is a parameter of the enclosing function,
-// keyConstants returns the constants that the calls in the package pass for it.
+// keyConstants returns the constant value of a key. If the key is a parameter of the enclosing
+// function, keyConstants returns the constants that the calls in the package pass for it.
 func (r *logReader) keyConstants(expr ast.Expr) []string {
 	if text, ok := r.constantText(expr); ok {
 		return []string{text}
@@ -101,8 +101,8 @@
 	return keys
 }
 
-// keysOfList returns the keys of a list of attributes that a function of the package returns. These are
-// the keys of all list literals in the function and of all attributes that it appends.
+// keysOfList returns the keys of a list of attributes that a function of the package returns. These
+// are the keys of all list literals in the function and of all attributes that it appends.
 func (r *logReader) keysOfList(expr ast.Expr) (keys []string) {
 	if call, ok := expr.(*ast.CallExpr); ok {
 		for _, function := range r.functions[calleeOf(call)] {
@@ -127,8 +127,8 @@
 	return keys
 }
 
-// keysOfListLiteral returns the keys of a literal []any of attributes. It returns none for a literal of
-// another list type.
+// keysOfListLiteral returns the keys of a literal []any of attributes. It returns none for a
+// literal of another list type.
 func (r *logReader) keysOfListLiteral(list *ast.CompositeLit) []string {
 	if element, ok := list.Type.(*ast.ArrayType).Elt.(*ast.Ident); !ok || element.Name != "any" {
 		return nil
@@ -136,8 +136,9 @@
 	return r.attributeKeys(list.Elts, false)
 }
 
-// groupName returns the name of a group of attributes. A name that is built at run time is returned as
-// the page writes it: "tierN" for a constant followed by a number, "CLASS" for the name of a class.
+// groupName returns the name of a group of attributes. A name that is built at run time is returned
+// as the page writes it: "tierN" for a constant followed by a number, "CLASS" for the name of a
+// class.
 func (r *logReader) groupName(expr ast.Expr) string {
 	if text, ok := r.constantText(expr); ok {
 		return text
--- a/internal/docs/log_page_test.go
+++ b/internal/docs/log_page_test.go
@@ -14,14 +14,19 @@
 }
 
 var (
+	// lineHeading matches the heading of a log line, which is its message.
 	lineHeading = regexp.MustCompile("^### `([^`]+)`$")
+	// lineSummary matches the level and the attributes of a log line.
 	lineSummary = regexp.MustCompile(`^(DEBUG|INFO|WARN|ERROR), (no attributes|attributes: .+)$`)
-	traceRow    = regexp.MustCompile("^\\| `([^`]+)` \\|")
-	traceLink   = "see [the trace](#the-trace)"
+	// traceRow matches a row of the table of the trace's attributes.
+	traceRow = regexp.MustCompile("^\\| `([^`]+)` \\|")
+	// traceLink ends the summary of a line that has the trace's attributes.
+	traceLink = "see [the trace](#the-trace)"
 )
 
-// readLogPage reads the section "Log lines" of the operations page. Each message has a heading. Below
-// it follow one line with the level and the attributes, the meaning, the impact and what to do.
+// readLogPage reads the section "Log lines" of the operations page. Each message has a heading.
+// Below it follow one line with the level and the attributes, the meaning, the impact and what to
+// do.
 func readLogPage(t *testing.T, text string) logPage {
 	t.Helper()
 	page := logPage{lines: map[string]logLine{}}
--- a/internal/docs/log_reader_test.go
+++ b/internal/docs/log_reader_test.go
@@ -23,8 +23,8 @@
 	problems   []string
 }
 
-// logLines returns the lines that the packages in the directories can log, by message, the keys that
-// every line has, and the problems with log calls.
+// logLines returns the lines that the packages in the directories can log, by message, the keys
+// that every line has, and the problems with log calls.
 func (repo *repository) logLines(dirs []string) (lines map[string]logLine, commonKeys, problems []string) {
 	reader := &logReader{repo: repo, lines: map[string]logLine{}, commonKeys: map[string]bool{}}
 	for _, dir := range dirs {
@@ -110,8 +110,9 @@
 	}
 }
 
-// readCall reads a call of a logger and ignores any other call. A call is one of a logger if it has an
-// argument and its method has the name of a logger's method. A function of an imported package isn't one.
+// readCall reads a call of a logger and ignores any other call. A call is one of a logger if it has
+// an argument and its method has the name of a logger's method. A function of an imported package
+// isn't one.
 func (r *logReader) readCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -177,7 +178,7 @@
 	return text, err == nil
 }
 
-// selection returns the names of an expression of the form owner.name.
+// selection returns the two names of an expression of the form owner.name.
 func selection(expr ast.Expr) (owner, name string, ok bool) {
 	selector, ok := expr.(*ast.SelectorExpr)
 	if !ok {
--- a/internal/docs/names_test.go
+++ b/internal/docs/names_test.go
@@ -31,17 +31,17 @@
 //   - name.go, or a name with another extension that occurs in the repository: a file
 //   - a/b: a path relative to the root, or the path of an imported package; bin/a is built from cmd/a
 //   - a.b: a method or field of a type, a declaration of a package, or nested keys of JSON or of the
-//     log, such as limits.cores; the log builds the names of the groups tierN.b and CLASS.b at run time
+//     log, such as limits.cores; in tierN.b and CLASS.b the log builds the group's name at run time
 //   - a single word: a name that is declared in the repository (function, method, type, field,
 //     constant, variable, package) or predeclared in Go, a JSON key, or a complete string literal,
 //     such as a value of a setting, a flag or an attribute
 //
 // Brackets after a name and their contents are ignored: f(x), list[N]. Other words are not checked:
-// texts with a space or an operator (commands, messages, types), words with a hyphen (flags, headers,
-// commands), words that begin with a slash (request targets), paths outside the repository (../a, and
-// K/a for the kit), words in capitals (signals, environment variables), and numbers. Blocks of code
-// hold commands and diagrams. In them the test checks only files, tests, words with a capital inside
-// or after a dot, and members of types and packages.
+// texts with a space or a special character (commands, messages, types), words with a hyphen
+// (flags, headers, commands), words that begin with a slash (request targets), paths outside the
+// repository (../a, and K/a for the kit), words in capitals (signals, environment variables), and
+// numbers. Blocks of code hold commands and diagrams. In them the test checks only files, tests,
+// words with a capital inside or after a dot, and members of types and packages.
 func TestNamesInPagesExist(t *testing.T) {
 	repo := readRepository(t)
 	index := repo.nameIndex()
@@ -133,8 +133,8 @@
 // blockWordPattern matches one word in a block of code: names joined by dots and slashes.
 var blockWordPattern = regexp.MustCompile(`[A-Za-z_][A-Za-z0-9_]*(?:[./][A-Za-z0-9_]+)*`)
 
-// codeWords returns the words that a page writes in code type. It leaves out generated tables, which
-// 'fleetbench report' writes.
+// codeWords returns the words that a page writes in code type. It leaves out generated tables,
+// which 'fleetbench report' writes.
 func codeWords(page string) (words []codeWord) {
 	generated, fenced, block, blank := false, false, false, true
 	for i, line := range strings.Split(page, "\n") {
@@ -167,19 +167,23 @@
 var codeSpan = regexp.MustCompile("`([^`]+)`")
 
 var (
-	bracketed    = regexp.MustCompile(`\[[A-Za-z0-9]*\]|\([^()]*\)$`)
-	namePattern  = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(?:[./][A-Za-z0-9_-]+)*(?:/|/?\.\.\.)?$`)
+	// bracketed matches an index or length anywhere, and arguments at the end.
+	bracketed = regexp.MustCompile(`\[[A-Za-z0-9]*\]|\([^()]*\)$`)
+	// namePattern matches names joined by dots or slashes, also with a slash or "..." at the end.
+	namePattern = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_]*(?:[./][A-Za-z0-9_-]+)*(?:/|/?\.\.\.)?$`)
+	// numberSuffix matches the end of a group's name such as tierN.
 	numberSuffix = regexp.MustCompile(`[0-9N]$`)
 	allCapitals  = regexp.MustCompile(`^[A-Z0-9_]+$`)
-	mixedCase    = regexp.MustCompile(`[a-z0-9]\.?[A-Z]`)
-	testPrefix   = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
+	// mixedCase matches a word with a capital inside or after a dot.
+	mixedCase  = regexp.MustCompile(`[a-z0-9]\.?[A-Z]`)
+	testPrefix = regexp.MustCompile(`^(Test|Benchmark|Fuzz)[A-Z]`)
 )
 
 // isTestName reports whether 'go test' runs a function with the name.
 func isTestName(name string) bool { return testPrefix.MatchString(name) }
 
-// problem says why a word names nothing that exists. It returns "" if the word names something, or if
-// it isn't checked.
+// problem says why a word names nothing that exists. It returns "" if the word names something, or
+// if it isn't checked.
 func (n *nameIndex) problem(w codeWord) string {
 	text := bracketed.ReplaceAllString(w.text, "")
 	if w.inBlock && !n.isNameInBlock(text) {
@@ -226,9 +230,9 @@
 }
 
 // hasMember reports whether a name with dots exists. A name that begins with a package from outside
-// the module is not checked further. In a name that begins with a type or a package of the repository,
-// each part has to be a member of the part before. Any other name consists of keys of JSON or of the
-// log, of which each has to exist; their nesting is not checked.
+// the module is not checked further. In a name that begins with a type or a package of the
+// repository, each part has to be a member of the part before. Any other name consists of keys of
+// JSON or of the log, of which each has to exist; their nesting is not checked.
 func (n *nameIndex) hasMember(parts []string) bool {
 	for imported := range n.imports {
 		if path.Base(imported) == parts[0] && n.members[parts[0]] == nil {
--- a/internal/docs/repository_test.go
+++ b/internal/docs/repository_test.go
@@ -16,8 +16,8 @@
 // module is the path of the Go module, the first part of its import paths.
 const module = "ploverreel"
 
-// repository holds the paths of the repository's files, relative to its root and with slashes, and its
-// parsed Go files.
+// repository holds the paths of the repository's files, relative to its root and with slashes, and
+// its parsed Go files.
 type repository struct {
 	root    string
 	paths   map[string]bool      // of files and directories
