--- a/cmd/fleetbench/output.go
+++ b/cmd/fleetbench/output.go
@@ -15,7 +15,7 @@
 func (o output) finish(r *fleet.Result, cause error) error {
 	path := o.Out
 	if path == "" {
-		path = filepath.Join("bench", "results", r.Bench+".json")
+		path = filepath.Join("bench", "results", r.Subcommand+".json")
 	}
 	if err := r.Save(path, cause); err != nil && cause == nil {
 		return err
--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -65,7 +65,7 @@
 		value, most int
 	}{{"stand-ins", p.StandIns, 100}, {"processes", p.Processes, 100}, {"changes", p.Changes, 1000}} {
 		if f.value < 1 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
+			return fleet.NewUsageError(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
 		}
 	}
 	for _, f := range []struct {
@@ -74,25 +74,25 @@
 	}{{"ask-within", p.AskWithin, time.Hour}, {"calm", p.Calm, time.Hour}, {"down", p.Down, time.Hour},
 		{"silent", p.Silent, time.Hour}, {"cut", p.Cut, time.Hour}, {"cut-every", p.CutEvery, time.Hour}, {"limit", p.Limit, time.Hour}} {
 		if f.value <= 0 || f.value > f.most {
-			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.most, f.value)
+			return fleet.NewUsageError(f.arg, "must be above 0 and at most %v, is %v", f.most, f.value)
 		}
 	}
 	if p.Spread < 0 || p.Spread >= p.Limit {
-		return fleet.Usage("spread", "must be from 0 to less than --limit, is %v", p.Spread)
+		return fleet.NewUsageError("spread", "must be from 0 to less than --limit, is %v", p.Spread)
 	}
 	if p.Membership != policy.MembershipOnRequest && p.Membership != policy.MembershipPushed {
-		return fleet.Usage("membership", "must be %s or %s, is %q", policy.MembershipOnRequest, policy.MembershipPushed, p.Membership)
+		return fleet.NewUsageError("membership", "must be %s or %s, is %q", policy.MembershipOnRequest, policy.MembershipPushed, p.Membership)
 	}
 	if p.Scope != ScopeFleet && p.Scope != ScopeService {
-		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
+		return fleet.NewUsageError("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
 	}
 	if p.Sweep {
 		least := sweepParts[0]
 		if float64(p.Size.Agents)*least*sweepAgents < 1 {
-			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgents), p.Size.Agents)
+			return fleet.NewUsageError("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(least*sweepAgents), p.Size.Agents)
 		}
 		if n := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*least < float64(n) {
-			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(n)/least, p.Size.Servers)
+			return fleet.NewUsageError("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(n)/least, p.Size.Servers)
 		}
 	}
 	return p.fits()
@@ -111,7 +111,7 @@
 func (p *Plan) fits() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
-		return fleet.Usage("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
+		return fleet.NewUsageError("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
 	}
 	entries := float64(size.Servers)
 	if p.Scope == ScopeService {
@@ -128,7 +128,7 @@
 	watches := 2 * max(ceil(size.Agents, p.Processes), p.agentsOf(0))
 	ports := p.scopes() * p.StandIns * size.Regions
 	if need := max(watches+p.scopes(), ports) + spareFiles; uint64(need) > files.Cur {
-		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", need, files.Cur)
+		return fleet.NewUsageError("agents", "would need %d open files in a process, the limit is %d", need, files.Cur)
 	}
 	return nil
 }
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	if info, err := os.Stat(p.Agent); err != nil || info.IsDir() || info.Mode()&0o111 == 0 {
-		return fleet.Usage("agent", "no program at %s; deploy/balancer.toml tells how to build it", p.Agent)
+		return fleet.NewUsageError("agent", "no program at %s; deploy/balancer.toml tells how to build it", p.Agent)
 	}
 	for _, check := range []func() error{p.checkLists, p.checkSpans, p.checkMachine} {
 		if err := check(); err != nil {
@@ -73,11 +73,11 @@
 		values []int
 	}{{"list", p.Lists}, {"replicas", p.Replicas}, {"open", p.Open}} {
 		if len(list.values) == 0 {
-			return fleet.Usage(list.arg, "none given")
+			return fleet.NewUsageError(list.arg, "none given")
 		}
 		for _, v := range list.values {
 			if v < 1 || v > maxValue {
-				return fleet.Usage(list.arg, "must be from 1 to %d, is %d", maxValue, v)
+				return fleet.NewUsageError(list.arg, "must be from 1 to %d, is %d", maxValue, v)
 			}
 		}
 	}
@@ -89,19 +89,19 @@
 	most := fleet.MaxProcesses - 1 // and the bench itself
 	switch {
 	case p.Chains < 1 || p.Chains > most:
-		return fleet.Usage("beside", "must be from 1 to %d, is %d", most, p.Chains)
+		return fleet.NewUsageError("beside", "must be from 1 to %d, is %d", most, p.Chains)
 	case p.Answer <= 0 || p.Answer > maxAnswer:
-		return fleet.Usage("answer", "must be above 0 and at most %v, is %v", maxAnswer, p.Answer)
+		return fleet.NewUsageError("answer", "must be above 0 and at most %v, is %v", maxAnswer, p.Answer)
 	case p.Objective <= 0 || p.Objective > maxObjective:
-		return fleet.Usage("objective", "must be above 0 and at most %v, is %v", maxObjective, p.Objective)
+		return fleet.NewUsageError("objective", "must be above 0 and at most %v, is %v", maxObjective, p.Objective)
 	case p.Calls < 1 || float64(p.Calls) > p.rate()*longestRun.Seconds():
-		return fleet.Usage("seconds", "must be above 0 and at most %.0f", longestRun.Seconds())
+		return fleet.NewUsageError("seconds", "must be above 0 and at most %.0f", longestRun.Seconds())
 	case p.Warmup < 0 || float64(p.Warmup) > p.rate()*longestRun.Seconds():
-		return fleet.Usage("warmup", "must be 0 or above and at most %.0f s", longestRun.Seconds())
+		return fleet.NewUsageError("warmup", "must be 0 or above and at most %.0f s", longestRun.Seconds())
 	}
 	for _, s := range p.scenarios() {
 		if s.answer > maxAnswer {
-			return fleet.Usage("open", "%d at %.0f calls a second need answers of %v, over %v", s.open, p.rate(), s.answer, maxAnswer)
+			return fleet.NewUsageError("open", "%d at %.0f calls a second need answers of %v, over %v", s.open, p.rate(), s.answer, maxAnswer)
 		}
 	}
 	return nil
@@ -116,7 +116,7 @@
 		return fmt.Errorf("descriptors: %w", err)
 	}
 	if need := uint64(2*max(longest, p.service()*p.Size.Depth) + p.Chains*agentSockets); need > files.Cur {
-		return fleet.Usage("list", "%d servers need some %d descriptors of %d", longest, need, files.Cur)
+		return fleet.NewUsageError("list", "%d servers need some %d descriptors of %d", longest, need, files.Cur)
 	}
 	processes := max(p.Chains, p.Size.Depth)
 	return fleet.CheckMemory("list", float64(processes)*processBytes+float64(longest)*serverBytes)
--- a/internal/fleet/decisions/options.go
+++ b/internal/fleet/decisions/options.go
@@ -52,10 +52,10 @@
 		return nil, err
 	}
 	if o.Requests < 1 || o.Requests > maxRequests {
-		return nil, fleet.Usage("requests", "must be from 1 to %d, is %d", maxRequests, o.Requests)
+		return nil, fleet.NewUsageError("requests", "must be from 1 to %d, is %d", maxRequests, o.Requests)
 	}
 	if o.Repeats < 1 || o.Repeats > maxRepeats {
-		return nil, fleet.Usage("repeats", "must be from 1 to %d, is %d", maxRepeats, o.Repeats)
+		return nil, fleet.NewUsageError("repeats", "must be from 1 to %d, is %d", maxRepeats, o.Repeats)
 	}
 	servers, lists := o.byServers()
 	warming := o.byShare("cold", func(l *workload, share float64) { l.warming = share })
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -18,8 +18,8 @@
 	Go       string  `json:"go"`
 }
 
-// machine returns the description of this machine.
-func machine() Machine {
+// describeMachine returns the description of this machine.
+func describeMachine() Machine {
 	return Machine{CPU: procField("/proc/cpuinfo", "model name"), Cores: runtime.NumCPU(),
 		MemoryGB: float64(MemoryBytes()>>20) / 1024, OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 }
@@ -36,9 +36,9 @@
 
 // CheckMemory returns a *UsageError that names arg if a run would need more bytes than half of the
 // machine's memory.
-func CheckMemory(arg string, bytes float64) error {
-	if all := MemoryBytes(); all > 0 && bytes > float64(all)/2 {
-		return Usage(arg, "would need some %.1f GB, over half of the machine's %.1f GB", bytes/(1<<30), float64(all)/(1<<30))
+func CheckMemory(arg string, neededBytes float64) error {
+	if totalBytes := MemoryBytes(); totalBytes > 0 && neededBytes > float64(totalBytes)/2 {
+		return NewUsageError(arg, "would need some %.1f GB, over half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
 	}
 	return nil
 }
@@ -59,9 +59,9 @@
 	return ""
 }
 
-// commit returns the commit of the sources in the current folder, with "+" where they had changes
+// sourceCommit returns the commit of the sources in the current folder, with "+" where they had changes
 // outside the journal and the results; "" outside of a checkout.
-func commit() string {
+func sourceCommit() string {
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
 		return ""
--- a/internal/fleet/model/scenarios.go
+++ b/internal/fleet/model/scenarios.go
@@ -43,7 +43,7 @@
 		}
 		names = append(names, s.Name)
 	}
-	return Scenario{}, fleet.Usage("scenarios", "%q is none of %s", name, fmt.Sprint(names))
+	return Scenario{}, fleet.NewUsageError("scenarios", "%q is none of %s", name, fmt.Sprint(names))
 }
 
 // Play plays the scenario on a new fleet for so many seconds after SettleS, and returns what was counted in
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -17,10 +17,10 @@
 	sectionEnd   = "<!-- /fleetbench -->"
 )
 
-var startLine = regexp.MustCompile(`^<!-- fleetbench:([a-z0-9][a-z0-9-]*) -->$`)
+var startMarker = regexp.MustCompile(`^<!-- fleetbench:([a-z0-9][a-z0-9-]*) -->$`)
 
-// flaggedDifference is the relative difference above which the measured value at the target is flagged.
-const flaggedDifference = 0.25
+// flaggedRelativeDifference is the relative difference above which the measured value at the target is flagged.
+const flaggedRelativeDifference = 0.25
 
 // LoadResults reads the results of a folder, by their files' names without '.json'. One that
 // is unfinished or foreign is an error that names its file. A folder that isn't there is empty.
@@ -46,29 +46,29 @@
 	var out, names []string
 	open := "" // the section that is being replaced
 	for i, line := range strings.Split(page, "\n") {
-		at := func(format string, args ...any) (string, []string, error) {
+		lineError := func(format string, args ...any) (string, []string, error) {
 			return "", nil, fmt.Errorf("line %d: "+format, append([]any{i + 1}, args...)...)
 		}
 		text := strings.TrimSpace(line)
 		switch {
 		case strings.HasPrefix(text, sectionStart):
-			m := startLine.FindStringSubmatch(text)
+			m := startMarker.FindStringSubmatch(text)
 			switch {
 			case m == nil:
-				return at("no marker of a result: %s", text)
+				return lineError("no marker of a result: %s", text)
 			case open != "":
-				return at("%s begins within %s", m[1], open)
+				return lineError("%s begins within %s", m[1], open)
 			case slices.Contains(names, m[1]):
-				return at("%s has two sections", m[1])
+				return lineError("%s has two sections", m[1])
 			case results[m[1]] == nil:
-				return at("%s: no such result", m[1])
+				return lineError("%s: no such result", m[1])
 			}
 			open = m[1]
 			names = append(names, open)
 			out = append(out, text, "", strings.TrimSpace(results[open].Tables(open+".json")), "")
 		case text == sectionEnd:
 			if open == "" {
-				return at("the end of no section")
+				return lineError("the end of no section")
 			}
 			open = ""
 			out = append(out, text)
@@ -86,48 +86,48 @@
 // of cases with the same figures, and one of the fits. file is the result's name.
 func (r *Result) Tables(file string) string {
 	var out strings.Builder
-	var sets [][]Case
+	var groups [][]Case
 	for _, c := range r.Cases {
-		i := slices.IndexFunc(sets, func(set []Case) bool { return sameFigures(set[0].Figures, c.Figures) })
+		i := slices.IndexFunc(groups, func(group []Case) bool { return sameFigures(group[0].Figures, c.Figures) })
 		if i < 0 {
-			sets = append(sets, []Case{c})
+			groups = append(groups, []Case{c})
 			continue
 		}
-		sets[i] = append(sets[i], c)
+		groups[i] = append(groups[i], c)
 	}
-	run := r.run(file)
-	for _, set := range sets {
-		out.WriteString(caseTable(set, run))
+	runLine := r.runLine(file)
+	for _, group := range groups {
+		out.WriteString(caseTable(group, runLine))
 	}
 	if len(r.Fits) > 0 {
-		out.WriteString(fitTable(r.Fits, run))
+		out.WriteString(fitTable(r.Fits, runLine))
 	}
-	fmt.Fprintf(&out, "%s: %s\n\n", cell(file), r.call())
+	fmt.Fprintf(&out, "%s: %s\n\n", escapeCell(file), r.commandLine())
 	for _, note := range r.Notes {
-		fmt.Fprintf(&out, "- %s\n", cell(note))
+		fmt.Fprintf(&out, "- %s\n", escapeCell(note))
 	}
 	return out.String()
 }
 
-// run returns the line under a table that describes the run.
-func (r *Result) run(file string) string {
+// runLine returns the line under a table that describes the run.
+func (r *Result) runLine(file string) string {
 	commit := r.Commit
 	if commit == "" {
 		commit = "unknown"
 	}
 	m := r.Machine
-	return fmt.Sprintf("Run: %s, commit %s, on %s, %d cores, %s GB, %s, %s; %s UTC, %s s.", cell(file), cell(commit),
-		cell(m.CPU), m.Cores, number(m.MemoryGB), cell(m.OS), cell(m.Go), r.Started.UTC().Format("2006-01-02 15:04"),
-		number(r.TookS))
+	return fmt.Sprintf("Run: %s, commit %s, on %s, %d cores, %s GB, %s, %s; %s UTC, %s s.", escapeCell(file), escapeCell(commit),
+		escapeCell(m.CPU), m.Cores, formatNumber(m.MemoryGB), escapeCell(m.OS), escapeCell(m.Go), r.Started.UTC().Format("2006-01-02 15:04"),
+		formatNumber(r.DurationS))
 }
 
-// call returns the run's command line with its size.
-func (r *Result) call() string {
-	call := strings.Join(append([]string{"fleetbench", r.Bench}, r.Args...), " ")
+// commandLine returns the run's command line with its size.
+func (r *Result) commandLine() string {
+	command := strings.Join(append([]string{"fleetbench", r.Subcommand}, r.Args...), " ")
 	s := r.Size
 	return fmt.Sprintf("`%s` with %d agents, %d servers, %d services, %d regions, %d zones, %s calls a second, "+
-		"depth %d, seed %d.", strings.ReplaceAll(cell(call), "`", "'"), s.Agents, s.Servers, s.Services, s.Regions,
-		s.Zones, number(s.Rate), s.Depth, s.Seed)
+		"depth %d, seed %d.", strings.ReplaceAll(escapeCell(command), "`", "'"), s.Agents, s.Servers, s.Services, s.Regions,
+		s.Zones, formatNumber(s.Rate), s.Depth, s.Seed)
 }
 
 // sameFigures reports whether two cases have figures of the same names and units.
@@ -137,37 +137,37 @@
 
 // caseTable returns a table with a row for each case and a column for each figure. Parameters that half of the
 // cases share stand under the table, and in a row only where it differs.
-func caseTable(cases []Case, run string) string {
-	usual, rest := usualParams(cases)
+func caseTable(cases []Case, runLine string) string {
+	common, commonText := commonParams(cases)
 	head := []string{"case", "at"}
 	for _, f := range cases[0].Figures {
-		head = append(head, withUnit(f.Name, f.Unit))
+		head = append(head, figureHeading(f.Name, f.Unit))
 	}
 	var rows [][]string
-	some := false
+	anyParams := false
 	for _, c := range cases {
-		at := c.paramsBut(usual)
-		some = some || at != ""
-		row := []string{c.Name, at}
+		params := c.paramsTextExcept(common)
+		anyParams = anyParams || params != ""
+		row := []string{c.Name, params}
 		for _, f := range c.Figures {
-			row = append(row, number(f.Value))
+			row = append(row, formatNumber(f.Value))
 		}
 		rows = append(rows, row)
 	}
-	if !some { // of no use then
+	if !anyParams { // of no use then
 		head = slices.Delete(head, 1, 2)
 		for i := range rows {
 			rows[i] = slices.Delete(rows[i], 1, 2)
 		}
 	}
-	if rest != "" {
-		run = "At " + rest + " where the row says no other. " + run
+	if commonText != "" {
+		runLine = "At " + commonText + " where the row says no other. " + runLine
 	}
-	return table(head, rows) + "\n" + run + "\n\n"
+	return markdownTable(head, rows) + "\n" + runLine + "\n\n"
 }
 
-// usualParams returns the parameters with the value that at least half of several cases share, and their text.
-func usualParams(cases []Case) (map[string]float64, string) {
+// commonParams returns the parameters with the value that at least half of several cases share, and their text.
+func commonParams(cases []Case) (map[string]float64, string) {
 	count := map[string]map[float64]int{}
 	for _, c := range cases {
 		for name, value := range c.Params {
@@ -177,24 +177,24 @@
 			count[name][value]++
 		}
 	}
-	usual := map[string]float64{}
+	common := map[string]float64{}
 	for name, values := range count {
 		for value, n := range values {
-			old, has := usual[name]
+			old, has := common[name]
 			if n > 1 && 2*n >= len(cases) && (!has || n > values[old] || n == values[old] && value < old) {
-				usual[name] = value
+				common[name] = value
 			}
 		}
 	}
-	return usual, (&Case{Params: usual}).paramsBut(nil)
+	return common, (&Case{Params: common}).paramsTextExcept(nil)
 }
 
-// paramsBut returns the text of the case's parameters that are not the usual ones.
-func (c *Case) paramsBut(usual map[string]float64) string {
+// paramsTextExcept returns the text of the case's parameters that are not the usual ones.
+func (c *Case) paramsTextExcept(common map[string]float64) string {
 	var parts []string
 	for name, value := range c.Params {
-		if old, has := usual[name]; !has || old != value {
-			parts = append(parts, cell(name)+" "+number(value))
+		if old, has := common[name]; !has || old != value {
+			parts = append(parts, escapeCell(name)+" "+formatNumber(value))
 		}
 	}
 	slices.Sort(parts)
@@ -202,70 +202,70 @@
 }
 
 // fitTable returns a table with a row for each fit.
-func fitTable(fits []Fit, run string) string {
+func fitTable(fits []Fit, runLine string) string {
 	head := []string{"figure", "over", "sizes", "slope x size + fixed", "residual", "target", "line there", "measured there",
 		"measured / line"}
 	var rows [][]string
 	for _, f := range fits {
 		sizes := "none"
 		if len(f.Sizes) > 0 {
-			sizes = fmt.Sprintf("%d, %s to %s", len(f.Sizes), number(slices.Min(f.Sizes)), number(slices.Max(f.Sizes)))
+			sizes = fmt.Sprintf("%d, %s to %s", len(f.Sizes), formatNumber(slices.Min(f.Sizes)), formatNumber(slices.Max(f.Sizes)))
 		}
 		sign := " + "
-		if f.Fixed < 0 {
+		if f.Intercept < 0 {
 			sign = " - "
 		}
 		measured, ratio := "not run", ""
-		if f.Measured != nil {
-			measured = number(*f.Measured)
+		if f.MeasuredAtTarget != nil {
+			measured = formatNumber(*f.MeasuredAtTarget)
 			ratio = "none"
-			if f.AtTarget != 0 {
-				ratio = number(*f.Measured / f.AtTarget)
+			if f.PredictedAtTarget != 0 {
+				ratio = formatNumber(*f.MeasuredAtTarget / f.PredictedAtTarget)
 			}
-			if math.Abs(*f.Measured-f.AtTarget) > flaggedDifference*math.Abs(f.AtTarget) {
+			if math.Abs(*f.MeasuredAtTarget-f.PredictedAtTarget) > flaggedRelativeDifference*math.Abs(f.PredictedAtTarget) {
 				ratio = "**" + ratio + ", differs**"
 			}
 		}
-		rows = append(rows, []string{withUnit(f.Figure, f.Unit), f.Over, sizes,
-			number(f.Slope) + " x " + f.Over + sign + number(math.Abs(f.Fixed)), number(f.Residual), number(f.Target),
-			number(f.AtTarget), measured, ratio})
+		rows = append(rows, []string{figureHeading(f.Figure, f.Unit), f.Param, sizes,
+			formatNumber(f.Slope) + " x " + f.Param + sign + formatNumber(math.Abs(f.Intercept)), formatNumber(f.RelativeRMSE), formatNumber(f.Target),
+			formatNumber(f.PredictedAtTarget), measured, ratio})
 	}
-	return table(head, rows) + "\nA residual is the root of the mean squared miss, as a part of the mean. " + run + "\n\n"
+	return markdownTable(head, rows) + "\nA residual is the root of the mean squared miss, as a part of the mean. " + runLine + "\n\n"
 }
 
-// table returns a table in Markdown; its first column is text, the others are aligned to the right.
-func table(head []string, rows [][]string) string {
+// markdownTable returns a table in Markdown; its first column is text, the others are aligned to the right.
+func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
-	line := func(cells []string) {
+	writeRow := func(cells []string) {
 		out.WriteString("|")
 		for _, text := range cells {
-			out.WriteString(" " + cell(text) + " |")
+			out.WriteString(" " + escapeCell(text) + " |")
 		}
 		out.WriteString("\n")
 	}
-	line(head)
+	writeRow(head)
 	out.WriteString("| --- |" + strings.Repeat(" ---: |", len(head)-1) + "\n")
 	for _, row := range rows {
-		line(row)
+		writeRow(row)
 	}
 	return out.String()
 }
 
-// cell returns the text without what would end its cell, its line or its section.
-func cell(text string) string {
+// escapeCell returns the text without what would end its cell, its line or its section.
+func escapeCell(text string) string {
 	return strings.NewReplacer("|", "/", "\n", " ", "\r", " ", "<!--", "", "-->", "").Replace(text)
 }
 
-// withUnit returns the heading of a figure.
-func withUnit(name, unit string) string {
+// figureHeading returns the heading of a figure.
+func figureHeading(name, unit string) string {
 	if unit == "" || unit == "count" {
 		return name
 	}
 	return name + " (" + unit + ")"
 }
 
-// number returns the text of a number: three significant digits, or all of a whole number.
-func number(x float64) string {
+// formatNumber returns the text of a number: three significant digits, or all of a whole number.
+func formatNumber(x float64) string {
 	if x == math.Trunc(x) && math.Abs(x) < 1e9 {
 		return strconv.FormatFloat(x, 'f', -1, 64)
 	}
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -28,24 +28,24 @@
 	maxDepth = 100
 )
 
-// Target returns the size of the fleet that the system has to carry in two years.
-func Target() Size {
+// TargetSize returns the size of the fleet that the system has to carry in two years.
+func TargetSize() Size {
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
 
 // UsageError is an invalid argument of the command line. The bench ends with one line that names it, and
 // exit code 2.
 type UsageError struct {
-	Arg string // without the dashes
-	Why string
+	Arg    string // without the dashes
+	Reason string
 }
 
 // Error returns the argument and what is wrong with it.
-func (e *UsageError) Error() string { return fmt.Sprintf("--%s: %s", e.Arg, e.Why) }
+func (e *UsageError) Error() string { return fmt.Sprintf("--%s: %s", e.Arg, e.Reason) }
 
-// Usage returns a *UsageError; format and args say what is wrong with arg.
-func Usage(arg, format string, args ...any) error {
-	return &UsageError{Arg: arg, Why: fmt.Sprintf(format, args...)}
+// NewUsageError returns a *UsageError; format and args say what is wrong with arg.
+func NewUsageError(arg, format string, args ...any) error {
+	return &UsageError{Arg: arg, Reason: fmt.Sprintf(format, args...)}
 }
 
 // Validate returns a *UsageError for the first figure that is out of range, else nil.
@@ -59,11 +59,11 @@
 		{"zones", s.Zones, s.Servers}, {"regions", s.Regions, s.Zones}, {"depth", s.Depth, maxDepth},
 	} {
 		if f.value < 1 || f.value > f.most {
-			return Usage(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
+			return NewUsageError(f.arg, "must be from 1 to %d, is %d", f.most, f.value)
 		}
 	}
 	if !(s.Rate > 0) || s.Rate > maxRate {
-		return Usage("rate", "must be above 0 and at most %g, is %v", maxRate, s.Rate)
+		return NewUsageError("rate", "must be above 0 and at most %g, is %v", maxRate, s.Rate)
 	}
 	return nil
 }
