--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Machine describes the machine that a result was measured on; a field that can't be read is empty.
+// Machine describes the machine that a result was measured on. A field that cannot be read is empty.
 type Machine struct {
 	CPU      string  `json:"cpu"`
 	Cores    int     `json:"cores"`
@@ -24,7 +24,7 @@
 		MemoryGB: float64(MemoryBytes()>>20) / 1024, OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 }
 
-// MemoryBytes returns the machine's memory in bytes, 0 where /proc/meminfo can't be read.
+// MemoryBytes returns the machine's memory in bytes, or 0 if /proc/meminfo cannot be read.
 func MemoryBytes() int64 {
 	kb, _, _ := strings.Cut(procField("/proc/meminfo", "MemTotal"), " ")
 	n, err := strconv.ParseInt(kb, 10, 64)
@@ -34,8 +34,8 @@
 	return n << 10
 }
 
-// CheckMemory returns a *UsageError that names arg if a run would need more bytes than half of the
-// machine's memory.
+// CheckMemory returns a *UsageError for the argument arg if a run would need more than half of the machine's
+// memory. It returns nil if the size of the memory is unknown.
 func CheckMemory(arg string, neededBytes float64) error {
 	if totalBytes := MemoryBytes(); totalBytes > 0 && neededBytes > float64(totalBytes)/2 {
 		return NewUsageError(arg, "would need some %.1f GB, over half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// procField returns the first value of a field in a file of lines of the form 'field : value'.
+// procField returns the value of the first line 'field : value' with that field in the file, or "" if there
+// is none.
 func procField(path, field string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return ""
 }
 
-// sourceCommit returns the commit of the sources in the current folder, with "+" where they had changes
-// outside the journal and the results; "" outside of a checkout.
+// sourceCommit returns the abbreviated commit ID of the checkout in the current directory. It appends "+" if
+// there are uncommitted changes outside the journal and the results. Outside a checkout it returns "".
 func sourceCommit() string {
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -10,8 +10,8 @@
 	"strings"
 )
 
-// A page holds the generated tables of a result between two lines: the first names the
-// result's file in the folder of results, without '.json'.
+// A section of a page holds the generated tables of one result between a start marker and an end marker,
+// each on a line of its own. The start marker names the result's file without the extension '.json'.
 const (
 	sectionStart = "<!-- fleetbench:"
 	sectionEnd   = "<!-- /fleetbench -->"
@@ -19,11 +19,13 @@
 
 var startMarker = regexp.MustCompile(`^<!-- fleetbench:([a-z0-9][a-z0-9-]*) -->$`)
 
-// flaggedRelativeDifference is the relative difference above which the measured value at the target is flagged.
+// flaggedRelativeDifference is the relative difference from the line's prediction above which the value
+// measured at the target is flagged in the table of fits.
 const flaggedRelativeDifference = 0.25
 
-// LoadResults reads the results of a folder, by their files' names without '.json'. One that
-// is unfinished or foreign is an error that names its file. A folder that isn't there is empty.
+// LoadResults reads all results in a directory and returns them by file name without '.json'. For a result
+// that is unfinished or in another format it returns an error that names the file. For a missing directory
+// it returns no results and no error.
 func LoadResults(dir string) (map[string]*Result, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -40,11 +42,12 @@
 	return results, nil
 }
 
-// RenderPage returns the page with the tables of its sections rendered from the results, and the names of
-// the sections. A section without its result or its end is an error that names the line.
+// RenderPage replaces the content of each section with the tables of its result. It returns the new page and
+// the names of its sections. A section without a result or an end marker is an error that names the line or
+// the section.
 func RenderPage(page string, results map[string]*Result) (string, []string, error) {
 	var out, names []string
-	open := "" // the section that is being replaced
+	open := "" // name of the section that contains the current line, "" outside of sections
 	for i, line := range strings.Split(page, "\n") {
 		lineError := func(format string, args ...any) (string, []string, error) {
 			return "", nil, fmt.Errorf("line %d: "+format, append([]any{i + 1}, args...)...)
@@ -82,8 +85,8 @@
 	return strings.Join(out, "\n"), names, nil
 }
 
-// Tables returns the result's tables in Markdown, with the run that measured them under each: one for each set
-// of cases with the same figures, and one of the fits. file is the result's name.
+// Tables returns the result's tables in Markdown: one for each group of cases with the same figures, and one
+// of the fits. A line under each table describes the run. file is the name of the result's file.
 func (r *Result) Tables(file string) string {
 	var out strings.Builder
 	var groups [][]Case
@@ -109,7 +112,7 @@
 	return out.String()
 }
 
-// runLine returns the line under a table that describes the run.
+// runLine returns the line that describes the run under a table.
 func (r *Result) runLine(file string) string {
 	commit := r.Commit
 	if commit == "" {
@@ -121,7 +124,7 @@
 		formatNumber(r.DurationS))
 }
 
-// commandLine returns the run's command line with its size.
+// commandLine returns the run's command line and the size of the fleet.
 func (r *Result) commandLine() string {
 	command := strings.Join(append([]string{"fleetbench", r.Subcommand}, r.Args...), " ")
 	s := r.Size
@@ -130,13 +133,13 @@
 		s.Zones, formatNumber(s.Rate), s.Depth, s.Seed)
 }
 
-// sameFigures reports whether two cases have figures of the same names and units.
+// sameFigures reports whether two lists of figures have the same names and units in the same order.
 func sameFigures(a, b []Figure) bool {
 	return slices.EqualFunc(a, b, func(x, y Figure) bool { return x.Name == y.Name && x.Unit == y.Unit })
 }
 
-// caseTable returns a table with a row for each case and a column for each figure. Parameters that half of the
-// cases share stand under the table, and in a row only where it differs.
+// caseTable returns a table with a row for each case and a column for each figure. Parameter values that at
+// least half of the cases share are listed under the table. A row lists only parameters with other values.
 func caseTable(cases []Case, runLine string) string {
 	common, commonText := commonParams(cases)
 	head := []string{"case", "at"}
@@ -154,7 +157,7 @@
 		}
 		rows = append(rows, row)
 	}
-	if !anyParams { // of no use then
+	if !anyParams { // drop the column of parameters, which is empty
 		head = slices.Delete(head, 1, 2)
 		for i := range rows {
 			rows[i] = slices.Delete(rows[i], 1, 2)
@@ -166,7 +169,8 @@
 	return markdownTable(head, rows) + "\n" + runLine + "\n\n"
 }
 
-// commonParams returns the parameters with the value that at least half of several cases share, and their text.
+// commonParams returns each parameter that has the same value in at least half of the cases and in more than
+// one, with that value, and the text of all of them. Of two values with equal counts it takes the smaller one.
 func commonParams(cases []Case) (map[string]float64, string) {
 	count := map[string]map[float64]int{}
 	for _, c := range cases {
@@ -189,7 +193,7 @@
 	return common, (&Case{Params: common}).paramsTextExcept(nil)
 }
 
-// paramsTextExcept returns the text of the case's parameters that are not the usual ones.
+// paramsTextExcept returns the text of the case's parameters, without those that have their common value.
 func (c *Case) paramsTextExcept(common map[string]float64) string {
 	var parts []string
 	for name, value := range c.Params {
@@ -233,7 +237,7 @@
 	return markdownTable(head, rows) + "\nA residual is the root of the mean squared miss, as a part of the mean. " + runLine + "\n\n"
 }
 
-// markdownTable returns a table in Markdown; its first column is text, the others are aligned to the right.
+// markdownTable returns a table in Markdown. The first column is aligned to the left, the others to the right.
 func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
 	writeRow := func(cells []string) {
@@ -251,12 +255,12 @@
 	return out.String()
 }
 
-// escapeCell returns the text without what would end its cell, its line or its section.
+// escapeCell replaces or removes the characters that would end a table cell, a line or a section.
 func escapeCell(text string) string {
 	return strings.NewReplacer("|", "/", "\n", " ", "\r", " ", "<!--", "", "-->", "").Replace(text)
 }
 
-// figureHeading returns the heading of a figure.
+// figureHeading returns the column heading of a figure: its name, with its unit unless that is a count.
 func figureHeading(name, unit string) string {
 	if unit == "" || unit == "count" {
 		return name
@@ -264,7 +268,7 @@
 	return name + " (" + unit + ")"
 }
 
-// formatNumber returns the text of a number: three significant digits, or all of a whole number.
+// formatNumber formats a number with three significant digits. Whole numbers below 1e9 keep all their digits.
 func formatNumber(x float64) string {
 	if x == math.Trunc(x) && math.Abs(x) < 1e9 {
 		return strconv.FormatFloat(x, 'f', -1, 64)
--- a/internal/fleet/page_test.go
+++ b/internal/fleet/page_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// finishedResult returns a finished result with cases of two sets of figures and with fits.
+// finishedResult returns a finished result with fits and with cases that have two different sets of figures.
 func finishedResult() *Result {
 	measured := 50.0
 	r := &Result{Format: resultFormat, Subcommand: "play", Args: []string{"--x=1"}, Size: TargetSize(), Commit: "abc", DurationS: 2.345,
@@ -29,7 +29,8 @@
 	return r
 }
 
-// A section has its result's tables in place of the old ones, and the rest of the page stays.
+// RenderPage replaces the old tables of a section with those of its result and keeps the rest of the page.
+// Rendering the new page again changes nothing.
 func TestRenderPageReplacesSectionTables(t *testing.T) {
 	results := map[string]*Result{"play-ten": finishedResult(), "other": finishedResult()}
 	page := "# A\n\n<!-- fleetbench:play-ten -->\nold\n<!-- /fleetbench -->\nrest\n"
@@ -61,7 +62,7 @@
 	}
 }
 
-// The error of a page with an invalid section names the line or the section.
+// The error for an invalid section names its line or the section.
 func TestRenderPageNamesInvalidSection(t *testing.T) {
 	for page, want := range map[string]string{
 		"a\n<!-- fleetbench:gone -->\n<!-- /fleetbench -->":  "line 2: gone: no such result",
@@ -78,7 +79,7 @@
 	}
 }
 
-// The error of an invalid file among the results names it.
+// LoadResults names the file of an invalid result in its error.
 func TestLoadResultsNamesInvalidResult(t *testing.T) {
 	dir := t.TempDir()
 	if err := finishedResult().Save(filepath.Join(dir, "good.json"), nil); err != nil {
@@ -95,7 +96,7 @@
 	}
 }
 
-// The tables on the capacity page are those of the committed results.
+// The tables on the capacity page match the committed results.
 func TestCapacityPageHasTablesOfCommittedResults(t *testing.T) {
 	root := filepath.Join("..", "..")
 	page, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
--- a/internal/fleet/replace_file.go
+++ b/internal/fleet/replace_file.go
@@ -12,24 +12,24 @@
 // fileMode is the mode of the files that the bench writes.
 const fileMode = 0o644
 
-// ReplaceFile writes data to path whole or not at all: to a temporary file in the same folder,
-// which is synced and then renamed to path. After an error the file that was at path before is
-// still there as it was, or, where only the last sync of the folder failed, the new one, whole.
-// A process that is killed meanwhile may leave the temporary file, PATH.tmp-N. What is no
-// regular file, such as a device, is written to directly.
+// ReplaceFile atomically replaces the file at path. It writes data to a temporary file in the same directory,
+// syncs that file, renames it to path and syncs the directory. After an error path has its old content,
+// unchanged. If only the sync of the directory failed, it has the new content, complete. A process that is
+// killed meanwhile may leave the temporary file, PATH.tmp-N, behind. A path that is not a regular file, such
+// as a device, is written to directly.
 func ReplaceFile(path string, data []byte) error {
 	if info, err := os.Stat(path); err == nil {
 		if !info.Mode().IsRegular() {
 			return os.WriteFile(path, data, fileMode)
 		}
-		if path, err = filepath.EvalSymlinks(path); err != nil { // the link stays
+		if path, err = filepath.EvalSymlinks(path); err != nil { // replace the link's target, not the link
 			return fmt.Errorf("replace file: %w", err)
 		}
 	}
 	return replaceFile(osFileSystem{}, path, data)
 }
 
-// fileSystem holds the calls of the operating system that replaceFile makes; tests make its calls fail.
+// fileSystem has the file system operations that replaceFile uses. Tests replace it to make them fail.
 type fileSystem interface {
 	CreateTemp(dir, pattern string) (temporaryFile, error)
 	Rename(from, to string) error
@@ -37,7 +37,7 @@
 	SyncDir(dir string) error
 }
 
-// temporaryFile is an open file that is being written.
+// temporaryFile is the temporary file that replaceFile writes to.
 type temporaryFile interface {
 	io.WriteCloser
 	Name() string
@@ -45,7 +45,7 @@
 	Sync() error
 }
 
-// osFileSystem is the real one.
+// osFileSystem is the fileSystem of the operating system.
 type osFileSystem struct{}
 
 func (osFileSystem) CreateTemp(dir, pattern string) (temporaryFile, error) {
@@ -64,7 +64,7 @@
 	return errors.Join(opened.Sync(), opened.Close())
 }
 
-// replaceFile is ReplaceFile on any file system.
+// replaceFile does the work of ReplaceFile for a regular or a new file, on the given file system.
 func replaceFile(files fileSystem, path string, data []byte) error {
 	dir := filepath.Dir(path)
 	temporary, err := files.CreateTemp(dir, filepath.Base(path)+".tmp-*")
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// writeAndSync leaves the data and the mode on the disk, or returns why it could not.
+// writeAndSync writes the data, sets the mode to fileMode and syncs the file.
 func writeAndSync(file temporaryFile, data []byte) error {
 	if _, err := file.Write(data); err != nil {
 		return err
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// resultFormat is the form of the results' files; report refuses any other.
+// resultFormat identifies the format of result files. 'fleetbench report' rejects files of any other format.
 const resultFormat = "ploverreel fleetbench 1"
 
-// Result holds the measurements of one run of a subcommand, in the form of its JSON file.
+// Result holds the measurements of one run of a subcommand. It is stored as a JSON file.
 type Result struct {
 	Format     string    `json:"form"`
-	Subcommand string    `json:"bench"` // the subcommand
-	Args       []string  `json:"args"`  // of its call, without machine paths
+	Subcommand string    `json:"bench"` // name of the subcommand
+	Args       []string  `json:"args"`  // arguments of the subcommand without those of Size and without paths of the machine
 	Size       Size      `json:"size"`
-	Commit     string    `json:"commit"` // with "+" where the tree had changes
+	Commit     string    `json:"commit"` // followed by "+" if there were uncommitted changes
 	Machine    Machine   `json:"machine"`
 	Started    time.Time `json:"started"`
 	DurationS  float64   `json:"took_s"`
 	Finished   bool      `json:"finished"`
-	Cause      string    `json:"cause,omitempty"` // why it is not finished
+	Cause      string    `json:"cause,omitempty"` // the error of a run that did not finish
 	Cases      []Case    `json:"cases"`
 	Fits       []Fit     `json:"fits,omitempty"`
 	Notes      []string  `json:"notes,omitempty"`
 }
 
-// Case is one thing played or measured: a point of a fitted line, a scenario, a fault.
+// Case is one measured case, such as a point of a fitted line, a scenario or a fault.
 type Case struct {
 	Name    string             `json:"name"`
-	Params  map[string]float64 `json:"params,omitempty"` // what it was played at, e.g. servers
+	Params  map[string]float64 `json:"params,omitempty"` // parameters of the case, such as the number of servers
 	Figures []Figure           `json:"figures"`
 }
 
@@ -48,7 +48,7 @@
 	c.Figures = append(c.Figures, Figure{name, unit, value})
 }
 
-// Figure returns the value of that name, and whether there is one.
+// Figure returns the value of the figure with that name, and whether the case has one.
 func (c *Case) Figure(name string) (float64, bool) {
 	for _, f := range c.Figures {
 		if f.Name == name {
@@ -58,15 +58,15 @@
 	return 0, false
 }
 
-// NewResult returns a result without cases of a subcommand that starts now, with the commit and the
-// machine. Save ends it.
+// NewResult returns a result without cases for a run of the subcommand that starts now. It records the
+// commit and the machine. Save sets the duration and the outcome.
 func NewResult(subcommand string, args []string, size Size) *Result {
 	return &Result{Format: resultFormat, Subcommand: subcommand, Args: args, Size: size, Commit: sourceCommit(),
 		Machine: describeMachine(), Started: time.Now().UTC().Truncate(time.Second)}
 }
 
-// Save writes the result to path, finished if cause is nil and else marked with it. It makes
-// the folder. After an error the file that was at path before is still there, whole.
+// Save writes the result to path and creates the directory if needed. If cause is not nil, the result is
+// marked as unfinished, with the cause. After an error the previous file at path is still complete.
 func (r *Result) Save(path string, cause error) error {
 	r.DurationS = time.Since(r.Started).Seconds()
 	r.Finished, r.Cause = cause == nil, ""
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// LoadResult reads a result. One that is not of this bench, is unfinished or has no cases is an error
-// that names the file.
+// LoadResult reads a result. If the file has another format, is unfinished or has no cases, it returns an
+// error that names the file.
 func LoadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -1,12 +1,11 @@
-// Package fleet is what the bench's parts share: the size of a fleet, the form of a result and of the
-// page made of results, lines fitted through figures, and checks against the machine. The parts are the
-// packages below it.
+// Package fleet holds the code that all subcommands of fleetbench share: the size of a fleet, the format of
+// results, the page that is generated from results, fitted lines, and checks of the machine's resources.
+// The packages below it implement the subcommands.
 package fleet
 
 import "fmt"
 
-// Size is the size of a fleet; every subcommand of the bench takes it. Its tags are those of
-// the command line.
+// Size is the size of a fleet. Subcommands embed it, so its tags define command-line flags.
 type Size struct {
 	Agents   int     `json:"agents" help:"Agents, one beside each server's application." default:"2000"`
 	Servers  int     `json:"servers" help:"Bid servers, all services together." default:"2000"`
@@ -18,37 +17,38 @@
 	Seed     uint64  `json:"seed" help:"Seed of all random draws." default:"1"`
 }
 
-// MaxProcesses is how many processes a run may start at most.
+// MaxProcesses is the maximum number of processes that a run may start.
 const MaxProcesses = 300
 
-// Bounds of a size, far above the fleet that is planned for.
+// Upper bounds of a size. They are far above the fleet that is planned for.
 const (
-	maxCount = 100_000
-	maxRate  = 1e8
-	maxDepth = 100
+	maxCount = 100_000 // agents and servers
+	maxRate  = 1e8     // calls a second
+	maxDepth = 100     // hops
 )
 
-// TargetSize returns the size of the fleet that the system has to carry in two years.
+// TargetSize returns the size of the fleet that the system has to support in two years. The defaults of
+// the flags in Size are the same.
 func TargetSize() Size {
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
 
-// UsageError is an invalid argument of the command line. The bench ends with one line that names it, and
-// exit code 2.
+// UsageError is an invalid command-line argument. For it the bench prints one line that names the argument
+// and exits with code 2.
 type UsageError struct {
 	Arg    string // without the dashes
 	Reason string
 }
 
-// Error returns the argument and what is wrong with it.
+// Error returns the flag and the reason why its value is invalid.
 func (e *UsageError) Error() string { return fmt.Sprintf("--%s: %s", e.Arg, e.Reason) }
 
-// NewUsageError returns a *UsageError; format and args say what is wrong with arg.
+// NewUsageError returns a *UsageError for arg, with the reason formatted from format and args.
 func NewUsageError(arg, format string, args ...any) error {
 	return &UsageError{Arg: arg, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a *UsageError for the first figure that is out of range, else nil.
+// Validate returns a *UsageError for the first field that is out of range, or nil if there is none.
 func (s Size) Validate() error {
 	for _, f := range []struct {
 		arg   string
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The error of an invalid size names the argument.
+// Validate names the invalid argument in its error.
 func TestSizeValidateNamesInvalidArgument(t *testing.T) {
 	if err := TargetSize().Validate(); err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 	}
 }
 
-// A result that is not finished, or not of this bench, is an error.
+// LoadResult returns an error for an unfinished result and for a file in another format.
 func TestLoadResultRejectsForeignAndUnfinished(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	r := NewResult("decide", nil, TargetSize())
@@ -57,7 +57,8 @@
 	}
 }
 
-// The line through points of a line predicts the target; fewer than four sizes are an error.
+// A line fitted through points of a straight line predicts the value at the target. Fewer than four sizes are
+// an error.
 func TestFitLinePredictsTarget(t *testing.T) {
 	var cases []Case
 	for _, n := range []float64{1, 2, 4, 8, 16} {
