--- a/internal/fleet/datapath/agent_config.go
+++ b/internal/fleet/datapath/agent_config.go
@@ -9,15 +9,20 @@
 )
 
 const (
-	// What an agent is allowed: one core, and the most that a deployment gives.
+	// Limits of an agent: one core, and the most memory (MB) and sockets that a deployment gives an
+	// agent.
 	agentCores, agentMemoryMB, agentSockets = 1, 192, 1024
-	keepaliveTimeout                        = time.Minute
-	connectTimeout                          = 600 * time.Millisecond
-	className                               = "look"
-	tenantName                              = "all"
+	// keepaliveTimeout is how long agents and stand-in servers keep an idle connection open.
+	keepaliveTimeout = time.Minute
+	// connectTimeout is how long an agent waits for a connection to be established.
+	connectTimeout = 600 * time.Millisecond
+	// className and tenantName are the class and the tenant of all calls.
+	className  = "look"
+	tenantName = "all"
 )
 
-// agentConfig returns the configuration of an agent that listens there.
+// agentConfig returns the configuration file of the agent with that index, which listens on
+// listenAddr.
 func (p *Plan) agentConfig(s scenario, index int, listenAddr, discoveryAddr string, list endpointlist.List) ([]byte, error) {
 	return json.Marshal(map[string]any{
 		"name": fmt.Sprint("n", index), "listen": listenAddr, "discovery": discoveryAddr, "seed": fmt.Sprintf("%x", p.Size.Seed+uint64(index)),
@@ -25,8 +30,8 @@
 		"settings": p.agentSettings(s, index), "known": list})
 }
 
-// agentSettings returns those of a usual deployment: one class that is safe to repeat, no health checks, no
-// load reports, quota and zones of the fleet.
+// agentSettings returns the settings of a typical deployment. They have one class of idempotent
+// requests, no health checks, no load reports, and the fleet's quota and zones.
 func (p *Plan) agentSettings(s scenario, index int) map[string]any {
 	var zones []string
 	for z := range p.Size.Zones {
@@ -49,10 +54,10 @@
 	}
 }
 
-// zoneName returns a zone's name.
+// zoneName returns the name of the zone with that index.
 func zoneName(i int) string { return fmt.Sprint("z", i) }
 
-// endpointList returns the endpoint list of a hop's servers, dealt out over the zones.
+// endpointList returns an endpoint list of the servers, which are assigned to the zones in turn.
 func (p *Plan) endpointList(addrs []string) endpointlist.List {
 	list := endpointlist.List{Seq: 1, Whole: true}
 	for i, addr := range addrs {
--- a/internal/fleet/datapath/load.go
+++ b/internal/fleet/datapath/load.go
@@ -11,32 +11,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The histograms' range and precision: a microsecond to ten minutes, three digits.
 const (
+	// Range and precision of the histograms: from 1 us to maxLatencyUs (ten minutes), with three
+	// digits. Longer latencies are recorded as maxLatencyUs.
 	maxLatencyUs      = 600_000_000
 	significantDigits = 3
-	keyCount          = 10_000 // of the calls
+	// keyCount is the number of different keys in the paths of the calls.
+	keyCount = 10_000
 )
 
-// callStats counts how the calls of one kind ended, and their latencies.
+// callStats counts the outcomes of the calls through the agents or of the direct calls, and records
+// their latencies.
 type callStats struct {
 	mu        sync.Mutex
-	latency   *hdrhistogram.Histogram // of those served, in us
-	sendDelay *hdrhistogram.Histogram // how late the calls were sent, in us
-	served    int
-	refused   int
-	failed    int
-	open      int
-	peakOpen  int // the most open at one time
-	firstErr  error
+	latency   *hdrhistogram.Histogram // latency of the served calls, in us
+	sendDelay *hdrhistogram.Histogram // time from when a call was due until it was sent, in us
+	served    int                     // status 200
+	refused   int                     // status 503 or 429
+	failed    int                     // any other status, or an error
+	open      int                     // calls without an outcome
+	peakOpen  int                     // maximum of open
+	firstErr  error                   // of the first failed call
 }
 
-// newCallStats returns counts without a call.
+// newCallStats returns empty statistics.
 func newCallStats() *callStats {
 	return &callStats{latency: hdrhistogram.New(1, maxLatencyUs, significantDigits), sendDelay: hdrhistogram.New(1, maxLatencyUs, significantDigits)}
 }
 
-// begin counts a call that is sent, so long after it was due.
+// begin records that a call is sent, sendDelay after it was due.
 func (s *callStats) begin(sendDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +48,7 @@
 	s.peakOpen = max(s.peakOpen, s.open)
 }
 
-// end counts how a call ended.
+// end records the outcome of a call, which took that long.
 func (s *callStats) end(status int, err error, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +70,15 @@
 	}
 }
 
-// latencyMs returns a quantile, in percent, of the served calls' latencies, in ms.
+// latencyMs returns a percentile of the latencies of the served calls, in ms.
 func (s *callStats) latencyMs(percentile float64) float64 {
 	return float64(s.latency.ValueAtQuantile(percentile)) / 1000
 }
 
-// sendOpenLoop sends calls at random times, whether earlier ones are answered or not (an open loop), and waits for all.
-// A call's latency counts from when it was sent. As no call waits for another, that hides nothing: a late send
-// is the load generator's delay, which sendDelay has.
+// sendOpenLoop sends calls as an open loop: with exponentially distributed intervals, whether
+// earlier calls have ended or not. It waits until all have ended. The latency of a call is measured
+// from when it was sent, not from when it was due. This hides no queueing delay, as no call waits
+// for another. A late send is a delay of the load generator and is recorded in sendDelay.
 func (s *callStats) sendOpenLoop(ctx context.Context, c *caller, calls int, rate float64, timeout time.Duration, rng *rand.Rand) {
 	var calling sync.WaitGroup
 	defer calling.Wait()
--- a/internal/fleet/datapath/plan.go
+++ b/internal/fleet/datapath/plan.go
@@ -1,6 +1,6 @@
-// Package datapath measures the path of a call: real agents as processes between a load
-// generator and stand-in servers, one hop and many hops deep, beside direct calls to servers
-// of the same kind in the same run.
+// Package datapath measures what agents add to a call. It runs real agents as processes between a
+// load generator and stand-in servers, in chains of one hop and of many hops. At the same time it
+// sends direct calls to stand-in servers of the same kind, for comparison.
 package datapath
 
 import (
@@ -14,43 +14,49 @@
 )
 
 const (
-	// agentProcessBytes and standInServerBytes are what an agent's process and a stand-in server are
-	// assumed to take at most; the check of the machine's memory needs the order of magnitude alone.
+	// agentProcessBytes and standInServerBytes are the assumed maximum memory of an agent's process
+	// and of a stand-in server. The check of the machine's memory needs only the order of
+	// magnitude.
 	agentProcessBytes, standInServerBytes = 64 << 20, 64 << 10
-	// maxCaseDuration bounds one case: more is taken for a mistake in an argument.
+	// maxCaseDuration bounds the warmup and the measurement of one case, each. A longer one is most
+	// likely a mistake in an argument.
 	maxCaseDuration = time.Hour
-	// maxAnswerTime is the longest answer time; the objectives that follow from it stay within what
-	// an agent takes for a deadline.
+	// maxAnswerTime bounds the answer time of a stand-in server. It keeps the objectives that are
+	// computed from it within the range that an agent accepts for deadlines.
 	maxAnswerTime = 10 * time.Second
-	// An objective is longer by hopAnswers answer times a hop, as the answers are no part of what is
-	// measured.
+	// objectiveAnswerTimesPerHop multiplies the answer time. The product is added to the latency
+	// objective for each hop, because answer times are not part of what is measured.
+	// objectivesPerTimeout multiplies the objective; the product is the timeout of a call.
 	objectiveAnswerTimesPerHop, objectivesPerTimeout = 4, 4
-	maxObjective                                     = 10 * time.Minute
-	maxListedValue                                   = 100_000 // of a list's length, of replicas and of requests open
+	// maxObjective bounds the latency objective that is given as an argument.
+	maxObjective = 10 * time.Minute
+	// maxListedValue bounds each value of Plan.Lists, Plan.Replicas and Plan.Open.
+	maxListedValue = 100_000
 )
 
-// Plan describes the measurement; the command line of 'fleetbench path' explains each field.
+// Plan describes a run. The flags of 'fleetbench path' explain each field.
 type Plan struct {
 	Size      fleet.Size
 	Agent     string        // path of the agent's binary
-	Lists     []int         // lengths of the list of servers
-	Replicas  []int         // replicas that the agents' settings name
-	Open      []int         // requests open at once, at the longer answer times they need
-	Chains    int           // agents side by side in the cases of one hop
+	Lists     []int         // numbers of listed servers, a case each
+	Replicas  []int         // numbers of replicas in the agents' settings
+	Open      []int         // numbers of requests open at the same time, a case each; they set the answer time
+	Chains    int           // chains in parallel in the cases with one hop
 	Answer    time.Duration // answer time of a stand-in server
-	Objective time.Duration // of the calls' class; a call is given up after giveUpObjectives of it
-	Calls     int           // calls a measured stream
-	Warmup    int           // calls a stream before that are not measured
+	Objective time.Duration // latency objective of the class, before the addition for each hop
+	Calls     int           // measured calls of each stream
+	Warmup    int           // calls of each stream before the measured ones
 }
 
-// ratePerAgent returns the calls a second of one agent, all the fleet's divided evenly.
+// ratePerAgent returns the calls a second of each agent: the fleet's rate, divided evenly.
 func (p *Plan) ratePerAgent() float64 { return p.Size.Rate / float64(p.Size.Agents) }
 
-// serversPerService returns the size of a service when all are alike: what an agent of a deep call lists.
+// serversPerService returns the number of servers of a service if all services are of equal size.
+// An agent in a chain of many hops has that many servers in its list.
 func (p *Plan) serversPerService() int { return max(p.Size.Servers/p.Size.Services, 1) }
 
-// Validate returns a *fleet.UsageError for the first argument that is out of range or needs more
-// memory, processes or descriptors than the machine has.
+// Validate returns a *fleet.UsageError for the first argument that is out of range, or that needs
+// more memory, processes or file descriptors than are available.
 func (p *Plan) Validate() error {
 	if err := p.Size.Validate(); err != nil {
 		return err
@@ -66,7 +72,7 @@
 	return nil
 }
 
-// checkLists checks the arguments that are lists of values.
+// checkLists checks the arguments that are lists of numbers.
 func (p *Plan) checkLists() error {
 	for _, list := range []struct {
 		arg    string
@@ -84,9 +90,10 @@
 	return nil
 }
 
-// checkDurations checks the number of chains, and how long answers and cases take.
+// checkDurations checks the number of chains, the answer times, the objective and the duration of a
+// case.
 func (p *Plan) checkDurations() error {
-	maxChains := fleet.MaxProcesses - 1 // and the bench itself
+	maxChains := fleet.MaxProcesses - 1 // one process is fleetbench itself
 	switch {
 	case p.Chains < 1 || p.Chains > maxChains:
 		return fleet.NewUsageError("beside", "must be from 1 to %d, is %d", maxChains, p.Chains)
@@ -107,10 +114,10 @@
 	return nil
 }
 
-// checkMachine checks that the machine has the descriptors and the memory.
+// checkMachine checks the limit on file descriptors and the machine's memory.
 func (p *Plan) checkMachine() error {
 	longestList := max(p.serversPerService(), slices.Max(p.Lists), slices.Max(p.Open))
-	// A listener a server, and the connections of both ends.
+	// Descriptors are needed for a listener per server and for both ends of the connections.
 	var fileLimit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &fileLimit); err != nil {
 		return fmt.Errorf("descriptors: %w", err)
--- a/internal/fleet/datapath/run.go
+++ b/internal/fleet/datapath/run.go
@@ -8,10 +8,10 @@
 	"ploverreel/internal/fleet"
 )
 
-// Run plays all cases one after the other and adds them, the fitted lines and the notes to the
-// result. All processes that it started have ended when it returns. When a case fails, by an agent
-// that died or did not start or by the context's end, the error names the case, and the cases before
-// it stay in the result.
+// Run runs all scenarios one after the other. It adds their cases, the fitted lines and the notes
+// to the result. All processes that it started have ended when it returns. A scenario fails if an
+// agent exits or does not start, or if the context ends. The error then names the scenario, and the
+// cases before it stay in the result.
 func (p *Plan) Run(ctx context.Context, log *slog.Logger, r *fleet.Result) error {
 	r.Notes = append(r.Notes,
 		"added_* is the difference of the same quantile through the agents and direct, in one run; a served call counts from the moment it was sent.",
@@ -41,18 +41,19 @@
 	return nil
 }
 
-// addFit adds the line of a family's figure, unless there are too few sizes for one.
+// addFit fits a line to a figure of a family's cases and adds it to the result. If there are too
+// few sizes for a line, it logs that instead.
 func addFit(log *slog.Logger, r *fleet.Result, cases []fleet.Case, figure, param string, target float64, replicas int) {
 	fit, err := fleet.FitLine(cases, figure, param, target)
 	if err != nil {
-		log.Info("no slope", "why", err)
+		log.Info("no line fitted", "why", err)
 		return
 	}
 	fit.Figure = fmt.Sprintf("%s, %d replicas", figure, replicas)
 	r.Fits = append(r.Fits, fit)
 }
 
-// figureValue returns a figure of a case, 0 if it has none.
+// figureValue returns the value of a case's figure, or 0 if the case does not have it.
 func figureValue(c fleet.Case, name string) float64 {
 	v, _ := c.Figure(name)
 	return v
--- a/internal/fleet/datapath/run_scenario.go
+++ b/internal/fleet/datapath/run_scenario.go
@@ -10,7 +10,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// runScenario plays one scenario. When it returns, its processes have ended.
+// runScenario runs one scenario and returns its case. All processes that it started have ended when
+// it returns. If an agent exits by itself, runScenario stops and returns the agent's error.
 func (p *Plan) runScenario(ctx context.Context, log *slog.Logger, s scenario) (c fleet.Case, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -41,7 +42,8 @@
 	return p.warmUpAndMeasure(ctx, log, &t, s)
 }
 
-// warmUpAndMeasure warms the agents up, and then measures the calls through them and direct.
+// warmUpAndMeasure sends the calls of the warmup, and then measures calls through the agents and
+// direct calls.
 func (p *Plan) warmUpAndMeasure(ctx context.Context, log *slog.Logger, t *testbed, s scenario) (fleet.Case, error) {
 	c := s.newCase(p.ratePerAgent())
 	p.sendCalls(ctx, t, s, s.warmupCalls, 0, newCallStats(), newCallStats())
@@ -58,7 +60,9 @@
 	return c, nil
 }
 
-// sendCalls sends a stream of calls through each chain and as many directly at the same time.
+// sendCalls sends one stream of calls through each chain and, at the same time, as many streams of
+// direct calls. phase is 0 for the warmup and 1 for the measurement; each stream has its own random
+// numbers.
 func (p *Plan) sendCalls(ctx context.Context, t *testbed, s scenario, calls, phase int, through, direct *callStats) {
 	var streams sync.WaitGroup
 	defer streams.Wait()
--- a/internal/fleet/datapath/scenario.go
+++ b/internal/fleet/datapath/scenario.go
@@ -7,31 +7,31 @@
 	"ploverreel/internal/fleet"
 )
 
-// scenario is one case: its agents, servers and calls.
+// scenario describes the agents, servers and calls of one case.
 type scenario struct {
 	name          string
-	family        string // which slope it belongs to
-	listedServers int
-	replicas      int
-	hops          int
-	chains        int // chains of agents side by side, each with its own stream of calls
-	openRequests  int // requests open at once; 0: what comes of the answer time
+	family        string // lines are fitted through the cases of one family with equal replicas
+	listedServers int    // servers in the endpoint list of each agent
+	replicas      int    // replicas in the agents' settings
+	hops          int    // agents in a chain
+	chains        int    // chains in parallel, each with its own stream of calls
+	openRequests  int    // requests open at the same time; 0: not set, it follows from the answer time
 	answerTime    time.Duration
 	objective     time.Duration
-	warmupCalls   int
+	warmupCalls   int // of each stream
 }
 
-// timeout returns how long a call is waited for.
+// timeout returns the timeout of a call.
 func (s *scenario) timeout() time.Duration { return objectivesPerTimeout * s.objective }
 
-// Families of the cases.
+// Families of cases, by the parameter that differs between the cases.
 const (
 	familyList = "list"
 	familyHops = "hops"
 	familyOpen = "open"
 )
 
-// newCase returns the scenario's case without figures, with its parameters.
+// newCase returns the scenario's case with its name and parameters and without figures.
 func (s *scenario) newCase(rate float64) fleet.Case {
 	c := fleet.Case{Name: s.name, Params: map[string]float64{"listed": float64(s.listedServers), "replicas": float64(s.replicas),
 		"hops": float64(s.hops), "agents": float64(s.hops * s.chains), "rate": rate, "answer_ms": s.answerTime.Seconds() * 1000}}
@@ -41,7 +41,7 @@
 	return c
 }
 
-// scenarios returns the cases in the order in which they are played.
+// scenarios returns the scenarios in the order in which they run.
 func (p *Plan) scenarios() []scenario {
 	var all []scenario
 	add := func(s scenario) {
@@ -61,7 +61,8 @@
 			add(scenario{family: familyHops, listedServers: p.serversPerService(), replicas: replicas, hops: p.Size.Depth, chains: 1, answerTime: p.Answer})
 		}
 	}
-	// As many servers as the most requests open: two of them a server are the module's bound.
+	// The list has as many servers as the largest number of open requests, because the policy
+	// module bounds the open requests to two per server.
 	mostOpen := 0
 	for _, n := range p.Open {
 		mostOpen = max(mostOpen, n)
--- a/internal/fleet/datapath/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -18,30 +18,35 @@
 )
 
 const (
-	// heartbeatInterval is how often discovery writes an empty line to a watch.
+	// heartbeatInterval is the time between two empty lines that discovery writes to a watch.
 	heartbeatInterval = 2 * time.Second
-	responseBodyBytes = 256 // of a server's answer
-	maxResponseBytes  = 64 << 10
+	// responseBodyBytes is the size of the body of a stand-in server's response.
+	responseBodyBytes = 256
+	// maxResponseBytes bounds how much of a response's body a caller reads.
+	maxResponseBytes = 64 << 10
+	// responseGrace is added to the time that a caller waits for a response.
+	responseGrace = time.Second
 )
 
 var responseBody = strings.Repeat("x", responseBodyBytes)
 
-// standInServers are the stand-in servers of one hop: one HTTP server on a listener each.
+// standInServers are the stand-in servers of one hop. They share one HTTP server and have a
+// listener each.
 type standInServers struct {
 	addrs      []string
 	server     *http.Server
 	answerTime time.Duration
-	nextHop    *caller // who is called for each request; nil: nobody
-	requests   atomic.Int64
+	nextHop    *caller      // calls the next hop for each request; nil at the last hop
+	requests   atomic.Int64 // requests that have arrived
 
 	mu        sync.Mutex
-	open      int // connections
-	peakOpen  int
-	opened    int
-	usedAddrs map[string]bool // addresses that had a connection
+	open      int             // open connections
+	peakOpen  int             // maximum of open
+	opened    int             // connections opened so far
+	usedAddrs map[string]bool // addresses of servers that had a connection
 }
 
-// startStandInServers starts n servers that end with the context.
+// startStandInServers starts n servers, which stop when the context ends.
 func startStandInServers(ctx context.Context, n int, answer time.Duration, next *caller) (*standInServers, error) {
 	s := &standInServers{answerTime: answer, nextHop: next, usedAddrs: map[string]bool{}}
 	s.server = &http.Server{Handler: s, ConnState: s.trackConnection, IdleTimeout: keepaliveTimeout,
@@ -54,12 +59,12 @@
 			return nil, fmt.Errorf("stand-in server: %w", err)
 		}
 		s.addrs = append(s.addrs, ln.Addr().String())
-		go s.server.Serve(ln) // ends with the listener, which Close ends
+		go s.server.Serve(ln) // returns when Close closes the listener
 	}
 	return s, nil
 }
 
-// trackConnection counts the connections.
+// trackConnection updates the counts of connections. It is the HTTP server's ConnState callback.
 func (s *standInServers) trackConnection(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,16 +79,17 @@
 	}
 }
 
-// connections returns how many are open, how many were opened so far, the most at one time,
-// and how many servers had any.
+// connections returns the number of open connections, of connections opened so far, the maximum
+// open at the same time, and the number of servers that had a connection.
 func (s *standInServers) connections() (open, opened, peakOpen, usedServers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open, s.opened, s.peakOpen, len(s.usedAddrs)
 }
 
-// ServeHTTP answers after the answer time and, where there is a next hop, its answer. A call
-// there that is not served has failed here: the server may have done part of its work.
+// ServeHTTP waits for the answer time, calls the next hop if there is one, and responds. If the
+// next hop does not serve the call, it responds with status 500: this server may already have done
+// part of the work.
 func (s *standInServers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrivedAt := time.Now()
 	s.requests.Add(1)
@@ -108,7 +114,7 @@
 	_, _ = io.WriteString(w, responseBody) // an error means that the caller has disconnected
 }
 
-// sleep reports false if the context ended first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -120,8 +126,8 @@
 	}
 }
 
-// startDiscovery starts a stand-in of discovery that serves one list, which never changes, and
-// returns its address. It ends with the context.
+// startDiscovery starts a stand-in of discovery and returns its address. It serves one list that
+// never changes, and stops when the context ends.
 func startDiscovery(ctx context.Context, list endpointlist.List) (addr string, err error) {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -149,17 +155,17 @@
 	return ln.Addr().String(), nil
 }
 
-// caller calls agents or servers in turn, as an application does: kept connections, more
-// where all are busy.
+// caller calls agents or servers in round-robin order. As an application does, it reuses idle
+// connections and opens another one when all are busy.
 type caller struct {
 	client            *http.Client
 	baseURLs          []string
 	roundRobin        atomic.Uint64
-	requestIDs        *atomic.Uint64 // of all callers: an id is never used twice
-	connectionsOpened atomic.Int64   // connections
+	requestIDs        *atomic.Uint64 // last request ID; shared by all callers, so that no ID is used twice
+	connectionsOpened atomic.Int64   // so far
 }
 
-// newCaller returns a caller of the addresses.
+// newCaller returns a caller of those addresses.
 func newCaller(requestIDs *atomic.Uint64, addrs []string) *caller {
 	c := &caller{requestIDs: requestIDs}
 	dialer := net.Dialer{}
@@ -175,13 +181,14 @@
 	return c
 }
 
-// call sends one request and returns the answer's status. It waits a little longer than the
-// deadline that it passes on, so that the last answer in time counts.
+// call sends one request with the timeout and returns the response's status. It waits for
+// responseGrace longer than the timeout that it passes on, so that a response sent just within the
+// timeout is still received.
 func (c *caller) call(ctx context.Context, path string, timeout time.Duration) (int, error) {
 	if timeout < time.Millisecond {
 		return 0, errors.New("no time left")
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout+time.Second)
+	ctx, cancel := context.WithTimeout(ctx, timeout+responseGrace)
 	defer cancel()
 	base := c.baseURLs[c.roundRobin.Add(1)%uint64(len(c.baseURLs))]
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+path, nil)
@@ -202,5 +209,5 @@
 	return resp.StatusCode, nil
 }
 
-// closeIdleConnections ends the idle connections.
+// closeIdleConnections closes the caller's idle connections.
 func (c *caller) closeIdleConnections() { c.client.CloseIdleConnections() }
--- a/internal/fleet/datapath/testbed.go
+++ b/internal/fleet/datapath/testbed.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// testbed holds the agents, servers and callers of one scenario.
+// testbed holds the agents, servers and callers of one scenario while it runs.
 type testbed struct {
 	agents        []*agentProcess
-	hopServers    []*standInServers // behind agents, the first hop first
-	directServers []*standInServers
-	chainCallers  []*caller // one a chain
-	directCaller  *caller
+	hopServers    []*standInServers // servers behind the agents of each hop, the first hop first
+	directServers []*standInServers // servers of each hop of the direct calls
+	chainCallers  []*caller         // call the first agent of each chain
+	directCaller  *caller           // calls the direct servers of the first hop
 }
 
-// startTestbed starts the servers and the agents, the last hop first.
+// startTestbed starts the servers and the agents. It begins with the last hop, as the servers of a
+// hop call the next hop.
 func (p *Plan) startTestbed(ctx context.Context, t *testbed, dir string, s scenario) error {
 	requestIDs := new(atomic.Uint64)
 	t.hopServers, t.directServers = make([]*standInServers, s.hops), make([]*standInServers, s.hops)
 	var agentCaller, directCaller *caller
-	directServerCount := min(s.listedServers, p.serversPerService()) // direct calls go to as many servers as a service has
+	directServerCount := min(s.listedServers, p.serversPerService()) // at most as many servers as a service has
 	for hop := s.hops - 1; hop >= 0; hop-- {
 		var err error
 		if t.hopServers[hop], err = startStandInServers(ctx, s.listedServers, s.answerTime, agentCaller); err != nil {
@@ -60,7 +61,8 @@
 	return nil
 }
 
-// stop ends the agents, in order or at once, all at the same time.
+// stop stops all agents at the same time. It lets them shut down if graceful is true, and kills
+// them otherwise.
 func (t *testbed) stop(graceful bool) error {
 	var stopping sync.WaitGroup
 	errs := make([]error, len(t.agents))
@@ -79,17 +81,17 @@
 	return errors.Join(errs...)
 }
 
-// counts are what was counted up to a moment.
+// counters holds the values of all counters at one time.
 type counters struct {
 	readAt                                     time.Time
 	cpu                                        time.Duration // all agents
 	rss, rssPeak                               float64       // bytes, all agents
-	connectionsOpened, clientConnectionsOpened int64
-	serverRequests                             int64 // requests at the servers
-	nextHopCalls                               int64 // calls that servers made to the agents of the next hop
+	connectionsOpened, clientConnectionsOpened int64         // connections to hop servers, and to the first agents
+	serverRequests                             int64         // requests that arrived at hop servers
+	nextHopCalls                               int64         // calls that servers made to the agents of the next hop
 }
 
-// readCounters returns what was counted up to now.
+// readCounters returns the current values of the counters.
 func (t *testbed) readCounters() (counters, error) {
 	n := counters{readAt: time.Now()}
 	for _, a := range t.agents {
@@ -102,8 +104,8 @@
 		n.rssPeak += u.rssPeak
 	}
 	for i, h := range t.hopServers {
-		_, begun, _, _ := h.connections()
-		n.connectionsOpened += int64(begun)
+		_, opened, _, _ := h.connections()
+		n.connectionsOpened += int64(opened)
 		arrived := h.requests.Load()
 		n.serverRequests += arrived
 		if i < len(t.hopServers)-1 {
--- a/internal/fleet/datapath/usage.go
+++ b/internal/fleet/datapath/usage.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// ticksPerS is the unit of the processor times in /proc.
+// ticksPerS is the number of clock ticks a second. Processor times in /proc are in clock ticks.
 const ticksPerS = 100
 
-// usage holds the resources that an agent has used so far.
+// usage holds the processor time and the memory of a process.
 type usage struct {
 	cpu          time.Duration
 	rss, rssPeak float64 // bytes
 }
 
-// readUsage reads the processor time and the memory of the agent from /proc.
+// readUsage reads the processor time and the memory of the agent's process from /proc.
 func (a *agentProcess) readUsage() (usage, error) {
 	dir := filepath.Join("/proc", strconv.Itoa(a.cmd.Process.Pid))
 	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
@@ -55,7 +55,8 @@
 
 // parseCPU returns the user and system time in the text of /proc/PID/stat.
 func parseCPU(stat string) (time.Duration, error) {
-	// The second field is the name, in parentheses, and may hold anything.
+	// The second field is the name of the program in parentheses. It may contain spaces and
+	// parentheses.
 	nameEnd := strings.LastIndexByte(stat, ')')
 	fields := strings.Fields(stat[nameEnd+1:])
 	if nameEnd < 0 || len(fields) < 13 {
--- a/internal/fleet/fit.go
+++ b/internal/fleet/fit.go
@@ -10,8 +10,8 @@
 // minFitSizes is the smallest number of sizes that a line is fitted through.
 const minFitSizes = 4
 
-// Fit is the line that was fitted to a figure over one parameter of the cases, whose values are called
-// sizes: figure = Intercept + Slope x size.
+// Fit is the line that was fitted to a figure over one parameter of the cases, whose values are
+// called sizes: figure = Intercept + Slope x size.
 type Fit struct {
 	Figure            string    `json:"figure"`
 	Unit              string    `json:"unit"`
@@ -19,15 +19,16 @@
 	Sizes             []float64 `json:"sizes"`
 	Slope             float64   `json:"slope"`
 	Intercept         float64   `json:"fixed"`
-	RelativeRMSE      float64   `json:"residual"`           // root mean square of the residuals, divided by the mean of the figure
+	RelativeRMSE      float64   `json:"residual"`           // root mean square of the residuals / mean of the figure
 	Target            float64   `json:"target"`             // the size that the line predicts the figure for
 	PredictedAtTarget float64   `json:"at_target"`          // value of the line at the target
-	MeasuredAtTarget  *float64  `json:"measured,omitempty"` // value that the run measured at the target; nil if it did not measure there
+	MeasuredAtTarget  *float64  `json:"measured,omitempty"` // measured value at the target; nil if there is none
 }
 
-// FitLine fits a line by least squares to the figure over the parameter. Cases without the figure or the
-// parameter are ignored. The case at the target is left out of the fit if at least minFitSizes others remain,
-// so that the line predicts its value. With fewer than minFitSizes sizes FitLine returns an error.
+// FitLine fits a line by least squares to the figure over the parameter. Cases without the figure
+// or the parameter are ignored. The case at the target is left out of the fit if at least
+// minFitSizes others remain, so that the line predicts its value. With fewer than minFitSizes sizes
+// FitLine returns an error.
 func FitLine(cases []Case, figure, param string, target float64) (Fit, error) {
 	fit := Fit{Figure: figure, Param: param, Target: target}
 	var x, y, xAll, yAll []float64
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// Machine describes the machine that a result was measured on. A field that cannot be read is empty.
+// Machine describes the machine that a result was measured on. A field that cannot be read is
+// empty.
 type Machine struct {
 	CPU      string  `json:"cpu"`
 	Cores    int     `json:"cores"`
@@ -34,8 +35,8 @@
 	return n << 10
 }
 
-// CheckMemory returns a *UsageError for the argument arg if a run would need more than half of the machine's
-// memory. It returns nil if the size of the memory is unknown.
+// CheckMemory returns a *UsageError for the argument arg if a run would need more than half of the
+// machine's memory. It returns nil if the size of the memory is unknown.
 func CheckMemory(arg string, neededBytes float64) error {
 	if totalBytes := MemoryBytes(); totalBytes > 0 && neededBytes > float64(totalBytes)/2 {
 		return NewUsageError(arg, "would need some %.1f GB, over half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// procField returns the value of the first line 'field : value' with that field in the file, or "" if there
-// is none.
+// procField returns the value of the first line 'field : value' with that field in the file, or ""
+// if there is none.
 func procField(path, field string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -60,8 +61,9 @@
 	return ""
 }
 
-// sourceCommit returns the abbreviated commit ID of the checkout in the current directory. It appends "+" if
-// there are uncommitted changes outside the journal and the results. Outside a checkout it returns "".
+// sourceCommit returns the abbreviated commit ID of the checkout in the current directory. It
+// appends "+" if there are uncommitted changes outside the journal and the results. Outside a
+// checkout it returns "".
 func sourceCommit() string {
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -10,8 +10,9 @@
 	"strings"
 )
 
-// A section of a page holds the generated tables of one result between a start marker and an end marker,
-// each on a line of its own. The start marker names the result's file without the extension '.json'.
+// A section of a page holds the generated tables of one result between a start marker and an end
+// marker, each on a line of its own. The start marker names the result's file without the extension
+// '.json'.
 const (
 	sectionStart = "<!-- fleetbench:"
 	sectionEnd   = "<!-- /fleetbench -->"
@@ -19,13 +20,13 @@
 
 var startMarker = regexp.MustCompile(`^<!-- fleetbench:([a-z0-9][a-z0-9-]*) -->$`)
 
-// flaggedRelativeDifference is the relative difference from the line's prediction above which the value
-// measured at the target is flagged in the table of fits.
+// flaggedRelativeDifference is the relative difference from the line's prediction above which the
+// value measured at the target is flagged in the table of fits.
 const flaggedRelativeDifference = 0.25
 
-// LoadResults reads all results in a directory and returns them by file name without '.json'. For a result
-// that is unfinished or in another format it returns an error that names the file. For a missing directory
-// it returns no results and no error.
+// LoadResults reads all results in a directory and returns them by file name without '.json'. For a
+// result that is unfinished or in another format it returns an error that names the file. For a
+// missing directory it returns no results and no error.
 func LoadResults(dir string) (map[string]*Result, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -42,9 +43,9 @@
 	return results, nil
 }
 
-// RenderPage replaces the content of each section with the tables of its result. It returns the new page and
-// the names of its sections. A section without a result or an end marker is an error that names the line or
-// the section.
+// RenderPage replaces the content of each section with the tables of its result. It returns the new
+// page and the names of its sections. A section without a result or an end marker is an error that
+// names the line or the section.
 func RenderPage(page string, results map[string]*Result) (string, []string, error) {
 	var out, names []string
 	open := "" // name of the section that contains the current line, "" outside of sections
@@ -85,8 +86,9 @@
 	return strings.Join(out, "\n"), names, nil
 }
 
-// Tables returns the result's tables in Markdown: one for each group of cases with the same figures, and one
-// of the fits. A line under each table describes the run. file is the name of the result's file.
+// Tables returns the result's tables in Markdown: one for each group of cases with the same
+// figures, and one of the fits. A line under each table describes the run. file is the name of the
+// result's file.
 func (r *Result) Tables(file string) string {
 	var out strings.Builder
 	var groups [][]Case
@@ -138,8 +140,9 @@
 	return slices.EqualFunc(a, b, func(x, y Figure) bool { return x.Name == y.Name && x.Unit == y.Unit })
 }
 
-// caseTable returns a table with a row for each case and a column for each figure. Parameter values that at
-// least half of the cases share are listed under the table. A row lists only parameters with other values.
+// caseTable returns a table with a row for each case and a column for each figure. Parameter values
+// that at least half of the cases share are listed under the table. A row lists only parameters
+// with other values.
 func caseTable(cases []Case, runLine string) string {
 	common, commonText := commonParams(cases)
 	head := []string{"case", "at"}
@@ -169,8 +172,9 @@
 	return markdownTable(head, rows) + "\n" + runLine + "\n\n"
 }
 
-// commonParams returns each parameter that has the same value in at least half of the cases and in more than
-// one, with that value, and the text of all of them. Of two values with equal counts it takes the smaller one.
+// commonParams returns each parameter that has the same value in at least half of the cases and in
+// more than one, with that value, and the text of all of them. Of two values with equal counts it
+// takes the smaller one.
 func commonParams(cases []Case) (map[string]float64, string) {
 	count := map[string]map[float64]int{}
 	for _, c := range cases {
@@ -193,7 +197,8 @@
 	return common, (&Case{Params: common}).paramsTextExcept(nil)
 }
 
-// paramsTextExcept returns the text of the case's parameters, without those that have their common value.
+// paramsTextExcept returns the text of the case's parameters, without those that have their common
+// value.
 func (c *Case) paramsTextExcept(common map[string]float64) string {
 	var parts []string
 	for name, value := range c.Params {
@@ -237,7 +242,8 @@
 	return markdownTable(head, rows) + "\nA residual is the root of the mean squared miss, as a part of the mean. " + runLine + "\n\n"
 }
 
-// markdownTable returns a table in Markdown. The first column is aligned to the left, the others to the right.
+// markdownTable returns a table in Markdown. The first column is aligned to the left, the others to
+// the right.
 func markdownTable(head []string, rows [][]string) string {
 	var out strings.Builder
 	writeRow := func(cells []string) {
@@ -260,7 +266,8 @@
 	return strings.NewReplacer("|", "/", "\n", " ", "\r", " ", "<!--", "", "-->", "").Replace(text)
 }
 
-// figureHeading returns the column heading of a figure: its name, with its unit unless that is a count.
+// figureHeading returns the column heading of a figure: its name, with its unit unless that is a
+// count.
 func figureHeading(name, unit string) string {
 	if unit == "" || unit == "count" {
 		return name
@@ -268,7 +275,8 @@
 	return name + " (" + unit + ")"
 }
 
-// formatNumber formats a number with three significant digits. Whole numbers below 1e9 keep all their digits.
+// formatNumber formats a number with three significant digits. Whole numbers below 1e9 keep all
+// their digits.
 func formatNumber(x float64) string {
 	if x == math.Trunc(x) && math.Abs(x) < 1e9 {
 		return strconv.FormatFloat(x, 'f', -1, 64)
--- a/internal/fleet/page_test.go
+++ b/internal/fleet/page_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// finishedResult returns a finished result with fits and with cases that have two different sets of figures.
+// finishedResult returns a finished result with fits and with cases that have two different sets of
+// figures.
 func finishedResult() *Result {
 	measured := 50.0
 	r := &Result{Format: resultFormat, Subcommand: "play", Args: []string{"--x=1"}, Size: TargetSize(), Commit: "abc", DurationS: 2.345,
@@ -29,8 +30,8 @@
 	return r
 }
 
-// RenderPage replaces the old tables of a section with those of its result and keeps the rest of the page.
-// Rendering the new page again changes nothing.
+// RenderPage replaces the old tables of a section with those of its result and keeps the rest of
+// the page. Rendering the new page again changes nothing.
 func TestRenderPageReplacesSectionTables(t *testing.T) {
 	results := map[string]*Result{"play-ten": finishedResult(), "other": finishedResult()}
 	page := "# A\n\n<!-- fleetbench:play-ten -->\nold\n<!-- /fleetbench -->\nrest\n"
--- a/internal/fleet/replace_file.go
+++ b/internal/fleet/replace_file.go
@@ -12,11 +12,11 @@
 // fileMode is the mode of the files that the bench writes.
 const fileMode = 0o644
 
-// ReplaceFile atomically replaces the file at path. It writes data to a temporary file in the same directory,
-// syncs that file, renames it to path and syncs the directory. After an error path has its old content,
-// unchanged. If only the sync of the directory failed, it has the new content, complete. A process that is
-// killed meanwhile may leave the temporary file, PATH.tmp-N, behind. A path that is not a regular file, such
-// as a device, is written to directly.
+// ReplaceFile atomically replaces the file at path. It writes data to a temporary file in the same
+// directory, syncs that file, renames it to path and syncs the directory. After an error path has
+// its old content, unchanged. If only the sync of the directory failed, it has the new content,
+// complete. A process that is killed meanwhile may leave the temporary file, PATH.tmp-N, behind. A
+// path that is not a regular file, such as a device, is written to directly.
 func ReplaceFile(path string, data []byte) error {
 	if info, err := os.Stat(path); err == nil {
 		if !info.Mode().IsRegular() {
@@ -29,7 +29,8 @@
 	return replaceFile(osFileSystem{}, path, data)
 }
 
-// fileSystem has the file system operations that replaceFile uses. Tests replace it to make them fail.
+// fileSystem has the file system operations that replaceFile uses. Tests replace it to make them
+// fail.
 type fileSystem interface {
 	CreateTemp(dir, pattern string) (temporaryFile, error)
 	Rename(from, to string) error
--- a/internal/fleet/replace_file_test.go
+++ b/internal/fleet/replace_file_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// failingFileSystem is the file system of the operating system, except that one of its calls fails. A failing
-// write writes half of the data; a failing close closes the file.
+// failingFileSystem is the file system of the operating system, except that one of its calls fails.
+// A failing write writes half of the data; a failing close closes the file.
 type failingFileSystem struct {
 	osFileSystem
 	failingCall string
@@ -66,7 +66,8 @@
 	return err
 }
 
-// Whichever call fails, the file has its complete old or new content, and no temporary file is left.
+// Whichever call fails, the file has its complete old or new content, and no temporary file is
+// left.
 func TestReplaceFileKeepsOldFileWhenWriteFails(t *testing.T) {
 	const before, after = "the old text", "the new text, longer"
 	for _, call := range []string{"create", "write", "sync", "close", "rename", "sync folder"} {
@@ -94,8 +95,8 @@
 	}
 }
 
-// ReplaceFile writes the new content with the right mode, follows a symbolic link and keeps it, and writes
-// directly to a device.
+// ReplaceFile writes the new content with the right mode, follows a symbolic link and keeps it, and
+// writes directly to a device.
 func TestReplaceFileKeepsLinksAndDevices(t *testing.T) {
 	dir := t.TempDir()
 	path, link := filepath.Join(dir, "result.json"), filepath.Join(dir, "link")
--- a/internal/fleet/result.go
+++ b/internal/fleet/result.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// resultFormat identifies the format of result files. 'fleetbench report' rejects files of any other format.
+// resultFormat identifies the format of result files. 'fleetbench report' rejects files of any
+// other format.
 const resultFormat = "ploverreel fleetbench 1"
 
 // Result holds the measurements of one run of a subcommand. It is stored as a JSON file.
 type Result struct {
 	Format     string    `json:"form"`
 	Subcommand string    `json:"bench"` // name of the subcommand
-	Args       []string  `json:"args"`  // arguments of the subcommand without those of Size and without paths of the machine
+	Args       []string  `json:"args"`  // arguments beside those of Size, without file paths
 	Size       Size      `json:"size"`
 	Commit     string    `json:"commit"` // followed by "+" if there were uncommitted changes
 	Machine    Machine   `json:"machine"`
@@ -36,7 +37,8 @@
 	Figures []Figure           `json:"figures"`
 }
 
-// Figure is one measured value with its unit: "us", "ms", "s", "bytes", "bytes/s", "count" or "share".
+// Figure is one measured value with its unit: "us", "ms", "s", "bytes", "bytes/s", "count" or
+// "share".
 type Figure struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
@@ -58,15 +60,16 @@
 	return 0, false
 }
 
-// NewResult returns a result without cases for a run of the subcommand that starts now. It records the
-// commit and the machine. Save sets the duration and the outcome.
+// NewResult returns a result without cases for a run of the subcommand that starts now. It records
+// the commit and the machine. Save sets the duration and the outcome.
 func NewResult(subcommand string, args []string, size Size) *Result {
 	return &Result{Format: resultFormat, Subcommand: subcommand, Args: args, Size: size, Commit: sourceCommit(),
 		Machine: describeMachine(), Started: time.Now().UTC().Truncate(time.Second)}
 }
 
-// Save writes the result to path and creates the directory if needed. If cause is not nil, the result is
-// marked as unfinished, with the cause. After an error the previous file at path is still complete.
+// Save writes the result to path and creates the directory if needed. If cause is not nil, the
+// result is marked as unfinished, with the cause. After an error the previous file at path is still
+// complete.
 func (r *Result) Save(path string, cause error) error {
 	r.DurationS = time.Since(r.Started).Seconds()
 	r.Finished, r.Cause = cause == nil, ""
@@ -86,8 +89,8 @@
 	return nil
 }
 
-// LoadResult reads a result. If the file has another format, is unfinished or has no cases, it returns an
-// error that names the file.
+// LoadResult reads a result. If the file has another format, is unfinished or has no cases, it
+// returns an error that names the file.
 func LoadResult(path string) (*Result, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -1,6 +1,6 @@
-// Package fleet holds the code that all subcommands of fleetbench share: the size of a fleet, the format of
-// results, the page that is generated from results, fitted lines, and checks of the machine's resources.
-// The packages below it implement the subcommands.
+// Package fleet holds the code that all subcommands of fleetbench share: the size of a fleet, the
+// format of results, the page that is generated from results, fitted lines, and checks of the
+// machine's resources. The packages below it implement the subcommands.
 package fleet
 
 import "fmt"
@@ -27,14 +27,14 @@
 	maxDepth = 100     // hops
 )
 
-// TargetSize returns the size of the fleet that the system has to support in two years. The defaults of
-// the flags in Size are the same.
+// TargetSize returns the size of the fleet that the system has to support in two years. The
+// defaults of the flags in Size are the same.
 func TargetSize() Size {
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
 
-// UsageError is an invalid command-line argument. For it the bench prints one line that names the argument
-// and exits with code 2.
+// UsageError is an invalid command-line argument. For it the bench prints one line that names the
+// argument and exits with code 2.
 type UsageError struct {
 	Arg    string // without the dashes
 	Reason string
--- a/internal/fleet/size_test.go
+++ b/internal/fleet/size_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// A line fitted through points of a straight line predicts the value at the target. Fewer than four sizes are
-// an error.
+// A line fitted through points of a straight line predicts the value at the target. Fewer than four
+// sizes are an error.
 func TestFitLinePredictsTarget(t *testing.T) {
 	var cases []Case
 	for _, n := range []float64{1, 2, 4, 8, 16} {
