--- a/internal/fleet/decisions/concurrency_limit.go
+++ b/internal/fleet/decisions/concurrency_limit.go
@@ -8,12 +8,14 @@
 	"ploverreel/internal/fleet"
 )
 
-// measuredLimitRounds is how many rounds the cases of the limit are counted for, after warmupRounds. They are played once.
+// measuredLimitRounds is the number of rounds after the warmup that the cases of the concurrency
+// limit count. These cases run only once.
 const measuredLimitRounds = 14
 
-// concurrencyLimitCases plays agents of the whole fleet that have only a part of its servers listed, as those of a service. Its
-// cases have how many requests the agent's part of the fleet's concurrency limit rejects, and how long the others
-// wait. All figures are of virtual time.
+// concurrencyLimitCases measures an agent of the whole fleet that lists only a part of its servers,
+// such as those of one service. The cases have the share of requests that are rejected because of
+// the agent's part of the fleet's concurrency limit, and how long the other requests wait. All
+// times are virtual.
 func (o Options) concurrencyLimitCases(ctx context.Context) ([]fleet.Case, error) {
 	var cases []fleet.Case
 	serversPerService := o.Size.Servers / o.Size.Services
@@ -51,7 +53,7 @@
 	return cases, nil
 }
 
-// quantile returns the value below which the share q of the sorted values lies, 0 if there is none.
+// quantile returns the q-quantile of the sorted values, or 0 if there are none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/fleet/decisions/driver.go
+++ b/internal/fleet/decisions/driver.go
@@ -9,51 +9,53 @@
 )
 
 const (
-	startMs          = 1e6 // virtual time at which a play begins
-	answerTimeMs     = 5.0 // until an answer
-	connectRefusedMs = 1.0 // until the outcome of a health check or of a connect that is refused
-	keyCount         = 1000
+	startMs          = 1e6  // virtual time at which a run begins, in ms
+	answerTimeMs     = 5.0  // time from an attempt to its answer
+	connectRefusedMs = 1.0  // time to the outcome of a health check or of a refused connection
+	keyCount         = 1000 // different keys of the requests
 )
 
-// driver drives one balancer through virtual time: it sends requests, answers attempts and health checks, and fires
-// timers. All random draws come from the seed.
+// driver drives one balancer through virtual time. It sends requests, schedules the outcomes of
+// attempts and health checks, and fires timers. All random numbers come from the seed of the
+// workload.
 type driver struct {
 	workload
 	settings       policy.Settings
 	balancer       *policy.Balancer
 	rng            *rand.Rand
 	nowMs          float64
-	nextArrivalMs  float64 // time of the next request of an easy load
-	nextAnswerMs   float64 // when the next answer can come, where requests are queued
+	nextArrivalMs  float64 // time of the next request of an uncongested load
+	nextAnswerMs   float64 // time of the latest scheduled answer, if the workload keeps requests queued
 	scheduled      eventQueue
-	scheduledCount int
-	actions        []policy.Action
-	entries        []policy.Entry
-	entriesCreated int // addresses given so far
-	refusing       map[policy.Addr]bool
-	notYetTried    map[policy.Addr]bool // of these
+	scheduledCount int                  // events scheduled so far
+	actions        []policy.Action      // buffer for the balancer's actions
+	entries        []policy.Entry       // current endpoint list
+	entriesCreated int                  // each new entry gets another address
+	refusing       map[policy.Addr]bool // servers that refuse connections
+	notYetTried    map[policy.Addr]bool // refusing servers without an attempt so far
 	open           map[policy.RequestID]*request
-	lastRequest    policy.RequestID
-	queuedRequests int // requests that the balancer queues
+	lastRequest    policy.RequestID // ID of the latest request
+	queuedRequests int              // requests without an attempt in flight
 	meter          *meter
 	counts         requestCounts
 }
 
-// request is a request without an answer.
+// request is a request that has not ended.
 type request struct {
 	arrivedAtMs float64
 	attempts    int
-	queued      bool
+	queued      bool // no attempt is in flight
 }
 
-// requestCounts counts how the requests ended.
+// requestCounts holds counts of requests by outcome, of attempts, and the waiting times.
 type requestCounts struct {
 	requests, served, rejected, attempts int
-	waitsMs                              []float64 // from a request to its first attempt, in ms
+	waitsMs                              []float64 // times from a request's arrival to its first attempt
 }
 
-// newDriver starts a balancer and gives it the endpoint list. Servers that refuse connections are listed alone first,
-// until all of them have been tried: the balancer knows them before anything is measured.
+// newDriver starts a balancer and passes it the endpoint list. If some servers refuse connections,
+// it first lists only these, until each of them had an attempt. So the balancer knows them as
+// unhealthy before the measurement.
 func newDriver(w workload) (*driver, error) {
 	d := &driver{workload: w, rng: rand.New(rand.NewPCG(w.seed, uint64(w.servers))), nowMs: startMs, nextArrivalMs: startMs,
 		settings: w.settings(), meter: &meter{}, refusing: map[policy.Addr]bool{},
@@ -87,7 +89,7 @@
 	return d, nil
 }
 
-// newEntry returns the list entry of a server with a new address.
+// newEntry returns the entry of a ready server with a new address.
 func (d *driver) newEntry() policy.Entry {
 	i := d.entriesCreated
 	d.entriesCreated++
@@ -95,14 +97,15 @@
 		Zone: i % max(d.zones, 1), Cell: i / 8, Health: policy.HealthReady, Weight: 1}
 }
 
-// advance plays until n more requests have come.
+// advance handles events until n more requests have arrived.
 func (d *driver) advance(n int) {
 	for end := d.lastRequest + policy.RequestID(n); d.lastRequest < end; {
 		d.step()
 	}
 }
 
-// step plays the next event.
+// step handles the next event. With a workload that keeps requests queued, this is a new request
+// while fewer than that are queued.
 func (d *driver) step() {
 	if d.queued > 0 && d.queuedRequests < d.queued {
 		d.sendRequest()
@@ -117,24 +120,25 @@
 	d.handleNextScheduled()
 }
 
-// handleNextScheduled plays the first scheduled event.
+// handleNextScheduled advances the time to the first scheduled event and handles it.
 func (d *driver) handleNextScheduled() {
 	next := d.scheduled.popNext()
 	d.nowMs = next.atMs
 	if ended, ok := next.event.(*policy.AttemptEnded); ok {
-		// An outcome crosses its cancellation, and may come after its request was given up.
+		// The outcome of a cancelled attempt still arrives. It may arrive after the request has
+		// ended.
 		if r := d.open[ended.Request]; r != nil && ended.Final {
 			d.counts.served++
 			delete(d.open, ended.Request)
 		} else if r != nil {
-			r.queued = true // unless the balancer sends or ends it now
+			r.queued = true // until the balancer sends another attempt or ends the request
 			d.queuedRequests++
 		}
 	}
 	d.handle(next.kind, next.event)
 }
 
-// sendRequest sends the next request.
+// sendRequest passes a new request with a random class, tenant and key to the balancer.
 func (d *driver) sendRequest() {
 	d.lastRequest++
 	class, tenant := d.drawIndex(classShares), d.drawIndex(tenantShares)
@@ -145,7 +149,8 @@
 		Key: 1 + d.rng.Uint64N(keyCount), TimeLeftMs: d.settings.Classes[class].DeadlineMs})
 }
 
-// drawIndex draws an index by shares that add up to one.
+// drawIndex returns a random index, each with the probability that shares has for it. The shares
+// add up to 1.
 func (d *driver) drawIndex(shares []float64) int {
 	rest := d.rng.Float64()
 	for i, share := range shares {
@@ -156,12 +161,14 @@
 	return len(shares) - 1
 }
 
-// updateList passes an endpoint list to the balancer.
+// updateList passes an endpoint list or a delta to the balancer. Its cost is measured as that of
+// the event kind.
 func (d *driver) updateList(listKind policy.ListKind, entries []policy.Entry, kind eventKind) {
 	d.handle(kind, &policy.EndpointsUpdated{Kind: listKind, Entries: entries})
 }
 
-// replaceServer takes the oldest server off the list and adds a new one: two deltas.
+// replaceServer removes the oldest server from the list and adds a new one. The balancer gets two
+// deltas.
 func (d *driver) replaceServer() {
 	old := d.entries[0]
 	old.Health = policy.HealthGone
@@ -175,7 +182,7 @@
 	d.perform(d.meter.handle(d.balancer, d.nowMs, kind, event, d.actions[:0]))
 }
 
-// perform performs the actions of the balancer.
+// perform carries out the actions of the balancer.
 func (d *driver) perform(actions []policy.Action) {
 	d.actions = actions
 	for i := range actions {
@@ -212,8 +219,9 @@
 	}
 }
 
-// scheduleOutcome schedules the outcome of an attempt: at once where its server refuses, after answerTimeMs where servers are idle,
-// and as fast as they serve where requests are queued.
+// scheduleOutcome schedules the outcome of an attempt. A refused connection ends after
+// connectRefusedMs. An uncongested server answers after answerTimeMs. If the workload keeps
+// requests queued, answers come no faster than ratePerAgent.
 func (d *driver) scheduleOutcome(a *policy.Action, attempt int) {
 	ended := &policy.AttemptEnded{Request: a.Request, Attempt: attempt, Server: a.Server}
 	if d.refusing[a.Server] {
--- a/internal/fleet/decisions/event_queue.go
+++ b/internal/fleet/decisions/event_queue.go
@@ -6,7 +6,8 @@
 	"ploverreel/policy"
 )
 
-// scheduledEvent is a scheduled event. Events of one time come in the order in which they were scheduled.
+// scheduledEvent is an event that occurs at a given virtual time. Events at the same time occur in
+// the order in which they were scheduled.
 type scheduledEvent struct {
 	atMs  float64
 	seq   int
@@ -14,7 +15,7 @@
 	event policy.Event
 }
 
-// eventQueue is a heap of scheduled events, the first one on top.
+// eventQueue is a heap of scheduled events, with the earliest one on top.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -30,10 +31,10 @@
 	return x
 }
 
-// popNext takes the first event out.
+// popNext removes the earliest event and returns it.
 func (q *eventQueue) popNext() scheduledEvent { return heap.Pop(q).(scheduledEvent) }
 
-// schedule schedules an event so many ms from now.
+// schedule schedules an event delayMs after the current virtual time.
 func (d *driver) schedule(delayMs float64, kind eventKind, event policy.Event) {
 	d.scheduledCount++
 	heap.Push(&d.scheduled, scheduledEvent{d.nowMs + delayMs, d.scheduledCount, kind, event})
--- a/internal/fleet/decisions/meter.go
+++ b/internal/fleet/decisions/meter.go
@@ -10,34 +10,34 @@
 	"ploverreel/policy"
 )
 
-// eventKind is a kind of events whose cost is measured together.
+// eventKind is a group of events whose cost is measured together.
 type eventKind uint8
 
 const (
 	newRequest     eventKind = iota
 	outcomeArrived           // of an attempt or a health check
 	timerFired
-	listDelta // a change of one entry of the list
-	wholeList
+	listDelta // a change of one entry of the endpoint list
+	wholeList // a whole endpoint list
 	eventKindCount
 )
 
-// meter measures what events cost the balancer: processor time of this thread, which other
-// processes don't lengthen, or bytes allocated.
+// meter measures the cost of events in the balancer. The cost is the processor time of the thread,
+// which other processes do not lengthen, or the number of bytes allocated.
 type meter struct {
 	mode        meterMode
-	clockReadNs float64 // what reading the clock takes, not counted
+	clockReadNs float64 // processor time of reading the clock, which is subtracted
 	perKind     [eventKindCount]struct{ events, ns, bytes float64 }
-	workBefore  uint64
+	workBefore  uint64 // the balancer's work at the last reset
 }
 
-// meterMode says which quantity a meter measures.
+// meterMode is the quantity that a meter measures.
 type meterMode uint8
 
 const (
 	measureNothing meterMode = iota
 	measureTime
-	measureBytesAllocated // of bytes; too slow for times
+	measureBytesAllocated // reading the number of bytes is too slow to measure times as well
 )
 
 // handle passes the event to the balancer and measures its cost.
@@ -60,12 +60,12 @@
 	return out
 }
 
-// reset empties the meter, which measures from here on.
+// reset clears the meter and sets its mode.
 func (m *meter) reset(mode meterMode, clockReadNs float64, b *policy.Balancer) {
 	*m = meter{mode: mode, clockReadNs: clockReadNs, workBefore: b.Work()}
 }
 
-// meanUs returns the mean processor time of an event of the kind.
+// meanUs returns the mean processor time of an event of the kind, in us.
 func (m *meter) meanUs(kind eventKind) float64 {
 	k := m.perKind[kind]
 	return k.ns / 1000 / max(k.events, 1)
@@ -77,17 +77,18 @@
 	return k.bytes / max(k.events, 1)
 }
 
-// threadCPUNs returns the processor time of the thread. The caller has locked its goroutine to it.
+// threadCPUNs returns the processor time of the current thread, in ns. The caller must have locked
+// its goroutine to the thread.
 func threadCPUNs() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
-		panic(fmt.Sprintf("decide: the thread's clock: %v", err)) // checked by measureClockReadNs
+		panic(fmt.Sprintf("decide: the thread's clock: %v", err)) // measureClockReadNs returns this error
 	}
 	return t.Nano()
 }
 
-// measureClockReadNs returns how long the clock takes to read, in ns: the median of many. Its error is that the clock can't be
-// read.
+// measureClockReadNs returns the processor time that reading the clock takes, in ns, as the median
+// of many readings. It returns an error if the clock cannot be read.
 func measureClockReadNs() (float64, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -101,14 +102,14 @@
 	return median(costs), nil
 }
 
-// allocatedBytes returns how many bytes the program has allocated so far.
+// allocatedBytes returns the number of bytes that the process has allocated so far.
 func allocatedBytes() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.TotalAlloc
 }
 
-// heapBytesInUse returns how many bytes are in use after a collection.
+// heapBytesInUse returns the number of heap bytes in use after a garbage collection.
 func heapBytesInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -116,7 +117,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// median returns the middle one of the values, 0 if there is none.
+// median returns the median of the values, or 0 if there are none. Of an even number it is the
+// upper middle value.
 func median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
--- a/internal/fleet/decisions/options.go
+++ b/internal/fleet/decisions/options.go
@@ -7,46 +7,47 @@
 	"ploverreel/internal/fleet"
 )
 
-// Options are what is played; the command line of 'fleetbench decide' explains each field.
+// Options describe a run. The flags of 'fleetbench decide' explain each field.
 type Options struct {
 	Size     fleet.Size
-	Requests int // of a case, in each round
-	Repeats  int // rounds; times are medians of them
+	Requests int // requests of a case in each round
+	Repeats  int // measured rounds; each figure is their median
 }
 
-// Bounds of the options, and the bytes that a play needs for each server listed.
 const (
+	// maxRequests and maxRepeats are upper bounds of the options.
 	maxRequests, maxRepeats = 1_000_000, 1000
-	bytesPerListedServer    = 1500
+	// bytesPerListedServer is the memory that a case needs for each listed server.
+	bytesPerListedServer = 1500
 )
 
-// maxQueued is how many requests a balancer queues at most.
+// maxQueued is the maximum number of requests that a balancer queues.
 const maxQueued = 512
 
 // series is a set of cases that differ in one parameter.
 type series struct {
 	name          string
-	param         string // the parameter
-	target        float64
-	fittedFigures []string // that are fitted over it
-	unfittedCases int      // how many cases at the front have another load, and are left out of the fits
+	param         string   // name of the parameter
+	target        float64  // value of the parameter that the fitted lines predict figures for
+	fittedFigures []string // figures that lines over the parameter are fitted to
+	unfittedCases int      // the first cases, which have another kind of load and are left out of the fits
 	cases         []*benchCase
 }
 
-// Figures that lines are fitted through, by the names that results have.
+// Names of the figures that lines are fitted to.
 var (
 	callFigures = []string{"request", "outcome", "tick", "core", "call", "call alloc", "work"}
 	listFigures = []string{"delta", "delta alloc", "whole list", "whole list alloc", "state"}
 )
 
-// Validate returns a *fleet.UsageError for the first option that is out of range or needs more memory
-// than the machine has.
+// Validate returns a *fleet.UsageError for the first option that is out of range, or if the cases
+// need too much of the machine's memory.
 func (o Options) Validate() error {
 	_, err := o.allSeries()
 	return err
 }
 
-// allSeries validates the options and returns the series in the order in which they are played.
+// allSeries validates the options and returns the series in the order in which they run.
 func (o Options) allSeries() ([]*series, error) {
 	if err := o.Size.Validate(); err != nil {
 		return nil, err
@@ -70,8 +71,9 @@
 	return all, fleet.CheckMemory("servers", float64(totalServers)*bytesPerListedServer)
 }
 
-// byServers returns two series over the servers listed, in fleets of as many agents: of requests, and of
-// changes of the list.
+// byServers returns two series over the number of listed servers. One measures requests, the other
+// changes of the endpoint list. The number of agents changes in proportion to the number of
+// servers.
 func (o Options) byServers() (requests, lists *series) {
 	base := o.baseWorkload()
 	requests = &series{name: "servers", param: "servers", target: float64(base.servers), fittedFigures: callFigures}
@@ -85,8 +87,9 @@
 	return requests, lists
 }
 
-// byQueued returns the series over the requests queued. The first case, with none, has an easy load and is not fitted.
-// Nor is the cost of a call: where requests are queued, most calls end unserved.
+// byQueued returns the series over the number of queued requests. The first case has none: its load
+// is uncongested, and it is left out of the fits. No line is fitted to the cost of a call, because
+// most calls end unserved if requests are queued.
 func (o Options) byQueued() *series {
 	queued := &series{name: "held", param: "held", target: maxQueued, fittedFigures: callFigures[:4], unfittedCases: 1}
 	for _, n := range []int{0, 8, 32, 64, 256, maxQueued} {
@@ -97,7 +100,8 @@
 	return queued
 }
 
-// byShare returns a series over the share of the servers that warm up or refuse connections, which set sets.
+// byShare returns a series over the share of servers that warm up or that refuse connections. set
+// sets that share in a workload.
 func (o Options) byShare(name string, set func(w *workload, share float64)) *series {
 	s := &series{name: name, param: name}
 	for _, share := range []float64{0, 0.1, 0.5} {
@@ -121,18 +125,20 @@
 	return replicas
 }
 
-// baseWorkload returns the workload of an agent of the whole fleet, with all its servers listed.
+// baseWorkload returns the workload of an agent of the whole fleet that lists all servers.
 func (o Options) baseWorkload() workload {
 	return workload{servers: o.Size.Servers, replicas: o.Size.Agents, ratePerAgent: o.Size.Rate / float64(o.Size.Agents),
 		zones: o.Size.Zones, seed: o.Size.Seed}
 }
 
-// listLengths returns those of the lists: of a service of mean size, and parts of the fleet.
+// listLengths returns the numbers of listed servers: those of a service of mean size, and fractions
+// of the fleet.
 func (o Options) listLengths() []int {
 	return fractions(o.Size.Servers, o.Size.Servers/o.Size.Services, 40, 10, 4, 2, 1)
 }
 
-// fractions returns the least one and the parts of the whole, ascending, each once.
+// fractions returns least and the whole divided by each of parts, without duplicates and in
+// ascending order. All values are 1 or more.
 func fractions(whole, least int, parts ...int) []int {
 	list := []int{max(least, 1)}
 	for _, part := range parts {
--- a/internal/fleet/decisions/run.go
+++ b/internal/fleet/decisions/run.go
@@ -1,6 +1,7 @@
-// Package decisions measures the decision module alone: one balancer is driven through virtual
-// time, and the cost of each kind of event is measured, against the number of servers listed,
-// requests queued, the shares of warming and of unhealthy servers and the number of agents.
+// Package decisions measures the decision module (package policy) alone. It drives one balancer
+// through virtual time and measures the cost of each kind of event over the number of listed
+// servers, the number of queued requests, the shares of warming and of unhealthy servers, and the
+// number of agents.
 package decisions
 
 import (
@@ -12,15 +13,17 @@
 	"ploverreel/internal/fleet"
 )
 
-// Run plays all cases and adds them, with the lines fitted through them, to the result. Times are
-// processor time of the calling goroutine's thread, which it locks meanwhile. It returns an error for
-// invalid options, where the thread's clock can't be read, or when the context ends.
+// Run runs all cases and adds them and the lines fitted through them to the result. Times are
+// processor times of the calling goroutine's thread. Run locks the goroutine to that thread
+// meanwhile. It returns an error for invalid options, if the thread's clock cannot be read, or if
+// the context ends.
 func Run(ctx context.Context, log *slog.Logger, o Options, r *fleet.Result) error {
 	all, err := o.allSeries()
 	if err != nil {
 		return err
 	}
-	// Times are the thread's: nothing else may run on it, and the play not on another.
+	// The clock measures the thread. So no other goroutine may run on the thread, and this one may
+	// not move to another.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	clockReadNs, err := measureClockReadNs()
@@ -46,11 +49,12 @@
 		return err
 	}
 	r.Cases = append(r.Cases, limitCases...)
-	log.Info("played the limit on attempts", "cases", len(limitCases))
+	log.Info("ran the cases of the concurrency limit", "cases", len(limitCases))
 	return nil
 }
 
-// measureRounds plays the rounds. Every round has all cases: what slows the machine for a while slows them alike.
+// measureRounds runs the measured rounds. Each round runs all cases, so that a time in which the
+// machine is slow affects them all alike.
 func (o Options) measureRounds(ctx context.Context, log *slog.Logger, all []*series, clockReadNs float64) error {
 	for round := range o.Repeats {
 		for _, s := range all {
@@ -66,7 +70,8 @@
 	return nil
 }
 
-// addCasesAndFits adds the cases of the series and the lines through them. A line that has too few sizes is a note.
+// addCasesAndFits adds the cases of the series and the lines fitted through them to the result. If
+// there are too few sizes for a line, it adds a note instead.
 func (s *series) addCasesAndFits(r *fleet.Result) {
 	var cases []fleet.Case
 	for _, b := range s.cases {
--- a/internal/fleet/decisions/workload.go
+++ b/internal/fleet/decisions/workload.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// warmingServerAgeMs is the age of warming servers when they are listed.
+	// warmingServerAgeMs is the age of warming servers at the start of a run, in ms.
 	warmingServerAgeMs = 1000.0
-	// longSlowStartMs is the slow start where some servers warm up: they do so while they are measured.
+	// longSlowStartMs is the duration of the slow start if some servers warm up, in ms. It is an
+	// hour, so that they warm up during the whole measurement.
 	longSlowStartMs = 3.6e6
 )
 
-// Shares of the requests by class and by tenant.
+// classShares and tenantShares are the shares of the classes and of the tenants in the requests.
 var classShares, tenantShares = []float64{0.7, 0.2, 0.1}, []float64{0.6, 0.25, 0.15}
 
-// workload describes the load that is played to one balancer.
+// workload describes the endpoint list and the load of one balancer.
 type workload struct {
-	servers       int     // listed
+	servers       int     // listed servers
 	replicas      int     // agents of the fleet
-	ratePerAgent  float64 // requests a second of each
-	queued        int     // requests kept queued, where answers come no faster than ratePerAgent; 0: an easy load
-	warmingShare  float64 // share of the servers that started just now
-	refusingShare float64 // share that refuses connections
+	ratePerAgent  float64 // requests a second of each agent
+	queued        int     // requests kept queued, with answers at ratePerAgent; 0: uncongested load
+	warmingShare  float64 // share of the servers that have just started
+	refusingShare float64 // share of the servers that refuse connections
 	zones         int
 	seed          uint64
 }
 
-// settings returns those of a deployment with a class of each effect and three tenants, whose quotas are what all
-// agents send.
+// settings returns the settings of a deployment with one class of each effect and three tenants.
+// The quotas of the tenants are the rates that all agents together send.
 func (w workload) settings() policy.Settings {
 	s := policy.Settings{
 		Classes: []policy.Class{
@@ -57,7 +58,7 @@
 	return s
 }
 
-// params returns the parameters of a case, by the names that results have.
+// params returns the parameters of a case by the names that they have in results.
 func (w workload) params() map[string]float64 {
 	return map[string]float64{"servers": float64(w.servers), "replicas": float64(w.replicas),
 		"held": float64(w.queued), "cold": w.warmingShare, "unhealthy": w.refusingShare}
