--- a/cmd/fleetbench/decide.go
+++ b/cmd/fleetbench/decide.go
@@ -39,5 +39,5 @@
 		return err
 	}
 	r := fleet.NewResult("decide", []string{fmt.Sprintf("--requests=%d", c.Requests), fmt.Sprintf("--repeats=%d", c.Repeats)}, c.Size)
-	return c.finish(r, decisions.Run(ctx, log, o, r))
+	return c.saveResult(r, decisions.Run(ctx, log, o, r))
 }
--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -57,12 +57,12 @@
 		parsed.BindTo(ctx, (*context.Context)(nil))
 		err = parsed.Run(log)
 	}
-	var usage *fleet.UsageError
-	var parse *kong.ParseError
+	var usageErr *fleet.UsageError
+	var parseErr *kong.ParseError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &usage), errors.As(err, &parse):
+	case errors.As(err, &usageErr), errors.As(err, &parseErr):
 		fmt.Fprintln(os.Stderr, "fleetbench:", err)
 		return 2
 	default:
--- a/cmd/fleetbench/summary.go
+++ b/cmd/fleetbench/summary.go
@@ -16,8 +16,8 @@
 	format string // of fmt, for one float64
 }
 
-// pathSummary are the columns that 'path' prints when it ends.
-var pathSummary = []summaryColumn{
+// pathSummaryColumns are the columns that 'path' prints when it ends.
+var pathSummaryColumns = []summaryColumn{
 	{"calls", "calls", 1, "%.0f"},
 	{"served", "served", 1, "%.0f"},
 	{"refused", "refused", 1, "%.0f"},
