--- a/cmd/fleetbench/coldstart_test.go
+++ b/cmd/fleetbench/coldstart_test.go
@@ -9,13 +9,13 @@
 	"ploverreel/internal/fleet"
 )
 
-// tinyColdstartCmd returns the command of a run of a second or two.
+// tinyColdstartCmd returns a command that runs for a second or two.
 func tinyColdstartCmd(t *testing.T) *coldstartCmd {
 	return &coldstartCmd{Agents: []int{1, 40}, Loads: []float64{0.9, 1.5}, Variants: []string{"plain", "all"}, Servers: 6,
 		WorkMs: 100, Seeds: 2, Seconds: 2, Jobs: 2, output: output{Out: filepath.Join(t.TempDir(), "coldstart.json")}}
 }
 
-// A run writes a case for each variant and number of agents, with figures for each load.
+// A run writes one case for each variant and number of agents, with figures for each load.
 func TestColdstartWritesCaseForEachVariantAndSize(t *testing.T) {
 	c := tinyColdstartCmd(t)
 	if err := c.Run(t.Context(), slog.New(slog.DiscardHandler)); err != nil {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Invalid arguments are usage errors, and nothing is played.
+// Invalid arguments are usage errors.
 func TestColdstartRejectsInvalidArguments(t *testing.T) {
 	for arg, change := range map[string]func(c *coldstartCmd){
 		"agents":   func(c *coldstartCmd) { c.Agents = []int{0} },
--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -11,7 +11,7 @@
 	"ploverreel/internal/fleet/controlplane"
 )
 
-// controlCmd is the command line of 'control'.
+// controlCmd measures changes of the endpoint list and faults of discovery.
 type controlCmd struct {
 	fleet.Size `embed:""`
 	output     `embed:""`
@@ -36,10 +36,10 @@
 
 // Help returns the text that --help prints under the summary.
 func (c *controlCmd) Help() string {
-	return `Runs simulated agents (the real watch code and module, no clients) in a few processes against stand-ins of discovery, one process each, all on the loopback. Measures how long changes of the list take to be in force and what they cost an agent and a stand-in; then a stand-in killed, a tenth of the agents restarted, discovery silent, a zone lost and back, and a region cut off. Takes some five minutes at the target size; --no-sweep and --no-faults shorten it.`
+	return `Runs simulated agents in a few processes against stand-ins of discovery. The agents have the real watch code and policy module, but no clients. Each stand-in is a process, and all connections use the loopback interface. Measures how long a change of the list takes to be in force at the agents, and what it costs an agent and a stand-in. Then measures faults: a stand-in is killed, a tenth of the agents restarts, discovery is silent, a zone is lost and returns, and a region is cut off. Takes about five minutes at the target size; --no-sweep and --no-faults shorten it.`
 }
 
-// Run plays the plan in processes of this program.
+// Run runs the plan. Agents and stand-ins are processes of this program.
 func (c *controlCmd) Run(ctx context.Context, log *slog.Logger) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -48,7 +48,8 @@
 	return c.runPlan(ctx, log, controlplane.Command(program, "control-process"))
 }
 
-// runPlan plays the plan and writes its result, also that of a run that did not finish.
+// runPlan runs the plan and writes its result. The result of a run that fails is marked as
+// unfinished.
 func (c *controlCmd) runPlan(ctx context.Context, log *slog.Logger, spawn controlplane.Spawn) error {
 	plan := &controlplane.Plan{Size: c.Size, StandIns: c.StandIns, Processes: c.Processes, Membership: c.Membership, Scope: c.Scope,
 		AskWithin: c.AskWithin, Spread: c.Spread, Changes: c.Changes, Calm: c.Calm, Down: c.Down, Silent: c.Silent,
@@ -63,10 +64,11 @@
 	return c.saveResult(r, err)
 }
 
-// faultsEnabled reports whether the faults are played.
+// faultsEnabled reports whether the faults are to be measured.
 func (c *controlCmd) faultsEnabled() bool { return c.Faults && !c.NoTroubles }
 
-// resultArgs returns the arguments beside the size, which the result has by itself.
+// resultArgs returns the flags that are stored in the result. Those of the size are stored
+// separately.
 func (c *controlCmd) resultArgs() []string {
 	var args []string
 	for _, a := range []struct {
@@ -82,13 +84,13 @@
 	return args
 }
 
-// controlProcessCmd runs a process of 'control'. It ends when its standard input does, and so
-// with the bench that started it.
+// controlProcessCmd is a process that 'control' starts. It exits when its standard input is closed,
+// and so when the process that started it exits.
 type controlProcessCmd struct {
 	Role string `arg:"" enum:"stand-in,agents"`
 }
 
-// Run serves the bench.
+// Run serves the process that started this one.
 func (c *controlProcessCmd) Run(ctx context.Context) error {
 	return controlplane.Serve(ctx, c.Role, os.Stdin, os.Stdout)
 }
--- a/cmd/fleetbench/control_test.go
+++ b/cmd/fleetbench/control_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A run that fails leaves a result that is marked as unfinished, with the cause.
+// A run that fails writes a result that is marked as unfinished and has the cause.
 func TestControlMarksFailedRunUnfinished(t *testing.T) {
 	var cmd controlCmd
 	out := filepath.Join(t.TempDir(), "r.json")
--- a/cmd/fleetbench/decide_test.go
+++ b/cmd/fleetbench/decide_test.go
@@ -7,7 +7,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// A small run leaves a finished result; invalid arguments end the program with exit code 2 and leave none.
+// A small run writes a finished result. Invalid arguments end the program with exit code 2 and
+// write no result.
 func TestDecideWritesResultOfValidArguments(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "decide.json")
 	args := []string{"decide", "--agents=8", "--servers=8", "--services=2", "--zones=2", "--regions=1", "--rate=800",
--- a/cmd/fleetbench/fleet_test.go
+++ b/cmd/fleetbench/fleet_test.go
@@ -9,14 +9,14 @@
 	"ploverreel/internal/fleet"
 )
 
-// tinyFleetCmd returns the command of a run of a second or two.
+// tinyFleetCmd returns a command that runs for a second or two.
 func tinyFleetCmd(t *testing.T) *fleetCmd {
 	return &fleetCmd{Size: fleet.Size{Agents: 64, Servers: 144, Services: 4, Regions: 3, Zones: 9, Rate: 640, Depth: 1,
 		Seed: 1}, output: output{Out: filepath.Join(t.TempDir(), "fleet.json")}, Scenarios: []string{"calm"},
 		SettingsScope: []string{"fleet", "service"}, Seconds: 2, Cores: 1, Load: 0.5, Slope: true, Jobs: 2}
 }
 
-// A run writes one result: a case for each scenario, settings scope and size, and the lines through them.
+// A run writes one case for each scenario, settings scope and size, and the fitted lines.
 func TestFleetWritesCaseForEachScenarioAndScope(t *testing.T) {
 	f := tinyFleetCmd(t)
 	if err := f.Run(t.Context(), slog.New(slog.DiscardHandler)); err != nil {
@@ -36,7 +36,8 @@
 	}
 }
 
-// A mixed run has the goodput of each class, effect and tenant, by the module and by the delayed-view baseline.
+// A run with mixed traffic reports the goodput of each class, effect and tenant, for the policy
+// module and for the delayed-view baseline.
 func TestFleetMixedReportsGoodputOfEachClass(t *testing.T) {
 	f := tinyFleetCmd(t)
 	f.Mixed, f.Slope, f.Scenarios, f.SettingsScope = true, false, []string{"half"}, []string{"service"}
@@ -56,7 +57,7 @@
 	}
 }
 
-// The error of an invalid argument names it, and nothing is played.
+// The error for an invalid argument names it, and no result is written.
 func TestFleetRejectsInvalidArguments(t *testing.T) {
 	for arg, change := range map[string]func(*fleetCmd){
 		"scenarios": func(f *fleetCmd) { f.Scenarios = []string{"calm", "unknown"} },
@@ -81,7 +82,8 @@
 	}
 }
 
-// An unknown scenario or settings scope ends the program with the exit code of a usage error.
+// An invalid argument, such as an unknown scenario or settings scope, ends the program with exit
+// code 2.
 func TestFleetExitsWithUsageCode(t *testing.T) {
 	for _, args := range [][]string{{"fleet", "--scenarios", "unknown"}, {"fleet", "--settings-scope", "unknown"},
 		{"fleet", "--days", "unknown"}, {"fleet", "--told", "unknown"}, {"fleet", "--load", "x"}} {
--- a/cmd/fleetbench/jobs.go
+++ b/cmd/fleetbench/jobs.go
@@ -6,8 +6,9 @@
 	"sync"
 )
 
-// runJobs runs all items, so many at a time, until all are done, one fails or ctx ends. It returns the
-// first error or the cause of ctx's end, after those that were begun have ended.
+// runJobs calls run for all items, for up to jobs items at the same time. It starts no more items
+// when one fails or when ctx ends. It returns the first error or the cause of ctx's end, after all
+// started items have ended.
 func runJobs[T any](ctx context.Context, jobs int, items iter.Seq[T], run func(context.Context, T) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -1,5 +1,6 @@
-// Command fleetbench measures what the agent costs and does in a large fleet: the module
-// alone, real agents on sockets, the control side, and the whole fleet in virtual time.
+// Command fleetbench measures the cost and the behaviour of the agent in a large fleet. Its
+// subcommands measure the policy module alone, real agents on sockets, the control plane, and the
+// whole fleet in virtual time.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"ploverreel/internal/fleet"
 )
 
-// commands are the subcommands; each has its own file.
+// commands is the command line. Each subcommand is in its own file.
 type commands struct {
 	Verbose bool `help:"Say more of what is being done." short:"v"`
 
@@ -31,7 +32,8 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// newParser returns a parser of the command line into cmd. It panics if the tags of commands are invalid.
+// newParser returns a parser that parses a command line into cmd. It panics if a struct tag is
+// invalid.
 func newParser(cmd *commands) *kong.Kong {
 	parser, err := kong.New(cmd, kong.Name("fleetbench"), kong.UsageOnError(),
 		kong.Description("Measures the agent in a large fleet. Every subcommand writes one JSON result; 'report' makes the tables of docs/CAPACITY.md of them."))
@@ -41,7 +43,8 @@
 	return parser
 }
 
-// run is the program; it returns its exit code: 0, 1 for a run that failed, or 2 for invalid arguments.
+// run runs the command line and returns the exit code: 0 for success, 1 for a run that failed, or 2
+// for invalid arguments.
 func run(args []string) int {
 	var cmd commands
 	parser := newParser(&cmd)
--- a/cmd/fleetbench/path.go
+++ b/cmd/fleetbench/path.go
@@ -13,7 +13,7 @@
 	"ploverreel/internal/fleet/datapath"
 )
 
-// pathCmd is the subcommand path.
+// pathCmd measures what real agents add to the calls that pass through them.
 type pathCmd struct {
 	fleet.Size `embed:""`
 	output     `embed:""`
@@ -30,16 +30,16 @@
 
 // Help returns the text that --help prints under the summary.
 func (c *pathCmd) Help() string {
-	return `Starts real agents as processes, with a load generator before and stand-in servers behind them,
-and compares the calls through them with direct calls that run at the same time: added latency,
-processor time, memory, connections and refusals. Each agent gets rate / agents calls a second.
+	return `Starts real agents as processes between a load generator and stand-in servers. Compares the calls through
+the agents with direct calls at the same time: added latency, processor time, memory, connections and
+refusals. Each agent gets rate / agents calls a second.
 
-The cases, one after the other: one hop with each length of the list; --depth hops, each with
-servers / services listed; and one agent with many requests open. The first two are played with
-each number of replicas. With the sizes as they are given that takes some eleven minutes and one core.`
+The cases run one after the other: one hop with each length of the list; --depth hops, each with
+servers / services listed; and one agent with many requests open. The first two run with each number
+of replicas. At the default sizes a run takes about eleven minutes and one core.`
 }
 
-// Run plays the cases.
+// Run runs all cases, writes the result and prints a summary.
 func (c *pathCmd) Run(ctx context.Context, log *slog.Logger) error {
 	rate := c.Rate / float64(c.Agents)
 	plan := datapath.Plan{Size: c.Size, Agent: c.Agent, Lists: c.List, Replicas: c.Replicas, Open: c.Open, Chains: c.Beside,
@@ -58,7 +58,8 @@
 	return err
 }
 
-// resultArgs returns the arguments beside the size.
+// resultArgs returns the flags that are stored in the result. Those of the size are stored
+// separately.
 func (c *pathCmd) resultArgs() []string {
 	joinInts := func(values []int) string { return strings.Trim(strings.ReplaceAll(fmt.Sprint(values), " ", ","), "[]") }
 	return []string{"--list=" + joinInts(c.List), "--replicas=" + joinInts(c.Replicas), "--open=" + joinInts(c.Open),
--- a/cmd/fleetbench/path_test.go
+++ b/cmd/fleetbench/path_test.go
@@ -9,8 +9,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// An invalid argument ends the program with exit code 2 and leaves no result; an agent that does not start ends it
-// with 1 and leaves a result with the cause.
+// An invalid argument ends the program with exit code 2 and writes no result. An agent that does
+// not start ends it with exit code 1 and an unfinished result that has the cause.
 func TestPathReportsWhyItCannotRun(t *testing.T) {
 	dir := t.TempDir()
 	out, agent := filepath.Join(dir, "path.json"), filepath.Join(dir, "agent")
--- a/cmd/fleetbench/report_test.go
+++ b/cmd/fleetbench/report_test.go
@@ -9,7 +9,8 @@
 	"ploverreel/internal/fleet"
 )
 
-// A page gets its tables once; --check fails where they are old, and writes nothing.
+// 'report' writes the tables to the page, and running it again changes nothing. With --check it
+// fails if the tables are out of date, and writes nothing.
 func TestReportWritesTablesOnce(t *testing.T) {
 	dir := t.TempDir()
 	page := filepath.Join(dir, "page.md")
--- a/cmd/fleetbench/summary_test.go
+++ b/cmd/fleetbench/summary_test.go
@@ -8,7 +8,7 @@
 	"ploverreel/internal/fleet"
 )
 
-// A case that lacks a figure has a row too; figures are scaled and rounded.
+// Each case has a row, also if it lacks a figure. Figures are scaled and rounded.
 func TestSummaryHasRowForEachCase(t *testing.T) {
 	full, empty := fleet.Case{Name: "hops 1"}, fleet.Case{Name: "hops 3"}
 	full.Add("served_share", "share", 0.998)
@@ -24,7 +24,7 @@
 	}
 }
 
-// writeSummary returns the error of its writer.
+// writeSummary returns the writer's error.
 func TestSummaryReportsFailedWrite(t *testing.T) {
 	cause := errors.New("broken pipe")
 	if err := writeSummary(failingWriter{cause}, nil, pathSummaryColumns); !errors.Is(err, cause) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// failingWriter fails each write.
+// failingWriter returns an error for each write.
 type failingWriter struct{ err error }
 
 func (w failingWriter) Write([]byte) (int, error) { return 0, w.err }
