--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -232,8 +232,7 @@
 		c.Add(load+"most of the budget", "share", sc.maxWarmupShare)
 		c.Add(load+"fell", "count", sc.failedServers)
 		c.Add(load+"by agents that knew", "count", sc.failedByNotifiedAgents)
-		// The runs end in any order and add to the mean in that order. Rounding makes it the same
-		// each time.
+		// The runs end in any order, and a sum of floats depends on the order. Rounding hides that.
 		c.Add(load+"served", "share", math.Round(sc.meanGoodput*1e6)/1e6)
 	}
 	return cases
--- a/internal/fleet/datapath/servers.go
+++ b/internal/fleet/datapath/servers.go
@@ -47,8 +47,8 @@
 }
 
 // startStandInServers starts n servers, which stop when the context ends.
-func startStandInServers(ctx context.Context, n int, answer time.Duration, next *caller) (*standInServers, error) {
-	s := &standInServers{answerTime: answer, nextHop: next, usedAddrs: map[string]bool{}}
+func startStandInServers(ctx context.Context, n int, answerTime time.Duration, nextHop *caller) (*standInServers, error) {
+	s := &standInServers{answerTime: answerTime, nextHop: nextHop, usedAddrs: map[string]bool{}}
 	s.server = &http.Server{Handler: s, ConnState: s.trackConnection, IdleTimeout: keepaliveTimeout,
 		BaseContext: func(net.Listener) context.Context { return ctx }}
 	context.AfterFunc(ctx, func() { s.server.Close() })
@@ -129,18 +129,18 @@
 // startDiscovery starts a stand-in of discovery and returns its address. It serves one list that
 // never changes, and stops when the context ends.
 func startDiscovery(ctx context.Context, list endpointlist.List) (addr string, err error) {
-	text, err := json.Marshal(list)
+	response, err := json.Marshal(list)
 	if err != nil {
 		return "", fmt.Errorf("discovery: %w", err)
 	}
-	text = append(text, '\n')
+	response = append(response, '\n')
 	server := &http.Server{BaseContext: func(net.Listener) context.Context { return ctx },
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if _, err := w.Write(text); err != nil || r.URL.Query().Get("follow") != "1" {
+			if _, err := w.Write(response); err != nil || r.URL.Query().Get("follow") != "1" {
 				return
 			}
-			flush := http.NewResponseController(w)
-			for flush.Flush() == nil && sleep(r.Context(), heartbeatInterval) {
+			controller := http.NewResponseController(w)
+			for controller.Flush() == nil && sleep(r.Context(), heartbeatInterval) {
 				if _, err := io.WriteString(w, "\n"); err != nil {
 					return
 				}
@@ -175,8 +175,8 @@
 			return dialer.DialContext(ctx, network, addr)
 		},
 		MaxIdleConnsPerHost: agentSockets, DisableCompression: true}}
-	for _, a := range addrs {
-		c.baseURLs = append(c.baseURLs, "http://"+a)
+	for _, addr := range addrs {
+		c.baseURLs = append(c.baseURLs, "http://"+addr)
 	}
 	return c
 }
@@ -190,8 +190,8 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout+responseGrace)
 	defer cancel()
-	base := c.baseURLs[c.roundRobin.Add(1)%uint64(len(c.baseURLs))]
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+path, nil)
+	baseURL := c.baseURLs[c.roundRobin.Add(1)%uint64(len(c.baseURLs))]
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+path, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/fleet/decisions/driver.go
+++ b/internal/fleet/decisions/driver.go
@@ -91,10 +91,10 @@
 
 // newEntry returns the entry of a ready server with a new address.
 func (d *driver) newEntry() policy.Entry {
-	i := d.entriesCreated
+	id := d.entriesCreated
 	d.entriesCreated++
-	return policy.Entry{Server: policy.Addr{10, byte(i >> 16), byte(i >> 8), byte(i), 0x1f, 0x90},
-		Zone: i % max(d.zones, 1), Cell: i / 8, Health: policy.HealthReady, Weight: 1}
+	return policy.Entry{Server: policy.Addr{10, byte(id >> 16), byte(id >> 8), byte(id), 0x1f, 0x90},
+		Zone: id % max(d.zones, 1), Cell: id / 8, Health: policy.HealthReady, Weight: 1}
 }
 
 // advance handles events until n more requests have arrived.
@@ -127,11 +127,11 @@
 	if ended, ok := next.event.(*policy.AttemptEnded); ok {
 		// The outcome of a cancelled attempt still arrives. It may arrive after the request has
 		// ended.
-		if r := d.open[ended.Request]; r != nil && ended.Final {
+		if req := d.open[ended.Request]; req != nil && ended.Final {
 			d.counts.served++
 			delete(d.open, ended.Request)
-		} else if r != nil {
-			r.queued = true // until the balancer sends another attempt or ends the request
+		} else if req != nil {
+			req.queued = true // until the balancer sends another attempt or ends the request
 			d.queuedRequests++
 		}
 	}
@@ -186,35 +186,35 @@
 func (d *driver) perform(actions []policy.Action) {
 	d.actions = actions
 	for i := range actions {
-		a := &actions[i]
-		r := d.open[a.Request]
-		switch a.Kind {
+		action := &actions[i]
+		req := d.open[action.Request]
+		switch action.Kind {
 		case policy.ActionSendAttempt:
 			d.counts.attempts++
-			if r.attempts++; r.attempts == 1 {
-				d.counts.waitsMs = append(d.counts.waitsMs, d.nowMs-r.arrivedAtMs)
+			if req.attempts++; req.attempts == 1 {
+				d.counts.waitsMs = append(d.counts.waitsMs, d.nowMs-req.arrivedAtMs)
 			}
-			r.queued = false
+			req.queued = false
 			d.queuedRequests--
-			d.scheduleOutcome(a, r.attempts-1)
+			d.scheduleOutcome(action, req.attempts-1)
 		case policy.ActionRejectRequest, policy.ActionFailRequest:
-			if r == nil {
+			if req == nil {
 				continue
 			}
 			d.counts.rejected++
-			if r.queued {
+			if req.queued {
 				d.queuedRequests--
 			}
-			delete(d.open, a.Request)
+			delete(d.open, action.Request)
 		case policy.ActionCheckHealth:
 			status := policy.StatusOK
-			if d.refusing[a.Server] {
+			if d.refusing[action.Server] {
 				status = policy.StatusConnectFailed
 			}
-			d.schedule(connectRefusedMs, outcomeArrived, &policy.HealthCheckEnded{Server: a.Server, Status: status,
+			d.schedule(connectRefusedMs, outcomeArrived, &policy.HealthCheckEnded{Server: action.Server, Status: status,
 				LatencyMs: connectRefusedMs})
 		case policy.ActionSetTimer:
-			d.schedule(a.DelayMs, timerFired, &policy.TimerFired{Token: a.Token})
+			d.schedule(action.DelayMs, timerFired, &policy.TimerFired{Token: action.Token})
 		}
 	}
 }
@@ -222,10 +222,10 @@
 // scheduleOutcome schedules the outcome of an attempt. A refused connection ends after
 // connectRefusedMs. An uncongested server answers after answerTimeMs. If the workload keeps
 // requests queued, answers come no faster than ratePerAgent.
-func (d *driver) scheduleOutcome(a *policy.Action, attempt int) {
-	ended := &policy.AttemptEnded{Request: a.Request, Attempt: attempt, Server: a.Server}
-	if d.refusing[a.Server] {
-		delete(d.notYetTried, a.Server)
+func (d *driver) scheduleOutcome(action *policy.Action, attempt int) {
+	ended := &policy.AttemptEnded{Request: action.Request, Attempt: attempt, Server: action.Server}
+	if d.refusing[action.Server] {
+		delete(d.notYetTried, action.Server)
 		ended.Status, ended.LatencyMs = policy.StatusConnectFailed, connectRefusedMs
 		d.schedule(connectRefusedMs, outcomeArrived, ended)
 		return
--- a/internal/fleet/fit.go
+++ b/internal/fleet/fit.go
@@ -38,9 +38,9 @@
 		if !ok || !hasParam {
 			continue
 		}
-		for _, g := range cases[i].Figures {
-			if g.Name == figure {
-				fit.Unit = g.Unit
+		for _, f := range cases[i].Figures {
+			if f.Name == figure {
+				fit.Unit = f.Unit
 			}
 		}
 		xAll, yAll = append(xAll, size), append(yAll, value)
--- a/internal/fleet/replace_file.go
+++ b/internal/fleet/replace_file.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 )
 
-// fileMode is the mode of the files that the bench writes.
+// fileMode is the mode of the files that fleetbench writes.
 const fileMode = 0o644
 
 // ReplaceFile atomically replaces the file at path. It writes data to a temporary file in the same
--- a/internal/fleet/size.go
+++ b/internal/fleet/size.go
@@ -33,7 +33,7 @@
 	return Size{Agents: 2000, Servers: 2000, Services: 160, Regions: 3, Zones: 9, Rate: 220000, Depth: 10, Seed: 1}
 }
 
-// UsageError is an invalid command-line argument. For it the bench prints one line that names the
+// UsageError is an invalid command-line argument. For it fleetbench prints one line that names the
 // argument and exits with code 2.
 type UsageError struct {
 	Arg    string // without the dashes
