--- a/cmd/fleetbench/control.go
+++ b/cmd/fleetbench/control.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
-	return c.runPlan(ctx, log, controlplane.Command(program, "control-process"))
+	return c.runPlan(ctx, log, controlplane.SpawnProgram(program, "control-process"))
 }
 
 // runPlan runs the plan and writes its result. The result of a run that fails is marked as
--- a/internal/fleet/controlplane/fault_silence.go
+++ b/internal/fleet/controlplane/fault_silence.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// discoverySilent silences all of discovery, changes the list meanwhile, and measures from the end of the
-// silence.
+// discoverySilent makes all stand-ins silent, which means that they accept calls and write nothing.
+// It publishes a change during the silence. The delays start at the end of the silence.
 var discoverySilent = fault{"discovery silent", func(c *caseRun) {
 	f := c.fleet
 	setSilent := func(silent bool) {
-		c.do(func(ctx context.Context) error {
-			return forEach(f.standIns, func(host *standInHost) error {
+		c.runStep(func(ctx context.Context) error {
+			return forEachConcurrently(f.standIns, func(host *standInHost) error {
 				_, err := host.call(ctx, &command{Op: opSilence, Silent: silent})
 				return err
 			})
 		})
 	}
 	setSilent(true)
-	began := time.Now()
+	silentFrom := time.Now()
 	c.sleep(min(time.Second, f.plan.Silent/2))
-	v := c.change(f.randomChange())
-	c.sleep(f.plan.Silent - time.Since(began))
-	c.result.Add("silent", "s", time.Since(began).Seconds())
+	v := c.publish(f.randomHealthChange())
+	c.sleep(f.plan.Silent - time.Since(silentFrom))
+	c.result.Add("silent", "s", time.Since(silentFrom).Seconds())
 	c.endPhase("silent")
 
 	now := time.Now()
 	setSilent(false)
-	c.measureRecovery("back", f.agents(everywhere), version{v.seq, now}, now)
+	c.measureRecovery("back", f.agentsOf(allStandIns), version{v.seq, now}, now)
 }}
--- a/internal/fleet/controlplane/ports.go
+++ b/internal/fleet/controlplane/ports.go
@@ -6,12 +6,12 @@
 	"syscall"
 )
 
-// reservation keeps a port of the loopback for stand-ins that are killed and replaced: its socket is bound and
-// does not listen, so that calls are refused while no stand-in runs, and no other socket of the machine gets
-// the port meanwhile.
+// reservation reserves a port of the loopback interface for stand-ins that are killed and replaced.
+// Its socket is bound and does not listen. While no stand-in runs, calls to the port are refused
+// and no other socket of the machine can get the port.
 type reservation struct{ fd, port int }
 
-// reserve reserves a free port.
+// reserve reserves a port that is free.
 func reserve() (reservation, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -22,10 +22,10 @@
 		err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
 	if err == nil {
-		var at syscall.Sockaddr
-		if at, err = syscall.Getsockname(fd); err == nil {
-			if v4, ok := at.(*syscall.SockaddrInet4); ok {
-				r.port = v4.Port
+		var addr syscall.Sockaddr
+		if addr, err = syscall.Getsockname(fd); err == nil {
+			if inet4, ok := addr.(*syscall.SockaddrInet4); ok {
+				r.port = inet4.Port
 				return r, nil
 			}
 			err = errors.New("no IPv4 address")
@@ -35,5 +35,5 @@
 	return reservation{}, fmt.Errorf("port: %w", err)
 }
 
-// release frees the port.
+// release ends the reservation of the port.
 func (r reservation) release() { _ = syscall.Close(r.fd) }
