--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -54,9 +54,9 @@
 	return []startVariant{
 		{"plain", "nothing else", func(*model.Config) {}},
 		{"heavy", "work is heavy-tailed and no hint estimates it", heavy},
-		{"late", "agents begin with the old list and are notified of the start within 2 s", late},
-		{"restart", "each agent starts once more within 4 s", restart},
-		{"colder", "servers begin at a tenth of their capacity", func(cfg *model.Config) {
+		{"late", "agents start with the old list and are notified of the start within 2 s", late},
+		{"restart", "each agent restarts once within 4 s", restart},
+		{"colder", "servers start at a tenth of their capacity", func(cfg *model.Config) {
 			cfg.Settings.Contract.InitialCapacity = colderInitialCapacity
 		}},
 		{"all", "heavy, late and restart together", func(cfg *model.Config) { heavy(cfg); late(cfg); restart(cfg) }},
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -62,7 +62,7 @@
 
 	// maxVirtualSeconds bounds the duration of a scenario, in virtual seconds.
 	maxVirtualSeconds = 3600.0
-	// maxJobs bounds the number of scenarios that run at the same time.
+	// maxJobs bounds the number of runs at the same time.
 	maxJobs = 64
 	// bytesPerCallPerSecond and bytesPerAgent multiply the rate and the number of agents. The sum
 	// of the products is the memory that a run needs.
--- a/internal/fleet/decisions/driver.go
+++ b/internal/fleet/decisions/driver.go
@@ -51,7 +51,8 @@
 	queued      bool // no attempt is in flight
 }
 
-// requestCounts holds counts of requests by outcome, of attempts, and the waiting times.
+// requestCounts holds counts of requests by outcome, of attempts, and the waiting times. rejected
+// counts all requests that the balancer ended without an answer.
 type requestCounts struct {
 	requests, served, rejected, attempts int
 	waitsMs                              []float64 // times from a request's arrival to its first attempt
--- a/internal/fleet/decisions/options.go
+++ b/internal/fleet/decisions/options.go
@@ -30,7 +30,7 @@
 	param         string   // name of the parameter
 	target        float64  // value of the parameter that the fitted lines predict figures for
 	fittedFigures []string // figures that lines over the parameter are fitted to
-	unfittedCases int      // the first cases, which have another kind of load and are left out of the fits
+	unfittedCases int      // number of first cases that the fits leave out, as their load is of another kind
 	cases         []*benchCase
 }
 
