--- a/internal/fleet/controlplane/plan.go
+++ b/internal/fleet/controlplane/plan.go
@@ -89,7 +89,7 @@
 		value, limit int
 	}{{"stand-ins", p.StandIns, maxStandIns}, {"processes", p.Processes, maxAgentProcesses}, {"changes", p.Changes, maxChanges}} {
 		if f.value < 1 || f.value > f.limit {
-			return fleet.Usage(f.arg, "must be from 1 to %d, is %d", f.limit, f.value)
+			return fleet.NewUsageError(f.arg, "must be from 1 to %d, is %d", f.limit, f.value)
 		}
 	}
 	for _, f := range []struct {
@@ -98,25 +98,25 @@
 	}{{"ask-within", p.AskWithin, maxDuration}, {"calm", p.Calm, maxDuration}, {"down", p.Down, maxDuration},
 		{"silent", p.Silent, maxDuration}, {"cut", p.Cut, maxDuration}, {"cut-every", p.CutEvery, maxDuration}, {"limit", p.Limit, maxDuration}} {
 		if f.value <= 0 || f.value > f.limit {
-			return fleet.Usage(f.arg, "must be above 0 and at most %v, is %v", f.limit, f.value)
+			return fleet.NewUsageError(f.arg, "must be above 0 and at most %v, is %v", f.limit, f.value)
 		}
 	}
 	if p.Spread < 0 || p.Spread >= p.Limit {
-		return fleet.Usage("spread", "must be from 0 to less than --limit, is %v", p.Spread)
+		return fleet.NewUsageError("spread", "must be from 0 to less than --limit, is %v", p.Spread)
 	}
 	if p.Membership != policy.MembershipOnRequest && p.Membership != policy.MembershipPushed {
-		return fleet.Usage("membership", "must be %s or %s, is %q", policy.MembershipOnRequest, policy.MembershipPushed, p.Membership)
+		return fleet.NewUsageError("membership", "must be %s or %s, is %q", policy.MembershipOnRequest, policy.MembershipPushed, p.Membership)
 	}
 	if p.Scope != ScopeFleet && p.Scope != ScopeService {
-		return fleet.Usage("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
+		return fleet.NewUsageError("scope", "must be %s or %s, is %q", ScopeFleet, ScopeService, p.Scope)
 	}
 	if p.Sweep {
 		minShare := sweepShares[0]
 		if float64(p.Size.Agents)*minShare*sweepAgentShare < 1 {
-			return fleet.Usage("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(minShare*sweepAgentShare), p.Size.Agents)
+			return fleet.NewUsageError("agents", "must be %g or more for the slopes (or --no-sweep), is %d", 1/(minShare*sweepAgentShare), p.Size.Agents)
 		}
 		if minServers := max(p.Size.Services, p.Size.Zones); float64(p.Size.Servers)*minShare < float64(minServers) {
-			return fleet.Usage("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(minServers)/minShare, p.Size.Servers)
+			return fleet.NewUsageError("servers", "must be %g or more for the slopes (or --no-sweep), is %d", float64(minServers)/minShare, p.Size.Servers)
 		}
 	}
 	return p.checkResources()
@@ -137,7 +137,7 @@
 func (p *Plan) checkResources() error {
 	size := p.Size
 	if n := p.Processes + p.StandIns*size.Regions; n > fleet.MaxProcesses {
-		return fleet.Usage("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
+		return fleet.NewUsageError("stand-ins", "%d processes with those of the agents, at most %d", n, fleet.MaxProcesses)
 	}
 	entries := float64(size.Servers)
 	if p.Scope == ScopeService {
@@ -155,7 +155,7 @@
 	watches := 2 * max(ceilDiv(size.Agents, p.Processes), p.agentCount(0))
 	ports := p.scopeCount() * p.StandIns * size.Regions
 	if needed := max(watches+p.scopeCount(), ports) + spareDescriptors; uint64(needed) > files.Cur {
-		return fleet.Usage("agents", "would need %d open files in a process, the limit is %d", needed, files.Cur)
+		return fleet.NewUsageError("agents", "would need %d open files in a process, the limit is %d", needed, files.Cur)
 	}
 	return nil
 }
--- a/internal/fleet/decisions/run.go
+++ b/internal/fleet/decisions/run.go
@@ -1,6 +1,7 @@
-// Package decisions measures the decision module alone: one balancer is driven through virtual
-// time, and the cost of each kind of event is measured, against the number of servers listed,
-// requests queued, the shares of warming and of unhealthy servers and the number of agents.
+// Package decisions measures the decision module (package policy) alone. It drives one balancer
+// through virtual time and measures the cost of each kind of event over the number of listed
+// servers, the number of queued requests, the shares of warming and of unhealthy servers, and the
+// number of agents.
 package decisions
 
 import (
@@ -12,53 +13,56 @@
 	"ploverreel/internal/fleet"
 )
 
-// Run plays all cases and adds them, with the lines fitted through them, to the result. Times are
-// processor time of the calling goroutine's thread, which it locks meanwhile. It returns an error for
-// invalid options, where the thread's clock can't be read, or when the context ends.
+// Run runs all cases and adds them and the lines fitted through them to the result. Times are
+// processor times of the calling goroutine's thread. Run locks the goroutine to that thread
+// meanwhile. It returns an error for invalid options, if the thread's clock cannot be read, or if
+// the context ends.
 func Run(ctx context.Context, log *slog.Logger, o Options, r *fleet.Result) error {
-	all, err := o.plan()
+	all, err := o.allSeries()
 	if err != nil {
 		return err
 	}
-	// Times are the thread's: nothing else may run on it, and the play not on another.
+	// The clock measures the thread. So no other goroutine may run on the thread, and this one may
+	// not move to another.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	readNs, err := clockCost()
+	clockReadNs, err := measureClockReadNs()
 	if err != nil {
 		return err
 	}
 	for _, s := range all {
-		for _, p := range s.plays {
-			if err := p.start(ctx, o); err != nil {
+		for _, b := range s.cases {
+			if err := b.start(ctx, o); err != nil {
 				return err
 			}
 		}
-		log.Info("ready", "series", s.name, "cases", len(s.plays))
+		log.Info("ready", "series", s.name, "cases", len(s.cases))
 	}
-	if err := o.measure(ctx, log, all, readNs); err != nil {
+	if err := o.measureRounds(ctx, log, all, clockReadNs); err != nil {
 		return err
 	}
 	for _, s := range all {
-		s.addTo(r)
+		s.addCasesAndFits(r)
 	}
-	limit, err := o.limit(ctx)
+	limitCases, err := o.concurrencyLimitCases(ctx)
 	if err != nil {
 		return err
 	}
-	r.Cases = append(r.Cases, limit...)
-	log.Info("played the limit on attempts", "cases", len(limit))
+	r.Cases = append(r.Cases, limitCases...)
+	log.Info("ran the cases of the concurrency limit", "cases", len(limitCases))
 	return nil
 }
 
-// measure plays the rounds. Every round has all cases: what slows the machine for a while slows them alike.
-func (o Options) measure(ctx context.Context, log *slog.Logger, all []*series, readNs float64) error {
+// measureRounds runs the measured rounds. Each round runs all cases, so that a time in which the
+// machine is slow affects them all alike.
+func (o Options) measureRounds(ctx context.Context, log *slog.Logger, all []*series, clockReadNs float64) error {
 	for round := range o.Repeats {
 		for _, s := range all {
-			for _, p := range s.plays {
+			for _, b := range s.cases {
 				if err := ctx.Err(); err != nil {
 					return fmt.Errorf("decide: interrupted: %w", err)
 				}
-				p.round(o, readNs)
+				b.measureRound(o, clockReadNs)
 			}
 		}
 		log.Info("measured", "round", round+1, "of", o.Repeats)
@@ -66,19 +70,20 @@
 	return nil
 }
 
-// addTo adds the cases of the series and the lines through them. A line that has too few sizes is a note.
-func (s *series) addTo(r *fleet.Result) {
+// addCasesAndFits adds the cases of the series and the lines fitted through them to the result. If
+// there are too few sizes for a line, it adds a note instead.
+func (s *series) addCasesAndFits(r *fleet.Result) {
 	var cases []fleet.Case
-	for _, p := range s.plays {
-		cases = append(cases, p.result(s))
+	for _, b := range s.cases {
+		cases = append(cases, b.medianCase(s))
 	}
 	r.Cases = append(r.Cases, cases...)
-	for _, figure := range s.figures {
-		f, err := fleet.FitLine(cases[s.unfitted:], figure, s.over, s.target)
+	for _, figure := range s.fittedFigures {
+		fit, err := fleet.FitLine(cases[s.unfittedCases:], figure, s.param, s.target)
 		if err != nil {
 			r.Notes = append(r.Notes, err.Error())
 			continue
 		}
-		r.Fits = append(r.Fits, f)
+		r.Fits = append(r.Fits, fit)
 	}
 }
