--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// Machine describes the machine that a result was measured on; a field that can't be read is empty.
+// Machine describes the machine that a result was measured on. A field that cannot be read is
+// empty.
 type Machine struct {
 	CPU      string  `json:"cpu"`
 	Cores    int     `json:"cores"`
@@ -18,13 +19,13 @@
 	Go       string  `json:"go"`
 }
 
-// machine returns the description of this machine.
-func machine() Machine {
+// describeMachine returns the description of this machine.
+func describeMachine() Machine {
 	return Machine{CPU: procField("/proc/cpuinfo", "model name"), Cores: runtime.NumCPU(),
 		MemoryGB: float64(MemoryBytes()>>20) / 1024, OS: runtime.GOOS + "/" + runtime.GOARCH, Go: runtime.Version()}
 }
 
-// MemoryBytes returns the machine's memory in bytes, 0 where /proc/meminfo can't be read.
+// MemoryBytes returns the machine's memory in bytes, or 0 if /proc/meminfo cannot be read.
 func MemoryBytes() int64 {
 	kb, _, _ := strings.Cut(procField("/proc/meminfo", "MemTotal"), " ")
 	n, err := strconv.ParseInt(kb, 10, 64)
@@ -34,16 +35,17 @@
 	return n << 10
 }
 
-// CheckMemory returns a *UsageError that names arg if a run would need more bytes than half of the
-// machine's memory.
-func CheckMemory(arg string, bytes float64) error {
-	if all := MemoryBytes(); all > 0 && bytes > float64(all)/2 {
-		return Usage(arg, "would need some %.1f GB, over half of the machine's %.1f GB", bytes/(1<<30), float64(all)/(1<<30))
+// CheckMemory returns a *UsageError for the argument arg if a run would need more than half of the
+// machine's memory. It returns nil if the size of the memory is unknown.
+func CheckMemory(arg string, neededBytes float64) error {
+	if totalBytes := MemoryBytes(); totalBytes > 0 && neededBytes > float64(totalBytes)/2 {
+		return NewUsageError(arg, "would need about %.1f GB, more than half of the machine's %.1f GB", neededBytes/(1<<30), float64(totalBytes)/(1<<30))
 	}
 	return nil
 }
 
-// procField returns the first value of a field in a file of lines of the form 'field : value'.
+// procField returns the value of the first line 'field : value' with that field in the file, or ""
+// if there is none.
 func procField(path, field string) string {
 	f, err := os.Open(path)
 	if err != nil {
@@ -59,9 +61,10 @@
 	return ""
 }
 
-// commit returns the commit of the sources in the current folder, with "+" where they had changes
-// outside the journal and the results; "" outside of a checkout.
-func commit() string {
+// sourceCommit returns the abbreviated commit ID of the checkout in the current directory. It
+// appends "+" if there are uncommitted changes outside the journal and the results. Outside a
+// checkout it returns "".
+func sourceCommit() string {
 	id, err := exec.Command("git", "rev-parse", "--short=12", "HEAD").Output()
 	if err != nil {
 		return ""
