--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	found, err := scenario.Play(ctx, cfg, c.Seconds, slog.New(slog.DiscardHandler))
+	found, err := scenario.Run(ctx, cfg, c.Seconds, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return fmt.Errorf("%s, %d agents, load %g, seed %d: %w", p.variant.name, p.agents, p.load, seed, err)
 	}
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -165,12 +165,12 @@
 	log = log.With("settingsScope", p.scope, "agents", p.size.Agents)
 	log.Info("begins", "scenario", p.scenario.Name)
 	if f.Mixed {
-		cfg.Mix()
+		cfg.SetMixedTraffic()
 	}
-	found, err := p.scenario.Play(ctx, cfg, f.Seconds, log)
+	found, err := p.scenario.Run(ctx, cfg, f.Seconds, log)
 	if err == nil && f.Mixed {
 		cfg.DelayedView = true
-		err = p.scenario.Compare(ctx, cfg, f.Seconds, log.With("policy", "delayed view"), found)
+		err = p.scenario.AddBaseline(ctx, cfg, f.Seconds, log.With("policy", "delayed view"), found)
 	}
 	if err != nil {
 		return fmt.Errorf("%s%s: %w", p.scenario.Name, scopeSuffix(p.scope), err)
--- a/internal/fleet/model/attempt.go
+++ b/internal/fleet/model/attempt.go
@@ -31,8 +31,8 @@
 	}
 )
 
-// send starts an attempt of a request at the action's server.
-func (a *agent) send(request *request, act *policy.Action) {
+// startAttempt starts an attempt of a request at the action's server.
+func (a *agent) startAttempt(request *request, act *policy.Action) {
 	model, server := a.m, a.m.serverAt(act.Server)
 	if server == nil {
 		return
@@ -42,7 +42,7 @@
 	if request.attempts > 0 {
 		count.Retries++
 	} else if request.retries == 0 {
-		model.waits.add(model.now - request.arrivedAt)
+		model.firstAttemptWaits.add(model.now - request.arrivedAt)
 	}
 	if server.zone != a.client.zone {
 		count.CrossZone++
@@ -57,8 +57,8 @@
 	request.attempts++
 	request.inFlight = sent
 	a.inFlight++
-	model.schedule(model.now+model.hop(a.client.zone, server.zone), (*attemptArrived)(sent))
-	model.queue.pushLate(model.now+act.TimeoutMs, (*attemptTimedOut)(sent))
+	model.schedule(model.now+model.networkDelay(a.client.zone, server.zone), (*attemptArrived)(sent))
+	model.queue.pushOrdered(model.now+act.TimeoutMs, (*attemptTimedOut)(sent))
 }
 
 func (t *attemptTimedOut) fire(*Model) { (*attempt)(t).end(policy.StatusTimeout) }
@@ -73,17 +73,17 @@
 		return
 	}
 	t.ended = true
-	t.server.abandon(t)
+	t.server.removeAbandoned(t)
 	request := t.request
 	agent := request.agent
 	model := agent.m
 	request.inFlight = nil
 	agent.inFlight--
 	if status == policy.StatusOK {
-		agent.conns[t.server] = t.serverProcess
+		agent.connections[t.server] = t.serverProcess
 		agent.idle[t.server] = append(agent.idle[t.server], model.now)
 	} else {
-		delete(agent.conns, t.server)
+		delete(agent.connections, t.server)
 		delete(agent.idle, t.server)
 	}
 	if status == policy.StatusOK && !request.final && !agent.ended {
@@ -96,5 +96,5 @@
 	}
 	agent.handle(&policy.AttemptEnded{Request: request.id, Attempt: t.index, Server: t.server.addr,
 		Status: status, LatencyMs: model.now - t.sentAt, Final: request.final})
-	request.forget()
+	request.removeIfDone()
 }
--- a/internal/fleet/model/config.go
+++ b/internal/fleet/model/config.go
@@ -8,23 +8,23 @@
 // Config holds the size of a fleet, its load and the settings of its agents.
 type Config struct {
 	Variant
-	Agents     int // at least one per service
-	Servers    int // at least one per service
-	Services   int
-	Zones      int
-	Regions    int
-	Rate       float64 // requests per second of all clients together
-	RateSpread float64 // standard deviation of the logarithms of the clients' rates; 0: equal rates
-	Peak       float64 // maximum factor by which a burst multiplies the rate; 0: no bursts
-	Cores      int     // per server
-	WorkMs     float64 // mean work of a request in ms on one core at full speed
+	Agents        int // at least one per service
+	Servers       int // at least one per service
+	Services      int
+	Zones         int
+	Regions       int
+	Rate          float64 // requests per second of all clients together
+	RateSpread    float64 // standard deviation of the logarithms of the clients' rates; 0: equal rates
+	MaxRateFactor float64 // maximum factor by which a burst multiplies the rate; 0: no bursts
+	Cores         int     // per server
+	WorkMs        float64 // mean work of a request in ms on one core at full speed
 	// One-way network delays in ms: within a zone, between zones of a region, and between regions.
 	ZoneMs, CrossZoneMs, CrossRegionMs float64
 	ListMs                             float64 // maximum delay in ms of a notification of list changes
-	CallMs                             float64 // discovery's work per call in ms, one call at a time
+	DiscoveryCallMs                    float64 // discovery's work per call in ms, one call at a time
 	Seed                               uint64
-	// Traffic describes the requests of each class of the settings, in the same order. If it is empty,
-	// all requests belong to the first class.
+	// Traffic describes the requests of each class of the settings, in the same order. If it is
+	// empty, all requests belong to the first class.
 	Traffic []Traffic
 	Retries int // maximum retries by a client of a request that is not served; 0 is taken as one
 	// Settings holds the settings of all agents. Index, zone, replicas and quota are set per agent.
@@ -39,8 +39,8 @@
 	WorkSpread float64
 	// Hinted makes clients send an estimate of a request's work if WorkSpread is above 0.
 	Hinted bool
-	// StaleStart makes agents that restart in the start scenario use the endpoint list from before the
-	// restart until they are notified of the change.
+	// StaleStart makes agents that restart in the start scenario use the endpoint list from before
+	// the restart until they are notified of the change.
 	StaleStart bool
 	// RestartS is the time in seconds from the begin of the start scenario within which each agent
 	// restarts once more. 0: no agent does.
@@ -72,9 +72,9 @@
 	return s
 }
 
-// ConfigOf returns the configuration of a fleet with a given size, number of cores per server and load.
-// The load is the utilization of the servers under the fleet's total rate. It sets the mean work of a
-// request. An error is a *fleet.UsageError.
+// ConfigOf returns the configuration of a fleet with a given size, number of cores per server and
+// load. The load is the utilization of the servers under the fleet's total rate. It sets the mean
+// work of a request. An error is a *fleet.UsageError.
 func ConfigOf(size fleet.Size, cores int, load float64) (Config, error) {
 	switch {
 	case cores < 1 || cores > 1024:
@@ -90,8 +90,8 @@
 	return cfg, nil
 }
 
-// Validate returns a *fleet.UsageError if a service would have no agent or no server, or if a field is
-// out of range.
+// Validate returns a *fleet.UsageError if a service would have no agent or no server, or if a field
+// is out of range.
 func (cfg *Config) Validate() error {
 	switch {
 	case cfg.Agents < cfg.Services:
--- a/internal/fleet/model/connections.go
+++ b/internal/fleet/model/connections.go
@@ -5,9 +5,9 @@
 	"ploverreel/policy"
 )
 
-// idleSince holds the times in ms at which an agent's connections to one server became idle, the latest
-// last. An idle connection is closed after the settings' KeepaliveMs. A failed attempt closes all
-// connections to its server.
+// idleSince holds the times in ms at which an agent's connections to one server became idle, the
+// latest last. An idle connection is closed after the settings' KeepaliveMs. A failed attempt
+// closes all connections to its server.
 type idleSince []float64
 
 // idleTimes returns the times of the connections to a server that are still open.
@@ -19,7 +19,8 @@
 	return idle
 }
 
-// takeIdle removes the connection to a server that became idle last and reports whether there was one.
+// takeIdle removes the connection to a server that became idle last and reports whether there was
+// one.
 func (a *agent) takeIdle(server *server) bool {
 	idle := a.idleTimes(server)
 	found := len(idle) > 0
@@ -30,9 +31,10 @@
 	return found
 }
 
-// addNeeds adds the figures of an agent's resource use, as means over all agents: connections opened,
-// connections that are idle at the end, servers called since its start, and steps of its decision module.
-func (m *Model) addNeeds(result *fleet.Case, sum *Count) {
+// addAgentFigures adds the figures of an agent's resource use, as means over all agents:
+// connections opened, connections that are idle at the end, servers called since its start, and
+// steps of its decision module.
+func (m *Model) addAgentFigures(result *fleet.Case, sum *Count) {
 	met, kept, work := 0, 0, uint64(0)
 	for _, client := range m.clients {
 		agent := client.agent
--- a/internal/fleet/model/connections_test.go
+++ b/internal/fleet/model/connections_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A connection is reused while it is idle no longer than the settings' keepalive time; two attempts at once need
-// two.
+// A connection is reused while it is idle no longer than the settings' keepalive time; two attempts
+// at once need two.
 func TestIdleConnectionsAreReusedUntilKeepalive(t *testing.T) {
 	m := newModel(t, smallConfig(1, 2, 2, 0.5))
 	a, s := m.clients[0].agent, m.servers[0]
--- a/internal/fleet/model/figures.go
+++ b/internal/fleet/model/figures.go
@@ -62,8 +62,8 @@
 	return &m.seconds[i]
 }
 
-// total returns the sum of the counts of all seconds after SettleS, and the lowest goodput share of one
-// whole second.
+// total returns the sum of the counts of all seconds after SettleS, and the lowest goodput share of
+// one whole second.
 func (m *Model) total() (sum Count, worst float64) {
 	worst = 1
 	for _, second := range m.seconds[int(SettleS):] {
@@ -84,8 +84,8 @@
 	maxPending       int     // maximum number of requests pending on one server, warm or not
 }
 
-// warmupTotal returns the summary over all servers.
-func (m *Model) warmupTotal() warmupSummary {
+// warmupSummary returns the summary over all servers.
+func (m *Model) warmupSummary() warmupSummary {
 	var sum warmupSummary
 	for _, server := range m.servers {
 		load := &server.warmup
@@ -106,7 +106,7 @@
 func (m *Model) figures(name string) *fleet.Case {
 	m.second() // extends the counts to the current second, also without events
 	sum, worst := m.total()
-	load := m.warmupTotal()
+	load := m.warmupSummary()
 	offered, attempts := float64(max(sum.Requests, 1)), float64(max(sum.Attempts, 1))
 	result := &fleet.Case{Name: name, Params: map[string]float64{"agents": float64(m.cfg.Agents),
 		"servers": float64(m.cfg.Servers), "services": float64(m.cfg.Services), "rate": m.cfg.Rate}}
@@ -119,8 +119,8 @@
 	result.Add("attempts a request", "count", attempts/offered)
 	result.Add("attempts across zones", "share", float64(sum.CrossZone)/attempts)
 	result.Add("attempts across regions", "share", float64(sum.CrossRegion)/attempts)
-	result.Add("wait before the first attempt, p50", "ms", m.waits.ms(50))
-	result.Add(FigureFirstAttemptWaitP99, "ms", m.waits.ms(99))
+	result.Add("wait before the first attempt, p50", "ms", m.firstAttemptWaits.ms(50))
+	result.Add(FigureFirstAttemptWaitP99, "ms", m.firstAttemptWaits.ms(99))
 	result.Add(FigureMaxWarmupShare, "share", load.maxShare)
 	if m.cfg.WorkSpread > 0 {
 		result.Add("the same by the requests' very work", "share", load.maxActualShare)
@@ -131,6 +131,6 @@
 	result.Add("held by an agent, most", "count", float64(m.maxQueued))
 	result.Add("probes a request", "count", float64(sum.HealthChecks)/offered)
 	result.Add("calls to discovery", "count", float64(sum.DiscoveryCalls))
-	m.addNeeds(result, &sum)
+	m.addAgentFigures(result, &sum)
 	return result
 }
--- a/internal/fleet/model/goodput.go
+++ b/internal/fleet/model/goodput.go
@@ -33,8 +33,8 @@
 	return g
 }
 
-// begin resets the counts. From now on they include only requests first sent at or after from, in ms.
-func (g *goodputs) begin(cfg *Config, from float64) {
+// reset resets the counts. From now on they include only requests first sent at or after from, in ms.
+func (g *goodputs) reset(cfg *Config, from float64) {
 	*g = *newGoodputs(cfg)
 	g.from = from
 }
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -28,9 +28,9 @@
 
 // service is a group of interchangeable servers and the clients that call them.
 type service struct {
-	servers []*server
-	clients []*client
-	before  []policy.Entry // stale list that agents may use in the start scenario; nil: none
+	servers   []*server
+	clients   []*client
+	staleList []policy.Entry // stale list that agents may use in the start scenario; nil: none
 }
 
 // discovery is the service that serves the endpoint lists, one call at a time.
@@ -41,36 +41,36 @@
 
 // Model is one simulated fleet. It is not safe for concurrent use.
 type Model struct {
-	cfg          Config
-	rng          *rand.Rand
-	now          float64
-	services     []*service
-	clients      []*client
-	servers      []*server
-	queue        queue
-	seconds      []Count
-	waits        *waitHistogram
-	goodputs     *goodputs
-	viewsAt      float64 // time in ms of the last refresh of the baseline's delayed view
-	lastRequest  policy.RequestID
-	rateFactor   float64 // current multiple of the clients' rate
-	stopped      bool    // clients send no more requests
-	isolated     []bool  // by region: it is partitioned from all others
-	pending      int     // requests pending on all servers
-	maxQueued    int     // maximum number of requests queued in one agent at a time
-	discovery    discovery
-	spareActions [][]policy.Action // slices that agent.handle reuses
-	err          error             // ends the run
+	cfg               Config
+	rng               *rand.Rand
+	now               float64
+	services          []*service
+	clients           []*client
+	servers           []*server
+	queue             queue
+	seconds           []Count
+	firstAttemptWaits *waitHistogram
+	goodputs          *goodputs
+	viewRefreshedAt   float64 // time in ms of the last refresh of the baseline's delayed view
+	lastRequest       policy.RequestID
+	rateFactor        float64 // current multiple of the clients' rate
+	stopped           bool    // clients send no more requests
+	isolated          []bool  // by region: it is partitioned from all others
+	pending           int     // requests pending on all servers
+	maxQueued         int     // maximum number of requests queued in one agent at a time
+	discovery         discovery
+	spareActions      [][]policy.Action // slices that agent.handle reuses
+	err               error             // ends the run
 }
 
-// New returns an idle fleet: its agents have not started. It returns an error of Config.Validate or of
-// policy.New.
+// New returns an idle fleet: its agents have not started. It returns an error of Config.Validate or
+// of policy.New.
 func New(cfg Config) (*Model, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	m := &Model{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 11)), now: StartMs, rateFactor: 1,
-		isolated: make([]bool, cfg.Regions), waits: newWaitHistogram(), goodputs: newGoodputs(&cfg), viewsAt: math.Inf(-1)}
+		isolated: make([]bool, cfg.Regions), firstAttemptWaits: newWaitHistogram(), goodputs: newGoodputs(&cfg), viewRefreshedAt: math.Inf(-1)}
 	layout := rand.New(rand.NewPCG(cfg.Seed, 12)) // separate, so that the layout does not shift the draws of the run
 	servers, agents := divide(cfg.Servers, cfg.Services), divide(cfg.Agents, cfg.Services)
 	for k := range cfg.Services {
@@ -87,8 +87,9 @@
 	return m, nil
 }
 
-// addClients adds count clients to a service, each with an agent. Together they send rate requests per
-// ms. The shares of the clients are lognormal. Clients are placed in the zones in turn, from firstZone.
+// addClients adds count clients to a service, each with an agent. Together they send rate requests
+// per ms. The shares of the clients are lognormal. Clients are placed in the zones in turn, from
+// firstZone.
 func (m *Model) addClients(service *service, firstZone, count int, rate float64, layout *rand.Rand) error {
 	var parts []float64
 	sum := 0.0
@@ -97,8 +98,8 @@
 		parts, sum = append(parts, part), sum+part
 	}
 	for i, part := range parts {
-		client := &client{m: m, service: service, zone: (firstZone + i) % m.cfg.Zones, number: len(m.clients), inService: i,
-			replicas: count, quota: rate, rate: rate * part / sum, listMs: layout.Float64() * m.cfg.ListMs}
+		client := &client{m: m, service: service, zone: (firstZone + i) % m.cfg.Zones, index: len(m.clients), indexInService: i,
+			serviceClients: count, serviceRate: rate, rate: rate * part / sum, listDelayMs: layout.Float64() * m.cfg.ListMs}
 		service.clients, m.clients = append(service.clients, client), append(m.clients, client)
 		if err := client.start(); err != nil {
 			return err
@@ -110,8 +111,8 @@
 // zipfExponent is the exponent of Zipf's law by which agents and servers are divided among services.
 const zipfExponent = 0.8
 
-// divide splits a number of agents or servers among services by Zipf's law with exponent zipfExponent.
-// Each service gets at least two if there are enough.
+// divide splits a number of agents or servers among services by Zipf's law with exponent
+// zipfExponent. Each service gets at least two if there are enough.
 func divide(things, services int) []int {
 	least := min(2, things/services)
 	sum := 0.0
@@ -133,8 +134,8 @@
 // region returns the index of a zone's region.
 func (m *Model) region(zone int) int { return zone * m.cfg.Regions / m.cfg.Zones }
 
-// hop returns the one-way network delay between two zones in ms.
-func (m *Model) hop(from, to int) float64 {
+// networkDelay returns the one-way network delay between two zones in ms.
+func (m *Model) networkDelay(from, to int) float64 {
 	switch {
 	case from == to:
 		return m.cfg.ZoneMs
@@ -144,15 +145,15 @@
 	return m.cfg.CrossRegionMs
 }
 
-// linked reports whether messages between two zones arrive: no partition separates their regions.
-func (m *Model) linked(from, to int) bool {
+// reachable reports whether messages between two zones arrive: no partition separates their regions.
+func (m *Model) reachable(from, to int) bool {
 	fromRegion, toRegion := m.region(from), m.region(to)
 	return fromRegion == toRegion || !m.isolated[fromRegion] && !m.isolated[toRegion]
 }
 
 // addServer adds a warm server to a service.
 func (m *Model) addServer(service *service, zone int) *server {
-	server := &server{m: m, service: service, addr: addr(len(m.servers)), zone: zone, speed: 1, listed: policy.HealthReady}
+	server := &server{m: m, service: service, addr: addr(len(m.servers)), zone: zone, warmSpeed: 1, listed: policy.HealthReady}
 	service.servers, m.servers = append(service.servers, server), append(m.servers, server)
 	return server
 }
@@ -175,8 +176,8 @@
 // schedule adds an event at a time in ms, or now if that time is past.
 func (m *Model) schedule(at float64, what scheduled) { m.queue.push(max(at, m.now), what) }
 
-// after calls do after a delay in ms.
-func (m *Model) after(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
+// scheduleAfter calls do after a delay in ms.
+func (m *Model) scheduleAfter(ms float64, do func()) { m.schedule(m.now+ms, call(do)) }
 
 // list returns the service's current endpoint list.
 func (v *service) list() []policy.Entry {
@@ -187,9 +188,9 @@
 	return all
 }
 
-// announce publishes the current state of servers through discovery. Each agent that calls their
-// service is notified after its own delay, client.listMs.
-func (m *Model) announce(servers []*server) {
+// publish publishes the current state of servers through discovery. Each agent that calls their
+// service is notified after its own delay, client.listDelayMs.
+func (m *Model) publish(servers []*server) {
 	for _, service := range m.services {
 		var entries []policy.Entry
 		for _, server := range servers {
@@ -201,7 +202,7 @@
 			continue
 		}
 		for _, client := range service.clients {
-			m.after(client.listMs, func() {
+			m.scheduleAfter(client.listDelayMs, func() {
 				client.agent.handle(&policy.EndpointsUpdated{Kind: policy.ListDelta, Entries: entries})
 			})
 		}
@@ -219,14 +220,14 @@
 // eventsPerContextCheck is the number of events between two checks whether the context has ended.
 const eventsPerContextCheck = 1 << 14
 
-// play runs the fleet for a number of virtual seconds. If ctx ends first, it returns an error that
+// run runs the fleet for a number of virtual seconds. If ctx ends first, it returns an error that
 // wraps the cause.
-func (m *Model) play(ctx context.Context, seconds float64) error {
+func (m *Model) run(ctx context.Context, seconds float64) error {
 	end := m.now + seconds*1000
 	for n := 0; !m.queue.empty() && m.queue.next().at <= end && m.err == nil; n++ {
 		event := m.queue.pop()
 		m.now = event.at
-		event.action.fire(m)
+		event.effect.fire(m)
 		if n%eventsPerContextCheck == 0 && ctx.Err() != nil {
 			return fmt.Errorf("model: ended at %.1f s: %w", (m.now-StartMs)/1000, context.Cause(ctx))
 		}
--- a/internal/fleet/model/traffic.go
+++ b/internal/fleet/model/traffic.go
@@ -10,12 +10,13 @@
 const (
 	// maxWorkSpread is the upper bound of Variant.WorkSpread.
 	maxWorkSpread = 3.0
-	// hintSpread is the standard deviation of the logarithm of a work hint divided by the actual work:
-	// the error of a client's estimate is lognormal.
+	// hintSpread is the standard deviation of the logarithm of a work hint divided by the actual
+	// work: the error of a client's estimate is lognormal.
 	hintSpread = 0.3
 	// idempotencyKeys is the number of idempotency keys from which a request's key is drawn.
 	idempotencyKeys = 400
-	// sumTolerance is the rounding error that is allowed in the sums of the traffic's shares and work.
+	// sumTolerance is the rounding error that is allowed in the sums of the traffic's shares and
+	// work.
 	sumTolerance = 1e-6
 )
 
@@ -28,8 +29,8 @@
 	Work  float64 // mean work of a request, as a multiple of Config.WorkMs
 }
 
-// validateTraffic returns a *fleet.UsageError if the traffic does not match the settings' classes, or if
-// a share or the work is invalid.
+// validateTraffic returns a *fleet.UsageError if the traffic does not match the settings' classes,
+// or if a share or the work is invalid.
 func (cfg *Config) validateTraffic() error {
 	if len(cfg.Traffic) == 0 {
 		return nil
@@ -51,10 +52,11 @@
 	return nil
 }
 
-// Mix replaces the single class and tenant of the plain fleet by four classes with different latency
-// objectives, priority weights and effects, and by two tenants. It sets two retries by the client.
-// Latency objectives, deadlines and idempotency windows are multiples of the mean work.
-func (cfg *Config) Mix() {
+// SetMixedTraffic replaces the single class and tenant of the plain fleet by four classes with
+// different latency objectives, priority weights and effects, and by two tenants. It sets two
+// retries by the client. Latency objectives, deadlines and idempotency windows are multiples of the
+// mean work.
+func (cfg *Config) SetMixedTraffic() {
 	class := func(name string, objective, weight float64, effect policy.Effect) policy.Class {
 		return policy.Class{Name: name, LatencyObjectiveMs: objective * cfg.WorkMs, DeadlineMs: 4 * objective * cfg.WorkMs,
 			PriorityWeight: weight, Effect: effect,
@@ -85,17 +87,17 @@
 // drawClass draws a request's class by the classes' shares of the traffic.
 func (m *Model) drawClass() int {
 	traffic := m.cfg.Traffic
-	return m.drawPart(len(traffic), func(i int) float64 { return traffic[i].Share })
+	return m.drawIndex(len(traffic), func(i int) float64 { return traffic[i].Share })
 }
 
 // drawTenant draws a request's tenant by the tenants' shares of the quota.
 func (m *Model) drawTenant() int {
 	tenants := m.cfg.Settings.Tenants
-	return m.drawPart(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
+	return m.drawIndex(len(tenants), func(i int) float64 { return tenants[i].QuotaShare })
 }
 
-// drawPart draws an index below n. part returns the probability of an index; the sum is 1.
-func (m *Model) drawPart(n int, part func(i int) float64) int {
+// drawIndex draws an index below n. part returns the probability of an index; the sum is 1.
+func (m *Model) drawIndex(n int, part func(i int) float64) int {
 	if n < 2 {
 		return 0
 	}
@@ -115,7 +117,8 @@
 // maxRetries returns the maximum number of retries by a client of a request that is not served.
 func (m *Model) maxRetries() int { return max(m.cfg.Retries, 1) }
 
-// clientTimeoutMs returns a client's timeout in ms for one of its own attempts at a request of a class.
+// clientTimeoutMs returns a client's timeout in ms for one of its own attempts at a request of a
+// class.
 func (m *Model) clientTimeoutMs(class int) float64 {
 	if len(m.cfg.Traffic) == 0 {
 		return defaultDeadlineMs
@@ -135,8 +138,8 @@
 	return m.cfg.Traffic[r.class].Work
 }
 
-// serviceTime returns the time in ms that one core at full speed needs for a request. It is drawn from
-// an exponential distribution unless Variant.WorkSpread is above 0.
+// serviceTime returns the time in ms that one core at full speed needs for a request. It is drawn
+// from an exponential distribution unless Variant.WorkSpread is above 0.
 func (m *Model) serviceTime(r *request) float64 {
 	if m.cfg.WorkSpread > 0 {
 		return m.workOf(r)
--- a/internal/fleet/model/wait_histogram.go
+++ b/internal/fleet/model/wait_histogram.go
@@ -12,7 +12,8 @@
 // newWaitHistogram returns an empty histogram.
 func newWaitHistogram() *waitHistogram { return &waitHistogram{hdrhistogram.New(1, maxWaitUs, 3)} }
 
-// add counts a wait in ms. RecordValue returns no error, as the value is within the histogram's bounds.
+// add counts a wait in ms. RecordValue returns no error, as the value is within the histogram's
+// bounds.
 func (w *waitHistogram) add(ms float64) { _ = w.us.RecordValue(min(int64(1000*ms), maxWaitUs)) }
 
 // ms returns a percentile of the waits in ms. percent is from 0 to 100.
