--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -174,12 +174,12 @@
 	log = log.With("settingsScope", run.scope, "agents", run.size.Agents)
 	log.Info("scenario started", "scenario", run.scenario.Name)
 	if f.Mixed {
-		cfg.Mix()
+		cfg.SetMixedTraffic()
 	}
-	result, err := run.scenario.Play(ctx, cfg, f.Seconds, log)
+	result, err := run.scenario.Run(ctx, cfg, f.Seconds, log)
 	if err == nil && f.Mixed {
 		cfg.DelayedView = true
-		err = run.scenario.Compare(ctx, cfg, f.Seconds, log.With("policy", "delayed view"), result)
+		err = run.scenario.AddBaseline(ctx, cfg, f.Seconds, log.With("policy", "delayed view"), result)
 	}
 	if err != nil {
 		return fmt.Errorf("%s%s: %w", run.scenario.Name, scopeNameSuffix(run.scope), err)
