--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -204,7 +204,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := scenario.Play(ctx, cfg, c.Seconds, slog.New(slog.DiscardHandler))
+	result, err := scenario.Run(ctx, cfg, c.Seconds, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return fmt.Errorf("%s, %d agents, load %g, seed %d: %w", sc.variant.name, sc.agents, sc.load, seed, err)
 	}
