--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -97,8 +97,8 @@
 	}
 	size := c.fleetSize(c.Agents[len(c.Agents)-1], c.Loads[len(c.Loads)-1])
 	result := fleet.NewResult("coldstart", c.resultArgs(), size)
-	result.Notes = append(result.Notes, "in virtual time: the figures are those of the model, the same on any machine",
-		"the size is that of the last case and load; an attempt weighs the mean work of its class")
+	result.Notes = append(result.Notes, "Times are virtual. The figures come from the model and are the same on any machine.",
+		"The size is that of the last case and load. An attempt adds the mean work of its class to a server's load.")
 	runErr := c.runAll(ctx, log, startCases)
 	if runErr == nil {
 		result.Cases = resultCases(startCases)
