--- a/cmd/fleetbench/coldstart.go
+++ b/cmd/fleetbench/coldstart.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	// heavyWorkSpread is the spread of heavy-tailed work. It gives a coefficient of variation of
-	// 1.3.
+	// heavyWorkSpread is the standard deviation of the logarithm of heavy-tailed work. It gives a
+	// coefficient of variation of 1.3.
 	heavyWorkSpread = 1.0
 	// restartWindowS is the time after the start within which each agent restarts once, in seconds.
 	restartWindowS = 4.0
@@ -52,8 +52,8 @@
 	late := func(cfg *model.Config) { cfg.StaleStart = true }
 	restart := func(cfg *model.Config) { cfg.RestartS = restartWindowS }
 	return []startVariant{
-		{"plain", "nothing else", func(*model.Config) {}},
-		{"heavy", "work is heavy-tailed and no hint estimates it", heavy},
+		{"plain", "the start without a change", func(*model.Config) {}},
+		{"heavy", "work is heavy-tailed and clients send no hint of it", heavy},
 		{"late", "agents start with the old list and are notified of the start within 2 s", late},
 		{"restart", "each agent restarts once within 4 s", restart},
 		{"colder", "servers start at a tenth of their capacity", func(cfg *model.Config) {
@@ -67,8 +67,8 @@
 func (*coldstartCmd) Help() string {
 	text := "All servers and all agents of one service start at the same time, in virtual time. There is a case for each " +
 		"variant and number of agents. For each load, and over all seeds, it has the largest ratio of a warming server's load " +
-		"to its slow-start budget, the number of warming servers that failed, the number of those that agents made fail " +
-		"although they had been notified of the start, and the share of requests that were served." +
+		"to its slow-start budget, the number of warming servers that failed, the number of those that failed under the load " +
+		"of agents that had been notified of the start, and the share of requests that were served." +
 		"\n\nThe variants:"
 	for _, variant := range startVariants() {
 		text += fmt.Sprintf("\n\n%s: %s.", variant.name, variant.help)
@@ -85,7 +85,7 @@
 	mu                     sync.Mutex // guards the fields below
 	maxWarmupShare         float64    // largest ratio of a warming server's load to its budget
 	failedServers          float64    // warming servers that failed
-	failedByNotifiedAgents float64    // those that agents made fail after they were notified of the start
+	failedByNotifiedAgents float64    // those that failed under the load of agents that had been notified of the start
 	meanGoodput            float64    // mean share of requests served
 }
 
--- a/cmd/fleetbench/fleet.go
+++ b/cmd/fleetbench/fleet.go
@@ -69,8 +69,8 @@
 	bytesPerCallPerSecond, bytesPerAgent = 1500.0, 100_000.0
 )
 
-// Run runs all scenarios and writes the result. If a scenario fails, the result has the cases that
-// ended before.
+// Run runs all scenarios and writes the result. If a scenario fails, the result has the cases of the
+// scenarios that ended before.
 func (f *fleetCmd) Run(ctx context.Context, log *slog.Logger) error {
 	runs, err := f.scenarioRuns()
 	if err != nil {
@@ -147,7 +147,7 @@
 			size.Agents, size.Servers, size.Services = size.Agents/divisor, size.Servers/divisor, max(size.Services/divisor, 1)
 			size.Rate /= float64(divisor)
 			if size.Agents < size.Services || size.Servers < size.Zones {
-				return nil, fleet.NewUsageError("slope", "a %dth of %d agents and %d servers is too few; use --no-slope",
+				return nil, fleet.NewUsageError("slope", "1/%d of %d agents and %d servers are too few; use --no-slope",
 					divisor, f.Agents, f.Servers)
 			}
 			runs = append(runs, &scenarioRun{scenario: calm, scope: scope, size: size, sizeSuffix: fmt.Sprintf(", 1/%d", divisor)})
